--- a/internal/controller/assign/assign.go
+++ b/internal/controller/assign/assign.go
@@ -74,7 +74,7 @@
 
 // Owners finds the owners of shards; *owners.Table implements it.
 type Owners interface {
-	Of(key string, n int) []owners.Host
+	FirstRanked(key string, n int) []owners.Host
 	Unanswered(host string)
 	Answered(host string)
 }
@@ -154,7 +154,7 @@
 
 // acquireIn finds a place in one shard.
 func (a *Assigner) acquireIn(ctx context.Context, w *balance.Work) (relay.Lease, error) {
-	hosts := a.cfg.Owners.Of(Key(w.Service, w.Shard), 1)
+	hosts := a.cfg.Owners.FirstRanked(Key(w.Service, w.Shard), 1)
 	if len(hosts) == 0 || hosts[0].Self() {
 		return a.cfg.Local.Acquire(ctx, w)
 	}
--- a/internal/controller/assign/assign_test.go
+++ b/internal/controller/assign/assign_test.go
@@ -73,7 +73,7 @@
 	self string
 }
 
-func (v view) Of(_ string, n int) []owners.Host {
+func (v view) FirstRanked(_ string, n int) []owners.Host {
 	v.f.mu.Lock()
 	defer v.f.mu.Unlock()
 	var out []owners.Host
--- a/internal/controller/assign/share.go
+++ b/internal/controller/assign/share.go
@@ -94,7 +94,7 @@
 }
 
 func (a *Assigner) successor(key shardKey) (outbox.Receiver, bool) {
-	for _, h := range a.cfg.Owners.Of(Key(key.service, key.shard), 2) {
+	for _, h := range a.cfg.Owners.FirstRanked(Key(key.service, key.shard), 2) {
 		if !h.Self() {
 			return h.Receiver(), true
 		}
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -316,7 +316,7 @@
 // heartbeats of hosts and servers, and a host that calls itself ready refuses what every
 // other host could serve.
 func (g *gateway) lacks(x *routes.Index) string {
-	if g.grants.Load() == nil && len(g.owners.Of("", 1)) == 0 {
+	if g.grants.Load() == nil && len(g.owners.FirstRanked("", 1)) == 0 {
 		return "a host that holds tokens"
 	}
 	if !g.suspects.Synced() {
