--- a/internal/controller/assign/assign.go
+++ b/internal/controller/assign/assign.go
@@ -81,8 +81,8 @@
 
 // Config of an Assigner.
 type Config struct {
-	// Run names this run of the host; no other run has the same.
-	Run    string
+	// Incarnation names this run of the host; no other run has the same.
+	Incarnation    string
 	Self   func() *pb.Holder
 	Local  Local
 	Owners Owners
@@ -227,7 +227,7 @@
 		lifetime += time.Until(deadline)
 	}
 	return &pb.AssignRequest{
-		Run: a.cfg.Run, Attempt: attempt, Service: w.Service, Shard: w.Shard.Index, Shards: w.Shard.Of, Engine: w.Engine,
+		Run: a.cfg.Incarnation, Attempt: attempt, Service: w.Service, Shard: w.Shard.Index, Shards: w.Shard.Of, Engine: w.Engine,
 		PromptTokens: w.PromptTokens, CacheTokens: w.CacheTokens, ObjectiveMs: w.Objective.Milliseconds(),
 		Exclude: encodeRuns(w.Exclude), LifetimeMs: lifetime.Milliseconds(), Prompt: encodeParts(w.Prompt),
 	}
--- a/internal/controller/assign/assign_test.go
+++ b/internal/controller/assign/assign_test.go
@@ -53,7 +53,7 @@
 			testutil.NoError(t, f.local[name].Announce(engine(i)))
 		}
 		f.hosts[name] = New(Config{
-			Run: name + "/run", Self: func() *pb.Holder { return &pb.Holder{Host: name, Incarnation: 1} },
+			Incarnation: name + "/run", Self: func() *pb.Holder { return &pb.Holder{Host: name, Incarnation: 1} },
 			Local: f.local[name], Owners: view{f, name}, Client: func(to string) pb.PeerClient { return &client{f: f, to: to} },
 		})
 		go f.hosts[name].Run(t.Context())
--- a/internal/controller/assign/run.go
+++ b/internal/controller/assign/run.go
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	_, err := a.cfg.Client(m.To.Address).ReportRuns(ctx, &pb.ReportRunsRequest{
-		Owner: &pb.Holder{Host: m.To.Host, Incarnation: m.To.Incarnation}, Run: a.cfg.Run, Reports: m.Items,
+		Owner: &pb.Holder{Host: m.To.Host, Incarnation: m.To.Incarnation}, Run: a.cfg.Incarnation, Reports: m.Items,
 	})
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -222,7 +222,7 @@
 	g.news = g.newNews()
 	g.budgets = g.newBudgets()
 	g.assigner = assign.New(assign.Config{
-		Run: g.run, Self: g.holder, Local: g.balancer, Owners: g.owners, Client: d.pool.Client, Log: d.tel.Log,
+		Incarnation: g.run, Self: g.holder, Local: g.balancer, Owners: g.owners, Client: d.pool.Client, Log: d.tel.Log,
 	})
 	return g
 }
