--- a/internal/controller/assign/assign_test.go
+++ b/internal/controller/assign/assign_test.go
@@ -47,7 +47,7 @@
 	for _, name := range names {
 		f.local[name] = balancer.New(balancer.Config{
 			Host: name, Zone: "z", Retry: retry.Bounds{Window: time.Second}, Hosts: func() int { return len(names) },
-			Changed: func(*pb.ServerState) {}, Log: zerolog.Nop(),
+			OnChange: func(*pb.ServerState) {}, Log: zerolog.Nop(),
 		})
 		for i := range engines {
 			testutil.NoError(t, f.local[name].Announce(engine(i)))
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -32,9 +32,9 @@
 	Retry      retry.Bounds
 	// Hosts counts the hosts that share the allowance for repeated attempts.
 	Hosts func() int
-	// Changed is called with the state of an instance of which this host has heard
+	// OnChange is called with the state of an instance of which this host has heard
 	// something that its peers must know at once; it must not call the Balancer.
-	Changed func(*pb.ServerState)
+	OnChange func(*pb.ServerState)
 	// Limits has the permits for servers that limit their rate; nil: no server does.
 	Limits Limits
 	Log    zerolog.Logger
@@ -142,7 +142,7 @@
 
 func (b *Balancer) changed(st *pb.ServerState) {
 	b.logHeard(st, "server")
-	b.cfg.Changed(st)
+	b.cfg.OnChange(st)
 }
 
 // logHeard writes a line for news of a server. from says who told: it or a peer.
--- a/internal/controller/balancer/balancer_test.go
+++ b/internal/controller/balancer/balancer_test.go
@@ -28,7 +28,7 @@
 	f := &fixture{}
 	f.Balancer = New(Config{
 		Host: "a", Zone: "z", Retry: retry.Bounds{Window: time.Hour, Share: 0.5, Extra: 4},
-		Hosts: func() int { return hosts }, Changed: func(*pb.ServerState) { f.told++ }, Log: zerolog.New(&f.log),
+		Hosts: func() int { return hosts }, OnChange: func(*pb.ServerState) { f.told++ }, Log: zerolog.New(&f.log),
 	})
 	return f
 }
--- a/internal/controller/balancer/lock_test.go
+++ b/internal/controller/balancer/lock_test.go
@@ -22,7 +22,7 @@
 	}
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
-			b := New(Config{Host: "host", Changed: func(*pb.ServerState) {}})
+			b := New(Config{Host: "host", OnChange: func(*pb.ServerState) {}})
 			b.reg, b.core = nil, nil // every use panics
 			func() {
 				defer func() {
@@ -44,7 +44,7 @@
 // again; both are taken at the same time.
 // Cause: what was reported was noted outside the lock.
 func TestFirstTwiceAtOnce(t *testing.T) {
-	b := New(Config{Host: "host", Changed: func(*pb.ServerState) {}})
+	b := New(Config{Host: "host", OnChange: func(*pb.ServerState) {}})
 	testutil.NoError(t, b.Announce(instance.Announcement{ID: "a", Service: "s", Address: "10.0.0.1:80", Seq: 1, Slots: 1}))
 	l, err := b.Acquire(t.Context(), &balance.Work{Service: "s"})
 	if err != nil {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -201,7 +201,7 @@
 		Host: cfg.Host, Zone: cfg.Zone, Log: d.tel.Log,
 		Retry:   retry.Bounds{Window: retries.Window.Std(), Share: retries.Share, Extra: retries.Extra},
 		Hosts:   g.gateways,
-		Changed: g.serverChanged,
+		OnChange: g.serverChanged,
 		Limits:  g.limits,
 	})
 	interval := cfg.Timing.Heartbeat.Std()
