--- a/internal/controller/ratelimits/ratelimits.go
+++ b/internal/controller/ratelimits/ratelimits.go
@@ -44,8 +44,8 @@
 	Host   string
 	Owners Owners
 	Client func(address string) pb.PeerClient
-	// Tell tells all hosts of a changed limit.
-	Tell func(*pb.ServerLimit)
+	// Broadcast tells all hosts of a changed limit.
+	Broadcast func(*pb.ServerLimit)
 	Log  zerolog.Logger
 }
 
@@ -102,7 +102,7 @@
 		return
 	}
 	l.logChange(run, before, w, requestID)
-	l.cfg.Tell(encode(time.Now(), run, w))
+	l.cfg.Broadcast(encode(time.Now(), run, w))
 }
 
 func (l *Limiter) hear(run instance.Incarnation, w ratelimit.Observation) (before ratelimit.Observation, changed bool) {
--- a/internal/controller/ratelimits/ratelimits_test.go
+++ b/internal/controller/ratelimits/ratelimits_test.go
@@ -52,7 +52,7 @@
 
 func newLimiter(o *fakeOwners, p *peer) *Limiter {
 	return New(Config{
-		Host: "h", Owners: o, Client: func(string) pb.PeerClient { return p }, Tell: func(*pb.ServerLimit) {}, Log: zerolog.Nop(),
+		Host: "h", Owners: o, Client: func(string) pb.PeerClient { return p }, Broadcast: func(*pb.ServerLimit) {}, Log: zerolog.Nop(),
 	})
 }
 
--- a/internal/daemon/suspects.go
+++ b/internal/daemon/suspects.go
@@ -21,7 +21,7 @@
 
 // newLimiter makes what keeps requests to servers' rate limits. tell tells all hosts of a change.
 func (d *Daemon) newLimiter(o *owners.Table, tell func(*pb.ServerLimit)) *ratelimits.Limiter {
-	l := ratelimits.New(ratelimits.Config{Host: d.cfg.Host, Owners: o, Client: d.pool.Client, Tell: tell, Log: d.tel.Log})
+	l := ratelimits.New(ratelimits.Config{Host: d.cfg.Host, Owners: o, Client: d.pool.Client, Broadcast: tell, Log: d.tel.Log})
 	d.tel.Metrics.Set("server_limits", l.Metrics())
 	return l
 }
