--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -54,8 +54,8 @@
 
 // Config of a Guard.
 type Config struct {
-	// Host is this host's name, Run that of this run of it.
-	Host, Run string
+	// Host is this host's name, Incarnation that of this run of it.
+	Host, Incarnation string
 	Owners    Owners
 	Client    func(address string) pb.PeerClient
 	// Peers are the peer addresses of hosts to learn from.
@@ -135,7 +135,7 @@
 func (g *Guard) Follow(id quarantine.ID) filter.Pass { return g.newPass(id) }
 
 func (g *Guard) newPass(id quarantine.ID) *pass {
-	return &pass{g: g, id: id, name: g.cfg.Run + "/" + strconv.FormatUint(g.passes.Add(1), 10)}
+	return &pass{g: g, id: id, name: g.cfg.Incarnation + "/" + strconv.FormatUint(g.passes.Add(1), 10)}
 }
 
 // standing of a request as this host knows it.
