--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -60,8 +60,8 @@
 	Client    func(address string) pb.PeerClient
 	// Peers are the peer addresses of hosts to learn from.
 	Peers func() []string
-	// Tell tells all hosts.
-	Tell func(*pb.Suspect)
+	// Broadcast tells all hosts.
+	Broadcast func(*pb.Suspect)
 	// Answers tells whether a server answers at all, in any way.
 	Answers func(ctx context.Context, address, path string) bool
 	// Store is nil on hosts without a disk.
@@ -175,7 +175,7 @@
 // tell tells all hosts of a change, and logs it.
 func (g *Guard) tell(s *pb.Suspect) {
 	g.logChange(s, "here")
-	g.cfg.Tell(s)
+	g.cfg.Broadcast(s)
 }
 
 // crashed notes the end of a server under a request.
--- a/internal/controller/quarantine/quarantine_test.go
+++ b/internal/controller/quarantine/quarantine_test.go
@@ -54,7 +54,7 @@
 func (f *fleet) add(t *testing.T, name string, store Store) *host {
 	h := &host{fleet: f, name: name}
 	h.Guard = New(Config{
-		Host: name, Incarnation: name, Owners: h, Client: h.client, Peers: h.peers, Tell: h.tell, Store: store, Log: zerolog.Nop(),
+		Host: name, Incarnation: name, Owners: h, Client: h.client, Peers: h.peers, Broadcast: h.tell, Store: store, Log: zerolog.Nop(),
 		Answers: func(context.Context, string, string) bool { return f.alive.Load() },
 	})
 	f.hosts = append(f.hosts, h)
--- a/internal/daemon/suspects.go
+++ b/internal/daemon/suspects.go
@@ -38,7 +38,7 @@
 func (g *gateway) newSuspects() *quarantinectl.Guard {
 	return g.d.newGuard(quarantinectl.Config{
 		Incarnation: g.run, Owners: g.owners, Peers: g.sourceAddresses, Answers: g.client.Answers,
-		Tell: func(s *pb.Suspect) { g.news.Suspect(s) },
+		Broadcast: func(s *pb.Suspect) { g.news.Suspect(s) },
 	})
 }
 
@@ -46,7 +46,7 @@
 func (e *entry) makeSuspects() {
 	e.suspects = e.d.newGuard(quarantinectl.Config{
 		Incarnation: newRun(e.d.cfg.Host), Owners: e.owners, Peers: e.relayAddresses, Answers: e.client.Answers,
-		Tell: func(s *pb.Suspect) { e.news.Suspect(s) },
+		Broadcast: func(s *pb.Suspect) { e.news.Suspect(s) },
 	})
 	e.news = news.New(news.Config{
 		Self: e.d.cfg.PeerAddress(), Peers: e.livePeers, Client: e.d.pool.Client, Suspects: e.suspects.HandleTold, Limits: e.limits.Merge,
