--- a/internal/controller/quarantine/probe.go
+++ b/internal/controller/quarantine/probe.go
@@ -92,7 +92,7 @@
 		if n > 0 {
 			time.Sleep(probePause)
 		}
-		if g.cfg.Answers(ctx, b.Address, b.HealthPath) {
+		if g.cfg.Responds(ctx, b.Address, b.HealthPath) {
 			return true
 		}
 	}
--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -62,8 +62,8 @@
 	Peers func() []string
 	// Broadcast tells all hosts.
 	Broadcast func(*pb.Suspect)
-	// Answers tells whether a server answers at all, in any way.
-	Answers func(ctx context.Context, address, path string) bool
+	// Responds tells whether a server answers at all, in any way.
+	Responds func(ctx context.Context, address, path string) bool
 	// Store is nil on hosts without a disk.
 	Store Store
 	Log   zerolog.Logger
--- a/internal/controller/quarantine/quarantine_test.go
+++ b/internal/controller/quarantine/quarantine_test.go
@@ -55,7 +55,7 @@
 	h := &host{fleet: f, name: name}
 	h.Guard = New(Config{
 		Host: name, Incarnation: name, Owners: h, Client: h.client, Peers: h.peers, Broadcast: h.tell, Store: store, Log: zerolog.Nop(),
-		Answers: func(context.Context, string, string) bool { return f.alive.Load() },
+		Responds: func(context.Context, string, string) bool { return f.alive.Load() },
 	})
 	f.hosts = append(f.hosts, h)
 	t.Cleanup(h.behind.Wait)
--- a/internal/daemon/suspects.go
+++ b/internal/daemon/suspects.go
@@ -37,7 +37,7 @@
 // newSuspects makes the guard of a gateway.
 func (g *gateway) newSuspects() *quarantinectl.Guard {
 	return g.d.newGuard(quarantinectl.Config{
-		Incarnation: g.run, Owners: g.owners, Peers: g.sourceAddresses, Answers: g.client.Answers,
+		Incarnation: g.run, Owners: g.owners, Peers: g.sourceAddresses, Responds: g.client.Answers,
 		Broadcast: func(s *pb.Suspect) { g.news.Suspect(s) },
 	})
 }
@@ -45,7 +45,7 @@
 // makeSuspects makes the guard of an entry host, and what it tells the others by.
 func (e *entry) makeSuspects() {
 	e.suspects = e.d.newGuard(quarantinectl.Config{
-		Incarnation: newRun(e.d.cfg.Host), Owners: e.owners, Peers: e.relayAddresses, Answers: e.client.Answers,
+		Incarnation: newRun(e.d.cfg.Host), Owners: e.owners, Peers: e.relayAddresses, Responds: e.client.Answers,
 		Broadcast: func(s *pb.Suspect) { e.news.Suspect(s) },
 	})
 	e.news = news.New(news.Config{
