--- a/internal/controller/routes/controller.go
+++ b/internal/controller/routes/controller.go
@@ -68,8 +68,8 @@
 	Sources func() []Source
 	// Fetch asks the host at an address for its table.
 	Fetch func(ctx context.Context, address string, req *pb.FetchRoutesRequest) (*pb.FetchRoutesReply, error)
-	// Changed is called after each newer table; before is nil for the first.
-	Changed func(before, after *routes.Index)
+	// OnChange is called after each newer table; before is nil for the first.
+	OnChange func(before, after *routes.Index)
 	// Lacks is asked while this host starts: what it does not know yet that requests under
 	// the table need; empty: nothing. nil: it needs nothing but the table.
 	Lacks func(*routes.Index) string
@@ -214,7 +214,7 @@
 	c.current.Store(next)
 	c.cfg.Log.Info().Str("event", "routes-in-force").Uint64("revision", next.Revision()).Str("from", from).
 		Int("routes", len(next.Table().Routes)).Int("accounts", len(next.Table().Accounts)).Send()
-	c.cfg.Changed(before, next)
+	c.cfg.OnChange(before, next)
 }
 
 // HandleFetch answers another host from the table in force here.
--- a/internal/controller/routes/controller_test.go
+++ b/internal/controller/routes/controller_test.go
@@ -69,7 +69,7 @@
 			}
 			return reply, nil
 		},
-		Changed: func(_, after *routes.Index) { f.changes = append(f.changes, after.Revision()) },
+		OnChange: func(_, after *routes.Index) { f.changes = append(f.changes, after.Revision()) },
 		Now:     func() time.Time { return f.now },
 		Log:     zerolog.Nop(),
 	})
