--- a/internal/controller/routes/controller.go
+++ b/internal/controller/routes/controller.go
@@ -70,9 +70,9 @@
 	Fetch func(ctx context.Context, address string, req *pb.FetchRoutesRequest) (*pb.FetchRoutesReply, error)
 	// OnChange is called after each newer table; before is nil for the first.
 	OnChange func(before, after *routes.Index)
-	// Lacks is asked while this host starts: what it does not know yet that requests under
+	// Missing is asked while this host starts: what it does not know yet that requests under
 	// the table need; empty: nothing. nil: it needs nothing but the table.
-	Lacks func(*routes.Index) string
+	Missing func(*routes.Index) string
 	// First is the place among the sources at which this host begins to ask. It should be
 	// another one at each host: those that start together then don't ask the same one.
 	First int
@@ -242,11 +242,11 @@
 	if !c.confirmed.Load() && age-time.Duration(c.quorumAt.Load()) < unconfirmedGrace {
 		return nil, errkind.New(errkind.HostNotReady, "the routing table is not confirmed by a quorum yet").After(retryAt(age))
 	}
-	if c.cfg.Lacks == nil || age > startGrace {
+	if c.cfg.Missing == nil || age > startGrace {
 		c.noteServing(x, age)
 		return x, nil
 	}
-	if lacks := c.cfg.Lacks(x); lacks != "" {
+	if lacks := c.cfg.Missing(x); lacks != "" {
 		return nil, errkind.New(errkind.HostNotReady, "this host has just started and does not know %s yet", lacks).After(retryAt(age))
 	}
 	c.noteServing(x, age)
--- a/internal/controller/routes/controller_test.go
+++ b/internal/controller/routes/controller_test.go
@@ -203,7 +203,7 @@
 func TestStartingHostWaitsForWhatItLacks(t *testing.T) {
 	f := newFixture()
 	lacks := "a backend server"
-	f.cfg.Lacks = func(*routes.Index) string { return lacks }
+	f.cfg.Missing = func(*routes.Index) string { return lacks }
 	f.Take("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 	_, err := f.Current()
 	testutil.Refused(t, err, errkind.HostNotReady, "without servers")
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -190,7 +190,7 @@
 	d.tel.Metrics.Set("routed", &g.metrics.vars)
 	g.self.Store(&pb.Holder{Host: cfg.Host})
 	g.routes = routesctl.New(routesctl.Config{
-		Sources: g.sources, Fetch: g.fetchRoutes, OnChange: g.tableChanged, Lacks: g.lacks, Log: d.tel.Log,
+		Sources: g.sources, Fetch: g.fetchRoutes, OnChange: g.tableChanged, Missing: g.lacks, Log: d.tel.Log,
 		First: int(rendezvous.Hash(cfg.Host) % maxFirst),
 	})
 	d.client.SetAddresses(g.controlAddresses)
