--- a/internal/controller/routes/controller.go
+++ b/internal/controller/routes/controller.go
@@ -73,9 +73,9 @@
 	// Missing is asked while this host starts: what it does not know yet that requests under
 	// the table need; empty: nothing. nil: it needs nothing but the table.
 	Missing func(*routes.Index) string
-	// First is the place among the sources at which this host begins to ask. It should be
+	// FirstSource is the place among the sources at which this host begins to ask. It should be
 	// another one at each host: those that start together then don't ask the same one.
-	First int
+	FirstSource int
 	// Now is the clock; nil: time.Now.
 	Now func() time.Time
 	Log zerolog.Logger
@@ -126,8 +126,8 @@
 	}
 	return &Controller{
 		cfg: cfg, started: cfg.Now(), table: &pb.Routes{}, wake: make(chan struct{}, 1),
-		patience: make(map[string]time.Duration), fetching: make(map[string]time.Time), next: cfg.First,
-		offers: make(map[string]uint64), asking: make(map[string]bool), nextAsked: cfg.First,
+		patience: make(map[string]time.Duration), fetching: make(map[string]time.Time), next: cfg.FirstSource,
+		offers: make(map[string]uint64), asking: make(map[string]bool), nextAsked: cfg.FirstSource,
 	}
 }
 
--- a/internal/controller/routes/start_test.go
+++ b/internal/controller/routes/start_test.go
@@ -74,7 +74,7 @@
 					return nil, ctx.Err()
 				}
 			},
-			OnChange: func(_, _ *routes.Index) {}, First: i, Log: zerolog.Nop(),
+			OnChange: func(_, _ *routes.Index) {}, FirstSource: i, Log: zerolog.Nop(),
 		})
 		all = append(all, c)
 		go c.Run(t.Context())
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -191,7 +191,7 @@
 	g.self.Store(&pb.Holder{Host: cfg.Host})
 	g.routes = routesctl.New(routesctl.Config{
 		Sources: g.sources, Fetch: g.fetchRoutes, OnChange: g.tableChanged, Missing: g.lacks, Log: d.tel.Log,
-		First: int(rendezvous.Hash(cfg.Host) % maxFirst),
+		FirstSource: int(rendezvous.Hash(cfg.Host) % maxFirst),
 	})
 	d.client.SetAddresses(g.controlAddresses)
 	retries := cfg.Routed.Retry
