--- a/internal/controller/scheduler/cooldown_test.go
+++ b/internal/controller/scheduler/cooldown_test.go
@@ -24,7 +24,7 @@
 		s := newScheduler(4)
 		defer s.Close()
 		s.Announce(second())
-		s.Heard(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: "1.4"})
+		s.Observe(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: "1.4"})
 		for range 20 {
 			l := mustAcquire(t, s, time.Second)
 			if l.Address() != "127.0.0.1:9002" {
@@ -32,7 +32,7 @@
 			}
 			l.Done(filter.Outcome{OK: true})
 		}
-		s.Heard(engineclient.Said{Address: "127.0.0.1:9002", RequestID: "r", RetryAfter: "1"})
+		s.Observe(engineclient.Said{Address: "127.0.0.1:9002", RequestID: "r", RetryAfter: "1"})
 		began := time.Now()
 		_, err := s.Acquire(t.Context(), work(5*time.Second))
 		e := errkind.From(err)
@@ -58,7 +58,7 @@
 		held := mustAcquire(t, s, 5*time.Second)
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			s.Heard(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: "30"})
+			s.Observe(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: "30"})
 		}()
 		began := time.Now()
 		_, err := s.Acquire(t.Context(), work(5*time.Second))
@@ -74,7 +74,7 @@
 		s := newScheduler(1)
 		defer s.Close()
 		for _, text := range []string{"soon", "-3", "NaN", ""} {
-			s.Heard(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: text})
+			s.Observe(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: text})
 		}
 		mustAcquire(t, s, time.Second).Done(filter.Outcome{OK: true})
 	})
--- a/internal/controller/scheduler/limits.go
+++ b/internal/controller/scheduler/limits.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Heard takes what a server says of itself with an answer.
-func (s *Scheduler) Heard(said engineclient.Said) {
+// Observe takes what a server says of itself with an answer.
+func (s *Scheduler) Observe(said engineclient.Said) {
 	if said.RetryAfter != "" {
 		s.heardCooldown(said)
 	}
