--- a/internal/controller/quarantine/quarantine_test.go
+++ b/internal/controller/quarantine/quarantine_test.go
@@ -85,7 +85,7 @@
 func (h *host) tell(s *pb.Suspect) {
 	for _, other := range h.fleet.hosts {
 		if other != h && !h.cut.Load() && !other.cut.Load() {
-			other.HandleTold([]*pb.Suspect{s}, h.name)
+			other.HandleUpdates([]*pb.Suspect{s}, h.name)
 		}
 	}
 }
--- a/internal/controller/quarantine/sync.go
+++ b/internal/controller/quarantine/sync.go
@@ -195,8 +195,8 @@
 	return g.table.All(time.Now()), version, true
 }
 
-// HandleTold takes what another host tells.
-func (g *Guard) HandleTold(told []*pb.Suspect, from string) { g.learn(told, from) }
+// HandleUpdates takes what another host tells.
+func (g *Guard) HandleUpdates(told []*pb.Suspect, from string) { g.learn(told, from) }
 
 // HandleFetch answers what this host knows.
 func (g *Guard) HandleFetch(r *pb.FetchSuspectsRequest) *pb.FetchSuspectsReply {
--- a/internal/daemon/gatewaynews.go
+++ b/internal/daemon/gatewaynews.go
@@ -12,7 +12,7 @@
 func (g *gateway) newNews() *news.Spreader {
 	return news.New(news.Config{
 		Self: g.d.cfg.PeerAddress(), Peers: g.livePeers, Client: g.d.pool.Client,
-		Suspects: g.suspects.HandleTold, Limits: g.limits.Merge,
+		Suspects: g.suspects.HandleUpdates, Limits: g.limits.Merge,
 		Servers: func(states []*pb.ServerState) { g.balancer.Merge(states, backend.TransitUnknown) },
 		Fetch:   g.fetchTold, Log: g.d.tel.Log,
 	})
--- a/internal/daemon/suspects.go
+++ b/internal/daemon/suspects.go
@@ -49,7 +49,7 @@
 		Broadcast: func(s *pb.Suspect) { e.news.Suspect(s) },
 	})
 	e.news = news.New(news.Config{
-		Self: e.d.cfg.PeerAddress(), Peers: e.livePeers, Client: e.d.pool.Client, Suspects: e.suspects.HandleTold, Limits: e.limits.Merge,
+		Self: e.d.cfg.PeerAddress(), Peers: e.livePeers, Client: e.d.pool.Client, Suspects: e.suspects.HandleUpdates, Limits: e.limits.Merge,
 		Servers: func([]*pb.ServerState) {}, Fetch: func(context.Context, string, uint64) {}, Log: e.d.tel.Log,
 	})
 }
