--- a/internal/controller/routes/confirm.go
+++ b/internal/controller/routes/confirm.go
@@ -44,7 +44,7 @@
 	c.mu.Lock()
 	c.offers[source.Address] = reply.GetRoutes().GetRevision()
 	c.mu.Unlock()
-	c.Take(source.Address, reply)
+	c.Apply(source.Address, reply)
 }
 
 // end notes that a control host is not being asked any more.
--- a/internal/controller/routes/confirm_test.go
+++ b/internal/controller/routes/confirm_test.go
@@ -68,7 +68,7 @@
 		f := newFixture()
 		f.cfg.Now, f.started = time.Now, time.Now()
 		ctx, cancel := context.WithCancel(t.Context())
-		f.Take("control", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
+		f.Apply("control", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 		go f.Run(ctx)
 		test(t, f)
 		cancel()
--- a/internal/controller/routes/controller.go
+++ b/internal/controller/routes/controller.go
@@ -185,9 +185,9 @@
 	}
 }
 
-// Take takes the answer of a host at an address, if it is newer or confirms what this one
+// Apply takes the answer of a host at an address, if it is newer or confirms what this one
 // has.
-func (c *Controller) Take(from string, reply *pb.FetchRoutesReply) {
+func (c *Controller) Apply(from string, reply *pb.FetchRoutesReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	offered := reply.GetRoutes()
--- a/internal/controller/routes/controller_test.go
+++ b/internal/controller/routes/controller_test.go
@@ -98,13 +98,13 @@
 	// Sequence: it starts, and hears first of a host that was cut off and has an old table.
 	// Cause: the first table heard of was put in force at once.
 	f := newFixture()
-	f.Take("peer", &pb.FetchRoutesReply{Routes: table(t, 4)})
+	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4)})
 	_, err := f.Current()
 	testutil.Refused(t, err, errkind.HostNotReady, "before a confirmation")
-	f.Take("peer", &pb.FetchRoutesReply{Routes: &pb.Routes{Revision: 5}, Confirmed: true})
+	f.Apply("peer", &pb.FetchRoutesReply{Routes: &pb.Routes{Revision: 5}, Confirmed: true})
 	_, err = f.Current()
 	testutil.Refused(t, err, errkind.HostNotReady, "a newer one is confirmed")
-	f.Take("peer", &pb.FetchRoutesReply{Routes: table(t, 5), Confirmed: true})
+	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 5), Confirmed: true})
 	x, err := f.Current()
 	testutil.NoError(t, err)
 	if x.Revision() != 5 {
@@ -117,7 +117,7 @@
 	// Sequence: no host that it hears of is in contact with a quorum.
 	// Cause: it waits for a confirmation without bound.
 	f := newFixture()
-	f.Take("peer", &pb.FetchRoutesReply{Routes: table(t, 4)})
+	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4)})
 	f.now = start.Add(unconfirmedGrace)
 	if _, err := f.Current(); err != nil {
 		t.Errorf("still refused: %v", err)
@@ -126,7 +126,7 @@
 
 func TestReconcileAsksWhoeverHasANewerTable(t *testing.T) {
 	f := newFixture()
-	f.Take("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
+	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 	f.sources = []Source{{Address: "same", Revision: 4}, {Address: "older", Revision: 3, Control: true}, {Address: "newer", Revision: 6}}
 	f.replies["newer"] = &pb.FetchRoutesReply{Routes: table(t, 6)}
 	f.Reconcile(t.Context())
@@ -145,7 +145,7 @@
 func TestSilentControlHostIsNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
-		f.Take("peer", &pb.FetchRoutesReply{Routes: table(t, 4)})
+		f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4)})
 		f.sources = []Source{
 			{Address: "plain", Revision: 4}, {Address: "silent", Revision: 4, Control: true}, {Address: "sound", Revision: 4, Control: true},
 			{Address: "lost", Revision: 4, Control: true},
@@ -182,7 +182,7 @@
 		f.started = time.Now()
 		go func() {
 			time.Sleep(startWait + 100*time.Millisecond)
-			f.Take("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
+			f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 		}()
 		_, err := f.Await(t.Context())
 		testutil.Refused(t, err, errkind.HostNotReady, "long before the end of the start")
@@ -204,7 +204,7 @@
 	f := newFixture()
 	lacks := "a backend server"
 	f.cfg.Missing = func(*routes.Index) string { return lacks }
-	f.Take("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
+	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 	_, err := f.Current()
 	testutil.Refused(t, err, errkind.HostNotReady, "without servers")
 	f.now = start.Add(startGrace + 1)
@@ -219,8 +219,8 @@
 
 func TestUnreadableTableIsNotTaken(t *testing.T) {
 	f := newFixture()
-	f.Take("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
-	f.Take("peer", &pb.FetchRoutesReply{Routes: &pb.Routes{Revision: 5, TableJson: []byte(`{"routes":[{}]}`)}, Confirmed: true})
+	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
+	f.Apply("peer", &pb.FetchRoutesReply{Routes: &pb.Routes{Revision: 5, TableJson: []byte(`{"routes":[{}]}`)}, Confirmed: true})
 	if x, err := f.Current(); err != nil || x.Revision() != 4 {
 		t.Errorf("revision %d in force: %v", f.Revision(), err)
 	}
@@ -228,7 +228,7 @@
 
 func TestHostsAnswerWithWhatTheyHave(t *testing.T) {
 	f := newFixture()
-	f.Take("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
+	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 	if got := f.HandleFetch(&pb.FetchRoutesRequest{Have: 3}); got.GetRoutes().GetRevision() != 4 || got.GetRoutes().GetTableJson() == nil || got.GetConfirmed() {
 		t.Errorf("to one that has 3: %v", got)
 	}
@@ -264,7 +264,7 @@
 			if rapid.Bool().Draw(t, "empty") {
 				offered = &pb.Routes{Revision: revision}
 			}
-			f.Take("peer", &pb.FetchRoutesReply{Routes: offered, Confirmed: rapid.Bool().Draw(t, "confirmed")})
+			f.Apply("peer", &pb.FetchRoutesReply{Routes: offered, Confirmed: rapid.Bool().Draw(t, "confirmed")})
 			f.now = f.now.Add(time.Second)
 			if f.Revision() < last {
 				t.Fatalf("went from %d to %d", last, f.Revision())
--- a/internal/controller/routes/fetch.go
+++ b/internal/controller/routes/fetch.go
@@ -91,6 +91,6 @@
 	}
 	c.mu.Unlock()
 	if err == nil {
-		c.Take(source.Address, reply)
+		c.Apply(source.Address, reply)
 	}
 }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -284,7 +284,7 @@
 		g.applied.Store(table.GetRevision())
 		g.d.tel.Log.Info().Str("event", "routes-applied").Uint64("revision", table.GetRevision()).Send()
 		if g.servesCallers() {
-			g.routes.Take(ownReplica, routesctl.FromReplica(g.d.replica, &pb.FetchRoutesRequest{Have: g.routes.Revision()}))
+			g.routes.Apply(ownReplica, routesctl.FromReplica(g.d.replica, &pb.FetchRoutesRequest{Have: g.routes.Revision()}))
 		}
 		g.members.Kick()
 		if _, _, leads := g.d.replica.Leading(); leads {
--- a/internal/daemon/gatewaytables.go
+++ b/internal/daemon/gatewaytables.go
@@ -97,7 +97,7 @@
 // answer. The operator was told that the table holds, and no host that serves callers has it
 // until the group is back.
 func (g *gateway) takeReplaced(packed *pb.ReplaceRoutes) {
-	g.routes.Take(fromOperator, &pb.FetchRoutesReply{
+	g.routes.Apply(fromOperator, &pb.FetchRoutesReply{
 		Routes: &pb.Routes{Revision: packed.GetRevision(), TableJson: packed.GetTableJson()}, Confirmed: true,
 	})
 }
