--- a/internal/controller/assign/assign.go
+++ b/internal/controller/assign/assign.go
@@ -1,16 +1,16 @@
-// Package assign finds the server for each attempt of a routed request by asking the
+// Package assign chooses the server for each attempt of a routed request by asking the
 // owner of its shard.
 //
-// The choice needs to know what waits at each engine and what each keeps in its cache. A
-// host that knows only its own requests knows little of that in a large fleet: of 58
-// hosts each sends one request in twenty seconds to one of 60 engines. Telling all hosts
-// of all requests costs more than the requests. So the servers of a service are divided
-// into shards, and one host, the owner of a shard, places all requests for its servers. A
-// request costs one call of some milliseconds before, and one after it.
+// The choice depends on the queue and the cache of each engine. A host that knows only
+// its own requests knows little of either in a large fleet: each of 58 hosts sends one
+// request in 20 s to each of 60 engines. Broadcasting every request to all hosts costs
+// more than the requests themselves. The servers of a service are therefore divided into
+// shards, and one host, the owner of the shard, assigns all requests for its servers.
+// This costs one call of a few milliseconds before each request and one after it.
 //
-// An owner that gives no answer is passed over; this host then chooses by itself, by what
-// it knows. Plain services, whose requests take about as long as the call, are always
-// served so.
+// If an owner does not answer, this host skips it and chooses a server itself from what
+// it knows. It always does so for plain services, whose requests take about as long as
+// the call.
 package assign
 
 import (
@@ -34,23 +34,23 @@
 )
 
 const (
-	// callTimeout bounds one call for a place. It takes a few milliseconds; a host that
-	// has used up its processor time pauses for up to 80 ms.
+	// callTimeout bounds one Assign call. The call takes a few milliseconds; a host that
+	// has used up its CPU quota is paused for up to 80 ms.
 	callTimeout = 150 * time.Millisecond
-	// reportTimeout bounds one call that reports how attempts went.
+	// reportTimeout bounds one call that reports the results of attempts.
 	reportTimeout = 500 * time.Millisecond
-	// reportWait is how long a report waits for others to go with it. What is reported
-	// later than an engine reads a short prompt, in 30 ms, tells nothing of its queue.
-	reportWait = 15 * time.Millisecond
-	// reportUse is how long a report is worth sending.
-	reportUse = 3 * time.Second
-	// lifetimeMargin is what an assignment outlives its attempt's deadline by: its end
-	// is reported in that time, or its host was lost.
+	// reportDelay is how long a report waits for others to be sent with it. An engine reads
+	// a short prompt in 30 ms; a later report says nothing about its queue.
+	reportDelay = 15 * time.Millisecond
+	// reportLifetime is how long a report is worth sending.
+	reportLifetime = 3 * time.Second
+	// lifetimeMargin is how long an assignment is kept after its attempt's deadline. An
+	// attempt whose end was not reported by then belongs to a host that has failed.
 	lifetimeMargin = 2 * time.Second
-	// maxStale is how often an owner is asked again that names a server which this host
-	// knows to leave.
-	maxStale = 2
-	// maxShards is how many shards are asked for a place before a request is refused.
+	// maxOwnerAsks is how often an owner is asked in all if it chooses servers that this
+	// host knows to be unusable.
+	maxOwnerAsks = 2
+	// maxShards is how many shards are tried before a request is rejected.
 	maxShards = 3
 )
 
@@ -58,18 +58,18 @@
 type Local interface {
 	relay.Balancer
 	ShardOf(w *balance.Work) balance.Shard
-	Usable(run instance.Incarnation) bool
-	CoolDown(run instance.Incarnation, d time.Duration, requestID string)
-	CooldownUnreadable(run instance.Incarnation, requestID string)
-	CooldownLeft(run instance.Incarnation) time.Duration
-	CoolDownForPeer(run instance.Incarnation, d time.Duration)
-	Cooling(service string) (runs []instance.Incarnation, first time.Duration, all bool)
-	End(run instance.Incarnation) error
-	Drain(run instance.Incarnation)
+	Usable(inc instance.Incarnation) bool
+	CoolDown(inc instance.Incarnation, d time.Duration, requestID string)
+	CooldownUnreadable(inc instance.Incarnation, requestID string)
+	CooldownLeft(inc instance.Incarnation) time.Duration
+	CoolDownForPeer(inc instance.Incarnation, d time.Duration)
+	Cooling(service string) (incarnations []instance.Incarnation, shortest time.Duration, all bool)
+	End(inc instance.Incarnation) error
+	Drain(inc instance.Incarnation)
 	TakeCacheUpdates() []balance.Known
 	CacheContents(service string, in balance.Shard) []balance.Known
 	MergeCaches([]balance.Known)
-	ShardOfServer(run instance.Incarnation) (service string, in balance.Shard, ok bool)
+	ShardOfServer(inc instance.Incarnation) (service string, in balance.Shard, ok bool)
 }
 
 // Owners finds the owners of shards; *owners.Table implements it.
@@ -79,9 +79,9 @@
 	MarkAnswered(host string)
 }
 
-// Config of an Assigner.
+// Config configures an Assigner.
 type Config struct {
-	// Incarnation names this run of the host; no other run has the same.
+	// Incarnation identifies this incarnation of the host; it is unique.
 	Incarnation string
 	Self        func() *pb.Holder
 	Local       Local
@@ -96,27 +96,27 @@
 	attempt atomic.Uint64
 
 	mu sync.Mutex
-	// reports on attempts that other hosts have assigned.
+	// reports are the reports to send about attempts that other hosts have assigned.
 	reports *outbox.Outbox[*pb.RunReport]
-	// due wakes Run: there is something to report.
-	due chan struct{}
-	// assigned are the attempts of other hosts at servers of this host's shards.
+	// reportDue wakes Run when there is something to report.
+	reportDue chan struct{}
+	// assigned holds the attempts of other hosts at servers of this host's shards.
 	assigned map[attemptKey]assignment
-	// untold are shards of which a message was not answered.
-	untold []shardKey
-	sends  sync.WaitGroup
+	// unacknowledged are the shards for which a ShareParts call failed.
+	unacknowledged []shardKey
+	sends          sync.WaitGroup
 
-	// shares belong to Run.
-	shares map[shardKey]*shared
+	// shares is used by Run only.
+	shares map[shardKey]*shareState
 }
 
 var _ relay.Balancer = (*Assigner)(nil)
 
-// New makes an assigner; Run must be called for reports to be sent.
+// New returns an Assigner. It sends reports only while Run runs.
 func New(cfg Config) *Assigner {
 	return &Assigner{
-		cfg: cfg, reports: outbox.New[*pb.RunReport](), due: make(chan struct{}, 1),
-		assigned: make(map[attemptKey]assignment), shares: make(map[shardKey]*shared),
+		cfg: cfg, reports: outbox.New[*pb.RunReport](), reportDue: make(chan struct{}, 1),
+		assigned: make(map[attemptKey]assignment), shares: make(map[shardKey]*shareState),
 	}
 }
 
@@ -130,43 +130,43 @@
 	var err error
 	for range min(maxShards, max(in.Shard.Of, 1)) {
 		var l relay.Lease
-		if l, err = a.acquireIn(ctx, &in); err == nil || !errkind.Is(err, errkind.NoBackendServer) {
+		if l, err = a.acquireInShard(ctx, &in); err == nil || !errkind.Is(err, errkind.NoBackendServer) {
 			return l, err
 		}
 		in.Shard = in.Shard.Next()
 	}
-	return nil, a.untilCooled(err, w.Service)
+	return nil, a.withCooldownRetryAfter(err, w.Service)
 }
 
-// untilCooled is a refusal by the owners of shards, who do not know how long servers want nothing
-// from this host.
-func (a *Assigner) untilCooled(err error, service string) error {
-	cooling, first, all := a.cfg.Local.Cooling(service)
+// withCooldownRetryAfter sets the retry time of a refusal by shard owners, which do not know how
+// long servers are cooling down for this host.
+func (a *Assigner) withCooldownRetryAfter(err error, service string) error {
+	cooling, shortest, all := a.cfg.Local.Cooling(service)
 	refusal, ok := err.(*errkind.Error)
 	if !ok || len(cooling) == 0 {
 		return err
 	}
-	if all || first < refusal.RetryAfter {
-		return refusal.After(first + rand.N(min(first, balance.ReturnSpread)))
+	if all || shortest < refusal.RetryAfter {
+		return refusal.After(shortest + rand.N(min(shortest, balance.ReturnSpread)))
 	}
 	return err
 }
 
-// acquireIn finds a place in one shard.
-func (a *Assigner) acquireIn(ctx context.Context, w *balance.Work) (relay.Lease, error) {
+// acquireInShard acquires a server of one shard.
+func (a *Assigner) acquireInShard(ctx context.Context, w *balance.Work) (relay.Lease, error) {
 	hosts := a.cfg.Owners.FirstRanked(Key(w.Service, w.Shard), 1)
 	if len(hosts) == 0 || hosts[0].Self() {
 		return a.cfg.Local.Acquire(ctx, w)
 	}
 	in := *w
-	in.Exclude = a.withCooling(w)
-	for stale := range maxStale {
-		l, err := a.ask(ctx, hosts[0], &in)
-		if stale > 0 && errkind.Is(err, errkind.NoBackendServer) {
-			break // the owner knows less than this host
+	in.Exclude = a.excludedServers(w)
+	for asked := range maxOwnerAsks {
+		l, err := a.askOwner(ctx, hosts[0], &in)
+		if asked > 0 && errkind.Is(err, errkind.NoBackendServer) {
+			break // this host may know servers that the owner does not know
 		}
 		if err != nil {
-			return a.withoutOwner(ctx, w, hosts[0], err)
+			return a.acquireWithoutOwner(ctx, w, hosts[0], err)
 		}
 		if a.cfg.Local.Usable(l.choice.Instance.Incarnation()) {
 			return l, nil
@@ -177,20 +177,21 @@
 	return a.cfg.Local.Acquire(ctx, w)
 }
 
-// withCooling are the servers that must not get w: those that had it, and those that want nothing
-// from this host, which the owner does not know of.
-func (a *Assigner) withCooling(w *balance.Work) []instance.Incarnation {
+// excludedServers returns the servers that must not get w: those that had it already, and those that
+// are cooling down for this host, of which the owner does not know.
+func (a *Assigner) excludedServers(w *balance.Work) []instance.Incarnation {
 	cooling, _, _ := a.cfg.Local.Cooling(w.Service)
 	return append(slices.Clip(w.Exclude), cooling...)
 }
 
-// withoutOwner takes an owner's refusal, or goes on without an owner that gave no answer.
-func (a *Assigner) withoutOwner(ctx context.Context, w *balance.Work, h owners.Host, err error) (relay.Lease, error) {
+// acquireWithoutOwner returns the owner's refusal if err is one. If the owner did not answer, it
+// chooses among the servers that this host knows.
+func (a *Assigner) acquireWithoutOwner(ctx context.Context, w *balance.Work, h owners.Host, err error) (relay.Lease, error) {
 	if refusal, ok := err.(*errkind.Error); ok {
 		return nil, refusal
 	}
 	if ctx.Err() != nil {
-		return nil, errkind.New(errkind.DeadlineExceeded, "no server was found in time").WithRan(errkind.RanNo)
+		return nil, errkind.New(errkind.DeadlineExceeded, "the deadline passed before a server was assigned").WithRan(errkind.RanNo)
 	}
 	a.cfg.Owners.MarkUnanswered(h.Name)
 	a.cfg.Log.Warn().Str("event", "shard-owner-unanswered").Str("owner", h.Name).Str("service", w.Service).
@@ -198,14 +199,15 @@
 	return a.cfg.Local.Acquire(ctx, w)
 }
 
-// ask asks an owner for a place. An error that is no *errkind.Error is a missing answer.
-func (a *Assigner) ask(ctx context.Context, h owners.Host, w *balance.Work) (*remoteLease, error) {
+// askOwner asks an owner to assign a server. Any error other than an *errkind.Error means that the
+// owner did not answer.
+func (a *Assigner) askOwner(ctx context.Context, h owners.Host, w *balance.Work) (*remoteLease, error) {
 	l := &remoteLease{a: a, owner: h, attempt: a.attempt.Add(1)}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := a.cfg.Client(h.Address).Assign(callCtx, a.request(ctx, l.attempt, w))
 	if err != nil {
-		l.Done(balance.Abandoned) // it may have been assigned
+		l.Done(balance.Abandoned) // the owner may have assigned a server
 		return nil, err
 	}
 	a.cfg.Owners.MarkAnswered(h.Name)
@@ -229,22 +231,22 @@
 	return &pb.AssignRequest{
 		Run: a.cfg.Incarnation, Attempt: attempt, Service: w.Service, Shard: w.Shard.Index, Shards: w.Shard.Of, Engine: w.Engine,
 		PromptTokens: w.PromptTokens, CacheTokens: w.CacheTokens, ObjectiveMs: w.Objective.Milliseconds(),
-		Exclude: encodeRuns(w.Exclude), LifetimeMs: lifetime.Milliseconds(), Prompt: encodeParts(w.Prompt),
+		Exclude: encodeIncarnations(w.Exclude), LifetimeMs: lifetime.Milliseconds(), Prompt: encodeParts(w.Prompt),
 	}
 }
 
-func encodeRuns(runs []instance.Incarnation) []*pb.ServerRun {
-	out := make([]*pb.ServerRun, 0, len(runs))
-	for _, run := range runs {
-		out = append(out, &pb.ServerRun{Id: run.ID, Incarnation: run.Started})
+func encodeIncarnations(incarnations []instance.Incarnation) []*pb.ServerRun {
+	out := make([]*pb.ServerRun, 0, len(incarnations))
+	for _, inc := range incarnations {
+		out = append(out, &pb.ServerRun{Id: inc.ID, Incarnation: inc.Started})
 	}
 	return out
 }
 
-func decodeRuns(runs []*pb.ServerRun) []instance.Incarnation {
-	out := make([]instance.Incarnation, 0, len(runs))
-	for _, run := range runs {
-		out = append(out, instance.Incarnation{ID: run.GetId(), Started: run.GetIncarnation()})
+func decodeIncarnations(incarnations []*pb.ServerRun) []instance.Incarnation {
+	out := make([]instance.Incarnation, 0, len(incarnations))
+	for _, inc := range incarnations {
+		out = append(out, instance.Incarnation{ID: inc.GetId(), Started: inc.GetIncarnation()})
 	}
 	return out
 }
--- a/internal/controller/assign/assign_test.go
+++ b/internal/controller/assign/assign_test.go
@@ -27,12 +27,13 @@
 
 const pool = "pool"
 
-// fleet is some hosts that know the same servers; the first one owns all shards.
+// fleet is a set of hosts that know the same servers; the first one owns all shards.
 type fleet struct {
 	names []string
 	hosts map[string]*Assigner
 	local map[string]*balancer.Balancer
-	// lost tells of a call, by method, whether it is lost before it arrives, or its answer.
+	// lost reports for a method whether the call is lost before it arrives, and whether its
+	// answer is lost.
 	lost func(method string) (call, answer bool)
 
 	mu         sync.Mutex
@@ -67,7 +68,7 @@
 	}
 }
 
-// view is the owners as one host sees them.
+// view is the table of owners at one host.
 type view struct {
 	f    *fleet
 	self string
@@ -87,7 +88,7 @@
 	return out
 }
 
-// rank gives the hosts another order.
+// rank changes the order of the hosts.
 func (f *fleet) rank(names ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,7 +110,7 @@
 	to string
 }
 
-func through[T any](c *client, method string, call func() T) (T, error) {
+func callPeer[T any](c *client, method string, call func() T) (T, error) {
 	var none T
 	callLost, answerLost := c.f.lost(method)
 	if callLost {
@@ -123,15 +124,15 @@
 }
 
 func (c *client) Assign(ctx context.Context, r *pb.AssignRequest, _ ...grpc.CallOption) (*pb.AssignReply, error) {
-	return through(c, "assign", func() *pb.AssignReply { return c.f.hosts[c.to].HandleAssign(ctx, r) })
+	return callPeer(c, "assign", func() *pb.AssignReply { return c.f.hosts[c.to].HandleAssign(ctx, r) })
 }
 
 func (c *client) ReportRuns(_ context.Context, r *pb.ReportRunsRequest, _ ...grpc.CallOption) (*pb.ReportRunsReply, error) {
-	return through(c, "report", func() *pb.ReportRunsReply { return c.f.hosts[c.to].HandleReportRuns(r) })
+	return callPeer(c, "report", func() *pb.ReportRunsReply { return c.f.hosts[c.to].HandleReportRuns(r) })
 }
 
 func (c *client) ShareParts(_ context.Context, r *pb.SharePartsRequest, _ ...grpc.CallOption) (*pb.SharePartsReply, error) {
-	return through(c, "share", func() *pb.SharePartsReply { return c.f.hosts[c.to].HandleShareParts(r) })
+	return callPeer(c, "share", func() *pb.SharePartsReply { return c.f.hosts[c.to].HandleShareParts(r) })
 }
 
 func prompt(shared, own, sharedTokens, ownTokens uint64) *balance.Work {
@@ -141,24 +142,23 @@
 	}
 }
 
-const patience = 5 * time.Second
+const acquireTimeout = 5 * time.Second
 
 func (f *fleet) acquire(t *testing.T, host string, w *balance.Work) relay.Lease {
 	t.Helper()
-	l, err := f.hosts[host].Acquire(testutil.Within(t, patience), w)
+	l, err := f.hosts[host].Acquire(testutil.Within(t, acquireTimeout), w)
 	testutil.NoError(t, err)
 	return l
 }
 
-// Symptom: each host has the same prompt part read at another engine.
-// Sequence: hosts get requests with the part one after the other.
-// Cause: none knows where the others had it read.
+// Guards against hosts that each send the same prompt part to a different engine because
+// none knows which engine the others have sent it to.
 func TestPartsSentByOtherHostsCountAsCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 8, "a", "b", "c")
 		w := prompt(7, 1, 13_000, 3_000)
 		first := f.acquire(t, "b", w)
-		w.Exclude = []instance.Incarnation{first.Choice().Instance.Incarnation()} // so that the part's home does not decide
+		w.Exclude = []instance.Incarnation{first.Choice().Instance.Incarnation()} // so that the part's preferred server is not chosen
 		sent := f.acquire(t, "b", w)
 		w = prompt(7, 2, 13_000, 3_000)
 		w.Exclude = []instance.Incarnation{first.Choice().Instance.Incarnation()}
@@ -172,10 +172,9 @@
 	})
 }
 
-// Symptom: engines have long queues while others are idle.
-// Sequence: many hosts choose at the same moment.
-// Cause: none knows what the others have chosen.
-func TestWorkOfOtherHostsCounts(t *testing.T) {
+// Guards against long queues at some engines while others are idle: many hosts choose at the
+// same moment without knowing each other's choices.
+func TestOwnerCountsRequestsOfAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 6, "a", "b", "c", "d")
 		at := map[string]int{}
@@ -202,27 +201,26 @@
 		l.First()
 		l.First()
 		l.Done(balance.Broken)
-		time.Sleep(2 * reportWait)
+		time.Sleep(2 * reportDelay)
 		if n := f.local["a"].Running(); n != 0 {
 			t.Errorf("%d running at the owner after the end", n)
 		}
-		// The owner knows that the server failed, so nobody is sent there.
+		// The owner knows that the server failed and assigns no request to it.
 		if next := f.acquire(t, "a", prompt(7, 1, 100, 100)); next.Choice().Instance.ID == l.Choice().Instance.ID {
-			t.Error("the server that failed another host was chosen at once")
+			t.Error("the server that failed another host's request was chosen at once")
 		}
 	})
 }
 
-// Symptom: a server that left gets a request.
-// Sequence: the asking host has heard that the server leaves, the owner has not yet.
-// Cause: the owner's word taken for the newest.
-func TestLeavingServerIsNotUsedOnTheOwnersWord(t *testing.T) {
+// Guards against a request to a server that the asking host knows to have stopped and the owner
+// does not yet.
+func TestServerKnownToHaveStoppedIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, "a", "b")
-		named := f.acquire(t, "b", prompt(7, 1, 100, 100)).Choice().Instance.ID
-		testutil.NoError(t, f.local["b"].EndKnown(named))
-		if got := f.acquire(t, "b", prompt(7, 2, 100, 100)).Choice().Instance.ID; got == named {
-			t.Errorf("%s was used, which this host knows to be gone", got)
+		chosen := f.acquire(t, "b", prompt(7, 1, 100, 100)).Choice().Instance.ID
+		testutil.NoError(t, f.local["b"].EndKnown(chosen))
+		if got := f.acquire(t, "b", prompt(7, 2, 100, 100)).Choice().Instance.ID; got == chosen {
+			t.Errorf("%s was used, which this host knows to have stopped", got)
 		}
 		time.Sleep(time.Second)
 		if n := f.local["a"].Running(); n != 2 {
@@ -231,7 +229,7 @@
 	})
 }
 
-func TestAddressOfAnotherInstanceIsToldToBoth(t *testing.T) {
+func TestWrongInstanceIsReportedToOwnerAndHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, "a", "b")
 		l := f.acquire(t, "b", prompt(7, 1, 100, 100))
@@ -246,7 +244,7 @@
 	})
 }
 
-func TestWithoutOwnerTheHostChooses(t *testing.T) {
+func TestHostChoosesWhenOwnerDoesNotAnswer(t *testing.T) {
 	for name, answerLost := range map[string]bool{"call lost": false, "answer lost": true} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 3, "a", "b")
@@ -255,7 +253,7 @@
 			}
 			l := f.acquire(t, "b", prompt(7, 1, 100, 100))
 			if f.local["b"].Running() != 1 || len(f.unanswered) != 1 {
-				t.Errorf("%s: %d running here, passed over %v", name, f.local["b"].Running(), f.unanswered)
+				t.Errorf("%s: %d running at this host, unanswered owners %v", name, f.local["b"].Running(), f.unanswered)
 			}
 			l.Done(balance.Served)
 			time.Sleep(time.Second)
@@ -266,7 +264,7 @@
 	}
 }
 
-func TestOtherShardsAreAskedBeforeARefusal(t *testing.T) {
+func TestOtherShardsAreTriedBeforeRejection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 60, "a", "b")
 		w := prompt(7, 1, 100, 100)
@@ -287,16 +285,15 @@
 			testutil.NoError(t, f.local["b"].End(gone.Incarnation()))
 		}
 		_, err := f.hosts["b"].Acquire(t.Context(), w)
-		testutil.Refused(t, err, errkind.NoBackendServer, "no server is left")
+		testutil.Refused(t, err, errkind.NoBackendServer, "all servers have stopped")
 	})
 }
 
-// Symptom: after the loss of a host, or its return, engines read anew what others keep.
-// Sequence: parts were read at other engines than those that are their homes; then another
-// host owns the shard: the next one in rank, one that joins, the former owner again.
-// Cause: the new owner does not know what engines keep.
-func TestNewOwnersKnowTheCaches(t *testing.T) {
-	for name, shareLost := range map[string]bool{"told": false, "first message lost": true} {
+// Guards against a new owner that does not know what engines keep, so that they read prompt
+// parts again that others keep. The parts are kept by other engines than their preferred
+// servers; the new owner is the next host in rank, one that joins, or the former owner again.
+func TestNewOwnerKnowsCacheContents(t *testing.T) {
+	for name, shareLost := range map[string]bool{"shared": false, "first message lost": true} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 8, "a", "b", "c", "d")
 			first := true
@@ -316,19 +313,19 @@
 				return l.Choice()
 			}
 			home := use("c", 1).Instance.Incarnation()
-			kept := use("c", 2, home).Instance.ID
+			keptBy := use("c", 2, home).Instance.ID
 			for i, rank := range [][]string{{"b", "c", "a", "d"}, {"d", "b", "c", "a"}, {"a", "d", "b", "c"}} {
 				f.rank(rank...)
-				time.Sleep(2 * shareEvery) // membership and sharing take a moment
-				if got := use("c", uint64(10+i), home); got.Instance.ID != kept || got.Cached != 13_000 {
-					t.Errorf("%s: owner %s sent it to %s with %d cached; %s keeps the part", name, rank[0], got.Instance.ID, got.Cached, kept)
+				time.Sleep(2 * shareEvery) // until the shard has been shared with its new owner
+				if got := use("c", uint64(10+i), home); got.Instance.ID != keptBy || got.Cached != 13_000 {
+					t.Errorf("%s: owner %s assigned %s with %d cached; %s keeps the part", name, rank[0], got.Instance.ID, got.Cached, keptBy)
 				}
 			}
 		})
 	}
 }
 
-func TestPlainServicesAreChosenHere(t *testing.T) {
+func TestPlainServicesAreChosenLocally(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, "a", "b")
 		f.acquire(t, "b", &balance.Work{Service: pool})
@@ -338,9 +335,9 @@
 	})
 }
 
-// TestNothingStaysAtTheOwner: whatever is lost on the way, the owner counts no request any
-// more once all have surely ended, and it can still be asked.
-func TestNothingStaysAtTheOwner(t *testing.T) {
+// TestOwnerKeepsNoEndedRequests checks that whichever calls and answers are lost, the owner
+// counts no running request once the lifetimes of all assignments are over.
+func TestOwnerKeepsNoEndedRequests(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.IntRange(0, 6), 10, 40).Draw(rt, "faults")
 		ends := rapid.SliceOfN(rapid.IntRange(0, 6), 1, 20).Draw(rt, "ends")
@@ -356,7 +353,7 @@
 				return faults[n%len(faults)] == 0, faults[n%len(faults)] == 1
 			}
 			for i, end := range ends {
-				l, err := f.hosts[f.names[1+i%2]].Acquire(testutil.Within(t, patience), prompt(uint64(end), uint64(100+i), 3_000, 500))
+				l, err := f.hosts[f.names[1+i%2]].Acquire(testutil.Within(t, acquireTimeout), prompt(uint64(end), uint64(100+i), 3_000, 500))
 				if err != nil {
 					continue
 				}
@@ -364,20 +361,20 @@
 				if end%2 == 0 {
 					l.First()
 				}
-				if end < 6 { // else the host is lost with it
+				if end < 6 { // else the host fails and reports no end
 					l.Done(balance.Result(end % 5))
 				}
 			}
-			time.Sleep(patience + lifetimeMargin + 2*expireEvery)
+			time.Sleep(acquireTimeout + lifetimeMargin + 2*expireEvery)
 			left = f.local["a"].Running() + len(f.hosts["a"].assigned)
 		})
 		if left != 0 {
-			rt.Fatalf("%d requests stay at the owner", left)
+			rt.Fatalf("the owner still counts %d requests", left)
 		}
 	})
 }
 
-// restart has hosts hear of a new run of an engine.
+// restart announces a new incarnation of an engine to hosts.
 func (f *fleet) restart(t *testing.T, i int, started uint64, hosts ...string) {
 	for _, name := range hosts {
 		e := engine(i)
@@ -386,36 +383,35 @@
 	}
 }
 
-// Symptom: after an engine's restart requests are refused, or sent to the run that is over.
-// Sequence: the engine starts again under its id; the owner of its shard, the host that
-// asks, or both have heard so.
-// Cause: hosts named engines to each other by ids alone.
+// Guards against requests that are rejected, or sent to the incarnation that has ended, after
+// an engine restarts under its ID. The owner of its shard, the asking host or both know of the
+// restart. The cause was that calls between hosts identified engines by ID alone.
 func TestRestartedEngineAmongHosts(t *testing.T) {
-	for name, heard := range map[string][]string{"both": {"a", "b"}, "owner": {"a"}, "asking": {"b"}} {
+	for name, informed := range map[string][]string{"both": {"a", "b"}, "owner": {"a"}, "asking": {"b"}} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 1, "a", "b")
 			f.restart(t, 0, 100, "a", "b")
 			w := prompt(7, 1, 13_000, 3_000)
 			before := f.acquire(t, "b", w)
 			if before.Choice().Instance.Started != 100 {
-				t.Fatalf("%s: run %d", name, before.Choice().Instance.Started)
+				t.Fatalf("%s: incarnation %d", name, before.Choice().Instance.Started)
 			}
-			f.restart(t, 0, 200, heard...)
-			if name != "asking" { // an owner that knows no other run refuses
+			f.restart(t, 0, 200, informed...)
+			if name != "asking" { // an owner that knows only the old incarnation would reject the request
 				w.Exclude = append(w.Exclude, before.Choice().Instance.Incarnation())
 			}
 			after := f.acquire(t, "b", w)
 			if got := after.Choice(); got.Instance.Started != 200 || got.Cached != 0 || got.Running != 0 {
-				t.Errorf("%s: the new run is taken for %+v", name, got)
+				t.Errorf("%s: got %+v for the new incarnation", name, got)
 			}
 			before.Wrong()
 			before.Done(balance.Broken)
 			after.First()
 			after.Done(balance.Served)
 			time.Sleep(time.Second)
-			for _, host := range heard {
+			for _, host := range informed {
 				if !f.local[host].Usable(after.Choice().Instance.Incarnation()) {
-					t.Errorf("%s: host %s ended the new run on word of the former", name, host)
+					t.Errorf("%s: host %s ended the new incarnation on a report about the old one", name, host)
 				}
 			}
 			if n := f.local["a"].Running(); n != 0 {
@@ -425,12 +421,9 @@
 	}
 }
 
-// Symptom: after an engine's restart a new owner sends it requests whose prompts it no
-// longer keeps.
-// Sequence: the former owner tells the next one what the engine read; the engine starts
-// again; the next one becomes the owner.
-// Cause: what was told of a cache outlived the run that had it.
-func TestNewOwnersForgetFormerRuns(t *testing.T) {
+// Guards against a new owner that takes prompt parts for cached at a restarted engine: the
+// former owner had shared the cache contents of the engine's earlier incarnation.
+func TestNewOwnerForgetsEarlierIncarnations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, "a", "b", "c")
 		f.restart(t, 0, 100, "a", "b", "c")
@@ -445,12 +438,12 @@
 		use(1)
 		f.rank("b", "a", "c")
 		if got := use(2); got.Cached != 13_000 {
-			t.Errorf("the new owner knows of %d cached", got.Cached)
+			t.Errorf("the new owner expects %d cached tokens", got.Cached)
 		}
 		f.restart(t, 0, 200, "b", "a", "c")
 		f.rank("a", "b", "c")
 		if got := use(3); got.Cached != 0 || got.Instance.Started != 200 {
-			t.Errorf("%d cached at a run that has read nothing", got.Cached)
+			t.Errorf("%d tokens expected as cached at an incarnation that has read nothing", got.Cached)
 		}
 	})
 }
--- a/internal/controller/assign/lease.go
+++ b/internal/controller/assign/lease.go
@@ -9,16 +9,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/relay"
 )
 
-// remoteLease is a place that another host has assigned.
+// remoteLease is a lease on a server that another host has assigned.
 type remoteLease struct {
-	a        *Assigner
-	owner    owners.Host
-	attempt  uint64
-	choice   balance.Choice
-	first    bool
-	load     *pb.ServerLoad
-	cooldown time.Duration
-	wrong    bool
+	a             *Assigner
+	owner         owners.Host
+	attempt       uint64
+	choice        balance.Choice
+	firstReported bool
+	load          *pb.ServerLoad
+	cooldown      time.Duration
+	wrongInstance bool
 }
 
 var _ relay.Lease = (*remoteLease)(nil)
@@ -28,14 +28,14 @@
 
 // First implements relay.Lease; only the first call counts.
 func (l *remoteLease) First() {
-	if l.first {
+	if l.firstReported {
 		return
 	}
-	l.first = true
+	l.firstReported = true
 	l.report(&pb.RunReport{First: true, Load: l.load})
 }
 
-// Report implements relay.Lease; it goes with the next report.
+// Report implements relay.Lease. The load is sent with the next report to the owner.
 func (l *remoteLease) Report(load balance.Load) {
 	l.load = &pb.ServerLoad{Running: int64(load.Running), Waiting: int64(load.Waiting), Slots: int64(load.Slots)}
 }
@@ -56,28 +56,28 @@
 
 // Wrong implements relay.Lease.
 func (l *remoteLease) Wrong() {
-	l.wrong = true
+	l.wrongInstance = true
 	_ = l.a.cfg.Local.End(l.choice.Instance.Incarnation())
 }
 
 // Done implements relay.Lease.
 func (l *remoteLease) Done(r balance.Result) {
-	l.report(&pb.RunReport{Wrong: l.wrong, Load: l.load, End: endOf(r), CooldownMs: l.cooldown.Milliseconds()})
+	l.report(&pb.RunReport{Wrong: l.wrongInstance, Load: l.load, End: endOf(r), CooldownMs: l.cooldown.Milliseconds()})
 }
 
 func (l *remoteLease) report(r *pb.RunReport) {
 	r.Attempt = l.attempt
 	a := l.a
 	a.mu.Lock()
-	a.reports.Add(l.owner.Receiver(), r, time.Now().Add(reportUse))
+	a.reports.Add(l.owner.Receiver(), r, time.Now().Add(reportLifetime))
 	a.mu.Unlock()
 	select {
-	case a.due <- struct{}{}:
-	default: // Run is about to send
+	case a.reportDue <- struct{}{}:
+	default: // Run has been woken already
 	}
 }
 
-// results are those that an end stands for.
+// results maps the ends in reports to results.
 var results = map[pb.RunEnd]balance.Result{
 	pb.RunEnd_RUN_END_SERVED: balance.Served, pb.RunEnd_RUN_END_SHED: balance.Shed,
 	pb.RunEnd_RUN_END_UNREACHABLE: balance.Unreachable, pb.RunEnd_RUN_END_BROKEN: balance.Broken,
--- a/internal/controller/assign/owner.go
+++ b/internal/controller/assign/owner.go
@@ -12,29 +12,29 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// Key is a shard's name among the keys that hosts own.
+// Key returns the key by which hosts are ranked as owners of a shard.
 func Key(service string, s balance.Shard) string {
 	return fmt.Sprintf("servers/%s/%d/%d", service, s.Index, s.Of)
 }
 
-// attemptKey names an attempt of another host.
+// attemptKey identifies an attempt of another host.
 type attemptKey struct {
-	run     string
-	attempt uint64
+	incarnation string
+	attempt     uint64
 }
 
-// assignment is a place that was given to another host's attempt.
+// assignment is a server assigned to another host's attempt.
 type assignment struct {
 	lease relay.Lease
 	until time.Time
 }
 
-// HandleAssign finds a place for another host's attempt at a server of a shard that this
-// host owns in the other one's eyes.
+// HandleAssign assigns a server to another host's attempt. The other host takes this one
+// for the owner of the shard.
 func (a *Assigner) HandleAssign(ctx context.Context, req *pb.AssignRequest) *pb.AssignReply {
 	w := &balance.Work{
 		Service: req.GetService(), Engine: req.GetEngine(), CacheTokens: req.GetCacheTokens(), PromptTokens: req.GetPromptTokens(),
-		Objective: time.Duration(req.GetObjectiveMs()) * time.Millisecond, Exclude: decodeRuns(req.GetExclude()),
+		Objective: time.Duration(req.GetObjectiveMs()) * time.Millisecond, Exclude: decodeIncarnations(req.GetExclude()),
 		Prompt: decodeParts(req.GetPrompt()),
 		Shard:  balance.Shard{Index: req.GetShard(), Of: req.GetShards()},
 	}
@@ -53,19 +53,19 @@
 	}
 }
 
-// HandleReportRuns takes how another host's attempts went.
+// HandleReportRuns applies another host's reports about its attempts.
 func (a *Assigner) HandleReportRuns(req *pb.ReportRunsRequest) *pb.ReportRunsReply {
 	self := a.cfg.Self()
 	if req.GetOwner().GetHost() != self.GetHost() || req.GetOwner().GetIncarnation() != self.GetIncarnation() {
-		return &pb.ReportRunsReply{} // a former run of this host assigned them
+		return &pb.ReportRunsReply{} // an earlier incarnation of this host assigned them
 	}
 	for _, r := range req.GetReports() {
-		a.reported(attemptKey{req.GetRun(), r.GetAttempt()}, r)
+		a.applyReport(attemptKey{req.GetRun(), r.GetAttempt()}, r)
 	}
 	return &pb.ReportRunsReply{}
 }
 
-func (a *Assigner) reported(k attemptKey, r *pb.RunReport) {
+func (a *Assigner) applyReport(k attemptKey, r *pb.RunReport) {
 	a.mu.Lock()
 	as, ok := a.assigned[k]
 	if r.GetEnd() != pb.RunEnd_RUN_END_NONE {
@@ -92,18 +92,18 @@
 	}
 }
 
-// expire ends assignments whose hosts have not reported their end in time.
+// expire ends assignments whose end was not reported in time.
 func (a *Assigner) expire(now time.Time) {
 	a.mu.Lock()
-	var over []relay.Lease
+	var expired []relay.Lease
 	for k, as := range a.assigned {
 		if now.After(as.until) {
-			over = append(over, as.lease)
+			expired = append(expired, as.lease)
 			delete(a.assigned, k)
 		}
 	}
 	a.mu.Unlock()
-	for _, l := range over {
+	for _, l := range expired {
 		l.Done(balance.Abandoned)
 	}
 }
--- a/internal/controller/assign/run.go
+++ b/internal/controller/assign/run.go
@@ -9,11 +9,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// expireEvery is how often assignments are looked through for those whose end was not
-// reported.
+// expireEvery is how often assignments whose end was not reported are removed.
 const expireEvery = time.Second
 
-// Run sends reports until ctx ends.
+// Run sends reports and shares cache contents until ctx ends.
 func (a *Assigner) Run(ctx context.Context) {
 	expire := time.NewTicker(expireEvery)
 	defer expire.Stop()
@@ -28,10 +27,10 @@
 			a.expire(now)
 			a.send(ctx)
 		case <-share.C:
-			a.forgetUntold()
+			a.resetUnacknowledged()
 			a.share(ctx)
-		case <-a.due:
-			time.Sleep(reportWait)
+		case <-a.reportDue:
+			time.Sleep(reportDelay)
 			a.send(ctx)
 		}
 	}
--- a/internal/controller/assign/share.go
+++ b/internal/controller/assign/share.go
@@ -11,71 +11,72 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// What goes wrong without sharing: the owner of a shard is lost, restarted, or a host joins
-// that ranks before it. The new owner does not know which engine keeps which prompt part;
-// it has them read where they are at home, though others keep them, and the engines' time
-// goes there. With hosts restarted one after the other, a third of what was read had been
-// kept by another engine.
+// Cache contents are shared because the owner of a shard changes: it fails, restarts, or a
+// host joins that ranks before it. A new owner that does not know which engine keeps which
+// prompt part has the preferred server read it again although another one keeps it. With
+// hosts restarted one after the other, a third of the tokens read were kept by another
+// engine.
 //
-// So an owner tells the next host in rank what its servers read, and whoever knows a shard
-// tells all of it to a host that has become its owner.
+// An owner therefore sends the prompt parts that its servers read to the next host in rank,
+// and each host that knows a shard sends all it knows to a host that becomes its owner.
 
 const (
-	// shareEvery is how often parts are told. They cost 12 bytes each.
+	// shareEvery is how often prompt parts are sent. Each takes 12 bytes.
 	shareEvery = 250 * time.Millisecond
 	// shareTimeout bounds one call.
 	shareTimeout = 500 * time.Millisecond
-	// shareFor is how long a host that places no requests for a shard any more still tells a
-	// new owner what it knows.
-	shareFor = 20 * time.Second
+	// shareRetention is how long a host that no longer assigns requests for a shard still
+	// shares its knowledge of the shard with a new owner.
+	shareRetention = 20 * time.Second
 )
 
-// shardKey names a shard of a service's servers.
+// shardKey identifies a shard of a service's servers.
 type shardKey struct {
 	service string
 	shard   balance.Shard
 }
 
-// shared is what was told of a shard.
-type shared struct {
-	// to is the host that knows all up to now; the zero value if none does.
+// shareState is what has been shared of a shard.
+type shareState struct {
+	// to is the host that has received everything so far; the zero value if none has.
 	to outbox.Receiver
-	// used is when this host last placed a request there.
-	used time.Time
+	// lastAssigned is when this host last assigned a request in the shard.
+	lastAssigned time.Time
 }
 
-// share tells what was read since the last call.
+// share sends the prompt parts that servers have been sent since the last call.
 func (a *Assigner) share(ctx context.Context) {
 	now := time.Now()
-	news := make(map[shardKey][]balance.Known)
+	updates := make(map[shardKey][]balance.Known)
 	for _, k := range a.cfg.Local.TakeCacheUpdates() {
 		service, shard, ok := a.cfg.Local.ShardOfServer(k.Server)
 		if !ok {
 			continue
 		}
 		key := shardKey{service, shard}
-		news[key] = append(news[key], k)
+		updates[key] = append(updates[key], k)
 		if a.shares[key] == nil {
-			a.shares[key] = &shared{}
+			a.shares[key] = &shareState{}
 		}
-		a.shares[key].used = now
+		a.shares[key].lastAssigned = now
 	}
 	for key, s := range a.shares {
-		if now.Sub(s.used) > shareFor {
+		if now.Sub(s.lastAssigned) > shareRetention {
 			delete(a.shares, key)
 			continue
 		}
-		a.shareShard(ctx, key, s, news[key])
+		a.shareShard(ctx, key, s, updates[key])
 	}
 }
 
-// shareShard tells the first host in rank other than this one.
-func (a *Assigner) shareShard(ctx context.Context, key shardKey, s *shared, news []balance.Known) {
+// shareShard sends the updates of one shard to the first host in rank other than this one, or
+// everything known of the shard if that host has not received it yet.
+func (a *Assigner) shareShard(ctx context.Context, key shardKey, s *shareState, updates []balance.Known) {
 	to, ok := a.successor(key)
 	if !ok {
 		return
 	}
-	known := news
+	known := updates
 	if to != s.to {
 		known = a.cfg.Local.CacheContents(key.service, key.shard)
 	}
@@ -84,10 +85,10 @@
 	}
 	s.to = to
 	a.sends.Go(func() {
-		defer panics.Log(a.cfg.Log, "sharing what engines keep")
-		if err := a.tellParts(ctx, to, known); err != nil {
+		defer panics.Log(a.cfg.Log, "sharing cache contents")
+		if err := a.sendParts(ctx, to, known); err != nil {
 			a.mu.Lock()
-			a.untold = append(a.untold, key)
+			a.unacknowledged = append(a.unacknowledged, key)
 			a.mu.Unlock()
 		}
 	})
@@ -102,7 +103,7 @@
 	return outbox.Receiver{}, false
 }
 
-func (a *Assigner) tellParts(ctx context.Context, to outbox.Receiver, known []balance.Known) error {
+func (a *Assigner) sendParts(ctx context.Context, to outbox.Receiver, known []balance.Known) error {
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	req := &pb.SharePartsRequest{}
@@ -113,19 +114,20 @@
 	return err
 }
 
-// forgetUntold has shards told whole again whose last message was not answered.
-func (a *Assigner) forgetUntold() {
+// resetUnacknowledged has share send everything again for shards whose last message was not
+// answered.
+func (a *Assigner) resetUnacknowledged() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, key := range a.untold {
+	for _, key := range a.unacknowledged {
 		if s := a.shares[key]; s != nil {
 			s.to = outbox.Receiver{}
 		}
 	}
-	a.untold = nil
+	a.unacknowledged = nil
 }
 
-// HandleShareParts takes what another host knows of engines' caches.
+// HandleShareParts merges another host's knowledge of engines' caches.
 func (a *Assigner) HandleShareParts(req *pb.SharePartsRequest) *pb.SharePartsReply {
 	known := make([]balance.Known, 0, len(req.GetServers()))
 	for _, s := range req.GetServers() {
