--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -1,6 +1,6 @@
 // Package balancer runs the registry of instances and the choice of backend servers for
 // routed requests: it binds packages instance and balance to a host's clock and
-// goroutines, hands announcements on to the peers, and bounds repeated attempts.
+// goroutines, forwards announcements to the peers, and limits retries.
 package balancer
 
 import (
@@ -22,45 +22,46 @@
 	"github.com/bluebellsail/bluebellsail/internal/telemetry"
 )
 
-// sweepEvery is how often forgotten instances are dropped.
-const sweepEvery = 10 * time.Second
+// expireEvery is how often instances without a recent announcement are removed.
+const expireEvery = 10 * time.Second
 
-// Config of a Balancer.
+// Config configures a Balancer.
 type Config struct {
 	Host, Zone string
 	Instances  instance.Config
 	Retry      retry.Bounds
-	// Hosts counts the hosts that share the allowance for repeated attempts.
+	// Hosts returns the number of hosts that share the retry allowance.
 	Hosts func() int
-	// OnChange is called with the state of an instance of which this host has heard
-	// something that its peers must know at once; it must not call the Balancer.
+	// OnChange is called with the state of an instance after a change that the peers must
+	// know at once. It must not call the Balancer.
 	OnChange func(*pb.ServerState)
-	// Limits has the permits for servers that limit their rate; nil: no server does.
+	// Limits provides the permits for rate-limited servers; nil if no server is limited.
 	Limits Limits
 	Log    zerolog.Logger
 }
 
-// Limits has the permits for servers that limit their rate; *ratelimits.Limiter implements it.
+// Limits provides the permits for rate-limited servers; *ratelimits.Limiter implements it.
 type Limits interface {
 	ratelimit.Permits
-	// Ask asks for permits for a server. Check tells the outcome.
-	RequestPermits(ctx context.Context, run instance.Incarnation)
+	// RequestPermits requests permits for a server. Check returns the outcome.
+	RequestPermits(ctx context.Context, inc instance.Incarnation)
 }
 
-// maxAsks is for how many servers a request asks for permits before it does with those at hand.
-const maxAsks = 3
+// maxPermitRequests is for how many servers a request asks for permits. After that only servers that
+// need no permit, or for which this host holds one, are considered.
+const maxPermitRequests = 3
 
-// Balancer is safe for concurrent use. Its lock is always released by defer: whoever calls it
-// recovers a panic, and a lock that stays held would have every later request wait for ever.
+// Balancer is safe for concurrent use. Its lock is always released by defer: callers recover panics,
+// and a lock that stayed held would block every later request for ever.
 type Balancer struct {
 	cfg Config
 
-	mu      sync.Mutex
-	reg     *instance.Registry
-	core    *balance.Core
-	retries *retry.Window
-	swept   time.Time
-	// unreadable are runs whose cooldowns can't be read, each logged once.
+	mu         sync.Mutex
+	reg        *instance.Registry
+	core       *balance.Core
+	retries    *retry.Window
+	lastExpiry time.Time
+	// unreadable holds the incarnations whose Retry-After could not be parsed; each is logged once.
 	unreadable telemetry.Firsts[instance.Incarnation]
 }
 
@@ -69,7 +70,7 @@
 	_ relay.Retries  = (*Balancer)(nil)
 )
 
-// New makes a balancer that knows no server.
+// New returns a Balancer that knows no server.
 func New(cfg Config) *Balancer {
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(cfg.Host))
@@ -81,7 +82,7 @@
 	}
 }
 
-// permitsOf keeps an absent Limits absent.
+// permitsOf converts l and keeps nil as an untyped nil.
 func permitsOf(l Limits) ratelimit.Permits {
 	if l == nil {
 		return nil
@@ -89,73 +90,74 @@
 	return l
 }
 
-// Announce takes what a backend server says of itself to this host. An announcement that
-// names no server to use is an error and changes nothing.
+// Announce applies an announcement that a backend server sent to this host. An announcement
+// that does not describe a usable server returns an error and changes nothing.
 func (b *Balancer) Announce(a instance.Announcement) error {
 	if err := a.Check(); err != nil {
-		return errkind.New(errkind.BadRequest, "the announcement names no server: %v", err)
+		return errkind.New(errkind.BadRequest, "invalid server announcement: %v", err)
 	}
-	b.hear(a.ID, func(now time.Time) bool { return b.reg.Announce(now, a) })
+	b.update(a.ID, func(now time.Time) bool { return b.reg.Announce(now, a) })
 	return nil
 }
 
-// End takes that a run of a backend server ends.
-func (b *Balancer) End(run instance.Incarnation) error {
-	if err := instance.CheckID(run.ID); err != nil {
-		return errkind.New(errkind.BadRequest, "no server: %v", err)
+// End records that an incarnation of a backend server has stopped.
+func (b *Balancer) End(inc instance.Incarnation) error {
+	if err := instance.CheckID(inc.ID); err != nil {
+		return errkind.New(errkind.BadRequest, "invalid server ID: %v", err)
 	}
-	b.hear(run.ID, func(now time.Time) bool { return b.reg.End(now, run) })
+	b.update(inc.ID, func(now time.Time) bool { return b.reg.End(now, inc) })
 	return nil
 }
 
-// EndKnown takes that a backend server ends, in the run that this host knows.
+// EndKnown records that a backend server has stopped, in the incarnation that this host knows.
 func (b *Balancer) EndKnown(id string) error {
 	if err := instance.CheckID(id); err != nil {
-		return errkind.New(errkind.BadRequest, "no server: %v", err)
+		return errkind.New(errkind.BadRequest, "invalid server ID: %v", err)
 	}
-	b.hear(id, func(now time.Time) bool { return b.reg.EndKnown(now, id) })
+	b.update(id, func(now time.Time) bool { return b.reg.EndKnown(now, id) })
 	return nil
 }
 
-// Drain takes that a run of a backend server takes no new requests, which it said in an answer.
-func (b *Balancer) Drain(run instance.Incarnation) {
-	b.hear(run.ID, func(time.Time) bool { return b.reg.Drain(run) })
+// Drain records that an incarnation of a backend server accepts no new requests, as it reported in an
+// answer.
+func (b *Balancer) Drain(inc instance.Incarnation) {
+	b.update(inc.ID, func(time.Time) bool { return b.reg.Drain(inc) })
 }
 
-// hear has the registry take word of a server that came to this host. The peers are told
-// if it is news.
-func (b *Balancer) hear(id string, take func(now time.Time) bool) {
-	if state, news := b.take(id, take); news {
-		b.changed(state)
+// update applies a change that this host observed to the registry, and notifies the peers if the
+// change is new.
+func (b *Balancer) update(id string, apply func(now time.Time) bool) {
+	if state, changed := b.updateRegistry(id, apply); changed {
+		b.notify(state)
 	}
 }
 
-func (b *Balancer) take(id string, take func(now time.Time) bool) (state *pb.ServerState, news bool) {
+func (b *Balancer) updateRegistry(id string, apply func(now time.Time) bool) (state *pb.ServerState, changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	news = take(now)
+	changed = apply(now)
 	state = b.reg.State(now, id)
-	b.sweep(now)
-	return state, news
+	b.expire(now)
+	return state, changed
 }
 
-func (b *Balancer) changed(st *pb.ServerState) {
-	b.logHeard(st, "server")
+func (b *Balancer) notify(st *pb.ServerState) {
+	b.logUpdate(st, "server")
 	b.cfg.OnChange(st)
 }
 
-// logHeard writes a line for news of a server. from says who told: it or a peer.
-func (b *Balancer) logHeard(st *pb.ServerState, from string) {
+// logUpdate logs an update about a server. from is its source: the server or a peer.
+func (b *Balancer) logUpdate(st *pb.ServerState, from string) {
 	b.cfg.Log.Info().Str("event", "server-heard").Str("server", st.GetId()).Uint64("incarnation", st.GetIncarnation()).Strs("service", st.GetServices()).
 		Str("address", st.GetAddress()).Bool("draining", st.GetLeaving()).Bool("gone", st.GetGone()).
 		Str("from", from).Int64("age_ms", st.GetAgeMs()).Send()
 }
 
-// sweep drops forgotten instances now and then; b.mu is held.
-func (b *Balancer) sweep(now time.Time) {
-	if now.Sub(b.swept) >= sweepEvery {
-		b.swept = now
+// expire removes instances without a recent announcement every expireEvery; b.mu is held.
+func (b *Balancer) expire(now time.Time) {
+	if now.Sub(b.lastExpiry) >= expireEvery {
+		b.lastExpiry = now
 		b.reg.Expire(now)
 		b.core.Expire()
 		b.unreadable.Forget()
@@ -166,7 +168,7 @@
 func (b *Balancer) Acquire(ctx context.Context, w *balance.Work) (relay.Lease, error) {
 	in := *w
 	for asked := 0; ; asked++ {
-		in.PermitsAtHand = asked == maxAsks
+		in.PermitsAtHand = asked == maxPermitRequests
 		l, err := b.choose(&in)
 		need, ok := err.(*balance.PermitNeeded)
 		if !ok {
@@ -201,7 +203,7 @@
 	return b.retries.Allow(time.Now(), service, hosts)
 }
 
-// Running is the number of requests at backend servers.
+// Running returns the number of requests at backend servers.
 func (b *Balancer) Running() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -215,21 +217,21 @@
 	return b.reg.Snapshot(time.Now())
 }
 
-// Merge implements members.Registry. A state that names no server is passed over; the
-// others hold.
+// Merge implements members.Registry. A state that does not describe a server is ignored; the
+// others are applied.
 func (b *Balancer) Merge(servers []*pb.ServerState, transit time.Duration) {
-	news, untold := b.merge(servers, transit)
-	for _, st := range news {
-		b.logHeard(st, "peer")
+	updated, ended := b.merge(servers, transit)
+	for _, st := range updated {
+		b.logUpdate(st, "peer")
 	}
-	for _, st := range untold {
-		b.changed(st)
+	for _, st := range ended {
+		b.notify(st)
 	}
 }
 
-// merge returns the states that are news here. Of those that are untold no peer knows that
-// they ended: this host heard so before it knew the run.
-func (b *Balancer) merge(servers []*pb.ServerState, transit time.Duration) (news, untold []*pb.ServerState) {
+// merge returns the states that have changed at this host. Those in ended belong to servers that have
+// stopped although the peer does not know it: this host observed the end before it knew the incarnation.
+func (b *Balancer) merge(servers []*pb.ServerState, transit time.Duration) (updated, ended []*pb.ServerState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -243,126 +245,126 @@
 		}
 		state := b.reg.State(now, st.GetId())
 		if state.GetGone() && !st.GetGone() {
-			untold = append(untold, state)
+			ended = append(ended, state)
 		} else {
-			news = append(news, state)
+			updated = append(updated, state)
 		}
 	}
-	return news, untold
+	return updated, ended
 }
 
-// RecentWork implements members.Registry. There is nothing to tell: the owner of a shard
-// of servers places all requests for them.
+// RecentWork implements members.Registry. There is nothing to report: the owner of a shard
+// of servers assigns all requests for them.
 func (b *Balancer) RecentWork() []*pb.RecentWork { return nil }
 
 // MergeWork implements members.Registry.
 func (b *Balancer) MergeWork(*pb.Holder, []*pb.RecentWork) {}
 
-// ShardOf is the shard of a service's servers in which w belongs.
+// ShardOf returns the shard of a service's servers to which w belongs.
 func (b *Balancer) ShardOf(w *balance.Work) balance.Shard {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.ShardOf(w)
 }
 
-// Serves tells whether any instance of a service is known.
+// Serves reports whether any instance of a service is known.
 func (b *Balancer) Serves(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.reg.Serving(service)) > 0
 }
 
-// TakeCacheUpdates takes the prompt parts that were sent to instances since the last call.
+// TakeCacheUpdates returns the prompt parts sent to instances since the last call.
 func (b *Balancer) TakeCacheUpdates() []balance.Known {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.Touched()
 }
 
-// CacheContents is what this host knows of the caches of a service's instances in a shard.
-func (b *Balancer) CacheContents(service string, in balance.Shard) []balance.Known {
+// CacheContents returns what this host knows of the caches of a service's instances in a shard.
+func (b *Balancer) CacheContents(service string, shard balance.Shard) []balance.Known {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.Knowledge(service, in)
+	return b.core.Knowledge(service, shard)
 }
 
-// MergeCaches takes what another host knows of instances' caches.
+// MergeCaches merges another host's knowledge of instances' caches.
 func (b *Balancer) MergeCaches(known []balance.Known) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.core.Learn(known)
 }
 
-// ShardOfServer is the service of a run of a server and the shard that it is in.
-func (b *Balancer) ShardOfServer(run instance.Incarnation) (service string, in balance.Shard, ok bool) {
+// ShardOfServer returns the service and the shard of an incarnation of a server.
+func (b *Balancer) ShardOfServer(inc instance.Incarnation) (service string, shard balance.Shard, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.ShardOfServer(run)
+	return b.core.ShardOfServer(inc)
 }
 
-// CoolDown takes that a server wants nothing from this host for so long, by its answer to a request.
-func (b *Balancer) CoolDown(run instance.Incarnation, d time.Duration, requestID string) {
-	if b.cooldown(run, d) {
-		b.cfg.Log.Info().Str("event", "server-cooldown").Str("server", run.ID).Uint64("incarnation", run.Started).
+// CoolDown records that a server is cooling down for this host for d, as observed in an answer.
+func (b *Balancer) CoolDown(inc instance.Incarnation, d time.Duration, requestID string) {
+	if b.cooldown(inc, d) {
+		b.cfg.Log.Info().Str("event", "server-cooldown").Str("server", inc.ID).Uint64("incarnation", inc.Started).
 			Dur("cooldown", d).Str("request", requestID).Send()
 	}
 }
 
-func (b *Balancer) cooldown(run instance.Incarnation, d time.Duration) (began bool) {
+func (b *Balancer) cooldown(inc instance.Incarnation, d time.Duration) (began bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.CoolDown(time.Now(), run, d)
+	return b.core.CoolDown(time.Now(), inc, d)
 }
 
-// CoolDownForPeer takes that a server wants nothing for so long from a host whose requests this one
-// places.
-func (b *Balancer) CoolDownForPeer(run instance.Incarnation, d time.Duration) {
+// CoolDownForPeer records that a server is cooling down for d for another host whose requests this
+// host assigns.
+func (b *Balancer) CoolDownForPeer(inc instance.Incarnation, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.core.CoolDownElsewhere(time.Now(), run, d)
+	b.core.CoolDownElsewhere(time.Now(), inc, d)
 }
 
-// Cooling are the servers of a service that want nothing from this host; see balance.Core.
-func (b *Balancer) Cooling(service string) (runs []instance.Incarnation, first time.Duration, all bool) {
+// Cooling returns the servers of a service that are cooling down for this host; see balance.Core.
+func (b *Balancer) Cooling(service string) (incarnations []instance.Incarnation, shortest time.Duration, all bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.Cooling(time.Now(), service)
 }
 
-// CooldownUnreadable takes that a server asked for a cooldown in a way that can't be read. What it asked
-// for before holds.
-func (b *Balancer) CooldownUnreadable(run instance.Incarnation, requestID string) {
-	if b.unreadable.First(run) {
-		b.cfg.Log.Warn().Str("event", "server-cooldown-unreadable").Str("server", run.ID).Uint64("incarnation", run.Started).
+// CooldownUnreadable records that a server sent a Retry-After that can't be parsed. An earlier cooldown
+// of the server stays in force.
+func (b *Balancer) CooldownUnreadable(inc instance.Incarnation, requestID string) {
+	if b.unreadable.First(inc) {
+		b.cfg.Log.Warn().Str("event", "server-cooldown-unreadable").Str("server", inc.ID).Uint64("incarnation", inc.Started).
 			Str("request", requestID).Send()
 	}
 }
 
-// CooldownLeft is how much longer a server wants nothing from this host.
-func (b *Balancer) CooldownLeft(run instance.Incarnation) time.Duration {
+// CooldownLeft returns how much longer a server is cooling down for this host.
+func (b *Balancer) CooldownLeft(inc instance.Incarnation) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.CooldownLeft(time.Now(), run)
+	return b.core.CooldownLeft(time.Now(), inc)
 }
 
-// Usable tells whether a run of a server may get requests, as far as this host knows it.
-func (b *Balancer) Usable(run instance.Incarnation) bool {
+// Usable reports whether an incarnation of a server may get requests, as far as this host knows.
+func (b *Balancer) Usable(inc instance.Incarnation) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	i, known := b.reg.Get(run.ID)
-	if !known || i.Started < run.Started {
+	i, known := b.reg.Get(inc.ID)
+	if !known || i.Started < inc.Started {
 		return true
 	}
-	return i.Started == run.Started && i.Usable() && b.core.CooldownLeft(time.Now(), run) == 0
+	return i.Started == inc.Started && i.Usable() && b.core.CooldownLeft(time.Now(), inc) == 0
 }
 
 // lease implements relay.Lease.
 type lease struct {
 	b      *Balancer
 	choice balance.Choice
-	// first: First was called; b.mu guards it, as reports of another host on one attempt may
-	// come twice at the same time.
-	first bool
+	// firstReported is set once First has been called. It is guarded by b.mu because another
+	// host's report about an attempt may arrive twice at the same time.
+	firstReported bool
 }
 
 // Choice implements relay.Lease.
@@ -372,10 +374,10 @@
 func (l *lease) First() {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
-	if l.first {
+	if l.firstReported {
 		return
 	}
-	l.first = true
+	l.firstReported = true
 	l.b.core.First(time.Now(), l.choice.Ticket)
 }
 
@@ -399,7 +401,8 @@
 	l.b.CooldownUnreadable(l.choice.Instance.Incarnation(), requestID)
 }
 
-// Wrong implements relay.Lease. Only the run that was asked for has lost its address.
+// Wrong implements relay.Lease. Only the incarnation to which the request was sent has lost the
+// address.
 func (l *lease) Wrong() { _ = l.b.End(l.choice.Instance.Incarnation()) }
 
 // Done implements relay.Lease.
--- a/internal/controller/balancer/balancer_test.go
+++ b/internal/controller/balancer/balancer_test.go
@@ -20,15 +20,15 @@
 
 type fixture struct {
 	*Balancer
-	told int
-	log  bytes.Buffer
+	notified int
+	log      bytes.Buffer
 }
 
 func newFixture(hosts int) *fixture {
 	f := &fixture{}
 	f.Balancer = New(Config{
 		Host: "a", Zone: "z", Retry: retry.Bounds{Window: time.Hour, Share: 0.5, Extra: 4},
-		Hosts: func() int { return hosts }, OnChange: func(*pb.ServerState) { f.told++ }, Log: zerolog.New(&f.log),
+		Hosts: func() int { return hosts }, OnChange: func(*pb.ServerState) { f.notified++ }, Log: zerolog.New(&f.log),
 	})
 	return f
 }
@@ -48,29 +48,29 @@
 	return l.Choice().Instance.ID
 }
 
-func TestPeersAreToldAtOnceOfChangesOnly(t *testing.T) {
-	// A server that leaves gets nothing from any host two seconds after one host has heard
-	// it; the peers hear it with the next heartbeat, which Changed brings forward.
+func TestPeersAreNotifiedOfChangesOnly(t *testing.T) {
+	// A server that drains must get no request from any host 2 s after one host has observed
+	// it. The peers are notified with the next heartbeat, which OnChange brings forward.
 	f := newFixture(1)
 	testutil.NoError(t, f.Announce(server("s1", 1)))
 	testutil.NoError(t, f.Announce(server("s1", 2)))
-	if f.told != 1 {
-		t.Errorf("told %d times of one new server", f.told)
+	if f.notified != 1 {
+		t.Errorf("%d notifications for one new server", f.notified)
 	}
 	leaving := server("s1", 3)
 	leaving.Draining = true
 	testutil.NoError(t, f.Announce(leaving))
 	testutil.NoError(t, f.EndKnown("s1"))
 	testutil.NoError(t, f.EndKnown("s1"))
-	if f.told != 3 {
-		t.Errorf("told %d times in all", f.told)
+	if f.notified != 3 {
+		t.Errorf("%d notifications in all", f.notified)
 	}
 	if n := strings.Count(f.log.String(), `"event":"server-heard"`); n != 3 {
-		t.Errorf("%d lines for 3 changes: %s", n, &f.log)
+		t.Errorf("%d log lines for 3 changes: %s", n, &f.log)
 	}
 }
 
-func TestWhatOneHostHearsServesAnother(t *testing.T) {
+func TestServersMergedFromAPeerAreUsed(t *testing.T) {
 	a, b := newFixture(2), newFixture(2)
 	testutil.NoError(t, a.Announce(server("s1", 1)))
 	b.Merge(a.Servers(), time.Millisecond)
@@ -80,11 +80,11 @@
 	testutil.NoError(t, a.End(instance.Incarnation{ID: "s1"}))
 	b.Merge(a.Servers(), time.Millisecond)
 	if got := b.chosen(t); got != "" {
-		t.Fatalf("chose %q, which is gone", got)
+		t.Fatalf("chose %q, which has stopped", got)
 	}
 }
 
-func TestWrongInstanceGetsNothingMore(t *testing.T) {
+func TestWrongInstanceGetsNoMoreRequests(t *testing.T) {
 	f := newFixture(1)
 	testutil.NoError(t, f.Announce(server("s1", 1)))
 	l, err := f.Acquire(t.Context(), &balance.Work{Service: service})
@@ -124,8 +124,8 @@
 			allowed++
 		}
 	}
-	if allowed != 4 { // half of 4 requests, and half of 4 that two hosts share
-		t.Errorf("%d further attempts for 4 requests", allowed)
+	if allowed != 4 { // half of 4 requests, and half of the extra 4 that two hosts share
+		t.Errorf("%d retries for 4 requests", allowed)
 	}
 }
 
@@ -134,7 +134,7 @@
 	testutil.NoError(t, f.Announce(server("s1", 1)))
 	for _, r := range []balance.Result{balance.Broken, balance.Served, balance.Served} {
 		l, err := f.Acquire(t.Context(), &balance.Work{Service: service})
-		for err != nil { // it pauses
+		for err != nil { // the server is paused after a failure
 			time.Sleep(10 * time.Millisecond)
 			l, err = f.Acquire(t.Context(), &balance.Work{Service: service})
 		}
@@ -142,48 +142,45 @@
 	}
 	for _, event := range []string{"server-lost", "server-regained"} {
 		if n := strings.Count(f.log.String(), `"event":"`+event+`"`); n != 1 {
-			t.Errorf("%d lines %s: %s", n, event, &f.log)
+			t.Errorf("%d log lines %s: %s", n, event, &f.log)
 		}
 	}
 }
 
-// restarted is a run of a server.
-func restarted(started, seq uint64) instance.Announcement {
+// incarnation returns an announcement of one incarnation of a server.
+func incarnation(started, seq uint64) instance.Announcement {
 	a := server("s1", seq)
 	a.Started = started
 	return a
 }
 
-// Symptom: a host takes a server that was started again for the one that was lost, or tells
-// its peers so.
-// Sequence: a request of the former run is answered that another server has the address,
-// after the new run has announced itself.
-// Cause: the lease ended what the id named now.
-func TestLeaseOfAFormerRunEndsThatRun(t *testing.T) {
+// Guards against a host that takes a restarted server for stopped, or notifies its peers so. The
+// lease of a request to the earlier incarnation learned that another server has the address, after
+// the new incarnation had announced itself, and ended whichever incarnation the ID stood for then.
+func TestLeaseOfAnEarlierIncarnationEndsOnlyThat(t *testing.T) {
 	f := newFixture(1)
-	testutil.NoError(t, f.Announce(restarted(100, 9)))
+	testutil.NoError(t, f.Announce(incarnation(100, 9)))
 	l, err := f.Acquire(t.Context(), &balance.Work{Service: service})
 	testutil.NoError(t, err)
-	testutil.NoError(t, f.Announce(restarted(200, 1)))
-	told := f.told
+	testutil.NoError(t, f.Announce(incarnation(200, 1)))
+	before := f.notified
 	l.Wrong()
 	l.Report(balance.Load{Running: 9, Waiting: 9, Slots: 2})
 	l.Done(balance.Broken)
-	if got := f.chosen(t); got != "s1" || f.told != told {
-		t.Errorf("chose %q, told the peers %d times", got, f.told-told)
+	if got := f.chosen(t); got != "s1" || f.notified != before {
+		t.Errorf("chose %q, notified the peers %d times", got, f.notified-before)
 	}
 	for started, want := range map[uint64]bool{100: false, 200: true, 300: true} {
 		if got := f.Usable(instance.Incarnation{ID: "s1", Started: started}); got != want {
-			t.Errorf("run %d usable: %v", started, got)
+			t.Errorf("incarnation %d usable: %v", started, got)
 		}
 	}
 }
 
-// Symptom: one faulty announcement or one faulty state of a peer costs a server, or a host
-// all the servers in the same message.
-// Sequence: between good ones come such with fields missing or out of any bounds.
-// Cause: what could be decoded was taken for what a server says.
-func TestFaultyEntriesAreDroppedAlone(t *testing.T) {
+// Guards against an invalid announcement that ends a server, and against an invalid state from a
+// peer for which a host drops all servers in the same message: fields were missing or out of
+// bounds, and everything that could be decoded was taken for valid.
+func TestOnlyInvalidEntriesAreIgnored(t *testing.T) {
 	f := newFixture(1)
 	testutil.NoError(t, f.Announce(server("s1", 1)))
 	for name, change := range map[string]func(*instance.Announcement){
@@ -197,10 +194,10 @@
 		change(&a)
 		testutil.Refused(t, f.Announce(a), errkind.BadRequest, name)
 	}
-	testutil.Refused(t, f.EndKnown(""), errkind.BadRequest, "end of nobody")
-	testutil.Refused(t, f.End(instance.Incarnation{ID: "\x00"}), errkind.BadRequest, "end of nobody")
-	if f.told != 1 {
-		t.Errorf("told the peers %d times of one server", f.told)
+	testutil.Refused(t, f.EndKnown(""), errkind.BadRequest, "end without an ID")
+	testutil.Refused(t, f.End(instance.Incarnation{ID: "\x00"}), errkind.BadRequest, "end with an invalid ID")
+	if f.notified != 1 {
+		t.Errorf("notified the peers %d times of one server", f.notified)
 	}
 	f.Merge([]*pb.ServerState{
 		nil, {}, {Id: "s1", Seq: 9, Leaving: true}, {Gone: true}, {Id: "s1", Services: []string{service}, Slots: 1, Address: ":80"},
@@ -210,22 +207,21 @@
 		t.Errorf("%d servers known, want two: %v", n, f.Servers())
 	}
 	if got := f.chosen(t); got == "" {
-		t.Error("no server is left")
+		t.Error("no server was chosen")
 	}
 }
 
-// Symptom: a server gets requests of other hosts long after one host acknowledged its end.
-// Sequence: it tells its end to a host that was started a moment ago and knows no server;
-// then a peer tells that host of the server.
-// Cause: only that host knew that the run had ended, and told nobody.
-func TestEndThatWasHeardFirstIsTold(t *testing.T) {
+// Guards against a server that gets requests from other hosts long after one host acknowledged its
+// end. That host had just started and knew no server; it got the server's state from a peer only
+// later, and did not notify the others that the incarnation had ended.
+func TestEndObservedBeforeTheServerIsBroadcast(t *testing.T) {
 	f := newFixture(1)
 	testutil.NoError(t, f.EndKnown("s1"))
-	told := f.told
+	before := f.notified
 	f.Merge([]*pb.ServerState{
 		{Id: "s1", Incarnation: 100, Services: []string{service}, Slots: 1, Address: "10.0.0.2:80", Seq: 7},
 	}, 0)
-	if got := f.chosen(t); got != "" || f.told != told+1 {
-		t.Errorf("chose %q, told the peers %d times more", got, f.told-told)
+	if got := f.chosen(t); got != "" || f.notified != before+1 {
+		t.Errorf("chose %q, notified the peers %d more times", got, f.notified-before)
 	}
 }
--- a/internal/controller/balancer/lock_test.go
+++ b/internal/controller/balancer/lock_test.go
@@ -9,11 +9,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// Symptom: a host's log tells of one panic that was recovered, and from then on it answers
-// nothing.
-// Sequence: a call of the balancer panics; its caller recovers.
-// Cause: the lock was released behind the call that panicked, not by defer.
-func TestPanicLeavesNoLockBehind(t *testing.T) {
+// Guards against a host that answers nothing after a recovered panic: a call of the balancer
+// panicked while it held the lock, which was not released by defer.
+func TestPanicReleasesTheLock(t *testing.T) {
 	calls := map[string]func(*Balancer){
 		"announce": func(b *Balancer) { _ = b.Announce(server("a", 1)) },
 		"end":      func(b *Balancer) { _ = b.End(instance.Incarnation{ID: "a"}) },
@@ -39,11 +37,9 @@
 	}
 }
 
-// Symptom: a run of the race detector names lease.First.
-// Sequence: a report that an attempt's answer has begun is not answered in time and sent
-// again; both are taken at the same time.
-// Cause: what was reported was noted outside the lock.
-func TestFirstTwiceAtOnce(t *testing.T) {
+// Guards against a data race in lease.First: a report that an attempt's answer has begun is not
+// acknowledged in time and sent again, and both copies are handled at the same time.
+func TestConcurrentFirstCalls(t *testing.T) {
 	b := New(Config{Host: "host", OnChange: func(*pb.ServerState) {}})
 	testutil.NoError(t, b.Announce(instance.Announcement{ID: "a", Service: "s", Address: "10.0.0.1:80", Seq: 1, Slots: 1}))
 	l, err := b.Acquire(t.Context(), &balance.Work{Service: "s"})
