--- a/internal/controller/scheduler/cooldown_test.go
+++ b/internal/controller/scheduler/cooldown_test.go
@@ -11,19 +11,19 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// second is another server like that of newScheduler.
-func second() *pb.ServerState {
+// secondServer announces another server like that of newScheduler.
+func secondServer() *pb.ServerState {
 	st := state(1, 4)
 	st.Address = "127.0.0.1:9002"
 	return st
 }
 
-// Guards against calls that go to a server which wants nothing from this host, or wait for it.
-func TestServerAtRestGetsNoCalls(t *testing.T) {
+// Guards against calls that are sent to a server that is cooling down for this host, or wait for it.
+func TestCoolingServerGetsNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScheduler(4)
 		defer s.Close()
-		s.Announce(second())
+		s.Announce(secondServer())
 		s.Observe(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: "1.4"})
 		for range 20 {
 			l := mustAcquire(t, s, time.Second)
@@ -37,11 +37,11 @@
 		_, err := s.Acquire(t.Context(), work(5*time.Second))
 		e := errkind.From(err)
 		if e == nil || e.Ran() != errkind.RanNo || e.RetryAfter < time.Second || e.RetryAfter > 1500*time.Millisecond || time.Since(began) > 0 {
-			t.Errorf("while both cool down: %v after %v, to come back after %v", err, time.Since(began), e.RetryAfter)
+			t.Errorf("while both cool down: %v after %v, Retry-After %v", err, time.Since(began), e.RetryAfter)
 		}
 		time.Sleep(time.Second)
 		s.Announce(state(2, 4))
-		st := second()
+		st := secondServer()
 		st.Seq = 2
 		s.Announce(st)
 		if l := mustAcquire(t, s, time.Second); l.Address() != "127.0.0.1:9002" {
@@ -50,8 +50,9 @@
 	})
 }
 
-// Guards against calls that wait to their end for a server that has asked for a cooldown since they came.
-func TestWaitingCallIsDecidedAnewWhenItsServerRests(t *testing.T) {
+// Guards against calls that wait until their deadline for a server whose cooldown began after they
+// had started to wait.
+func TestWaitingCallIsRescheduledWhenItsServerCoolsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScheduler(1)
 		defer s.Close()
@@ -69,7 +70,7 @@
 	})
 }
 
-func TestUnreadableRestIsNone(t *testing.T) {
+func TestUnreadableRetryAfterStartsNoCooldown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScheduler(1)
 		defer s.Close()
--- a/internal/controller/scheduler/fleet.go
+++ b/internal/controller/scheduler/fleet.go
@@ -7,7 +7,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Announce takes an announcement of a backend server; false: it was out of date.
+// Announce applies an announcement of a backend server. It returns false if the announcement is
+// stale.
 func (s *Scheduler) Announce(st *pb.ServerState) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -16,8 +17,8 @@
 	if !ok {
 		s.metrics.OldAnnouncements.Add(1)
 	}
-	if now.Sub(s.swept) >= sweepEvery {
-		s.swept = now
+	if now.Sub(s.lastExpiry) >= expireEvery {
+		s.lastExpiry = now
 		s.reg.Expire(now)
 		s.unreadable.Forget()
 	}
@@ -25,9 +26,9 @@
 	return ok
 }
 
-// Merge takes the servers in a peer's heartbeat. transit is an upper bound of the
-// time on the way: the round trip for the state in a reply, backend.TransitUnknown
-// for a heartbeat that the peer sent by itself.
+// Merge merges the servers in a peer's heartbeat. transit is an upper bound of the
+// time in transit: the round trip for the state in a reply, backend.TransitUnknown
+// for a heartbeat that the peer sent on its own.
 func (s *Scheduler) Merge(states []*pb.ServerState, transit time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +37,7 @@
 	s.step(now)
 }
 
-// MergeRecent replaces what is known of a peer's work that server reports can't show yet.
+// MergeRecent replaces the record of a peer's work that server reports can't include yet.
 func (s *Scheduler) MergeRecent(host string, work []*pb.RecentWork) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +46,7 @@
 	s.step(now)
 }
 
-// CacheEvent takes a numbered event of a server's prefix cache.
+// CacheEvent applies a numbered event of a server's prefix cache.
 func (s *Scheduler) CacheEvent(ev backend.CacheEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,14 +68,14 @@
 	return s.reg.Snapshot(s.now())
 }
 
-// Usable tells whether the server at addr may get new work.
+// Usable reports whether the server at addr may get new work.
 func (s *Scheduler) Usable(addr string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reg.Usable(s.now(), addr)
 }
 
-// RecentWork is this host's work that the servers' last reports can't show yet.
+// RecentWork returns this host's work that the servers' last reports can't include yet.
 func (s *Scheduler) RecentWork() []*pb.RecentWork {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controller/scheduler/lease.go
+++ b/internal/controller/scheduler/lease.go
@@ -9,7 +9,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/sched"
 )
 
-// lease is room at one server.
+// lease is a slot at one server.
 type lease struct {
 	scheduler *Scheduler
 	ticket    uint64
--- a/internal/controller/scheduler/limits.go
+++ b/internal/controller/scheduler/limits.go
@@ -12,13 +12,13 @@
 	"github.com/bluebellsail/bluebellsail/internal/retryafter"
 )
 
-// askPermits asks for the permits that waiting requests need, and decides again once they are
-// there or refused; mu is held.
+// askPermits requests the permits that waiting requests need, and schedules again once they have
+// been granted or refused; mu is held.
 func (s *Scheduler) askPermits() {
-	for _, run := range s.core.TakeWanted() {
+	for _, inc := range s.core.TakeWanted() {
 		go func() {
-			defer panics.Log(s.log, "asking for permits")
-			s.limits.RequestPermits(context.Background(), run)
+			defer panics.Log(s.log, "requesting permits")
+			s.limits.RequestPermits(context.Background(), inc)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if !s.closed {
@@ -28,31 +28,32 @@
 	}
 }
 
-// Observe takes what a server says of itself with an answer.
-func (s *Scheduler) Observe(said engineclient.Said) {
-	if said.RetryAfter != "" {
-		s.heardCooldown(said)
+// Observe records the cooldown and the rate limit that a server reported in an answer.
+func (s *Scheduler) Observe(obs engineclient.Said) {
+	if obs.RetryAfter != "" {
+		s.observeCooldown(obs)
 	}
 	if s.limits == nil {
 		return
 	}
-	if run, known := s.runAt(said.Address); known {
-		s.heardLimit(run, said)
+	if inc, known := s.incarnationAt(obs.Address); known {
+		s.observeLimit(inc, obs)
 	}
 }
 
-// heardCooldown takes that a server wants nothing from this host for a while.
-func (s *Scheduler) heardCooldown(said engineclient.Said) {
-	cooldown, readable := retryafter.Parse(said.RetryAfter, s.now())
+// observeCooldown starts the cooldown that a server asked for with a Retry-After.
+func (s *Scheduler) observeCooldown(obs engineclient.Said) {
+	cooldown, readable := retryafter.Parse(obs.RetryAfter, s.now())
 	switch {
-	case !readable && s.unreadable.First(said.Address):
-		s.log.Warn().Str("event", "server-cooldown-unreadable").Str("server", said.Address).Str("request", said.RequestID).Send()
-	case cooldown > 0 && s.cooldown(said.Address, cooldown):
-		s.log.Info().Str("event", "server-cooldown").Str("server", said.Address).Dur("cooldown", cooldown).Str("request", said.RequestID).Send()
+	case !readable && s.unreadable.First(obs.Address):
+		s.log.Warn().Str("event", "server-cooldown-unreadable").Str("server", obs.Address).Str("request", obs.RequestID).Send()
+	case cooldown > 0 && s.cooldown(obs.Address, cooldown):
+		s.log.Info().Str("event", "server-cooldown").Str("server", obs.Address).Dur("cooldown", cooldown).Str("request", obs.RequestID).Send()
 	}
 }
 
-// cooldown has requests that wait for a server decided on anew.
+// cooldown starts a cooldown of a server and schedules again, so that requests waiting for the
+// server go elsewhere or are rejected.
 func (s *Scheduler) cooldown(address string, d time.Duration) (began bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,21 +63,21 @@
 	return began
 }
 
-func (s *Scheduler) heardLimit(run instance.Incarnation, said engineclient.Said) {
-	w := ratelimit.Observation{Limit: ratelimit.None, At: said.Sent}
-	if said.RateLimit != "" {
-		limit, err := strconv.ParseFloat(said.RateLimit, 64)
+func (s *Scheduler) observeLimit(inc instance.Incarnation, obs engineclient.Said) {
+	observed := ratelimit.Observation{Limit: ratelimit.None, At: obs.Sent}
+	if obs.RateLimit != "" {
+		limit, err := strconv.ParseFloat(obs.RateLimit, 64)
 		if err != nil || !ratelimit.Valid(limit) {
-			s.limits.Unreadable(run, said.RequestID)
+			s.limits.Unreadable(inc, obs.RequestID)
 			return
 		}
-		w = ratelimit.Observation{Limit: limit, At: time.Now()}
+		observed = ratelimit.Observation{Limit: limit, At: time.Now()}
 	}
-	s.limits.Heard(run, w, said.RequestID)
+	s.limits.Heard(inc, observed, obs.RequestID)
 }
 
-// runAt is the run of the server that is known at an address.
-func (s *Scheduler) runAt(address string) (run instance.Incarnation, known bool) {
+// incarnationAt returns the incarnation of the server that is known at an address.
+func (s *Scheduler) incarnationAt(address string) (inc instance.Incarnation, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server, known := s.reg.Server(address)
--- a/internal/controller/scheduler/limits_test.go
+++ b/internal/controller/scheduler/limits_test.go
@@ -19,7 +19,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/sched"
 )
 
-// onlyHost owns all limits.
+// onlyHost is the table of owners of a host that owns all limits.
 type onlyHost struct{}
 
 func (onlyHost) FirstRanked(string, int) []owners.Host { return nil }
@@ -28,7 +28,7 @@
 func (onlyHost) MarkUnanswered(string)                 {}
 func (onlyHost) MarkAnswered(string)                   {}
 
-// limited is a scheduler with one server that names a rate limit.
+// limited is a scheduler with one rate-limited server.
 type limited struct {
 	*Scheduler
 	mu      sync.Mutex
@@ -45,7 +45,7 @@
 	return l
 }
 
-// send has one request scheduled; its run ends at once.
+// send schedules one request, which ends at once.
 func (l *limited) send(ctx context.Context) {
 	began := time.Now()
 	w := work(time.Second)
@@ -64,9 +64,9 @@
 	lease.Done(filter.Outcome{OK: true})
 }
 
-// Guards against a limited server that gets all requests of the callers' own interface, or none of
-// them, and against callers who wait for a permit that they can't have in time.
-func TestSchedulerKeepsToAServersRateLimit(t *testing.T) {
+// Guards against a rate-limited server that gets all requests of the scheduler or none, and against
+// callers that wait for a permit that they can't get in time.
+func TestSchedulerObeysServerRateLimit(t *testing.T) {
 	const limit, span, grace, window = 5, 16 * time.Second, 3 * time.Second, 4 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		l := newLimited("5")
--- a/internal/controller/scheduler/metrics.go
+++ b/internal/controller/scheduler/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter"
 )
 
-// Metrics are the scheduler's own counters. They are registered nowhere by themselves;
-// a process publishes them under a name of its own.
+// Metrics holds the scheduler's counters. They are not registered with expvar; the process
+// publishes them under a name of its choice.
 type Metrics struct {
 	Granted          expvar.Int
 	Ended            expvar.Int
@@ -21,7 +21,7 @@
 // Metrics returns the counters for publishing.
 func (s *Scheduler) Metrics() *Metrics { return &s.metrics }
 
-// Map lists the counters by their published names.
+// Map returns the counters by their published names.
 func (m *Metrics) Map() *expvar.Map {
 	out := new(expvar.Map)
 	out.Set("granted", &m.Granted)
--- a/internal/controller/scheduler/scheduler.go
+++ b/internal/controller/scheduler/scheduler.go
@@ -23,35 +23,37 @@
 	"github.com/bluebellsail/bluebellsail/internal/telemetry"
 )
 
-// sweepEvery is how often an announcement makes the registry drop forgotten servers.
-const sweepEvery = 10 * time.Second
+// expireEvery is the minimum time between two removals of servers without a recent announcement.
+// Announcements trigger them.
+const expireEvery = 10 * time.Second
 
-// Options of a Scheduler.
+// Options configures a Scheduler.
 type Options struct {
 	Sched   sched.Config
 	Backend backend.Config
 	// Now is the clock; default time.Now.
 	Now func() time.Time
-	// Seed of the sampled choice; give each host its own.
+	// Seed of the random choice of servers to compare; it should differ between hosts.
 	Seed int64
-	// Metrics of the process; nil: counted but not published.
+	// Metrics of the process; if nil, they are counted but not published.
 	Metrics *telemetry.Metrics
-	// Limits has the permits for servers that limit their rate; nil: no server does.
+	// Limits provides the permits for rate-limited servers; nil if no server is limited.
 	Limits Limits
 	Log    zerolog.Logger
 }
 
-// Limits knows the rate limits of servers; *ratelimits.Limiter implements it.
+// Limits holds the rate limits of servers; *ratelimits.Limiter implements it.
 type Limits interface {
 	ratelimit.Permits
-	// Ask asks for permits for a server. Check tells the outcome.
-	RequestPermits(ctx context.Context, run instance.Incarnation)
-	// Heard takes what a server said with an answer, Unreadable that it can't be read.
-	Heard(run instance.Incarnation, w ratelimit.Observation, requestID string)
-	Unreadable(run instance.Incarnation, requestID string)
+	// RequestPermits requests permits for a server. Check returns the outcome.
+	RequestPermits(ctx context.Context, inc instance.Incarnation)
+	// Heard records the rate limit observed in an answer of a server, Unreadable that the limit
+	// could not be parsed.
+	Heard(inc instance.Incarnation, w ratelimit.Observation, requestID string)
+	Unreadable(inc instance.Incarnation, requestID string)
 }
 
-// Scheduler is safe for concurrent use. Close it when the host ends.
+// Scheduler is safe for concurrent use. It must be closed when the host shuts down.
 type Scheduler struct {
 	now     func() time.Time
 	metrics Metrics
@@ -59,17 +61,18 @@
 	limits  Limits
 	log     zerolog.Logger
 
-	mu      sync.Mutex
-	reg     *backend.Registry
-	core    *sched.Core
-	retries *retry.Allowance
-	waiters map[uint64]chan sched.Result
-	ticket  uint64
-	timer   *time.Timer
-	wakeAt  time.Time
-	swept   time.Time
-	closed  bool
-	// unreadable are the addresses of servers whose cooldowns can't be read, each logged once.
+	mu         sync.Mutex
+	reg        *backend.Registry
+	core       *sched.Core
+	retries    *retry.Allowance
+	waiters    map[uint64]chan sched.Result
+	ticket     uint64
+	timer      *time.Timer
+	wakeAt     time.Time
+	lastExpiry time.Time
+	closed     bool
+	// unreadable holds the addresses of servers whose Retry-After could not be parsed; each is
+	// logged once.
 	unreadable telemetry.Firsts[string]
 }
 
@@ -78,7 +81,7 @@
 	_ filter.Retries   = (*Scheduler)(nil)
 )
 
-// New makes a Scheduler without servers.
+// New returns a Scheduler without servers.
 func New(o Options) *Scheduler {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -102,7 +105,7 @@
 	}
 }
 
-// Close refuses all waiting requests and later ones.
+// Close rejects all waiting requests and later ones.
 func (s *Scheduler) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,34 +116,34 @@
 	for ticket, ch := range s.waiters {
 		s.core.Cancel(ticket)
 		delete(s.waiters, ticket)
-		ch <- sched.Result{Ticket: ticket, Err: leaving()}
+		ch <- sched.Result{Ticket: ticket, Err: errShuttingDown()}
 	}
 }
 
-func leaving() error { return errkind.New(errkind.HostLeaving, "this host is shutting down") }
+func errShuttingDown() error { return errkind.New(errkind.HostLeaving, "this host is shutting down") }
 
-// Waiting is the number of requests that wait for room.
+// Waiting returns the number of requests that wait for a free slot.
 func (s *Scheduler) Waiting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Waiting()
 }
 
-// Running is the number of leases not yet done.
+// Running returns the number of leases that are not done.
 func (s *Scheduler) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.Running()
 }
 
-// First counts a first try of the team.
+// First counts a first attempt of the team.
 func (s *Scheduler) First(team string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retries.First(s.now(), team)
 }
 
-// Allow takes one retry from the team's allowance, or says no.
+// Allow takes one retry from the team's allowance. It returns false if none is left.
 func (s *Scheduler) Allow(team string, r settings.Retry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +154,7 @@
 	return ok
 }
 
-// Acquire implements filter.Scheduler. It returns at the latest when ctx ends or
+// Acquire implements filter.Scheduler. It returns at the latest when ctx is done or
 // the request can no longer be finished before its deadline.
 func (s *Scheduler) Acquire(ctx context.Context, w filter.Work) (filter.ServerLease, error) {
 	ticket, ch, res, decided := s.submit(w)
@@ -175,7 +178,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		return 0, nil, sched.Result{Err: leaving()}, true
+		return 0, nil, sched.Result{Err: errShuttingDown()}, true
 	}
 	s.ticket++
 	ticket := s.ticket
@@ -184,7 +187,7 @@
 	if decided {
 		return ticket, nil, res, true
 	}
-	// Room for one result: whoever decides never blocks on a waiter.
+	// The buffer of one result keeps step from blocking on a waiter.
 	ch := make(chan sched.Result, 1)
 	s.waiters[ticket] = ch
 	s.askPermits()
@@ -205,8 +208,8 @@
 	}
 }
 
-// abandon withdraws a request whose context ended. If it was granted at the same
-// moment the room is given back.
+// abandon withdraws a request whose context is done. If a slot was granted at the same
+// moment, it is released.
 func (s *Scheduler) abandon(ctx context.Context, ticket uint64, ch chan sched.Result) sched.Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,11 +226,11 @@
 		err := errkind.New(errkind.DeadlineUnreachable, "the deadline passed while the request waited for a backend server")
 		return sched.Result{Ticket: ticket, Err: err}
 	}
-	err := errkind.New(errkind.CallerGone, "the caller left while the request waited").WithRan(errkind.RanNo)
+	err := errkind.New(errkind.CallerGone, "the caller disconnected while the request waited for a backend server").WithRan(errkind.RanNo)
 	return sched.Result{Ticket: ticket, Err: err}
 }
 
-// step lets the core decide and hands out the results; mu is held.
+// step runs the scheduling core and delivers its results; mu is held.
 func (s *Scheduler) step(now time.Time) {
 	for _, res := range s.core.Step(now) {
 		ch := s.waiters[res.Ticket]
@@ -240,7 +243,7 @@
 	s.arm(now)
 }
 
-// arm sets the timer to the time at which the core has to decide again; mu is held.
+// arm sets the timer to the time at which the core has to run again; mu is held.
 func (s *Scheduler) arm(now time.Time) {
 	at := s.core.NextWake(now)
 	if at.IsZero() || s.closed || at.Equal(s.wakeAt) {
@@ -265,7 +268,7 @@
 }
 
 func reason(g *sched.Grant) string {
-	return fmt.Sprintf("of %d servers compared: load %d of %d, %.0f%% of the prompt cached, waited %v, to end by %s",
+	return fmt.Sprintf("of %d servers compared: load %d of %d, %.0f%% of the prompt cached, waited %v, expected to end by %s",
 		g.Considered, g.Load, g.State.GetSlots(), 100*g.Cached, g.Waited.Round(time.Millisecond),
 		g.Finish.Format("15:04:05.000"))
 }
--- a/internal/controller/scheduler/scheduler_test.go
+++ b/internal/controller/scheduler/scheduler_test.go
@@ -19,7 +19,7 @@
 	return s
 }
 
-// state announces a model server that takes 10 ms per token.
+// state returns the announcement of a model server that takes 10 ms per token.
 func state(seq uint64, slots uint32) *pb.ServerState {
 	return &pb.ServerState{
 		Address: "127.0.0.1:9001", Incarnation: 1, Seq: seq, Zone: "olinda",
@@ -40,9 +40,8 @@
 	return l
 }
 
-// Symptom: a request waits although room was freed.
-// Sequence: one slot, held; a second request queues; the first is done.
-// Cause: a release that wakes no waiter.
+// Guards against a release that wakes no waiter: a second request goes on waiting although the
+// only slot has been freed.
 func TestReleaseWakesWaiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScheduler(1)
@@ -69,10 +68,9 @@
 	})
 }
 
-// Symptom: a caller gets its refusal only after its deadline, or never.
-// Sequence: all room is held for good; requests wait with a deadline or a context that ends.
-// Cause: a waiter that nothing wakes in time.
-func TestAcquireOutlivesNeitherDeadlineNorContext(t *testing.T) {
+// Guards against waiters that nothing wakes in time: while all slots are held, a caller gets its
+// refusal only after its deadline or the end of its context, or never.
+func TestAcquireReturnsByDeadlineAndContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScheduler(1)
 		defer s.Close()
@@ -96,7 +94,7 @@
 			t.Errorf("context ended after 200ms, Acquire after %v with %v", time.Since(started), err)
 		}
 		if s.Waiting() != 0 {
-			t.Errorf("%d still wait", s.Waiting())
+			t.Errorf("%d requests still wait", s.Waiting())
 		}
 	})
 }
@@ -118,10 +116,10 @@
 	return func() { close(quit); wg.Wait() }
 }
 
-// Symptom: a server runs more requests than it has slots, or room is lost.
-// Sequence: many callers at once, some of which leave while they wait.
-// Cause: a grant that crosses a cancelled context and is never given back.
-func TestConcurrentCallersKeepTheBound(t *testing.T) {
+// Guards against a server that runs more requests than it has slots, and against slots that are
+// lost: many callers wait at once, and a slot granted just as a caller's context is cancelled was
+// never released.
+func TestConcurrentCallersStayWithinSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slots = 4
 		s := newScheduler(slots)
@@ -132,7 +130,7 @@
 		running, most, served := 0, 0, 0
 		for i := range 200 {
 			wg.Go(func() {
-				// Every third caller leaves just when rooms become free.
+				// Every third caller leaves just as slots become free.
 				ctx := t.Context()
 				if i%3 == 0 {
 					var cancel context.CancelFunc
@@ -165,7 +163,7 @@
 	})
 }
 
-func TestRefusalsOfTargets(t *testing.T) {
+func TestRejectionOfUnavailableTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScheduler(1)
 		defer s.Close()
