--- a/internal/controller/ratelimits/bench_test.go
+++ b/internal/controller/ratelimits/bench_test.go
@@ -12,12 +12,12 @@
 	"github.com/bluebellsail/bluebellsail/internal/ratelimit"
 )
 
-// BenchmarkTake is what a question for permits costs its owner, and its bytes.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkHandleTake measures the cost of a call for permits at the owner, and its size.
+func BenchmarkHandleTake(b *testing.B) {
 	l := newLimiter(self(), nil)
-	run := instance.Incarnation{ID: "i-160861d91e", Started: 1_796_293_518_620}
-	l.Heard(run, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
-	req := &pb.TakePermitsRequest{Host: "frontend-scl-quilicura-1", Limit: encode(time.Now(), run, l.table.Of(run)), Want: 1}
+	inc := instance.Incarnation{ID: "i-160861d91e", Started: 1_796_293_518_620}
+	l.Heard(inc, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
+	req := &pb.TakePermitsRequest{Host: "frontend-scl-quilicura-1", Limit: encode(time.Now(), inc, l.table.Of(inc)), Want: 1}
 	for b.Loop() {
 		l.HandleTake(req)
 	}
@@ -26,14 +26,14 @@
 	b.ReportMetric(float64(proto.Size(req.GetLimit())), "B/limit")
 }
 
-// BenchmarkCheck is what each server that is compared costs a choice, with limits of others known.
+// BenchmarkCheck measures the cost of one server in a choice while limits of other servers are known.
 func BenchmarkCheck(b *testing.B) {
 	l := newLimiter(self(), nil)
 	for i := range 100 {
 		l.Heard(instance.Incarnation{ID: fmt.Sprint("i-", i), Started: 1}, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
 	}
-	now, run := time.Now(), instance.Incarnation{ID: "i-160861d91e", Started: 1}
+	now, inc := time.Now(), instance.Incarnation{ID: "i-160861d91e", Started: 1}
 	for b.Loop() {
-		l.Check(now, run)
+		l.Check(now, inc)
 	}
 }
--- a/internal/controller/ratelimits/peers.go
+++ b/internal/controller/ratelimits/peers.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/ratelimit"
 )
 
-// maxLimits bounds the limits in one heartbeat; which ones changes from one to the next.
+// maxLimits is the most limits sent in one heartbeat. Each heartbeat carries a random selection.
 const maxLimits = 16
 
 // Limits implements members.Limits.
@@ -17,47 +17,47 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	var out []*pb.ServerLimit
-	for run, w := range l.table.Limited() {
+	for inc, obs := range l.table.Limited() {
 		if len(out) == maxLimits {
 			break
 		}
-		out = append(out, encode(now, run, w))
+		out = append(out, encode(now, inc, obs))
 	}
 	return out
 }
 
-// Merge takes what another host knows of limits. One that names no server, or a number that is
-// none, is passed over.
+// Merge merges the limits that another host knows. Limits without a valid server ID or with an
+// invalid number are ignored.
 func (l *Limiter) Merge(limits []*pb.ServerLimit) {
 	now := time.Now()
-	for _, told := range limits {
-		run, w := decode(now, told)
-		if instance.CheckID(run.ID) != nil || w.Limit != ratelimit.None && !ratelimit.Valid(w.Limit) {
+	for _, limit := range limits {
+		inc, obs := decode(now, limit)
+		if instance.CheckID(inc.ID) != nil || obs.Limit != ratelimit.None && !ratelimit.Valid(obs.Limit) {
 			continue
 		}
-		if before, changed := l.hear(run, w); changed {
-			l.logChange(run, before, w, "peer")
+		if before, changed := l.observe(inc, obs); changed {
+			l.logChange(inc, before, obs, "peer")
 		}
 	}
 }
 
-// encode rounds the age of an observation up, so that no host takes it for newer than it is.
-func encode(now time.Time, run instance.Incarnation, w ratelimit.Observation) *pb.ServerLimit {
-	age := min(now.Sub(w.At), forgetAfter) + time.Millisecond - 1
+// encode rounds the age of an observation up, so that no host considers it newer than it is.
+func encode(now time.Time, inc instance.Incarnation, obs ratelimit.Observation) *pb.ServerLimit {
+	age := min(now.Sub(obs.At), forgetAfter) + time.Millisecond - 1
 	return &pb.ServerLimit{
-		Run: &pb.ServerRun{Id: run.ID, Incarnation: run.Started}, Limited: w.Limited(), PerSecond: max(w.Limit, 0), AgeMs: age.Milliseconds(),
+		Run: &pb.ServerRun{Id: inc.ID, Incarnation: inc.Started}, Limited: obs.Limited(), PerSecond: max(obs.Limit, 0), AgeMs: age.Milliseconds(),
 	}
 }
 
-func decode(now time.Time, told *pb.ServerLimit) (instance.Incarnation, ratelimit.Observation) {
-	age := time.Duration(min(max(told.GetAgeMs(), 0), forgetAfter.Milliseconds())) * time.Millisecond
-	w := ratelimit.Observation{Limit: ratelimit.None, At: now.Add(-age)}
-	if told.GetLimited() {
-		w.Limit = told.GetPerSecond()
+func decode(now time.Time, limit *pb.ServerLimit) (instance.Incarnation, ratelimit.Observation) {
+	age := time.Duration(min(max(limit.GetAgeMs(), 0), forgetAfter.Milliseconds())) * time.Millisecond
+	obs := ratelimit.Observation{Limit: ratelimit.None, At: now.Add(-age)}
+	if limit.GetLimited() {
+		obs.Limit = limit.GetPerSecond()
 	}
-	return runOf(told), w
+	return incarnationOf(limit), obs
 }
 
-func runOf(told *pb.ServerLimit) instance.Incarnation {
-	return instance.Incarnation{ID: told.GetRun().GetId(), Started: told.GetRun().GetIncarnation()}
+func incarnationOf(limit *pb.ServerLimit) instance.Incarnation {
+	return instance.Incarnation{ID: limit.GetRun().GetId(), Started: limit.GetRun().GetIncarnation()}
 }
--- a/internal/controller/ratelimits/permits.go
+++ b/internal/controller/ratelimits/permits.go
@@ -11,85 +11,86 @@
 )
 
 const (
-	// askTimeout bounds a question for permits, which takes some milliseconds. A request that
-	// waits for it has other servers to go to.
-	askTimeout = 60 * time.Millisecond
-	// unansweredPause is how long a host does without permits whose question got no answer.
-	unansweredPause = 250 * time.Millisecond
+	// requestTimeout bounds a call for permits, which takes a few milliseconds. It is short
+	// because a request that waits for the call can go to other servers.
+	requestTimeout = 60 * time.Millisecond
+	// unansweredBackoff is how long a host requests no permits after a call that was not answered.
+	unansweredBackoff = 250 * time.Millisecond
 )
 
 // Ask asks for permits for a server. Those who ask at the same time wait for the same answer.
-func (l *Limiter) RequestPermits(ctx context.Context, run instance.Incarnation) {
-	answered, first := l.question(run)
+func (l *Limiter) RequestPermits(ctx context.Context, inc instance.Incarnation) {
+	done, first := l.startRequest(inc)
 	if !first {
 		select {
-		case <-answered:
+		case <-done:
 		case <-ctx.Done():
 		}
 		return
 	}
-	defer l.answer(run, answered)
-	l.ask(context.WithoutCancel(ctx), run)
+	defer l.finishRequest(inc, done)
+	l.fetchPermits(context.WithoutCancel(ctx), inc)
 }
 
-// question is the one about a server under way; first: the caller has to ask it.
-func (l *Limiter) question(run instance.Incarnation) (answered chan struct{}, first bool) {
+// startRequest returns the channel of the pending call about a server. If first is true, there was none
+// and the caller has to make the call.
+func (l *Limiter) startRequest(inc instance.Incarnation) (done chan struct{}, first bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if answered = l.asking[run]; answered != nil {
-		return answered, false
+	if done = l.pending[inc]; done != nil {
+		return done, false
 	}
-	answered = make(chan struct{})
-	l.asking[run] = answered
-	return answered, true
+	done = make(chan struct{})
+	l.pending[inc] = done
+	return done, true
 }
 
-func (l *Limiter) answer(run instance.Incarnation, answered chan struct{}) {
+func (l *Limiter) finishRequest(inc instance.Incarnation, done chan struct{}) {
 	l.mu.Lock()
-	delete(l.asking, run)
+	delete(l.pending, inc)
 	l.mu.Unlock()
-	close(answered)
+	close(done)
 }
 
-func (l *Limiter) ask(ctx context.Context, run instance.Incarnation) {
-	asked := time.Now()
-	req := l.request(asked, run)
-	reply, err := l.take(ctx, run, req)
+func (l *Limiter) fetchPermits(ctx context.Context, inc instance.Incarnation) {
+	sent := time.Now()
+	req := l.request(sent, inc)
+	reply, err := l.takePermits(ctx, inc, req)
 	if err != nil {
 		l.metrics.asks.Add("unanswered", 1)
-		l.cfg.Log.Debug().Str("event", "permits-unanswered").Str("server", run.ID).Err(err).Send()
-		l.refused(run, asked.Add(unansweredPause))
+		l.cfg.Log.Debug().Str("event", "permits-unanswered").Str("server", inc.ID).Err(err).Send()
+		l.markRefused(inc, sent.Add(unansweredBackoff))
 		return
 	}
 	l.Merge([]*pb.ServerLimit{reply.GetLimit()})
 	if reply.GetGranted() == 0 {
 		l.metrics.asks.Add("refused", 1)
-		l.refused(run, time.Now().Add(time.Duration(reply.GetAfterUs())*time.Microsecond))
+		l.markRefused(inc, time.Now().Add(time.Duration(reply.GetAfterUs())*time.Microsecond))
 		return
 	}
 	l.metrics.asks.Add("granted", 1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.Granted(asked, run, int(reply.GetGranted()))
+	l.table.Granted(sent, inc, int(reply.GetGranted()))
 }
 
-func (l *Limiter) refused(run instance.Incarnation, until time.Time) {
+func (l *Limiter) markRefused(inc instance.Incarnation, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.Refused(until, run)
+	l.table.Refused(until, inc)
 }
 
-func (l *Limiter) request(now time.Time, run instance.Incarnation) *pb.TakePermitsRequest {
+func (l *Limiter) request(now time.Time, inc instance.Incarnation) *pb.TakePermitsRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return &pb.TakePermitsRequest{
-		Host: l.cfg.Host, Limit: encode(now, run, l.table.Of(run)), Want: uint32(l.table.Want(now, run)),
+		Host: l.cfg.Host, Limit: encode(now, inc, l.table.Of(inc)), Want: uint32(l.table.Want(now, inc)),
 	}
 }
 
-// take asks the owner, which may be this host.
-func (l *Limiter) take(ctx context.Context, run instance.Incarnation, req *pb.TakePermitsRequest) (*pb.TakePermitsReply, error) {
-	hosts := l.cfg.Owners.FirstRanked(Key(run), 1)
+// takePermits calls the owner, which may be this host.
+func (l *Limiter) takePermits(ctx context.Context, inc instance.Incarnation, req *pb.TakePermitsRequest) (*pb.TakePermitsReply, error) {
+	hosts := l.cfg.Owners.FirstRanked(Key(inc), 1)
 	if len(hosts) == 0 || hosts[0].Self() {
 		return l.HandleTake(req), nil
 	}
@@ -97,7 +98,7 @@
 }
 
 func (l *Limiter) call(ctx context.Context, h owners.Host, req *pb.TakePermitsRequest) (*pb.TakePermitsReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	reply, err := l.cfg.Client(h.Address).TakePermits(ctx, req)
 	if err != nil {
@@ -108,11 +109,11 @@
 	return reply, nil
 }
 
-// HandleTake issues permits for a server whose limit this host owns, or stands in for the owner of.
+// HandleTake issues permits for a server if this host is the owner or the backup owner of its limit.
 func (l *Limiter) HandleTake(req *pb.TakePermitsRequest) *pb.TakePermitsReply {
 	l.Merge([]*pb.ServerLimit{req.GetLimit()})
-	run := runOf(req.GetLimit())
-	rank, owns := l.cfg.Owners.Rank(Key(run))
+	inc := incarnationOf(req.GetLimit())
+	rank, owns := l.cfg.Owners.Rank(Key(inc))
 	part := 0.0
 	if owns {
 		part = ratelimit.Part(rank, l.cfg.Owners.AliveFraction())
@@ -120,14 +121,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	w := l.table.Of(run)
-	reply := &pb.TakePermitsReply{Limit: encode(now, run, w)}
-	if part == 0 || !w.Limited() {
-		reply.AfterUs = unansweredPause.Microseconds()
+	obs := l.table.Of(inc)
+	reply := &pb.TakePermitsReply{Limit: encode(now, inc, obs)}
+	if part == 0 || !obs.Limited() {
+		reply.AfterUs = unansweredBackoff.Microseconds()
 		return reply
 	}
 	granted, after := l.issuer.Issue(now, ratelimit.Ask{
-		Run: run, Host: req.GetHost(), Want: int(req.GetWant()), Limit: w.Limit, Part: part,
+		Run: inc, Host: req.GetHost(), Want: int(req.GetWant()), Limit: obs.Limit, Part: part,
 	})
 	l.metrics.issued.Add(int64(granted))
 	reply.Granted, reply.AfterUs = uint32(granted), after.Microseconds()
--- a/internal/controller/ratelimits/ratelimits.go
+++ b/internal/controller/ratelimits/ratelimits.go
@@ -1,10 +1,10 @@
-// Package ratelimits binds package ratelimit to a host: it takes the limits that backend servers
-// name in their answers, tells the other hosts, and gets and issues permits for requests to
-// servers that name one.
+// Package ratelimits binds package ratelimit to a host: it observes the rate limits that backend
+// servers advertise in their answers, notifies the other hosts, and requests and issues permits
+// for requests to rate-limited servers.
 //
-// The owner of a server's limit is the host that ranks first for it. Hosts learn a limit from
-// the server, by news as soon as it changes, or by heartbeats. While no server names a limit
-// nothing of this costs a message.
+// The owner of a server's limit is the host that ranks first for it. Hosts learn a limit from the
+// server's answers, from updates that are broadcast as soon as it changes, or from heartbeats.
+// While no server advertises a limit, no messages are sent.
 package ratelimits
 
 import (
@@ -23,10 +23,10 @@
 )
 
 const (
-	// forgetAfter is the silence after which a server's limit is forgotten.
+	// forgetAfter is how long a server's limit is kept without a new observation.
 	forgetAfter = 2 * time.Minute
-	// sweepEvery is how often limits are looked through for those to forget.
-	sweepEvery = 10 * time.Second
+	// expireEvery is how often limits without a recent observation are removed.
+	expireEvery = 10 * time.Second
 )
 
 // Owners finds the owners of limits; *owners.Table implements it.
@@ -38,29 +38,29 @@
 	MarkAnswered(host string)
 }
 
-// Config of a Limiter.
+// Config configures a Limiter.
 type Config struct {
 	// Host is this host's name.
 	Host   string
 	Owners Owners
 	Client func(address string) pb.PeerClient
-	// Broadcast tells all hosts of a changed limit.
+	// Broadcast notifies all hosts of a changed limit.
 	Broadcast func(*pb.ServerLimit)
 	Log       zerolog.Logger
 }
 
-// Limiter knows the limits of servers. It is safe for concurrent use.
+// Limiter holds the rate limits of servers. It is safe for concurrent use.
 type Limiter struct {
 	cfg Config
 
-	mu     sync.Mutex
-	table  *ratelimit.Table
-	issuer *ratelimit.Issuer
-	swept  time.Time
-	// unreadable are runs whose limits can't be read, each logged once.
+	mu         sync.Mutex
+	table      *ratelimit.Table
+	issuer     *ratelimit.Issuer
+	lastExpiry time.Time
+	// unreadable holds the incarnations whose limits could not be parsed; each is logged once.
 	unreadable telemetry.Firsts[instance.Incarnation]
-	// asking are the questions for permits under way; the channel is closed at the answer.
-	asking map[instance.Incarnation]chan struct{}
+	// pending holds the calls for permits in progress; the channel is closed when the call ends.
+	pending map[instance.Incarnation]chan struct{}
 
 	metrics metrics
 }
@@ -68,17 +68,17 @@
 // metrics are the limiter's counters.
 type metrics struct {
 	vars expvar.Map
-	// changes counts changed limits, sends the requests to servers that named one, asks the
-	// questions for permits by outcome, issued the permits given out.
+	// changes counts changed limits, sends the requests to rate-limited servers, asks the calls
+	// for permits by outcome, and issued the permits issued by this host.
 	changes, issued expvar.Int
 	sends, asks     expvar.Map
 }
 
-// New makes a limiter that knows no limit.
+// New returns a Limiter that knows no limit.
 func New(cfg Config) *Limiter {
 	l := &Limiter{
-		cfg: cfg, table: ratelimit.NewTable(), issuer: ratelimit.NewIssuer(), swept: time.Now(),
-		asking: make(map[instance.Incarnation]chan struct{}),
+		cfg: cfg, table: ratelimit.NewTable(), issuer: ratelimit.NewIssuer(), lastExpiry: time.Now(),
+		pending: make(map[instance.Incarnation]chan struct{}),
 	}
 	l.metrics.vars.Set("changes", &l.metrics.changes)
 	l.metrics.vars.Set("sends", &l.metrics.sends)
@@ -87,81 +87,84 @@
 	return l
 }
 
-// Metrics are the limiter's counters.
+// Metrics returns the limiter's counters.
 func (l *Limiter) Metrics() *expvar.Map { return &l.metrics.vars }
 
-// Key is a limit's name among the keys that hosts own.
-func Key(run instance.Incarnation) string {
-	return "limits/" + run.ID + "/" + strconv.FormatUint(run.Started, 10)
+// Key returns the key by which hosts are ranked as owners of a limit.
+func Key(inc instance.Incarnation) string {
+	return "limits/" + inc.ID + "/" + strconv.FormatUint(inc.Started, 10)
 }
 
-// Heard takes what a server said with the answer to a request of this host.
-func (l *Limiter) Heard(run instance.Incarnation, w ratelimit.Observation, requestID string) {
-	before, changed := l.hear(run, w)
+// Heard records the rate limit observed in an answer to a request of this host, and notifies the other
+// hosts if it has changed.
+func (l *Limiter) Heard(inc instance.Incarnation, obs ratelimit.Observation, requestID string) {
+	before, changed := l.observe(inc, obs)
 	if !changed {
 		return
 	}
-	l.logChange(run, before, w, requestID)
-	l.cfg.Broadcast(encode(time.Now(), run, w))
+	l.logChange(inc, before, obs, requestID)
+	l.cfg.Broadcast(encode(time.Now(), inc, obs))
 }
 
-func (l *Limiter) hear(run instance.Incarnation, w ratelimit.Observation) (before ratelimit.Observation, changed bool) {
+func (l *Limiter) observe(inc instance.Incarnation, obs ratelimit.Observation) (before ratelimit.Observation, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); now.Sub(l.swept) >= sweepEvery {
-		l.swept = now
+	if now := time.Now(); now.Sub(l.lastExpiry) >= expireEvery {
+		l.lastExpiry = now
 		l.table.Expire(now.Add(-forgetAfter))
 		l.issuer.Expire(now)
 		l.unreadable.Forget()
 	}
-	return l.table.Hear(run, w)
+	return l.table.Hear(inc, obs)
 }
 
-// logChange writes what a server says now. from is the request whose answer said it, or a peer.
-func (l *Limiter) logChange(run instance.Incarnation, before, w ratelimit.Observation, from string) {
+// logChange logs a changed limit. from is its source: the ID of the request whose answer carried it, or
+// "peer".
+func (l *Limiter) logChange(inc instance.Incarnation, before, obs ratelimit.Observation, from string) {
 	l.metrics.changes.Add(1)
-	l.cfg.Log.Info().Str("event", "server-limit").Str("server", run.ID).Uint64("incarnation", run.Started).
-		Bool("limited", w.Limited()).Float64("per_second", w.Limit).Bool("limited_before", before.Limited()).
-		Float64("per_second_before", before.Limit).Str("from", from).Dur("age", time.Since(w.At)).Send()
+	l.cfg.Log.Info().Str("event", "server-limit").Str("server", inc.ID).Uint64("incarnation", inc.Started).
+		Bool("limited", obs.Limited()).Float64("per_second", obs.Limit).Bool("limited_before", before.Limited()).
+		Float64("per_second_before", before.Limit).Str("from", from).Dur("age", time.Since(obs.At)).Send()
 }
 
-// Unreadable takes that a server named a limit that is no number. What it said before holds.
-func (l *Limiter) Unreadable(run instance.Incarnation, requestID string) {
-	if l.unreadable.First(run) {
-		l.cfg.Log.Warn().Str("event", "server-limit-unreadable").Str("server", run.ID).Uint64("incarnation", run.Started).
+// Unreadable records that a server advertised a limit that is not a number. An earlier limit stays in
+// force.
+func (l *Limiter) Unreadable(inc instance.Incarnation, requestID string) {
+	if l.unreadable.First(inc) {
+		l.cfg.Log.Warn().Str("event", "server-limit-unreadable").Str("server", inc.ID).Uint64("incarnation", inc.Started).
 			Str("request", requestID).Send()
 	}
 }
 
-// Sending notes that a request is sent to a server. It returns the server's limit.
-func (l *Limiter) Sending(run instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
+// Sending counts a request sent to a server. It returns the server's limit.
+func (l *Limiter) Sending(inc instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.table.Of(run)
-	if w.Limited() {
+	obs := l.table.Of(inc)
+	if obs.Limited() {
 		l.metrics.sends.Add(string(why), 1)
 	}
-	return w
+	return obs
 }
 
 // Limit implements ratelimit.Permits.
-func (l *Limiter) Limit(run instance.Incarnation) (perSecond float64, ok bool) {
+func (l *Limiter) Limit(inc instance.Incarnation) (perSecond float64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.table.Of(run)
-	return w.Limit, w.Limited()
+	obs := l.table.Of(inc)
+	return obs.Limit, obs.Limited()
 }
 
 // Check implements ratelimit.Permits.
-func (l *Limiter) Check(now time.Time, run instance.Incarnation) (ratelimit.State, time.Duration) {
+func (l *Limiter) Check(now time.Time, inc instance.Incarnation) (ratelimit.State, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.table.Check(now, run)
+	return l.table.Check(now, inc)
 }
 
 // Use implements ratelimit.Permits.
-func (l *Limiter) Use(now time.Time, run instance.Incarnation) {
+func (l *Limiter) Use(now time.Time, inc instance.Incarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.Use(now, run)
+	l.table.Use(now, inc)
 }
--- a/internal/controller/ratelimits/ratelimits_test.go
+++ b/internal/controller/ratelimits/ratelimits_test.go
@@ -19,21 +19,21 @@
 
 var server = instance.Incarnation{ID: "s", Started: 1}
 
-// fakeOwners has one host own all limits.
+// fakeOwners is a table in which one host owns all limits.
 type fakeOwners struct {
 	owner      owners.Host
 	rank       int
-	reach      float64
+	fraction   float64
 	unanswered atomic.Int64
 }
 
 func (o *fakeOwners) FirstRanked(string, int) []owners.Host { return []owners.Host{o.owner} }
 func (o *fakeOwners) Rank(string) (int, bool)               { return o.rank, true }
-func (o *fakeOwners) AliveFraction() float64                { return o.reach }
+func (o *fakeOwners) AliveFraction() float64                { return o.fraction }
 func (o *fakeOwners) MarkUnanswered(string)                 { o.unanswered.Add(1) }
 func (o *fakeOwners) MarkAnswered(string)                   {}
 
-// peer is the service of another host.
+// peer is the client of another host.
 type peer struct {
 	pb.PeerClient
 	to    *Limiter
@@ -56,14 +56,14 @@
 	})
 }
 
-func self() *fakeOwners { return &fakeOwners{reach: 1} }
+func self() *fakeOwners { return &fakeOwners{fraction: 1} }
 
 func remote() *fakeOwners {
-	return &fakeOwners{owner: owners.Host{Name: "o", Address: "10.0.0.1:1"}, reach: 1}
+	return &fakeOwners{owner: owners.Host{Name: "o", Address: "10.0.0.1:1"}, fraction: 1}
 }
 
-// askUntilHeld asks as a request would until a permit is at hand.
-func askUntilHeld(t *testing.T, l *Limiter) {
+// requestUntilHeld requests permits as a request does until one is held.
+func requestUntilHeld(t *testing.T, l *Limiter) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		switch state, _ := l.Check(time.Now(), server); state {
@@ -81,20 +81,20 @@
 	p := &peer{to: owner}
 	l := newLimiter(remote(), p)
 	l.Heard(server, ratelimit.Observation{Limit: 20, At: time.Now()}, "r")
-	askUntilHeld(t, l)
+	requestUntilHeld(t, l)
 	l.Use(time.Now(), server)
-	if w := owner.table.Of(server); !w.Limited() || w.Limit != 20 {
-		t.Errorf("the owner learned %v from the question", w)
+	if obs := owner.table.Of(server); !obs.Limited() || obs.Limit != 20 {
+		t.Errorf("the owner observed %v from the call", obs)
 	}
 }
 
-// Guards against a host that holds a limit which the owner knows to be lifted.
-func TestOwnerTellsThatALimitIsLifted(t *testing.T) {
+// Guards against a host that keeps a limit which the owner knows to be lifted.
+func TestOwnerReportsALiftedLimit(t *testing.T) {
 	owner := newLimiter(self(), nil)
 	l := newLimiter(remote(), &peer{to: owner})
-	named := time.Now().Add(-time.Second)
-	l.Heard(server, ratelimit.Observation{Limit: 20, At: named}, "r")
-	owner.Heard(server, ratelimit.Observation{Limit: 20, At: named}, "r")
+	observedAt := time.Now().Add(-time.Second)
+	l.Heard(server, ratelimit.Observation{Limit: 20, At: observedAt}, "r")
+	owner.Heard(server, ratelimit.Observation{Limit: 20, At: observedAt}, "r")
 	owner.Heard(server, ratelimit.Observation{Limit: ratelimit.None, At: time.Now().Add(-100 * time.Millisecond)}, "r")
 	l.RequestPermits(t.Context(), server)
 	if state, _ := l.Check(time.Now(), server); state != ratelimit.Free {
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestRequestsShareOneQuestion(t *testing.T) {
+func TestConcurrentRequestsShareOneCall(t *testing.T) {
 	p := &peer{to: newLimiter(self(), nil)}
 	l := newLimiter(remote(), p)
 	l.Heard(server, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
@@ -112,25 +112,25 @@
 	}
 	asks.Wait()
 	if n := p.calls.Load(); n >= 20 {
-		t.Errorf("20 requests asked %d times", n)
+		t.Errorf("20 concurrent requests made %d calls", n)
 	}
 }
 
-// Guards against requests that wait for, or do without a limit at, an owner that is lost.
-func TestWithoutAnOwnerThereAreNoPermits(t *testing.T) {
+// Guards against requests that wait for a failed owner or ignore the limit that it owns.
+func TestNoPermitsWhenOwnerDoesNotAnswer(t *testing.T) {
 	o := remote()
 	l := newLimiter(o, &peer{fail: true})
 	l.Heard(server, ratelimit.Observation{Limit: 100, At: time.Now()}, "r")
 	l.RequestPermits(t.Context(), server)
-	if state, wait := l.Check(time.Now(), server); state != ratelimit.Exhausted || wait > unansweredPause {
+	if state, wait := l.Check(time.Now(), server); state != ratelimit.Exhausted || wait > unansweredBackoff {
 		t.Errorf("state %v for %v", state, wait)
 	}
 	if o.unanswered.Load() != 1 {
-		t.Error("the owner is not passed over")
+		t.Error("the owner was not marked as unanswered")
 	}
 }
 
-func TestHostThatRanksLowIssuesNothing(t *testing.T) {
+func TestLowRankedHostIssuesNoPermits(t *testing.T) {
 	o := self()
 	o.rank = 2
 	l := newLimiter(o, nil)
@@ -143,8 +143,9 @@
 	}
 }
 
-// Guards against a host that has forgotten a limit and lifts it at the owner by asking.
-func TestForgottenLimitLiftsNone(t *testing.T) {
+// Guards against a host whose record of a limit has expired and which lifts the limit at the owner
+// with its request.
+func TestRequestWithExpiredLimitDoesNotLiftIt(t *testing.T) {
 	owner := newLimiter(self(), nil)
 	l := newLimiter(remote(), &peer{to: owner})
 	owner.Heard(server, ratelimit.Observation{Limit: 20, At: time.Now().Add(-time.Minute)}, "r")
@@ -154,15 +155,15 @@
 	}
 }
 
-// Guards against words of other hosts that end or mislead this one.
-func TestMalformedLimitsOfPeersChangeNothing(t *testing.T) {
+// Guards against malformed messages of other hosts that crash this host or change its limits.
+func TestMalformedPeerLimitsAreIgnored(t *testing.T) {
 	l := newLimiter(self(), nil)
 	l.Merge([]*pb.ServerLimit{
 		nil, {}, {Run: &pb.ServerRun{Id: "s"}, Limited: true, PerSecond: -3}, {Run: &pb.ServerRun{Id: "a b"}, Limited: true, PerSecond: 1},
 		{Run: &pb.ServerRun{Id: "t"}, Limited: true, PerSecond: 1, AgeMs: -1 << 62},
 	})
 	if n := len(l.Limits()); n != 1 {
-		t.Errorf("%d limits are known, that of t has a number", n)
+		t.Errorf("%d limits are known, want only that of t, which has a valid number", n)
 	}
 	l.HandleTake(nil)
 	l.HandleTake(&pb.TakePermitsRequest{})
