--- a/internal/controller/ratelimits/permits.go
+++ b/internal/controller/ratelimits/permits.go
@@ -18,7 +18,8 @@
 	unansweredBackoff = 250 * time.Millisecond
 )
 
-// Ask asks for permits for a server. Those who ask at the same time wait for the same answer.
+// RequestPermits requests permits for a server from the owner of its limit. Concurrent callers share
+// one call.
 func (l *Limiter) RequestPermits(ctx context.Context, inc instance.Incarnation) {
 	done, first := l.startRequest(inc)
 	if !first {
