--- a/internal/controller/quarantine/metrics.go
+++ b/internal/controller/quarantine/metrics.go
@@ -2,11 +2,11 @@
 
 import "expvar"
 
-// metrics count since the start of the process.
+// metrics holds counters since the start of the process.
 type metrics struct {
-	// decisions on requests that something is held against, by decision.
+	// decisions on suspected and quarantined requests, by decision.
 	decisions expvar.Map
-	// crashes seen here, requests cleared here, servers probed, saves that failed.
+	// crashes observed by this host, requests cleared by this host, servers probed, failed saves.
 	crashes, cleared, probes, unsaved expvar.Int
 	vars                              expvar.Map
 }
@@ -19,5 +19,5 @@
 	m.vars.Set("unsaved", &m.unsaved)
 }
 
-// Metrics of the guard.
+// Metrics returns the guard's counters.
 func (g *Guard) Metrics() *expvar.Map { return &g.metrics.vars }
--- a/internal/controller/quarantine/operator.go
+++ b/internal/controller/quarantine/operator.go
@@ -6,14 +6,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/quarantine"
 )
 
-// Entries are the requests that something is held against, as this host knows them.
+// Entries returns the suspected and quarantined requests that this host knows.
 func (g *Guard) Entries() []quarantine.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Entries(time.Now())
 }
 
-// Release has all hosts forget what is held against a request; false: nothing was.
+// Release removes all records about a request at all hosts. It returns false if there are none.
 func (g *Guard) Release(f quarantine.Fingerprint) bool {
 	for _, e := range g.Entries() {
 		if e.ID.Fingerprint == f {
--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -16,80 +16,82 @@
 	g    *Guard
 	id   quarantine.ID
 	name string
-	// seen is the request's standing when it was last looked at.
-	seen quarantine.Standing
-	// held is the host that keeps others of the same request waiting for this one.
-	held *owners.Host
-	// trial: this is one.
+	// standing is the request's standing when it was last looked up.
+	standing quarantine.Standing
+	// slotOwner is the host at which this execution holds the request's slot, which keeps other
+	// executions of the same request waiting; nil if it holds none.
+	slotOwner *owners.Host
+	// trial is set if this execution is a trial.
 	trial bool
-	// breaks of its attempts; each is closed once it is known whether the server has ended.
+	// breaks has a channel for each attempt whose connection broke. It is closed once it is known
+	// whether the server has crashed.
 	breaks []<-chan struct{}
 }
 
 // Standing implements filter.Pass.
-func (p *pass) Standing() quarantine.Standing { return p.seen }
+func (p *pass) Standing() quarantine.Standing { return p.standing }
 
-// admit asks for a run if anything is held against the request.
+// admit asks for admission if the request is suspected or quarantined.
 func (p *pass) admit(ctx context.Context) error {
-	p.seen = p.g.standing(p.id)
-	if p.seen.Level == quarantine.Free {
+	p.standing = p.g.standing(p.id)
+	if p.standing.Level == quarantine.Free {
 		return nil
 	}
-	v := p.await(ctx)
-	p.seen = p.g.standing(p.id)
+	v := p.awaitVerdict(ctx)
+	p.standing = p.g.standing(p.id)
 	p.g.metrics.decisions.Add(string(v.Decision), 1)
 	p.g.cfg.Log.Info().Str("event", "suspect-decided").Str("pass", p.name).Str("account", p.id.Account).
 		Stringer("fingerprint", p.id.Fingerprint).Str("decision", string(v.Decision)).Dur("after", v.After).
-		Str("level", string(p.seen.Level)).Int("crashes", p.seen.Crashes).Int("trials", p.seen.Trials).Send()
+		Str("level", string(p.standing.Level)).Int("crashes", p.standing.Crashes).Int("trials", p.standing.Trials).Send()
 	switch v.Decision {
 	case quarantine.Wait, quarantine.Refuse:
-		return refused(p.seen, v)
+		return refusal(p.standing, v)
 	}
 	return nil
 }
 
-// await asks until the request may run, or need not be asked for any more.
-func (p *pass) await(ctx context.Context) quarantine.Verdict {
-	for end := time.Now().Add(waitFor); ; {
-		v := p.ask(ctx)
+// awaitVerdict asks for admission until the verdict is not to wait, or slotTimeout has passed.
+func (p *pass) awaitVerdict(ctx context.Context) quarantine.Verdict {
+	for end := time.Now().Add(slotTimeout); ; {
+		v := p.requestVerdict(ctx)
 		if v.Decision != quarantine.Wait || time.Now().After(end) {
 			return v
 		}
 		select {
 		case <-ctx.Done():
 			return v
-		case <-time.After(waitStep):
+		case <-time.After(slotPollInterval):
 		}
 	}
 }
 
-// ask has the request's owner decide. Without an answer this host decides, and does not try
-// what is quarantined.
-func (p *pass) ask(ctx context.Context) quarantine.Verdict {
+// requestVerdict has the request's owner decide. If the owner does not answer, this host decides
+// and admits no quarantined request.
+func (p *pass) requestVerdict(ctx context.Context) quarantine.Verdict {
 	st := p.g.standing(p.id)
 	if st.Level == quarantine.Quarantined && st.NextTrial > 0 {
 		return quarantine.Verdict{Decision: quarantine.Refuse, After: st.NextTrial}
 	}
-	lifetime := noDeadline
+	lifetime := defaultLifetime
 	if deadline, ok := ctx.Deadline(); ok {
 		lifetime = time.Until(deadline)
 	}
 	hosts := p.g.cfg.Owners.FirstRanked(Key(p.id), 1)
 	if len(hosts) > 0 && !hosts[0].Self() {
 		if v, ok := p.askOwner(ctx, hosts[0], lifetime); ok {
-			return p.take(v, hosts[0])
+			return p.recordVerdict(v, hosts[0])
 		}
 		if p.g.standing(p.id).Level == quarantine.Quarantined {
 			return quarantine.Verdict{Decision: quarantine.Refuse, After: time.Second}
 		}
 	}
-	return p.take(p.g.decide(p.id, p.name, lifetime), owners.Host{})
+	return p.recordVerdict(p.g.decide(p.id, p.name, lifetime), owners.Host{})
 }
 
-// take notes who keeps others waiting for this request.
-func (p *pass) take(v quarantine.Verdict, owner owners.Host) quarantine.Verdict {
+// recordVerdict records the owner that granted the request's slot, if the verdict grants it.
+func (p *pass) recordVerdict(v quarantine.Verdict, owner owners.Host) quarantine.Verdict {
 	if v.Decision == quarantine.Exclusive || v.Decision == quarantine.Trial {
-		p.held, p.trial = &owner, v.Decision == quarantine.Trial
+		p.slotOwner, p.trial = &owner, v.Decision == quarantine.Trial
 	}
 	return v
 }
@@ -108,7 +110,7 @@
 		return quarantine.Verdict{}, false
 	}
 	p.g.cfg.Owners.MarkAnswered(h.Name)
-	p.g.learn([]*pb.Suspect{reply.GetSuspect()}, h.Name)
+	p.g.mergeUpdates([]*pb.Suspect{reply.GetSuspect()}, h.Name)
 	return quarantine.Verdict{
 		Decision: quarantine.Decision(reply.GetDecision()), After: time.Duration(reply.GetAfterMs()) * time.Millisecond,
 	}, true
@@ -117,31 +119,31 @@
 // Reached implements filter.Pass.
 func (p *pass) Reached() {
 	if p.trial {
-		p.g.tried(p.id, p.name)
+		p.g.recordTrial(p.id, p.name)
 	}
 }
 
 // Broke implements filter.Pass.
-func (p *pass) Broke(b filter.Break) { p.breaks = append(p.breaks, p.g.judge(p.id, b)) }
+func (p *pass) Broke(b filter.Break) { p.breaks = append(p.breaks, p.g.checkCrash(p.id, b)) }
 
-// Again implements filter.Pass. After a first break nothing waits for the verdict on it: most
-// requests whose connection breaks had no part in it.
+// Again implements filter.Pass. It does not wait for the crash check after a first break, since most
+// requests whose connection breaks did not cause it.
 func (p *pass) Again(ctx context.Context) error {
-	p.seen = p.g.standing(p.id)
-	if len(p.breaks) > 1 || p.seen.Level != quarantine.Free {
-		p.awaitVerdicts(ctx)
-		p.seen = p.g.standing(p.id)
+	p.standing = p.g.standing(p.id)
+	if len(p.breaks) > 1 || p.standing.Level != quarantine.Free {
+		p.awaitCrashChecks(ctx)
+		p.standing = p.g.standing(p.id)
 	}
-	if p.held != nil && p.seen.Level == quarantine.Suspected {
+	if p.slotOwner != nil && p.standing.Level == quarantine.Suspected {
 		return nil
 	}
 	return p.admit(ctx)
 }
 
-func (p *pass) awaitVerdicts(ctx context.Context) {
-	for _, judged := range p.breaks {
+func (p *pass) awaitCrashChecks(ctx context.Context) {
+	for _, checked := range p.breaks {
 		select {
-		case <-judged:
+		case <-checked:
 		case <-ctx.Done():
 		}
 	}
@@ -150,17 +152,17 @@
 // Answered implements filter.Pass.
 func (p *pass) Answered() { p.g.clear(p.id) }
 
-// Close implements filter.Pass. Others of the same request go on waiting until it is known whether
-// a server crashed under this one.
+// Close implements filter.Pass. Other executions of the same request go on waiting until it is known
+// whether a server crashed during this one.
 func (p *pass) Close() {
-	if p.held == nil {
+	if p.slotOwner == nil {
 		return
 	}
-	owner := *p.held
-	p.held = nil
-	p.g.behind.Go(func() {
-		defer panics.Log(p.g.cfg.Log, "ending a suspect's run")
-		p.awaitVerdicts(context.Background())
-		p.g.endRun(owner, p.id, p.name)
+	owner := *p.slotOwner
+	p.slotOwner = nil
+	p.g.background.Go(func() {
+		defer panics.Log(p.g.cfg.Log, "ending a suspect's execution")
+		p.awaitCrashChecks(context.Background())
+		p.g.endExecution(owner, p.id, p.name)
 	})
 }
--- a/internal/controller/quarantine/probe.go
+++ b/internal/controller/quarantine/probe.go
@@ -10,56 +10,57 @@
 )
 
 const (
-	// probeTries and probePause make up for servers that reset some connections.
+	// A probe is tried probeTries times, probePause apart, because servers reset some connections.
 	probeTries = 3
 	probePause = 15 * time.Millisecond
-	// probeTimeout bounds the questions to one server.
+	// probeTimeout bounds all tries of one probe.
 	probeTimeout = 400 * time.Millisecond
 )
 
-// probe is a question to a server under way.
+// probe is a check in progress whether a server still answers.
 type probe struct{ done chan struct{} }
 
-// judge finds out whether the run of a server has ended while it ran a request, and notes the
-// crash. The channel is closed when that is known.
-func (g *Guard) judge(id quarantine.ID, b filter.Break) <-chan struct{} {
-	judged, seen := make(chan struct{}), time.Now()
-	g.behind.Go(func() {
-		defer panics.Log(g.cfg.Log, "judging a broken connection")
-		defer close(judged)
-		if g.endedUnder(b, seen) {
-			g.crashed(id, b)
+// checkCrash finds out whether a server's incarnation ended while it ran a request, and if so records
+// the crash. The channel is closed when the check is done.
+func (g *Guard) checkCrash(id quarantine.ID, b filter.Break) <-chan struct{} {
+	checked, observedAt := make(chan struct{}), time.Now()
+	g.background.Go(func() {
+		defer panics.Log(g.cfg.Log, "checking a broken connection")
+		defer close(checked)
+		if g.endedDuring(b, observedAt) {
+			g.recordCrash(id, b)
 		}
 	})
-	return judged
+	return checked
 }
 
-// endedUnder tells whether the run of a server ended after an attempt had begun there. A server
-// that answers anything has not ended: a connection that broke off says nothing by itself, since
-// servers reset connections, and networks do. seen is when it broke.
-func (g *Guard) endedUnder(b filter.Break, seen time.Time) bool {
-	at, known := g.endOf(b)
+// endedDuring reports whether a server's incarnation ended after an attempt had begun there. A server
+// that gives any answer has not ended. A broken connection alone proves nothing, since servers and
+// networks reset connections. observedAt is when the connection broke.
+func (g *Guard) endedDuring(b filter.Break, observedAt time.Time) bool {
+	at, known := g.endTime(b)
 	if !known {
-		p, first := g.probeOf(b)
+		p, first := g.startProbe(b)
 		if first {
-			g.ask(p, b, seen)
+			g.runProbe(p, b, observedAt)
 		}
 		<-p.done
-		at, known = g.endOf(b)
+		at, known = g.endTime(b)
 	}
-	// Attempts that began after the end met nobody, and had no part in it.
+	// Attempts that began after the end did not reach the server and can't have caused it.
 	return known && b.Began.Before(at)
 }
 
-func (g *Guard) endOf(b filter.Break) (at time.Time, known bool) {
+func (g *Guard) endTime(b filter.Break) (at time.Time, known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at, known = g.ended[b.Run]
+	at, known = g.endedAt[b.Run]
 	return at, known
 }
 
-// probeOf is the question about a run under way; first: the caller has to ask it.
-func (g *Guard) probeOf(b filter.Break) (p *probe, first bool) {
+// startProbe returns the probe of a server's incarnation. If first is true, none was in progress and
+// the caller has to run it.
+func (g *Guard) startProbe(b filter.Break) (p *probe, first bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p := g.probes[b.Run]; p != nil {
@@ -70,18 +71,18 @@
 	return p, true
 }
 
-// ask asks a server whether it answers.
-func (g *Guard) ask(p *probe, b filter.Break, seen time.Time) {
+// runProbe finds out whether a server answers.
+func (g *Guard) runProbe(p *probe, b filter.Break, observedAt time.Time) {
 	defer close(p.done)
 	ended := !g.answers(b)
 	g.metrics.probes.Add(1)
 	g.cfg.Log.Info().Str("event", "server-probed").Str("server", b.Run.ID).Uint64("incarnation", b.Run.Started).Str("address", b.Address).
-		Bool("ended", ended).Str("request", b.RequestID).Dur("took", time.Since(seen)).Send()
+		Bool("ended", ended).Str("request", b.RequestID).Dur("took", time.Since(observedAt)).Send()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.probes, b.Run)
-	if _, known := g.ended[b.Run]; ended && !known {
-		g.ended[b.Run] = seen
+	if _, known := g.endedAt[b.Run]; ended && !known {
+		g.endedAt[b.Run] = observedAt
 	}
 }
 
--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -1,13 +1,14 @@
-// Package quarantine binds package quarantine to a host: it finds out whether a server ended
-// under a request, tells all hosts, has the owner of a request admit its runs one at a time,
-// and brings a host that starts, or that was cut off, up to date.
+// Package quarantine binds package quarantine to a host: it finds out whether a server crashed
+// while it ran a request, notifies all hosts, has the owner of a request admit its executions
+// one at a time, and brings a host that starts, or that was partitioned, up to date.
 //
-// What one host sees is told at once by package news. Each host besides compares what it knows
-// with another host's once a second, so whatever was lost or missed arrives as well. A host
-// with a disk keeps all of it there: it lasts through a loss of all hosts at once.
+// Package news broadcasts each change that a host observes at once. In addition each host
+// compares its table with another host's once a second, which repairs lost or missed updates.
+// A host with a disk stores its table there, so that it survives a failure of all hosts at
+// once.
 //
-// The owner of a request is the host that ranks first for its fingerprint, so requests that
-// nothing is held against cost no message.
+// The owner of a request is the host that ranks first for its fingerprint. Requests that are
+// not suspected cost no message.
 package quarantine
 
 import (
@@ -28,15 +29,17 @@
 )
 
 const (
-	// callTimeout bounds one call for admission; it takes a few milliseconds.
+	// callTimeout bounds one call for admission, which takes a few milliseconds.
 	callTimeout = 150 * time.Millisecond
-	// waitFor and waitStep bound how long a request waits for another run of the same one.
-	waitFor  = 500 * time.Millisecond
-	waitStep = 20 * time.Millisecond
-	// endedKept is how long the end of a run of a server explains broken connections to it.
-	endedKept = 30 * time.Second
-	// noDeadline bounds a run whose request has no deadline.
-	noDeadline = time.Minute
+	// slotTimeout is how long a request waits for another execution of the same request to end.
+	// It asks for admission every slotPollInterval.
+	slotTimeout      = 500 * time.Millisecond
+	slotPollInterval = 20 * time.Millisecond
+	// endedRetention is how long the end of a server's incarnation explains broken connections
+	// to it.
+	endedRetention = 30 * time.Second
+	// defaultLifetime bounds an execution whose request has no deadline.
+	defaultLifetime = time.Minute
 )
 
 // Owners finds the owner of a request; *owners.Table implements it.
@@ -46,25 +49,25 @@
 	MarkAnswered(host string)
 }
 
-// Store keeps what is known over the end of a process.
+// Store keeps the suspected requests across restarts of the process.
 type Store interface {
 	Load() ([]*pb.Suspect, error)
 	Save([]*pb.Suspect) error
 }
 
-// Config of a Guard.
+// Config configures a Guard.
 type Config struct {
-	// Host is this host's name, Incarnation that of this run of it.
+	// Host is this host's name, Incarnation the unique name of its incarnation.
 	Host, Incarnation string
 	Owners            Owners
 	Client            func(address string) pb.PeerClient
-	// Peers are the peer addresses of hosts to learn from.
+	// Peers returns the peer addresses of the hosts to synchronize with.
 	Peers func() []string
-	// Broadcast tells all hosts.
+	// Broadcast notifies all hosts.
 	Broadcast func(*pb.Suspect)
-	// Responds tells whether a server answers at all, in any way.
+	// Responds reports whether a server answers a request at all, whatever the answer.
 	Responds func(ctx context.Context, address, path string) bool
-	// Store is nil on hosts without a disk.
+	// Store is nil at hosts without a disk.
 	Store Store
 	Log   zerolog.Logger
 }
@@ -75,26 +78,27 @@
 	passes  atomic.Uint64
 	synced  atomic.Bool
 	metrics metrics
-	// behind is what goes on after its request has ended.
-	behind sync.WaitGroup
+	// background tracks the goroutines that outlive their requests.
+	background sync.WaitGroup
 
 	mu    sync.Mutex
 	table *quarantine.Table
-	// ended are the runs of servers that were found to have ended, and when that was seen first.
-	ended map[instance.Incarnation]time.Time
-	// probes are the questions to servers under way.
+	// endedAt maps the incarnations of servers found to have ended to the time when this was first
+	// observed.
+	endedAt map[instance.Incarnation]time.Time
+	// probes holds the probes in progress.
 	probes map[instance.Incarnation]*probe
-	// saved is the version of the table in the store.
-	saved uint64
+	// savedVersion is the version of the table in the store.
+	savedVersion uint64
 }
 
 var _ filter.Quarantine = (*Guard)(nil)
 
-// New makes a guard with what its store holds. A store that can't be read is logged: the other
-// hosts know what was in it.
+// New returns a Guard with the contents of its store. A store that can't be read is only logged,
+// since the other hosts know its contents.
 func New(cfg Config) *Guard {
 	g := &Guard{
-		cfg: cfg, table: quarantine.NewTable(), ended: make(map[instance.Incarnation]time.Time),
+		cfg: cfg, table: quarantine.NewTable(), endedAt: make(map[instance.Incarnation]time.Time),
 		probes: make(map[instance.Incarnation]*probe),
 	}
 	g.metrics.init()
@@ -113,12 +117,12 @@
 	for _, s := range states {
 		g.table.Merge(time.Now(), s)
 	}
-	g.saved = g.table.Version()
+	g.savedVersion = g.table.Version()
 	g.synced.Store(true)
 	g.cfg.Log.Info().Str("event", "suspects-loaded").Int("suspects", len(states)).Send()
 }
 
-// Key of a request among the keys that hosts own.
+// Key returns the key by which hosts are ranked as owners of a request.
 func Key(id quarantine.ID) string { return "suspects/" + id.Account + "/" + id.Fingerprint.String() }
 
 // Admit implements filter.Quarantine.
@@ -138,68 +142,68 @@
 	return &pass{g: g, id: id, name: g.cfg.Incarnation + "/" + strconv.FormatUint(g.passes.Add(1), 10)}
 }
 
-// standing of a request as this host knows it.
+// standing returns the standing of a request as this host knows it.
 func (g *Guard) standing(id quarantine.ID) quarantine.Standing {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Standing(time.Now(), id)
 }
 
-// decide has this host decide on a run.
+// decide decides at this host whether an execution is admitted.
 func (g *Guard) decide(id quarantine.ID, name string, lifetime time.Duration) quarantine.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Admit(time.Now(), id, name, lifetime)
 }
 
-// change has the table take something, and tells all hosts if it is news.
-func (g *Guard) change(id quarantine.ID, take func(now time.Time, t *quarantine.Table) bool) bool {
-	s := g.changeHere(id, take)
+// update applies a change to the table and, if the table has changed, notifies all hosts.
+func (g *Guard) update(id quarantine.ID, apply func(now time.Time, t *quarantine.Table) bool) bool {
+	s := g.updateTable(id, apply)
 	if s == nil {
 		return false
 	}
-	g.tell(s)
+	g.broadcast(s)
 	return true
 }
 
-func (g *Guard) changeHere(id quarantine.ID, take func(now time.Time, t *quarantine.Table) bool) *pb.Suspect {
+func (g *Guard) updateTable(id quarantine.ID, apply func(now time.Time, t *quarantine.Table) bool) *pb.Suspect {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	if !take(now, g.table) {
+	if !apply(now, g.table) {
 		return nil
 	}
 	return g.table.State(now, id)
 }
 
-// tell tells all hosts of a change, and logs it.
-func (g *Guard) tell(s *pb.Suspect) {
+// broadcast notifies all hosts of a change and logs it.
+func (g *Guard) broadcast(s *pb.Suspect) {
 	g.logChange(s, "here")
 	g.cfg.Broadcast(s)
 }
 
-// crashed notes the end of a server under a request.
-func (g *Guard) crashed(id quarantine.ID, b filter.Break) {
-	if g.change(id, func(now time.Time, t *quarantine.Table) bool { return t.Crashed(now, id, b.Run, g.cfg.Host, b.Others) }) {
+// recordCrash records that a server crashed while it ran a request.
+func (g *Guard) recordCrash(id quarantine.ID, b filter.Break) {
+	if g.update(id, func(now time.Time, t *quarantine.Table) bool { return t.Crashed(now, id, b.Run, g.cfg.Host, b.Others) }) {
 		g.metrics.crashes.Add(1)
 	}
 }
 
-// tried notes that a trial has reached a server.
-func (g *Guard) tried(id quarantine.ID, name string) {
-	g.change(id, func(now time.Time, t *quarantine.Table) bool { return t.Tried(now, id, name) })
+// recordTrial records that a trial has reached a server.
+func (g *Guard) recordTrial(id quarantine.ID, name string) {
+	g.update(id, func(now time.Time, t *quarantine.Table) bool { return t.Tried(now, id, name) })
 }
 
-// clear takes that a request was answered, or released by an operator.
+// clear removes all records about a request that was answered, or released by an operator.
 func (g *Guard) clear(id quarantine.ID) bool {
-	cleared := g.change(id, func(now time.Time, t *quarantine.Table) bool { return t.Clear(now, id) })
+	cleared := g.update(id, func(now time.Time, t *quarantine.Table) bool { return t.Clear(now, id) })
 	if cleared {
 		g.metrics.cleared.Add(1)
 	}
 	return cleared
 }
 
-// logChange writes what is known of a request after a change; from is where it was heard.
+// logChange logs the state of a request after a change; from is the source of the change.
 func (g *Guard) logChange(s *pb.Suspect, from string) {
 	id, _ := quarantine.IDOf(s)
 	st := g.standing(id)
@@ -208,10 +212,10 @@
 		Dur("last_crash_ago", st.LastCrash).Uint64("epoch", s.GetEpoch()).Str("from", from).Send()
 }
 
-// refused is the answer to a request that may not run now.
-func refused(st quarantine.Standing, v quarantine.Verdict) error {
+// refusal returns the error for a request that must not run now.
+func refusal(st quarantine.Standing, v quarantine.Verdict) error {
 	if v.Decision == quarantine.Wait {
-		return errkind.New(errkind.RequestQuarantined, "a server crashed under this request, and it is being run elsewhere").After(v.After)
+		return errkind.New(errkind.RequestQuarantined, "a server crashed while it ran this request, and another execution of it is in progress").After(v.After)
 	}
 	return errkind.New(errkind.RequestQuarantined, "%d servers crashed while they ran this request", st.Crashes).After(v.After)
 }
--- a/internal/controller/quarantine/quarantine_test.go
+++ b/internal/controller/quarantine/quarantine_test.go
@@ -23,20 +23,20 @@
 	"github.com/bluebellsail/bluebellsail/internal/wal"
 )
 
-var poison = quarantine.ID{Account: "account", Fingerprint: quarantine.FingerprintOf("account", "host", "/x", []byte("poison"))}
+var poisonID = quarantine.ID{Account: "account", Fingerprint: quarantine.FingerprintOf("account", "host", "/x", []byte("poison"))}
 
-// host is a guard with its fellows, all in this process. The first host owns every request.
+// host is a guard in a fleet within this process. The first host owns every request.
 type host struct {
 	*Guard
 	fleet *fleet
 	name  string
-	// cut: it reaches nobody, and nobody reaches it.
+	// cut is set while the host is partitioned from all others.
 	cut atomic.Bool
 }
 
 type fleet struct {
 	hosts []*host
-	// alive are the servers that answer.
+	// alive is set if the servers answer probes.
 	alive atomic.Bool
 }
 
@@ -54,11 +54,11 @@
 func (f *fleet) add(t *testing.T, name string, store Store) *host {
 	h := &host{fleet: f, name: name}
 	h.Guard = New(Config{
-		Host: name, Incarnation: name, Owners: h, Client: h.client, Peers: h.peers, Broadcast: h.tell, Store: store, Log: zerolog.Nop(),
+		Host: name, Incarnation: name, Owners: h, Client: h.client, Peers: h.peers, Broadcast: h.broadcast, Store: store, Log: zerolog.Nop(),
 		Responds: func(context.Context, string, string) bool { return f.alive.Load() },
 	})
 	f.hosts = append(f.hosts, h)
-	t.Cleanup(h.behind.Wait)
+	t.Cleanup(h.background.Wait)
 	return h
 }
 
@@ -82,7 +82,7 @@
 	return out
 }
 
-func (h *host) tell(s *pb.Suspect) {
+func (h *host) broadcast(s *pb.Suspect) {
 	for _, other := range h.fleet.hosts {
 		if other != h && !h.cut.Load() && !other.cut.Load() {
 			other.HandleUpdates([]*pb.Suspect{s}, h.name)
@@ -133,17 +133,18 @@
 	return c.to.HandleEnd(r), nil
 }
 
-// breakAt tells of a connection to a run of a server that broke, after the attempt had lasted.
+// breakAt returns the break of an attempt's connection to server n, after the attempt had lasted
+// for a time.
 func breakAt(n int, lasted time.Duration) filter.Break {
 	return filter.Break{Run: instance.Incarnation{ID: fmt.Sprintf("server-%d", n)}, Began: time.Now().Add(-lasted)}
 }
 
-// crash has a server end under a request at a host.
-func (h *host) crash(id quarantine.ID, server int) { <-h.judge(id, breakAt(server, time.Second)) }
+// crash simulates a crash of a server while it runs a request of the host.
+func (h *host) crash(id quarantine.ID, server int) { <-h.checkCrash(id, breakAt(server, time.Second)) }
 
 func (h *host) level(id quarantine.ID) quarantine.Level { return h.standing(id).Level }
 
-// admitted asks for a run, and ends it.
+// admitted asks for an execution and ends it.
 func (h *host) admitted(id quarantine.ID) error {
 	p, err := h.Admit(context.Background(), id)
 	if err == nil {
@@ -152,132 +153,134 @@
 	return err
 }
 
-// Guards against requests that are taken for the cause of crashes because a server, or the
-// network, resets connections.
+// Guards against requests that are blamed for crashes because a server, or the network, resets
+// connections.
 func TestServerThatAnswersHasNotCrashed(t *testing.T) {
 	f := newFleet(t, 1)
 	f.alive.Store(true)
 	for n := range 10 {
-		f.hosts[0].crash(poison, n)
+		f.hosts[0].crash(poisonID, n)
 	}
-	if got := f.hosts[0].level(poison); got != quarantine.Free {
+	if got := f.hosts[0].level(poisonID); got != quarantine.Free {
 		t.Error(got)
 	}
 }
 
-// Guards against requests that are blamed for a server that had crashed before they met it.
-func TestAttemptAfterTheCrashIsNotItsCause(t *testing.T) {
+// Guards against requests that are blamed for the crash of a server that had crashed before they
+// were sent to it.
+func TestAttemptAfterCrashIsNotBlamed(t *testing.T) {
 	f := newFleet(t, 2)
-	f.hosts[0].crash(poison, 1)
-	late := poison
+	f.hosts[0].crash(poisonID, 1)
+	late := poisonID
 	late.Fingerprint[0]++
 	for _, h := range f.hosts {
-		<-h.judge(late, breakAt(1, 0))
+		<-h.checkCrash(late, breakAt(1, 0))
 		if got := h.level(late); got != quarantine.Free {
 			t.Errorf("%s: %s", h.name, got)
 		}
-		if got := h.level(poison); got != quarantine.Suspected {
-			t.Errorf("%s: %s of the cause", h.name, got)
+		if got := h.level(poisonID); got != quarantine.Suspected {
+			t.Errorf("%s: level %s of the request that caused the crash", h.name, got)
 		}
 	}
 }
 
-// Guards against a request that each host lets crash servers for itself.
-func TestCrashesOfAllHostsCount(t *testing.T) {
+// Guards against hosts that count only their own crashes, so that a request may crash servers at
+// each host.
+func TestCrashesAtAllHostsCount(t *testing.T) {
 	f := newFleet(t, 3)
 	for n, h := range f.hosts {
-		h.crash(poison, n)
+		h.crash(poisonID, n)
 	}
 	for _, h := range f.hosts {
-		err := h.admitted(poison)
+		err := h.admitted(poisonID)
 		if !errkind.Is(err, errkind.RequestQuarantined) || errkind.From(err).RetryAfter <= 0 {
 			t.Errorf("%s: %v", h.name, err)
 		}
 	}
 }
 
-// Guards against a request that runs in as many places at once as there are hosts: each of them
-// asks the owner, and waits for the run under way.
-func TestOneRunInTheFleetAtATime(t *testing.T) {
+// Guards against a suspected request that runs at all hosts at once: each host must ask the owner
+// and wait for the execution in progress.
+func TestOneExecutionInTheFleetAtATime(t *testing.T) {
 	f := newFleet(t, 3)
-	f.hosts[1].crash(poison, 1)
-	first, err := f.hosts[1].Admit(t.Context(), poison)
+	f.hosts[1].crash(poisonID, 1)
+	first, err := f.hosts[1].Admit(t.Context(), poisonID)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.hosts[2].admitted(poison); !errkind.Is(err, errkind.RequestQuarantined) {
-		t.Errorf("beside a run: %v", err)
+	if err := f.hosts[2].admitted(poisonID); !errkind.Is(err, errkind.RequestQuarantined) {
+		t.Errorf("during another execution: %v", err)
 	}
 	first.Answered()
 	first.Close()
-	if err := f.hosts[2].admitted(poison); err != nil {
-		t.Errorf("after its answer: %v", err)
+	if err := f.hosts[2].admitted(poisonID); err != nil {
+		t.Errorf("after the answer: %v", err)
 	}
 }
 
-// Guards against an owner out of reach for which suspected requests are refused, or quarantined
-// ones tried on every side of a partition.
-func TestOwnerOutOfReach(t *testing.T) {
+// Guards against suspected requests that are rejected because their owner is unreachable, and
+// against quarantined ones that are tried on every side of a partition.
+func TestUnreachableOwner(t *testing.T) {
 	f := newFleet(t, 2)
 	other := f.hosts[1]
-	other.crash(poison, 1)
+	other.crash(poisonID, 1)
 	f.hosts[0].cut.Store(true)
-	if err := other.admitted(poison); err != nil {
+	if err := other.admitted(poisonID); err != nil {
 		t.Errorf("suspected: %v", err)
 	}
-	other.crash(poison, 2)
-	other.crash(poison, 3)
-	if err := other.admitted(poison); !errkind.Is(err, errkind.RequestQuarantined) {
+	other.crash(poisonID, 2)
+	other.crash(poisonID, 3)
+	if err := other.admitted(poisonID); !errkind.Is(err, errkind.RequestQuarantined) {
 		t.Errorf("quarantined: %v", err)
 	}
 }
 
-// Guards against a host that missed crashes in a partition and goes on without them after it.
-func TestHostThatWasCutOffLearns(t *testing.T) {
+// Guards against a host that never learns of crashes that it missed in a partition.
+func TestPartitionedHostCatchesUp(t *testing.T) {
 	f := newFleet(t, 2)
 	f.hosts[1].cut.Store(true)
 	for n := range quarantine.MaxCrashes {
-		f.hosts[0].crash(poison, n)
+		f.hosts[0].crash(poisonID, n)
 	}
-	if got := f.hosts[1].level(poison); got != quarantine.Free {
+	if got := f.hosts[1].level(poisonID); got != quarantine.Free {
 		t.Fatal(got)
 	}
 	f.hosts[1].cut.Store(false)
-	f.hosts[1].compare(t.Context())
-	if got := f.hosts[1].level(poison); got != quarantine.Quarantined {
+	f.hosts[1].syncWithPeer(t.Context())
+	if got := f.hosts[1].level(poisonID); got != quarantine.Quarantined {
 		t.Error(got)
 	}
 }
 
-// Guards against a host that starts beside others which know as little as itself, and takes
-// that for all there is to know.
-func TestStartedHostLearnsFromOneThatKnows(t *testing.T) {
+// Guards against a starting host that counts as synced after a comparison with another host that
+// has just started as well.
+func TestStartedHostSyncsOnlyWithSyncedHosts(t *testing.T) {
 	f := newFleet(t, 1)
 	for n := range quarantine.MaxCrashes {
-		f.hosts[0].crash(poison, n)
+		f.hosts[0].crash(poisonID, n)
 	}
 	f.hosts[0].cut.Store(true)
 	a, b := f.add(t, "a", nil), f.add(t, "b", nil)
 	for range 20 {
-		a.compare(t.Context())
+		a.syncWithPeer(t.Context())
 	}
 	if a.Synced() {
 		t.Fatal("synced with a host that has just started")
 	}
 	f.hosts[0].cut.Store(false)
 	for range 100 {
-		a.compare(t.Context())
-		b.compare(t.Context())
+		a.syncWithPeer(t.Context())
+		b.syncWithPeer(t.Context())
 	}
 	for _, h := range []*host{a, b} {
-		if !h.Synced() || h.level(poison) != quarantine.Quarantined {
-			t.Errorf("%s: synced %v, %s", h.name, h.Synced(), h.level(poison))
+		if !h.Synced() || h.level(poisonID) != quarantine.Quarantined {
+			t.Errorf("%s: synced %v, %s", h.name, h.Synced(), h.level(poisonID))
 		}
 	}
 }
 
-// Guards against a loss of all hosts at once after which nobody knows what crashed servers.
-func TestStoreOutlivesAllHosts(t *testing.T) {
+// Guards against quarantined requests that are forgotten when all hosts fail at once.
+func TestStoreSurvivesFailureOfAllHosts(t *testing.T) {
 	store := File{FS: wal.OS{}, Dir: t.TempDir()}
 	f := &fleet{}
 	h := f.add(t, "before", store)
@@ -285,40 +288,39 @@
 		t.Fatal("a host with an empty store waits for others")
 	}
 	for n := range quarantine.MaxCrashes {
-		h.crash(poison, n)
+		h.crash(poisonID, n)
 	}
 	h.save()
-	if again := (&fleet{}).add(t, "after", store); again.level(poison) != quarantine.Quarantined {
-		t.Error(again.level(poison))
+	if again := (&fleet{}).add(t, "after", store); again.level(poisonID) != quarantine.Quarantined {
+		t.Error(again.level(poisonID))
 	}
 }
 
-// Guards against a start that fails, or knows nothing and says that it knows all, because of a
-// damaged file.
+// Guards against a damaged file that makes the start fail, or an empty host count as synced.
 func TestDamagedStore(t *testing.T) {
 	store := File{FS: wal.OS{}, Dir: t.TempDir()}
 	if err := os.WriteFile(filepath.Join(store.Dir, storeFile), []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if h := (&fleet{}).add(t, "host", store); h.Synced() {
-		t.Error("synced by a file that can't be read")
+		t.Error("a host counts as synced after reading a damaged file")
 	}
 }
 
-// stalled is a store whose disk does not answer.
-type stalled struct{ until chan struct{} }
+// stalledStore is a store whose disk does not answer.
+type stalledStore struct{ until chan struct{} }
 
-func (s stalled) Load() ([]*pb.Suspect, error) { return nil, nil }
+func (s stalledStore) Load() ([]*pb.Suspect, error) { return nil, nil }
 
-func (s stalled) Save([]*pb.Suspect) error {
+func (s stalledStore) Save([]*pb.Suspect) error {
 	<-s.until
 	return nil
 }
 
-// Guards against a process that does not end, or serves no request, because its disk stands still.
-func TestStalledDiskHoldsNothingUp(t *testing.T) {
+// Guards against a process that does not shut down, or serves no request, because its disk stalls.
+func TestStalledDiskBlocksNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := stalled{until: make(chan struct{})}
+		store := stalledStore{until: make(chan struct{})}
 		h := (&fleet{}).add(t, "host", store)
 		h.synced.Store(true)
 		ctx, stop := context.WithCancel(t.Context())
@@ -327,31 +329,31 @@
 			defer close(ended)
 			h.RunStore(ctx)
 		}()
-		h.crash(poison, 1)
+		h.crash(poisonID, 1)
 		time.Sleep(time.Minute)
-		h.crash(poison, 2)
-		if err := h.admitted(poison); err != nil {
+		h.crash(poisonID, 2)
+		if err := h.admitted(poisonID); err != nil {
 			t.Error(err)
 		}
 		stop()
 		begin := time.Now()
 		<-ended
-		if took := time.Since(begin); took > closeWait {
-			t.Errorf("the end took %v", took)
+		if took := time.Since(begin); took > closeTimeout {
+			t.Errorf("shutdown took %v", took)
 		}
 		close(store.until)
 	})
 }
 
-// failing is a store whose disk takes writes only after some tries.
-type failing struct {
+// failingStore is a store whose first saves fail.
+type failingStore struct {
 	failures int
 	saved    []*pb.Suspect
 }
 
-func (s *failing) Load() ([]*pb.Suspect, error) { return nil, nil }
+func (s *failingStore) Load() ([]*pb.Suspect, error) { return nil, nil }
 
-func (s *failing) Save(all []*pb.Suspect) error {
+func (s *failingStore) Save(all []*pb.Suspect) error {
 	if s.failures > 0 {
 		s.failures--
 		return errors.New("no space left")
@@ -360,12 +362,12 @@
 	return nil
 }
 
-// Guards against a crash that is lost with the next loss of power because the disk was full when
-// it was to be kept.
-func TestSaveIsTriedAgain(t *testing.T) {
-	store := &failing{failures: 2}
+// Guards against a crash that is forgotten after a power failure because the disk was full when it
+// was first saved.
+func TestSaveIsRetried(t *testing.T) {
+	store := &failingStore{failures: 2}
 	h := (&fleet{}).add(t, "host", store)
-	h.crash(poison, 1)
+	h.crash(poisonID, 1)
 	for range 3 {
 		h.save()
 	}
--- a/internal/controller/quarantine/sync.go
+++ b/internal/controller/quarantine/sync.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// syncEvery is how often a host compares what it knows with another one's, and startEvery
-	// until it has done so once.
-	syncEvery  = time.Second
-	startEvery = 50 * time.Millisecond
+	// syncEvery is how often a host compares its table with another host's; firstSyncEvery
+	// applies until it has synchronized once.
+	syncEvery      = time.Second
+	firstSyncEvery = 50 * time.Millisecond
 	// saveEvery bounds how often the store is written.
 	saveEvery = 200 * time.Millisecond
-	// closeWait is how long the end of a process waits for its disk.
-	closeWait = 200 * time.Millisecond
-	// expireEvery is how often what is old is forgotten.
+	// closeTimeout is how long the shutdown of the process waits for the last save.
+	closeTimeout = 200 * time.Millisecond
+	// expireEvery is how often expired records are removed.
 	expireEvery = time.Minute
-	// maxFetched bounds the requests in the answer to one comparison: some 70 KB.
+	// maxFetched bounds the requests in one reply to about 70 KB.
 	maxFetched = 512
-	// fetchTimeout bounds one comparison.
+	// fetchTimeout bounds one call that fetches another host's table, or reports an end to it.
 	fetchTimeout = 500 * time.Millisecond
 )
 
-// Run keeps what this host knows in step with the others until ctx ends.
+// Run synchronizes this host's table with those of the other hosts until ctx is done.
 func (g *Guard) Run(ctx context.Context) {
 	var nextExpiry time.Time
 	for ctx.Err() == nil {
@@ -36,10 +36,10 @@
 			nextExpiry = now.Add(expireEvery)
 			g.expire(now)
 		}
-		g.compare(ctx)
+		g.syncWithPeer(ctx)
 		pause := syncEvery
 		if !g.synced.Load() {
-			pause = startEvery
+			pause = firstSyncEvery
 		}
 		select {
 		case <-ctx.Done():
@@ -48,9 +48,9 @@
 	}
 }
 
-// RunStore keeps the store in step with what this host knows until ctx ends. It is apart from Run,
-// so that a crash is kept however long other hosts take to answer. A disk that does not answer
-// holds up nothing but the next save, and the end of the process for closeWait.
+// RunStore saves this host's table to the store until ctx is done. It is separate from Run so that a
+// crash is stored however long other hosts take to answer. A disk that stalls delays only the next
+// save, and the shutdown of the process by at most closeTimeout.
 func (g *Guard) RunStore(ctx context.Context) {
 	if g.cfg.Store == nil {
 		return
@@ -77,26 +77,26 @@
 	}
 	select {
 	case <-saving:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// startSave begins to save; the channel is closed at its end, before which no other save may begin.
+// startSave starts a save. The channel is closed at its end; no other save may start before.
 func (g *Guard) startSave() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		defer panics.Log(g.cfg.Log, "saving the suspects")
+		defer panics.Log(g.cfg.Log, "saving the suspected requests")
 		g.save()
 	}()
 	return done
 }
 
-// Synced tells whether this host has learnt what its fleet knew when it started.
+// Synced reports whether this host has received what its fleet knew when it started.
 func (g *Guard) Synced() bool { return g.synced.Load() }
 
-// compare asks one other host what it knows.
-func (g *Guard) compare(ctx context.Context) {
+// syncWithPeer fetches the table of one other host if it differs from this host's.
+func (g *Guard) syncWithPeer(ctx context.Context) {
 	peers := g.cfg.Peers()
 	if len(peers) == 0 {
 		return
@@ -106,9 +106,9 @@
 	defer cancel()
 	reply, err := g.cfg.Client(address).FetchSuspects(ctx, &pb.FetchSuspectsRequest{Digest: g.digest()})
 	if err != nil {
-		return // another host is asked next; package members logs hosts that are out of reach
+		return // the next call goes to another host; package members logs unreachable hosts
 	}
-	g.learn(reply.GetSuspects(), address)
+	g.mergeUpdates(reply.GetSuspects(), address)
 	if reply.GetComplete() && g.synced.CompareAndSwap(false, true) {
 		g.cfg.Log.Info().Str("event", "suspects-synced").Str("from", address).Int("suspects", len(reply.GetSuspects())).Send()
 	}
@@ -126,9 +126,9 @@
 	return g.table.State(time.Now(), id)
 }
 
-// learn takes what another host knows.
-func (g *Guard) learn(told []*pb.Suspect, from string) {
-	for _, s := range told {
+// mergeUpdates merges states received from another host.
+func (g *Guard) mergeUpdates(states []*pb.Suspect, from string) {
+	for _, s := range states {
 		if g.merge(s) {
 			g.logChange(s, from)
 		}
@@ -139,31 +139,32 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	id, news := g.table.Merge(now, s)
-	if !news {
+	id, changed := g.table.Merge(now, s)
+	if !changed {
 		return false
 	}
-	// Other hosts saw these ends as well: connections that this one opens from now on meet nobody.
-	for run, age := range g.table.Ends(now, id) {
-		if _, known := g.ended[run]; !known && age < endedKept {
-			g.ended[run] = now.Add(-age)
+	// Other hosts observed these ends: connections that this host opens from now on don't reach the
+	// incarnations that ended.
+	for inc, age := range g.table.Ends(now, id) {
+		if _, known := g.endedAt[inc]; !known && age < endedRetention {
+			g.endedAt[inc] = now.Add(-age)
 		}
 	}
 	return true
 }
 
 func (g *Guard) expire(now time.Time) {
-	for _, id := range g.expireHere(now) {
+	for _, id := range g.expireTable(now) {
 		g.cfg.Log.Info().Str("event", "suspect-forgotten").Str("account", id.Account).Stringer("fingerprint", id.Fingerprint).Send()
 	}
 }
 
-func (g *Guard) expireHere(now time.Time) []quarantine.ID {
+func (g *Guard) expireTable(now time.Time) []quarantine.ID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for run, at := range g.ended {
-		if now.Sub(at) > endedKept {
-			delete(g.ended, run)
+	for inc, at := range g.endedAt {
+		if now.Sub(at) > endedRetention {
+			delete(g.endedAt, inc)
 		}
 	}
 	return g.table.Expire(now)
@@ -171,7 +172,7 @@
 
 // save writes the store if anything has changed.
 func (g *Guard) save() {
-	states, version, changed := g.unsaved()
+	states, version, changed := g.unsavedStates()
 	if !changed {
 		return
 	}
@@ -182,23 +183,23 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.saved = version
+	g.savedVersion = version
 }
 
-func (g *Guard) unsaved() (states []*pb.Suspect, version uint64, changed bool) {
+func (g *Guard) unsavedStates() (states []*pb.Suspect, version uint64, changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	version = g.table.Version()
-	if version == g.saved {
+	if version == g.savedVersion {
 		return nil, 0, false
 	}
 	return g.table.All(time.Now()), version, true
 }
 
-// HandleUpdates takes what another host tells.
-func (g *Guard) HandleUpdates(told []*pb.Suspect, from string) { g.learn(told, from) }
+// HandleUpdates merges updates broadcast by another host.
+func (g *Guard) HandleUpdates(states []*pb.Suspect, from string) { g.mergeUpdates(states, from) }
 
-// HandleFetch answers what this host knows.
+// HandleFetch returns this host's table if the caller's differs.
 func (g *Guard) HandleFetch(r *pb.FetchSuspectsRequest) *pb.FetchSuspectsReply {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -209,9 +210,9 @@
 	return reply
 }
 
-// HandleAdmit decides on a run of another host's request.
+// HandleAdmit decides on an execution of another host's request.
 func (g *Guard) HandleAdmit(r *pb.AdmitSuspectRequest) *pb.AdmitSuspectReply {
-	g.learn([]*pb.Suspect{r.GetSuspect()}, r.GetName())
+	g.mergeUpdates([]*pb.Suspect{r.GetSuspect()}, r.GetName())
 	id, ok := quarantine.IDOf(r.GetSuspect())
 	if !ok {
 		return &pb.AdmitSuspectReply{Decision: string(quarantine.Run)}
@@ -220,9 +221,9 @@
 	return &pb.AdmitSuspectReply{Decision: string(v.Decision), AfterMs: v.After.Milliseconds(), Suspect: g.state(id)}
 }
 
-// HandleEnd takes that another host's run has ended.
+// HandleEnd records that another host's execution has ended.
 func (g *Guard) HandleEnd(r *pb.EndSuspectRequest) *pb.EndSuspectReply {
-	g.learn([]*pb.Suspect{r.GetSuspect()}, r.GetName())
+	g.mergeUpdates([]*pb.Suspect{r.GetSuspect()}, r.GetName())
 	if id, ok := quarantine.IDOf(r.GetSuspect()); ok {
 		g.end(id, r.GetName())
 	}
@@ -235,9 +236,9 @@
 	g.table.End(id, name)
 }
 
-// endRun tells the owner of a request that a run has ended. A message that is lost costs others of
-// the request the rest of the time for which it kept them waiting.
-func (g *Guard) endRun(owner owners.Host, id quarantine.ID, name string) {
+// endExecution notifies the owner of a request that an execution has ended. If the message is lost, the slot
+// stays taken until the execution's lifetime is over.
+func (g *Guard) endExecution(owner owners.Host, id quarantine.ID, name string) {
 	if owner.Self() {
 		g.end(id, name)
 		return
