--- a/internal/controller/assign/run.go
+++ b/internal/controller/assign/run.go
@@ -9,11 +9,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// expireEvery is how often assignments are looked through for those whose end was not
-// reported.
+// expireEvery is how often assignments whose end was not reported are removed.
 const expireEvery = time.Second
 
-// Run sends reports until ctx ends.
+// Run sends reports and shares cache contents until ctx ends.
 func (a *Assigner) Run(ctx context.Context) {
 	expire := time.NewTicker(expireEvery)
 	defer expire.Stop()
@@ -28,10 +27,10 @@
 			a.expire(now)
 			a.send(ctx)
 		case <-share.C:
-			a.forgetUntold()
+			a.resetUnacknowledged()
 			a.share(ctx)
-		case <-a.due:
-			time.Sleep(reportWait)
+		case <-a.reportDue:
+			time.Sleep(reportDelay)
 			a.send(ctx)
 		}
 	}
@@ -56,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	_, err := a.cfg.Client(m.To.Address).ReportRuns(ctx, &pb.ReportRunsRequest{
-		Owner: &pb.Holder{Host: m.To.Host, Incarnation: m.To.Incarnation}, Run: a.cfg.Run, Reports: m.Items,
+		Owner: &pb.Holder{Host: m.To.Host, Incarnation: m.To.Incarnation}, Run: a.cfg.Incarnation, Reports: m.Items,
 	})
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/controller/routes/controller.go
+++ b/internal/controller/routes/controller.go
@@ -68,14 +68,14 @@
 	Sources func() []Source
 	// Fetch asks the host at an address for its table.
 	Fetch func(ctx context.Context, address string, req *pb.FetchRoutesRequest) (*pb.FetchRoutesReply, error)
-	// Changed is called after each newer table; before is nil for the first.
-	Changed func(before, after *routes.Index)
-	// Lacks is asked while this host starts: what it does not know yet that requests under
+	// OnChange is called after each newer table; before is nil for the first.
+	OnChange func(before, after *routes.Index)
+	// Missing is asked while this host starts: what it does not know yet that requests under
 	// the table need; empty: nothing. nil: it needs nothing but the table.
-	Lacks func(*routes.Index) string
-	// First is the place among the sources at which this host begins to ask. It should be
+	Missing func(*routes.Index) string
+	// FirstSource is the place among the sources at which this host begins to ask. It should be
 	// another one at each host: those that start together then don't ask the same one.
-	First int
+	FirstSource int
 	// Now is the clock; nil: time.Now.
 	Now func() time.Time
 	Log zerolog.Logger
@@ -126,8 +126,8 @@
 	}
 	return &Controller{
 		cfg: cfg, started: cfg.Now(), table: &pb.Routes{}, wake: make(chan struct{}, 1),
-		patience: make(map[string]time.Duration), fetching: make(map[string]time.Time), next: cfg.First,
-		offers: make(map[string]uint64), asking: make(map[string]bool), nextAsked: cfg.First,
+		patience: make(map[string]time.Duration), fetching: make(map[string]time.Time), next: cfg.FirstSource,
+		offers: make(map[string]uint64), asking: make(map[string]bool), nextAsked: cfg.FirstSource,
 	}
 }
 
@@ -185,9 +185,9 @@
 	}
 }
 
-// Take takes the answer of a host at an address, if it is newer or confirms what this one
+// Apply takes the answer of a host at an address, if it is newer or confirms what this one
 // has.
-func (c *Controller) Take(from string, reply *pb.FetchRoutesReply) {
+func (c *Controller) Apply(from string, reply *pb.FetchRoutesReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	offered := reply.GetRoutes()
@@ -214,7 +214,7 @@
 	c.current.Store(next)
 	c.cfg.Log.Info().Str("event", "routes-in-force").Uint64("revision", next.Revision()).Str("from", from).
 		Int("routes", len(next.Table().Routes)).Int("accounts", len(next.Table().Accounts)).Send()
-	c.cfg.Changed(before, next)
+	c.cfg.OnChange(before, next)
 }
 
 // HandleFetch answers another host from the table in force here.
@@ -242,11 +242,11 @@
 	if !c.confirmed.Load() && age-time.Duration(c.quorumAt.Load()) < unconfirmedGrace {
 		return nil, errkind.New(errkind.HostNotReady, "the routing table is not confirmed by a quorum yet").After(retryAt(age))
 	}
-	if c.cfg.Lacks == nil || age > startGrace {
+	if c.cfg.Missing == nil || age > startGrace {
 		c.noteServing(x, age)
 		return x, nil
 	}
-	if lacks := c.cfg.Lacks(x); lacks != "" {
+	if lacks := c.cfg.Missing(x); lacks != "" {
 		return nil, errkind.New(errkind.HostNotReady, "this host has just started and does not know %s yet", lacks).After(retryAt(age))
 	}
 	c.noteServing(x, age)
--- a/internal/controller/scheduler/limits_test.go
+++ b/internal/controller/scheduler/limits_test.go
@@ -19,16 +19,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/sched"
 )
 
-// onlyHost owns all limits.
+// onlyHost is the table of owners of a host that owns all limits.
 type onlyHost struct{}
 
-func (onlyHost) Of(string, int) []owners.Host { return nil }
-func (onlyHost) Rank(string) (int, bool)      { return 0, true }
-func (onlyHost) Reach() float64               { return 1 }
-func (onlyHost) Unanswered(string)            {}
-func (onlyHost) Answered(string)              {}
+func (onlyHost) FirstRanked(string, int) []owners.Host { return nil }
+func (onlyHost) Rank(string) (int, bool)               { return 0, true }
+func (onlyHost) AliveFraction() float64                { return 1 }
+func (onlyHost) MarkUnanswered(string)                 {}
+func (onlyHost) MarkAnswered(string)                   {}
 
-// limited is a scheduler with one server that names a rate limit.
+// limited is a scheduler with one rate-limited server.
 type limited struct {
 	*Scheduler
 	mu      sync.Mutex
@@ -38,14 +38,14 @@
 }
 
 func newLimited(perSecond string) *limited {
-	limits := ratelimits.New(ratelimits.Config{Host: "h1", Owners: onlyHost{}, Tell: func(*pb.ServerLimit) {}, Log: zerolog.Nop()})
+	limits := ratelimits.New(ratelimits.Config{Host: "h1", Owners: onlyHost{}, Broadcast: func(*pb.ServerLimit) {}, Log: zerolog.Nop()})
 	l := &limited{Scheduler: New(Options{Sched: sched.Config{Host: "h1", Zone: "olinda"}, Seed: 1, Limits: limits})}
 	l.Announce(state(1, 64))
-	l.Heard(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RateLimit: perSecond})
+	l.Observe(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RateLimit: perSecond})
 	return l
 }
 
-// send has one request scheduled; its run ends at once.
+// send schedules one request, which ends at once.
 func (l *limited) send(ctx context.Context) {
 	began := time.Now()
 	w := work(time.Second)
@@ -64,9 +64,9 @@
 	lease.Done(filter.Outcome{OK: true})
 }
 
-// Guards against a limited server that gets all requests of the callers' own interface, or none of
-// them, and against callers who wait for a permit that they can't have in time.
-func TestSchedulerKeepsToAServersRateLimit(t *testing.T) {
+// Guards against a rate-limited server that gets all requests of the scheduler or none, and against
+// callers that wait for a permit that they can't get in time.
+func TestSchedulerObeysServerRateLimit(t *testing.T) {
 	const limit, span, grace, window = 5, 16 * time.Second, 3 * time.Second, 4 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		l := newLimited("5")
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -190,8 +190,8 @@
 	d.tel.Metrics.Set("routed", &g.metrics.vars)
 	g.self.Store(&pb.Holder{Host: cfg.Host})
 	g.routes = routesctl.New(routesctl.Config{
-		Sources: g.sources, Fetch: g.fetchRoutes, Changed: g.tableChanged, Lacks: g.lacks, Log: d.tel.Log,
-		First: int(rendezvous.Hash(cfg.Host) % maxFirst),
+		Sources: g.sources, Fetch: g.fetchRoutes, OnChange: g.tableChanged, Missing: g.lacks, Log: d.tel.Log,
+		FirstSource: int(rendezvous.Hash(cfg.Host) % maxFirst),
 	})
 	d.client.SetAddresses(g.controlAddresses)
 	retries := cfg.Routed.Retry
@@ -201,7 +201,7 @@
 		Host: cfg.Host, Zone: cfg.Zone, Log: d.tel.Log,
 		Retry:   retry.Bounds{Window: retries.Window.Std(), Share: retries.Share, Extra: retries.Extra},
 		Hosts:   g.gateways,
-		Changed: g.serverChanged,
+		OnChange: g.serverChanged,
 		Limits:  g.limits,
 	})
 	interval := cfg.Timing.Heartbeat.Std()
@@ -222,7 +222,7 @@
 	g.news = g.newNews()
 	g.budgets = g.newBudgets()
 	g.assigner = assign.New(assign.Config{
-		Run: g.run, Self: g.holder, Local: g.balancer, Owners: g.owners, Client: d.pool.Client, Log: d.tel.Log,
+		Incarnation: g.run, Self: g.holder, Local: g.balancer, Owners: g.owners, Client: d.pool.Client, Log: d.tel.Log,
 	})
 	return g
 }
@@ -284,7 +284,7 @@
 		g.applied.Store(table.GetRevision())
 		g.d.tel.Log.Info().Str("event", "routes-applied").Uint64("revision", table.GetRevision()).Send()
 		if g.servesCallers() {
-			g.routes.Take(ownReplica, routesctl.FromReplica(g.d.replica, &pb.FetchRoutesRequest{Have: g.routes.Revision()}))
+			g.routes.Apply(ownReplica, routesctl.FromReplica(g.d.replica, &pb.FetchRoutesRequest{Have: g.routes.Revision()}))
 		}
 		g.members.Kick()
 		if _, _, leads := g.d.replica.Leading(); leads {
@@ -316,7 +316,7 @@
 // heartbeats of hosts and servers, and a host that calls itself ready refuses what every
 // other host could serve.
 func (g *gateway) lacks(x *routes.Index) string {
-	if g.grants.Load() == nil && len(g.owners.Of("", 1)) == 0 {
+	if g.grants.Load() == nil && len(g.owners.FirstRanked("", 1)) == 0 {
 		return "a host that holds tokens"
 	}
 	if !g.suspects.Synced() {
--- a/internal/daemon/suspects.go
+++ b/internal/daemon/suspects.go
@@ -21,7 +21,7 @@
 
 // newLimiter makes what keeps requests to servers' rate limits. tell tells all hosts of a change.
 func (d *Daemon) newLimiter(o *owners.Table, tell func(*pb.ServerLimit)) *ratelimits.Limiter {
-	l := ratelimits.New(ratelimits.Config{Host: d.cfg.Host, Owners: o, Client: d.pool.Client, Tell: tell, Log: d.tel.Log})
+	l := ratelimits.New(ratelimits.Config{Host: d.cfg.Host, Owners: o, Client: d.pool.Client, Broadcast: tell, Log: d.tel.Log})
 	d.tel.Metrics.Set("server_limits", l.Metrics())
 	return l
 }
@@ -37,19 +37,19 @@
 // newSuspects makes the guard of a gateway.
 func (g *gateway) newSuspects() *quarantinectl.Guard {
 	return g.d.newGuard(quarantinectl.Config{
-		Run: g.run, Owners: g.owners, Peers: g.sourceAddresses, Answers: g.client.Answers,
-		Tell: func(s *pb.Suspect) { g.news.Suspect(s) },
+		Incarnation: g.run, Owners: g.owners, Peers: g.sourceAddresses, Responds: g.client.Answers,
+		Broadcast: func(s *pb.Suspect) { g.news.Suspect(s) },
 	})
 }
 
 // makeSuspects makes the guard of an entry host, and what it tells the others by.
 func (e *entry) makeSuspects() {
 	e.suspects = e.d.newGuard(quarantinectl.Config{
-		Run: newRun(e.d.cfg.Host), Owners: e.owners, Peers: e.relayAddresses, Answers: e.client.Answers,
-		Tell: func(s *pb.Suspect) { e.news.Suspect(s) },
+		Incarnation: newRun(e.d.cfg.Host), Owners: e.owners, Peers: e.relayAddresses, Responds: e.client.Answers,
+		Broadcast: func(s *pb.Suspect) { e.news.Suspect(s) },
 	})
 	e.news = news.New(news.Config{
-		Self: e.d.cfg.PeerAddress(), Peers: e.livePeers, Client: e.d.pool.Client, Suspects: e.suspects.HandleTold, Limits: e.limits.Merge,
+		Self: e.d.cfg.PeerAddress(), Peers: e.livePeers, Client: e.d.pool.Client, Suspects: e.suspects.HandleUpdates, Limits: e.limits.Merge,
 		Servers: func([]*pb.ServerState) {}, Fetch: func(context.Context, string, uint64) {}, Log: e.d.tel.Log,
 	})
 }
