--- a/internal/balance/cache.go
+++ b/internal/balance/cache.go
@@ -2,21 +2,21 @@
 
 import "container/list"
 
-// cache is this host's guess of the prompt parts that an engine keeps: those that it was
-// sent, the least recently used forgotten first.
+// cache estimates which prompt parts an engine holds in its prefix cache: the parts dispatched to
+// it, with the least recently used evicted first.
 type cache struct {
 	parts map[uint64]*list.Element
 	order *list.List // of Part, most recently used first
 	size  uint64
-	// limit is the engine's memory in tokens, once known.
-	limit uint64
+	// capacity is the size of the engine's cache in tokens; 0 until known.
+	capacity uint64
 }
 
 func newCache() cache {
 	return cache{parts: make(map[uint64]*list.Element), order: list.New()}
 }
 
-// cached is how many tokens at the beginning of a prompt are kept.
+// cached returns the number of tokens at the beginning of a prompt that the engine has cached.
 func (c *cache) cached(prompt []Part) uint64 {
 	sum := uint64(0)
 	for _, p := range prompt {
@@ -28,10 +28,10 @@
 	return sum
 }
 
-// touch notes that the engine reads a prompt. limit is its memory in tokens.
+// touch records that the engine prefills a prompt. limit is the cache capacity in tokens.
 func (c *cache) touch(prompt []Part, limit uint64) {
-	c.limit = limit
-	// Backwards, so that what others share, at the beginning, is forgotten last.
+	c.capacity = limit
+	// In reverse order, so that the parts at the beginning, which other prompts share, are evicted last.
 	for i := len(prompt) - 1; i >= 0; i-- {
 		c.use(prompt[i])
 	}
@@ -48,7 +48,7 @@
 	c.size += p.Tokens
 }
 
-// list has the kept parts, the least recently used first.
+// list returns the cached parts, the least recently used first.
 func (c *cache) list() []Part {
 	parts := make([]Part, 0, c.order.Len())
 	for e := c.order.Back(); e != nil; e = e.Prev() {
@@ -57,9 +57,9 @@
 	return parts
 }
 
-// learn takes parts that the engine read for another host, the least recently used first.
-func (c *cache) learn(parts []Part, limit uint64) {
-	c.limit = limit
+// merge adds parts that the engine prefilled for another host, the least recently used first.
+func (c *cache) merge(parts []Part, limit uint64) {
+	c.capacity = limit
 	for _, p := range parts {
 		c.use(p)
 	}
@@ -67,7 +67,7 @@
 }
 
 func (c *cache) shrink() {
-	for c.limit > 0 && c.size > c.limit && c.order.Len() > 0 {
+	for c.capacity > 0 && c.size > c.capacity && c.order.Len() > 0 {
 		oldest := c.order.Back()
 		p := c.order.Remove(oldest).(Part)
 		delete(c.parts, p.ID)
--- a/internal/balance/cooldown.go
+++ b/internal/balance/cooldown.go
@@ -6,47 +6,47 @@
 	"github.com/bluebellsail/bluebellsail/internal/instance"
 )
 
-// CoolDown takes that a server wants nothing from this host for so long. Of several such words the
-// one that ends last counts. It returns whether the server was not cooling.
-func (c *Core) CoolDown(now time.Time, run instance.Incarnation, d time.Duration) (began bool) {
-	s := c.server(run)
-	began = !now.Before(s.cooldown)
-	if until := now.Add(d); until.After(s.cooldown) {
-		s.cooldown = until
+// StartCooldown starts a cooldown: the server gets no request from this host for d. A cooldown that
+// is still running is never shortened. It returns whether the server was not cooling down before.
+func (c *Core) CoolDown(now time.Time, inc instance.Incarnation, d time.Duration) (began bool) {
+	s := c.server(inc)
+	began = !now.Before(s.cooldownUntil)
+	if until := now.Add(d); until.After(s.cooldownUntil) {
+		s.cooldownUntil = until
 	}
 	return began
 }
 
-// CooldownLeft is how much longer a server wants nothing from this host.
-func (c *Core) CooldownLeft(now time.Time, run instance.Incarnation) time.Duration {
-	s := c.servers[run]
+// CooldownLeft returns the rest of a server's cooldown for this host.
+func (c *Core) CooldownLeft(now time.Time, inc instance.Incarnation) time.Duration {
+	s := c.servers[inc]
 	if s == nil {
 		return 0
 	}
-	return max(s.cooldown.Sub(now), 0)
+	return max(s.cooldownUntil.Sub(now), 0)
 }
 
-// CoolDownElsewhere takes that a server wants nothing for so long from a host whose requests this one
-// places.
-func (c *Core) CoolDownElsewhere(now time.Time, run instance.Incarnation, d time.Duration) {
-	s := c.server(run)
-	if until := now.Add(d); until.After(s.cooldownElsewhere) {
-		s.cooldownElsewhere = until
+// StartRemoteCooldown records that a server cools down for d for another host, whose requests this
+// host assigns.
+func (c *Core) CoolDownElsewhere(now time.Time, inc instance.Incarnation, d time.Duration) {
+	s := c.server(inc)
+	if until := now.Add(d); until.After(s.remoteCooldownUntil) {
+		s.remoteCooldownUntil = until
 	}
 }
 
-// Cooling are the servers of a service that want nothing from this host, and how long until the
-// first of them does again; all: there is no other.
-func (c *Core) Cooling(now time.Time, service string) (runs []instance.Incarnation, first time.Duration, all bool) {
+// CoolingDown returns the servers of a service that cool down for this host, and the time until the
+// first of these cooldowns ends. all reports whether every serving server of the service cools down.
+func (c *Core) Cooling(now time.Time, service string) (incs []instance.Incarnation, first time.Duration, all bool) {
 	serving := c.reg.Serving(service)
 	for _, inst := range serving {
 		left := c.CooldownLeft(now, inst.Incarnation())
 		if left == 0 {
 			continue
 		}
-		if runs = append(runs, inst.Incarnation()); len(runs) == 1 || left < first {
+		if incs = append(incs, inst.Incarnation()); len(incs) == 1 || left < first {
 			first = left
 		}
 	}
-	return runs, first, len(runs) > 0 && len(runs) == len(serving)
+	return incs, first, len(incs) > 0 && len(incs) == len(serving)
 }
--- a/internal/balance/core_test.go
+++ b/internal/balance/core_test.go
@@ -19,26 +19,26 @@
 const (
 	pool  = "pool"
 	plain = "lookup"
-	// memory of an engine, in tokens.
+	// memory is the cache capacity of an engine, in tokens.
 	memory = 300_000
 )
 
-// world is a core with some servers.
-type world struct {
+// fixture is a core with some servers.
+type fixture struct {
 	reg  *instance.Registry
 	core *Core
 	now  time.Time
 	seq  uint64
 }
 
-func newWorld(zone string, servers ...instance.Announcement) *world {
-	w := &world{reg: instance.New(instance.Config{}), now: start}
+func newFixture(zone string, servers ...instance.Announcement) *fixture {
+	w := &fixture{reg: instance.New(instance.Config{}), now: start}
 	w.core = New(Config{Zone: zone}, w.reg, rand.New(rand.NewPCG(1, 2)))
 	w.announce(servers...)
 	return w
 }
 
-func (w *world) announce(servers ...instance.Announcement) {
+func (w *fixture) announce(servers ...instance.Announcement) {
 	w.seq++
 	for _, a := range servers {
 		a.Seq = w.seq
@@ -46,7 +46,7 @@
 	}
 }
 
-// engines are so many servers of the pool in zone z.
+// engines returns n servers of the pool in zone z.
 func engines(n int) []instance.Announcement {
 	var out []instance.Announcement
 	for i := range n {
@@ -57,7 +57,7 @@
 	return out
 }
 
-// prompt is a prompt with a shared part and one of its own.
+// prompt returns a request whose prompt has a shared part and a part of its own.
 func prompt(shared, own uint64, sharedTokens, ownTokens uint64) *Work {
 	return &Work{
 		Service: pool, Engine: true, CacheTokens: memory, Objective: time.Second, PromptTokens: sharedTokens + ownTokens,
@@ -65,15 +65,15 @@
 	}
 }
 
-func (w *world) choose(t testutil.TB, work *Work) Choice {
+func (w *fixture) choose(t testutil.TB, work *Work) Choice {
 	t.Helper()
 	c, err := w.core.Choose(w.now, work)
 	testutil.NoError(t, err)
 	return c
 }
 
-// serve has a request answered after d.
-func (w *world) serve(t testutil.TB, work *Work, d time.Duration) Choice {
+// serve dispatches a request and completes it after d.
+func (w *fixture) serve(t testutil.TB, work *Work, d time.Duration) Choice {
 	t.Helper()
 	c := w.choose(t, work)
 	w.now = w.now.Add(d)
@@ -82,10 +82,10 @@
 	return c
 }
 
-func TestSharedPartsAreReadOnce(t *testing.T) {
-	// A prompt part of 13,000 tokens takes an engine 0.4 s to read. All requests with the
-	// part go to the engine that has it while that one is not busy.
-	w := newWorld("z", engines(8)...)
+func TestRequestsFollowACachedSharedPart(t *testing.T) {
+	// A prompt part of 13,000 tokens takes an engine 0.4 s to prefill. All requests with the
+	// part go to the engine that has it cached, as long as that engine is not busy.
+	w := newFixture("z", engines(8)...)
 	first := w.serve(t, prompt(7, 1, 13_000, 3_000), 600*time.Millisecond)
 	for own := uint64(102); own < 120; own++ {
 		c := w.serve(t, prompt(7, own, 13_000, 3_000), 150*time.Millisecond)
@@ -95,22 +95,22 @@
 	}
 }
 
-func TestBusyEngineDoesNotKeepItsPartForItself(t *testing.T) {
-	// Many callers with one part come at the same moment: the engine that keeps it would
-	// answer the last of them after its objective. Some are read elsewhere.
-	w := newWorld("z", engines(8)...)
+func TestBurstOnACachedPartSpreadsToOtherEngines(t *testing.T) {
+	// Many requests with one shared part arrive at the same moment. The engine that has it
+	// cached would answer the last of them after the objective, so other engines take some.
+	w := newFixture("z", engines(8)...)
 	w.serve(t, prompt(7, 1, 13_000, 3_000), 600*time.Millisecond)
 	at := map[string]int{}
 	for own := uint64(102); own < 132; own++ {
 		at[w.choose(t, prompt(7, own, 13_000, 3_000)).Instance.ID]++
 	}
 	if len(at) < 3 {
-		t.Fatalf("30 requests at one moment went to %d engines: %v", len(at), at)
+		t.Fatalf("30 simultaneous requests went to %d engines: %v", len(at), at)
 	}
 }
 
-// load gives engines so many prompt tokens a second, over some seconds, all of it read.
-func (w *world) load(tokens uint64, ids ...string) {
+// load gives each engine the prompt tokens per second for 10 s, all of them prefilled.
+func (w *fixture) load(tokens uint64, ids ...string) {
 	for range 40 {
 		for _, id := range ids {
 			w.core.server(instance.Incarnation{ID: id}).assign(w.now, tokens/4)
@@ -119,19 +119,17 @@
 	}
 }
 
-// Symptom: in a burst every engine reads parts that others keep, and all answers are late
-// for longer than the burst lasts.
-// Sequence: all engines are nearly full; the one that keeps a part is a little busier than
-// the others.
-// Cause: each request went where it waited least, though the reading of the whole prompt
-// there made ten others wait.
-func TestFullEnginesDoNotReadWhatAnotherKeeps(t *testing.T) {
-	w := newWorld("z", engines(6)...)
+// Guards against a burst in which every engine prefills parts that others have cached, which keeps
+// answers late for longer than the burst lasts. All engines are nearly full, and the one with the
+// part is slightly busier than the others. With the shortest wait as the only criterion, the full
+// prefill elsewhere delayed ten other requests.
+func TestFullEnginesDoNotPrefillPartsCachedElsewhere(t *testing.T) {
+	w := newFixture("z", engines(6)...)
 	kept := w.serve(t, prompt(7, 1, 13_000, 3_000), 600*time.Millisecond).Instance.ID
 	w.load(29_000, "e00", "e01", "e02", "e03", "e04", "e05")
 	w.announce(engines(6)...)
 	w.serve(t, prompt(7, 2, 13_000, 3_000), 150*time.Millisecond)
-	busy := prompt(8, 3, 100, 20_000) // 0.6 s to read
+	busy := prompt(8, 3, 100, 20_000) // 0.6 s of prefill
 	for _, e := range engines(6) {
 		if e.ID != kept {
 			busy.Exclude = append(busy.Exclude, e.Incarnation())
@@ -139,25 +137,24 @@
 	}
 	w.choose(t, busy)
 	if c := w.choose(t, prompt(7, 4, 13_000, 3_000)); c.Instance.ID != kept {
-		t.Errorf("chose %s, which has to read 13,000 tokens that %s keeps", c.Instance.ID, kept)
+		t.Errorf("chose %s, which has to prefill 13,000 tokens that %s has cached", c.Instance.ID, kept)
 	}
 }
 
-// Symptom: one engine is always late while others have nothing to do.
-// Sequence: several parts in much use are at home at one engine.
-// Cause: only the wait at the moment counted, not how much of the engine's time is taken.
-func TestIdleEngineTakesAPartOfAFullOne(t *testing.T) {
-	w := newWorld("z", engines(6)...)
+// Guards against an engine that is always late while others are idle: several frequent parts have
+// it as their preferred server, and only the present wait counted, not the utilization.
+func TestIdleEngineTakesOverAPartFromAFullOne(t *testing.T) {
+	w := newFixture("z", engines(6)...)
 	kept := w.serve(t, prompt(7, 1, 6_000, 3_000), 600*time.Millisecond).Instance.ID
 	w.load(29_000, kept)
 	w.announce(engines(6)...)
 	if c := w.choose(t, prompt(7, 2, 6_000, 3_000)); c.Instance.ID == kept {
-		t.Errorf("chose %s, nine tenths of whose time are taken, while five engines are idle", kept)
+		t.Errorf("chose %s, which is utilized to 90 percent, while five engines are idle", kept)
 	}
 }
 
 func TestDistinctPromptsSpread(t *testing.T) {
-	w := newWorld("z", engines(6)...)
+	w := newFixture("z", engines(6)...)
 	at := map[string]int{}
 	for own := uint64(1); own <= 60; own++ {
 		at[w.choose(t, prompt(1000+own, own, 6_000, 3_000)).Instance.ID]++
@@ -169,58 +166,57 @@
 	}
 }
 
-func TestAllHostsAgreeOnTheHomeOfAPart(t *testing.T) {
-	// Symptom: each host has the same prompt part read at another engine.
-	// Sequence: hosts that have heard nothing of each other's requests get the first
-	// requests with a part at the same time.
-	// Cause: equal servers are chosen among at random.
+func TestAllHostsComputeTheSamePreferredServer(t *testing.T) {
+	// Guards against each host having the same prompt part prefilled at another engine. Hosts
+	// that know nothing of each other's requests get the first requests with a part at the same
+	// time, and a choice among equal servers at random would differ.
 	for part := uint64(1); part < 20; part++ {
 		at := map[string]bool{}
 		for seed := range uint64(5) {
-			w := newWorld("z", engines(9)...)
+			w := newFixture("z", engines(9)...)
 			w.core.rng = rand.New(rand.NewPCG(seed, part))
 			at[w.choose(t, prompt(part, 100+seed, 6_000, 3_000)).Instance.ID] = true
 		}
 		if len(at) != 1 {
-			t.Errorf("part %d is at home at %v", part, at)
+			t.Errorf("part %d has the preferred servers %v", part, at)
 		}
 	}
 }
 
-func TestShardsPartTheServers(t *testing.T) {
+func TestShardsPartitionTheServers(t *testing.T) {
 	for n, want := range map[int]uint32{1: 1, 18: 1, 24: 1, 25: 2, 60: 4, 140: 8, 3700: 256} {
-		if got := shards(n); got != want {
+		if got := shardCount(n); got != want {
 			t.Errorf("%d servers make %d shards, want %d", n, got, want)
 		}
 	}
-	w := newWorld("z", engines(60)...)
+	w := newFixture("z", engines(60)...)
 	for part := uint64(1); part < 40; part++ {
 		work := prompt(part, 100+part, 6_000, 3_000)
 		work.Shard = w.core.ShardOf(work)
-		home := w.core.home(work)
-		if work.Shard.Of != 4 || !work.Shard.has(home) {
-			t.Fatalf("part %d: shard %+v does not have its home %s", part, work.Shard, home)
+		preferred := w.core.preferredServer(work)
+		if work.Shard.Of != 4 || !work.Shard.contains(preferred) {
+			t.Fatalf("part %d: shard %+v does not contain its preferred server %s", part, work.Shard, preferred)
 		}
 		w.announce(engines(60)...)
-		if c := w.serve(t, work, 400*time.Millisecond); c.Instance.ID != home {
-			t.Errorf("part %d went to %s, its home %s is idle", part, c.Instance.ID, home)
+		if c := w.serve(t, work, 400*time.Millisecond); c.Instance.ID != preferred {
+			t.Errorf("part %d went to %s although its preferred server %s is idle", part, c.Instance.ID, preferred)
 		}
 	}
 	in := 0
 	for i, s := 0, (Shard{Of: 4}); i < 4; i, s = i+1, s.Next() {
 		for _, e := range engines(60) {
-			if s.has(e.ID) {
+			if s.contains(e.ID) {
 				in++
 			}
 		}
 	}
 	if in != 60 {
-		t.Errorf("the shards have %d servers of 60", in)
+		t.Errorf("the shards contain %d servers of 60", in)
 	}
 }
 
 func TestChoiceStaysInItsShard(t *testing.T) {
-	w := newWorld("z", engines(60)...)
+	w := newFixture("z", engines(60)...)
 	work := prompt(7, 1, 6_000, 3_000)
 	work.Shard = w.core.ShardOf(work)
 	for range 60 {
@@ -229,8 +225,8 @@
 			testutil.Refused(t, err, errkind.NoBackendServer, "all of the shard excluded")
 			break
 		}
-		if !work.Shard.has(c.Instance.ID) {
-			t.Fatalf("%s is of another shard than %+v", c.Instance.ID, work.Shard)
+		if !work.Shard.contains(c.Instance.ID) {
+			t.Fatalf("%s is not in shard %+v", c.Instance.ID, work.Shard)
 		}
 		work.Exclude = append(work.Exclude, c.Instance.Incarnation())
 	}
@@ -239,17 +235,17 @@
 	}
 }
 
-func TestOwnZoneGoesFirstAmongEquals(t *testing.T) {
+func TestOwnZoneIsPreferredAmongEquals(t *testing.T) {
 	far := instance.Announcement{ID: "a-far", Service: plain, Address: "10.0.0.1:80", Zone: "y", Slots: 6}
 	near := instance.Announcement{ID: "b-near", Service: plain, Address: "10.0.0.2:80", Zone: "z", Slots: 6}
-	w := newWorld("z", far, near)
+	w := newFixture("z", far, near)
 	if c := w.choose(t, &Work{Service: plain}); c.Instance.ID != near.ID {
 		t.Errorf("chose %s in another zone", c.Instance.ID)
 	}
 }
 
-func TestFailingServerIsLeftAloneForAWhile(t *testing.T) {
-	w := newWorld("z", engines(2)...)
+func TestFailingServerIsNotChosenDuringBackoff(t *testing.T) {
+	w := newFixture("z", engines(2)...)
 	for i, result := range []Result{Unreachable, Broken, Shed} {
 		c := w.choose(t, prompt(7, 1, 100, 100))
 		w.core.Done(w.now, c.Ticket, result)
@@ -261,11 +257,11 @@
 	}
 }
 
-// Symptom: one host refuses for want of a server while all others are served.
-// Sequence: its own link is full for half a second; no connection to any server opens in time.
-// Cause: each server pauses after a failure, and all of them paused.
-func TestServersThatAllSeemLostAreTriedAgain(t *testing.T) {
-	w := newWorld("z", engines(5)...)
+// Guards against one host that refuses all requests while other hosts serve theirs: its own link
+// is saturated for half a second, no connection to any server opens in time, and all servers are
+// in backoff.
+func TestServersAreTriedAgainWhenAllSeemToFail(t *testing.T) {
+	w := newFixture("z", engines(5)...)
 	lost := map[string]bool{}
 	for range 5 {
 		c := w.choose(t, prompt(7, 1, 100, 100))
@@ -273,26 +269,26 @@
 		w.core.Done(w.now, c.Ticket, Unreachable)
 	}
 	if len(lost) != 5 {
-		t.Fatalf("%d servers were tried, want all", len(lost))
+		t.Fatalf("%d servers were tried, want all 5", len(lost))
 	}
 	c := w.choose(t, prompt(7, 2, 100, 100))
 	w.core.Done(w.now, c.Ticket, Served)
 	if next := w.choose(t, prompt(7, 3, 100, 100)); next.Instance.ID != c.Instance.ID {
-		t.Errorf("%s was chosen though %s has answered", next.Instance.ID, c.Instance.ID)
+		t.Errorf("chose %s although %s has answered", next.Instance.ID, c.Instance.ID)
 	}
 }
 
-func TestBackoffGrowsAndEndsWithAnAnswer(t *testing.T) {
-	w := newWorld("z", engines(1)...)
+func TestBackoffGrowsAndAnAnswerResetsIt(t *testing.T) {
+	w := newFixture("z", engines(1)...)
 	last := time.Duration(0)
 	for range 8 {
 		c := w.choose(t, prompt(7, 1, 100, 100))
 		w.core.Done(w.now, c.Ticket, Broken)
 		_, err := w.core.Choose(w.now, prompt(7, 1, 100, 100))
-		testutil.Refused(t, err, errkind.NoBackendServer, "while the only server pauses")
+		testutil.Refused(t, err, errkind.NoBackendServer, "while the only server is in backoff")
 		pause := errkind.From(err).RetryAfter
 		if pause < last || pause > maxBackoff || pause == 0 {
-			t.Fatalf("paused %v after %v", pause, last)
+			t.Fatalf("backoff of %v after one of %v", pause, last)
 		}
 		last = pause
 		w.now = w.now.Add(pause)
@@ -303,19 +299,19 @@
 	w.core.Done(w.now, c.Ticket, Broken)
 	_, err := w.core.Choose(w.now, prompt(7, 1, 100, 100))
 	if pause := errkind.From(err).RetryAfter; pause != firstBackoff {
-		t.Errorf("the first failure after an answer pauses %v", pause)
+		t.Errorf("backoff of %v for the first failure after an answer, want the first backoff", pause)
 	}
 }
 
-func TestCallersWhoLeaveSayNothingOfAServer(t *testing.T) {
-	w := newWorld("z", engines(1)...)
+func TestAbandonedRequestsDoNotCountAgainstAServer(t *testing.T) {
+	w := newFixture("z", engines(1)...)
 	c := w.choose(t, prompt(7, 1, 100, 100))
 	w.core.Done(w.now, c.Ticket, Abandoned)
 	w.choose(t, prompt(7, 1, 100, 100))
 }
 
 func TestExcludedServersAreNotChosen(t *testing.T) {
-	w := newWorld("z", engines(3)...)
+	w := newFixture("z", engines(3)...)
 	work := prompt(7, 1, 100, 100)
 	for range 3 {
 		c := w.choose(t, work)
@@ -328,21 +324,21 @@
 	testutil.Refused(t, err, errkind.NoBackendServer, "all excluded")
 }
 
-func TestSilentServersComeLast(t *testing.T) {
-	w := newWorld("z", engines(2)...)
+func TestServersWithStaleAnnouncementsRankLast(t *testing.T) {
+	w := newFixture("z", engines(2)...)
 	w.now = w.now.Add(10 * time.Second)
 	w.seq++
 	w.reg.Announce(w.now, func() instance.Announcement { a := engines(2)[1]; a.Seq = w.seq; return a }())
 	for own := uint64(1); own < 5; own++ {
 		if c := w.choose(t, prompt(own, own+100, 6_000, 100)); c.Instance.ID != "e01" {
-			t.Fatalf("chose %s, which has been silent for 10 s", c.Instance.ID)
+			t.Fatalf("chose %s, whose last announcement is 10 s old", c.Instance.ID)
 		}
 	}
 }
 
-func TestSlowAnswersMoveWorkAway(t *testing.T) {
-	// An engine whose answers come 2 s late is busy with what this host does not know of.
-	w := newWorld("z", engines(2)...)
+func TestLateAnswersMoveRequestsAway(t *testing.T) {
+	// An engine whose answers come 2 s late has work that this host does not know of.
+	w := newFixture("z", engines(2)...)
 	c := w.choose(t, prompt(1, 1, 3_000, 100))
 	w.now = w.now.Add(2 * time.Second)
 	w.core.First(w.now, c.Ticket)
@@ -352,14 +348,14 @@
 	}
 }
 
-func TestPlainServersShareByLoad(t *testing.T) {
+func TestPlainServersShareRequestsByLoad(t *testing.T) {
 	var servers []instance.Announcement
 	for i := range 3 {
 		servers = append(servers, instance.Announcement{
 			ID: fmt.Sprintf("s%d", i), Service: plain, Address: fmt.Sprintf("10.0.1.%d:80", i), Zone: "z", Slots: 6,
 		})
 	}
-	w := newWorld("z", servers...)
+	w := newFixture("z", servers...)
 	at := map[string]int{}
 	for range 18 {
 		at[w.choose(t, &Work{Service: plain}).Instance.ID]++
@@ -372,7 +368,7 @@
 	}
 }
 
-func TestCacheForgetsTheLeastRecentlyUsed(t *testing.T) {
+func TestCacheEvictsTheLeastRecentlyUsed(t *testing.T) {
 	c := newCache()
 	for id := uint64(1); id <= 4; id++ {
 		c.touch([]Part{{ID: id, Tokens: 100}}, 400)
@@ -381,19 +377,19 @@
 	c.touch([]Part{{ID: 5, Tokens: 100}}, 400)
 	for id, want := range map[uint64]uint64{1: 100, 2: 0, 3: 100, 4: 100, 5: 100} {
 		if got := c.cached([]Part{{ID: id, Tokens: 100}}); got != want {
-			t.Errorf("part %d: %d tokens kept, want %d", id, got, want)
+			t.Errorf("part %d: %d tokens cached, want %d", id, got, want)
 		}
 	}
 	if got := c.cached([]Part{{ID: 2, Tokens: 100}, {ID: 3, Tokens: 100}}); got != 0 {
-		t.Errorf("%d tokens count as kept behind a part that is not", got)
+		t.Errorf("%d tokens count as cached behind a part that is not cached", got)
 	}
 }
 
-// TestCountsStaySound: whatever comes, no count goes below zero, each request ends once,
-// and nothing is left of requests that ended.
-func TestCountsStaySound(t *testing.T) {
+// Checks for random sequences of calls that no count goes below zero, each request ends once, and
+// nothing is left of requests that ended.
+func TestCountsStayConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld("z", engines(4)...)
+		w := newFixture("z", engines(4)...)
 		var open []Choice
 		own := uint64(0)
 		t.Repeat(map[string]func(*rapid.T){
@@ -416,7 +412,7 @@
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 				result := Result(rapid.IntRange(int(Served), int(Abandoned)).Draw(t, "result"))
 				w.core.Done(w.now, open[i].Ticket, result)
-				w.core.Done(w.now, open[i].Ticket, result) // the second one has no effect
+				w.core.Done(w.now, open[i].Ticket, result) // the second call has no effect
 				open = slices.Delete(open, i, i+1)
 			},
 			"time": func(t *rapid.T) {
@@ -431,7 +427,7 @@
 					}
 				}
 				if running != len(open) || w.core.Running() != len(open) {
-					t.Fatalf("%d at servers, %d in all, %d open", running, w.core.Running(), len(open))
+					t.Fatalf("%d requests at servers, %d in the core, %d open", running, w.core.Running(), len(open))
 				}
 			},
 		})
@@ -440,7 +436,7 @@
 		}
 		for id, s := range w.core.servers {
 			if s.running != 0 || s.unread != 0 || len(s.pending) != 0 {
-				t.Fatalf("%v keeps %d requests and %d unread tokens", id, s.running, s.unread)
+				t.Fatalf("%v still has %d requests and %d unread tokens", id, s.running, s.unread)
 			}
 		}
 	})
--- a/internal/balance/home.go
+++ b/internal/balance/home.go
@@ -2,10 +2,10 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/rendezvous"
 
-// home returns the instance at which the shared beginning of w's prompt is at home: the
-// first by rendezvous hash. All hosts compute the same one without a word between them,
-// so that one engine reads the part and all requests with it find it there.
-func (c *Core) home(w *Work) string {
+// preferredServer returns the id of the preferred server for the shared beginning of w's prompt:
+// the first by rendezvous hash. All hosts compute the same server without communication, so that
+// one engine prefills the shared part and all requests with it find it cached there.
+func (c *Core) preferredServer(w *Work) string {
 	if !w.Engine || len(w.Prompt) < 2 {
 		return ""
 	}
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -7,33 +7,33 @@
 	"github.com/bluebellsail/bluebellsail/internal/ratelimit"
 )
 
-// permitted tells whether a server's rate limit lets it be considered for w.
-func (c *Core) permitted(now time.Time, w *Work, run instance.Incarnation) bool {
+// permitted reports whether the rate limit of a server lets it be considered for w.
+func (c *Core) permitted(now time.Time, w *Work, inc instance.Incarnation) bool {
 	if c.cfg.Permits == nil {
 		return true
 	}
-	state, _ := c.cfg.Permits.Check(now, run)
+	state, _ := c.cfg.Permits.Check(now, inc)
 	return state != ratelimit.Exhausted && (state != ratelimit.AskFirst || !w.PermitsAtHand)
 }
 
 // usePermit takes the permit for a request to a server.
-func (c *Core) usePermit(now time.Time, run instance.Incarnation) error {
+func (c *Core) usePermit(now time.Time, inc instance.Incarnation) error {
 	if c.cfg.Permits == nil {
 		return nil
 	}
-	if state, _ := c.cfg.Permits.Check(now, run); state == ratelimit.AskFirst {
-		return &PermitNeeded{Run: run}
+	if state, _ := c.cfg.Permits.Check(now, inc); state == ratelimit.AskFirst {
+		return &PermitNeeded{Run: inc}
 	}
-	c.cfg.Permits.Use(now, run)
+	c.cfg.Permits.Use(now, inc)
 	return nil
 }
 
-// exhausted is how long no permit for a server is to be had.
-func (c *Core) exhausted(now time.Time, run instance.Incarnation) time.Duration {
+// permitWait returns the time during which no permit for a server is available.
+func (c *Core) permitWait(now time.Time, inc instance.Incarnation) time.Duration {
 	if c.cfg.Permits == nil {
 		return 0
 	}
-	state, wait := c.cfg.Permits.Check(now, run)
+	state, wait := c.cfg.Permits.Check(now, inc)
 	if state != ratelimit.Exhausted {
 		return 0
 	}
--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// server is what this host knows of one instance beyond its announcements.
+// server is what this host knows of one incarnation of a server beyond its announcements.
 type server struct {
-	// running counts the requests that this host placed there; pending are those without the first part
-	// of their answer, oldest first, and unread the prompt tokens of these.
+	// running counts the requests that this host dispatched there. pending lists those without the
+	// first part of their answer, oldest first, and unread is the sum of their prompt tokens.
 	running int
-	pending []*run
+	pending []*attempt
 	unread  uint64
-	// headSince is when the server can have begun to read the oldest one, at the earliest.
+	// headSince is the earliest time at which the prefill of the oldest pending request can have begun.
 	headSince time.Time
 	cache     cache
 
-	// work are the prompt tokens assigned lately, decayed to workAt.
+	// work is the number of prompt tokens dispatched recently, decayed to workAt.
 	work   float64
 	workAt time.Time
 
-	// late is by how much the last first part came after its prediction, at lateAt.
-	late   time.Duration
-	lateAt time.Time
+	// lateness is the delay of the last first part against its prediction, observed at latenessAt.
+	lateness   time.Duration
+	latenessAt time.Time
 
 	reportedAt time.Time
 	report     Load
 
-	// took is the running mean of a plain service's time to answer.
-	took time.Duration
-
-	// served is when it last answered.
-	served    time.Time
-	failures  int
-	suspended time.Time
-	// cooldown is until when it wants nothing from this host.
-	cooldown time.Time
-	// cooldownElsewhere is until when it wants nothing from another host, whose requests this one
-	// places. It is likely to be full for all.
-	cooldownElsewhere time.Time
+	// answerTime is the moving average of a plain service's answer time.
+	answerTime time.Duration
+
+	// lastServed is the time of the last answer.
+	lastServed   time.Time
+	failures     int
+	backoffUntil time.Time
+	// cooldownUntil is the end of the server's cooldown for this host.
+	cooldownUntil time.Time
+	// remoteCooldownUntil is the end of its cooldown for another host, whose requests this host
+	// assigns. The server is likely to be full for all hosts.
+	remoteCooldownUntil time.Time
 }
 
-// tookWeight is the weight of the newest answer in the mean.
-const tookWeight = 0.1
+// answerTimeWeight is the weight of the newest answer in the moving average.
+const answerTimeWeight = 0.1
 
 // utilizationWindow is the time over which a server's utilization is averaged.
 const utilizationWindow = 3 * time.Second
 
-// assign notes prompt tokens that the server will read.
+// assign records prompt tokens that the server has to prefill.
 func (s *server) assign(now time.Time, unread uint64) {
 	s.decayWork(now)
 	s.work += float64(unread)
@@ -61,16 +61,16 @@
 	s.workAt = now
 }
 
-// utilization is rho/(1-rho), the mean number of requests in a queue of that load.
+// utilization returns rho/(1-rho), the mean number of requests in a queue at that load.
 func (s *server) utilization(now time.Time) float64 {
 	s.decayWork(now)
-	rho := min(s.work/readIn(utilizationWindow), 0.9)
+	rho := min(s.work/prefilledIn(utilizationWindow), 0.9)
 	return rho / (1 - rho)
 }
 
 func newServer() *server { return &server{cache: newCache()} }
 
-func (s *server) begin(now time.Time, r *run) {
+func (s *server) begin(now time.Time, r *attempt) {
 	s.running++
 	if len(s.pending) == 0 {
 		s.headSince = now
@@ -80,20 +80,20 @@
 	s.assign(now, r.unread)
 }
 
-// firstPart takes that the prompt of a run has been read.
-func (s *server) firstPart(now time.Time, r *run) {
-	if !s.leavePending(now, r) || !r.engine {
+// firstPart records that the prompt of an attempt has been prefilled.
+func (s *server) firstPart(now time.Time, r *attempt) {
+	if !s.removePending(now, r) || !r.engine {
 		return
 	}
-	s.late, s.lateAt = now.Sub(r.started)-r.predicted, now
+	s.lateness, s.latenessAt = now.Sub(r.started)-r.predicted, now
 }
 
-// leavePending takes a run off those that wait; false: it did not.
-func (s *server) leavePending(now time.Time, r *run) bool {
-	if r.first {
+// removePending removes an attempt from the pending ones and reports whether it was pending.
+func (s *server) removePending(now time.Time, r *attempt) bool {
+	if r.firstSeen {
 		return false
 	}
-	r.first = true
+	r.firstSeen = true
 	i := slices.Index(s.pending, r)
 	s.pending = slices.Delete(s.pending, i, i+1)
 	s.unread -= r.unread
@@ -101,51 +101,51 @@
 	return true
 }
 
-// backlog is how many prompt tokens of the requests placed there are not read yet. Engines
-// read them in turn, so the oldest is the only one of which a part may have been read:
-// however long the others wait, they are not read before their first part comes.
+// backlog returns the number of prompt tokens of the pending requests that are not prefilled yet.
+// Engines prefill prompts one after the other, so only the oldest one can be partly prefilled; the
+// others count in full however long they have waited.
 func (s *server) backlog(now time.Time) float64 {
 	if len(s.pending) == 0 {
 		return 0
 	}
-	read := min(readIn(now.Sub(s.headSince)), float64(s.pending[0].unread))
+	read := min(prefilledIn(now.Sub(s.headSince)), float64(s.pending[0].unread))
 	return float64(s.unread) - read
 }
 
-// lateFade is the time in which what was seen of a server's lateness fades to a third.
-const lateFade = time.Second
+// latenessDecay is the time in which an observed lateness decays to a third.
+const latenessDecay = time.Second
 
-// behind is by how much the server's answers came later than predicted, as far as that
-// still counts: work of others that this host does not know of.
-func (s *server) behind(now time.Time) time.Duration {
-	if s.late <= 0 {
+// residualLateness returns the decayed lateness of the server's answers against their predictions.
+// It stands for work of other hosts that this host does not know of.
+func (s *server) residualLateness(now time.Time) time.Duration {
+	if s.lateness <= 0 {
 		return 0
 	}
-	return time.Duration(float64(s.late) * math.Exp(-float64(now.Sub(s.lateAt))/float64(lateFade)))
+	return time.Duration(float64(s.lateness) * math.Exp(-float64(now.Sub(s.latenessAt))/float64(latenessDecay)))
 }
 
-func (s *server) end(now time.Time, r *run, result Result) {
-	s.leavePending(now, r)
+func (s *server) end(now time.Time, r *attempt, result Result) {
+	s.removePending(now, r)
 	s.running--
 	switch result {
 	case Served:
-		s.failures, s.suspended, s.served = 0, time.Time{}, now
-		s.took += time.Duration(tookWeight * float64(now.Sub(r.started)-s.took))
+		s.failures, s.backoffUntil, s.lastServed = 0, time.Time{}, now
+		s.answerTime += time.Duration(answerTimeWeight * float64(now.Sub(r.started)-s.answerTime))
 	case Shed:
-		s.suspended = now.Add(firstBackoff)
+		s.backoffUntil = now.Add(firstBackoff)
 	case Unreachable, Broken:
 		s.failures++
 		pause := min(firstBackoff<<min(s.failures-1, 8), maxBackoff)
-		s.suspended = now.Add(pause)
+		s.backoffUntil = now.Add(pause)
 	case Abandoned:
 	}
 }
 
-func (s *server) reported(now time.Time, l Load) { s.reportedAt, s.report = now, l }
+func (s *server) recordReport(now time.Time, l Load) { s.reportedAt, s.report = now, l }
 
-// serviceTime predicts when a plain service answers one more request.
+// serviceTime predicts the answer time of a plain service for one more request.
 func (s *server) serviceTime(slots int) time.Duration {
-	took := max(s.took, time.Millisecond)
+	took := max(s.answerTime, time.Millisecond)
 	over := max(s.running+1-max(slots, 1), 0)
 	return took + time.Duration(over)*took/time.Duration(max(slots, 1)) + time.Duration(s.running)*time.Millisecond
 }
