--- a/internal/balance/cooldown.go
+++ b/internal/balance/cooldown.go
@@ -8,7 +8,7 @@
 
 // StartCooldown starts a cooldown: the server gets no request from this host for d. A cooldown that
 // is still running is never shortened. It returns whether the server was not cooling down before.
-func (c *Core) CoolDown(now time.Time, inc instance.Incarnation, d time.Duration) (began bool) {
+func (c *Core) StartCooldown(now time.Time, inc instance.Incarnation, d time.Duration) (began bool) {
 	s := c.server(inc)
 	began = !now.Before(s.cooldownUntil)
 	if until := now.Add(d); until.After(s.cooldownUntil) {
--- a/internal/balance/cooldown_test.go
+++ b/internal/balance/cooldown_test.go
@@ -16,7 +16,7 @@
 func TestCooldownIsNotCutShort(t *testing.T) {
 	for name, disturb := range map[string]func(w *fixture, open uint64){
 		"an answer":          func(w *fixture, open uint64) { w.core.Done(w.now, open, Served) },
-		"a shorter cooldown": func(w *fixture, _ uint64) { w.core.CoolDown(w.now, firstRun("e00"), 10*time.Millisecond) },
+		"a shorter cooldown": func(w *fixture, _ uint64) { w.core.StartCooldown(w.now, firstRun("e00"), 10*time.Millisecond) },
 		"a failure":          func(w *fixture, open uint64) { w.core.Done(w.now, open, Broken) },
 		"the failure of all others": func(w *fixture, _ uint64) {
 			for range 40 {
@@ -32,7 +32,7 @@
 			work.Exclude = append(work.Exclude, firstRun(id))
 		}
 		open := w.choose(t, work)
-		if !w.core.CoolDown(w.now, firstRun("e00"), 3*time.Second) {
+		if !w.core.StartCooldown(w.now, firstRun("e00"), 3*time.Second) {
 			t.Errorf("%s: StartCooldown reports a cooldown that was already running", name)
 		}
 		disturb(w, open.Ticket)
@@ -47,7 +47,7 @@
 
 func TestServerIsUsedAfterItsCooldown(t *testing.T) {
 	w := newFixture("z", engines(1)...)
-	w.core.CoolDown(w.now, firstRun("e00"), 3*time.Second)
+	w.core.StartCooldown(w.now, firstRun("e00"), 3*time.Second)
 	w.now = w.now.Add(3 * time.Second)
 	if c := w.choose(t, prompt(1, 2, 100, 10)); c.Instance.ID != "e00" || c.CooldownLeft != 0 {
 		t.Errorf("chose %s with %v of its cooldown left", c.Instance.ID, c.CooldownLeft)
@@ -58,7 +58,7 @@
 func TestRefusalCarriesTheEndOfTheFirstCooldown(t *testing.T) {
 	w := newFixture("z", engines(3)...)
 	for id, cooldown := range map[string]time.Duration{"e00": 20 * time.Second, "e01": 7 * time.Second, "e02": time.Hour} {
-		w.core.CoolDown(w.now, firstRun(id), cooldown)
+		w.core.StartCooldown(w.now, firstRun(id), cooldown)
 	}
 	_, err := w.core.Choose(w.now, prompt(1, 2, 100, 10))
 	e := errkind.From(err)
@@ -77,7 +77,7 @@
 // Guards against a cooldown that outlives the server's incarnation that requested it.
 func TestCooldownEndsWithTheIncarnation(t *testing.T) {
 	w := newFixture("z", engines(1)...)
-	w.core.CoolDown(w.now, firstRun("e00"), time.Hour)
+	w.core.StartCooldown(w.now, firstRun("e00"), time.Hour)
 	again := engines(1)[0]
 	again.Started = 2
 	w.announce(again)
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -311,7 +311,7 @@
 func (b *Balancer) cooldown(run instance.Incarnation, d time.Duration) (began bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.CoolDown(time.Now(), run, d)
+	return b.core.StartCooldown(time.Now(), run, d)
 }
 
 // CoolDownElsewhere takes that a server wants nothing for so long from a host whose requests this one
