--- a/internal/balance/cooldown.go
+++ b/internal/balance/cooldown.go
@@ -28,7 +28,7 @@
 
 // StartRemoteCooldown records that a server cools down for d for another host, whose requests this
 // host assigns.
-func (c *Core) CoolDownElsewhere(now time.Time, inc instance.Incarnation, d time.Duration) {
+func (c *Core) StartRemoteCooldown(now time.Time, inc instance.Incarnation, d time.Duration) {
 	s := c.server(inc)
 	if until := now.Add(d); until.After(s.remoteCooldownUntil) {
 		s.remoteCooldownUntil = until
--- a/internal/balance/cooldown_test.go
+++ b/internal/balance/cooldown_test.go
@@ -87,7 +87,7 @@
 // Guards against all hosts sending to a server that makes one host after the other cool down.
 func TestServerCoolingDownForAnotherHostRanksLast(t *testing.T) {
 	w := newFixture("z", engines(3)...)
-	w.core.CoolDownElsewhere(w.now, firstRun("e01"), 3*time.Second)
+	w.core.StartRemoteCooldown(w.now, firstRun("e01"), 3*time.Second)
 	for range 20 {
 		if c := w.choose(t, prompt(1, 2, 100, 10)); c.Instance.ID == "e01" {
 			t.Fatal("e01, which cools down for another host, was chosen although others were available")
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -319,7 +319,7 @@
 func (b *Balancer) CoolDownElsewhere(run instance.Incarnation, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.core.CoolDownElsewhere(time.Now(), run, d)
+	b.core.StartRemoteCooldown(time.Now(), run, d)
 }
 
 // Cooling are the servers of a service that want nothing from this host; see balance.Core.
