--- a/internal/balance/cooldown.go
+++ b/internal/balance/cooldown.go
@@ -37,7 +37,7 @@
 
 // CoolingDown returns the servers of a service that cool down for this host, and the time until the
 // first of these cooldowns ends. all reports whether every serving server of the service cools down.
-func (c *Core) Cooling(now time.Time, service string) (incs []instance.Incarnation, first time.Duration, all bool) {
+func (c *Core) CoolingDown(now time.Time, service string) (incs []instance.Incarnation, first time.Duration, all bool) {
 	serving := c.reg.Serving(service)
 	for _, inst := range serving {
 		left := c.CooldownLeft(now, inst.Incarnation())
--- a/internal/balance/cooldown_test.go
+++ b/internal/balance/cooldown_test.go
@@ -68,7 +68,7 @@
 	if want := "of 3 servers, 0 back off after failures, 3 are cooling down for this host, 0 are at their rate limits"; !strings.HasSuffix(e.Message, want) {
 		t.Errorf("the refusal's message is %q, want suffix %q", e.Message, want)
 	}
-	incs, first, all := w.core.Cooling(w.now, pool)
+	incs, first, all := w.core.CoolingDown(w.now, pool)
 	if len(incs) != 3 || first != 7*time.Second || !all {
 		t.Errorf("servers cooling down: %v, first end in %v, all: %v", incs, first, all)
 	}
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -326,7 +326,7 @@
 func (b *Balancer) Cooling(service string) (runs []instance.Incarnation, first time.Duration, all bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.Cooling(time.Now(), service)
+	return b.core.CoolingDown(time.Now(), service)
 }
 
 // CooldownUnreadable takes that a server asked for a cooldown in a way that can't be read. What it asked
