--- a/internal/balance/core.go
+++ b/internal/balance/core.go
@@ -60,7 +60,7 @@
 	// the number of prompt tokens that other requests may share.
 	Cached, Shared uint64
 	// PreferredWait is the wait predicted at the preferred server of the shared parts; 0: none.
-	HomeWait time.Duration
+	PreferredWait time.Duration
 	// Running is the number of requests of this host that were already running at the server.
 	Running int
 	// Considered is the number of servers compared.
@@ -193,7 +193,7 @@
 	}
 	return Choice{
 		Ticket: c.ticket, Instance: best.inst.Announcement, Wait: best.wait, Cached: best.cached,
-		Shared: SharedTokens(w.Prompt), HomeWait: preferredWait,
+		Shared: SharedTokens(w.Prompt), PreferredWait: preferredWait,
 		Running: best.server.running - 1, Considered: len(eligible), CooldownLeft: max(best.server.cooldownUntil.Sub(now), 0),
 	}, nil
 }
--- a/internal/controller/assign/assign.go
+++ b/internal/controller/assign/assign.go
@@ -215,7 +215,7 @@
 	l.choice = balance.Choice{
 		Instance: instance.Announcement{ID: reply.GetServer(), Started: reply.GetIncarnation(), Address: reply.GetAddress()},
 		Wait:     time.Duration(reply.GetWaitUs()) * time.Microsecond, Cached: reply.GetCached(), Shared: balance.SharedTokens(w.Prompt),
-		HomeWait: time.Duration(reply.GetHomeWaitUs()) * time.Microsecond, Running: int(reply.GetRunning()),
+		PreferredWait: time.Duration(reply.GetHomeWaitUs()) * time.Microsecond, Running: int(reply.GetRunning()),
 	}
 	l.choice.CooldownLeft = a.cfg.Local.CooldownLeft(l.choice.Instance.Incarnation())
 	return l, nil
