--- a/internal/balance/core.go
+++ b/internal/balance/core.go
@@ -93,11 +93,11 @@
 
 // PermitNeeded is the error for a request whose best server requires a permit that this host does
 // not hold.
-type PermitNeeded struct{ Run instance.Incarnation }
+type PermitNeeded struct{ Incarnation instance.Incarnation }
 
 // Error implements error.
 func (e *PermitNeeded) Error() string {
-	return "a permit for server " + e.Run.ID + " must be requested first"
+	return "a permit for server " + e.Incarnation.ID + " must be requested first"
 }
 
 // Config configures a Core.
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -22,7 +22,7 @@
 		return nil
 	}
 	if state, _ := c.cfg.Permits.Check(now, inc); state == ratelimit.AskFirst {
-		return &PermitNeeded{Run: inc}
+		return &PermitNeeded{Incarnation: inc}
 	}
 	c.cfg.Permits.Use(now, inc)
 	return nil
--- a/internal/balance/permits_test.go
+++ b/internal/balance/permits_test.go
@@ -58,7 +58,7 @@
 	work := prompt(1, 2, 100, 10)
 	_, err := w.core.Choose(w.now, work)
 	var need *PermitNeeded
-	if !errors.As(err, &need) || need.Run.ID != "e00" || w.core.Running() != 0 {
+	if !errors.As(err, &need) || need.Incarnation.ID != "e00" || w.core.Running() != 0 {
 		t.Fatalf("got %v, %d running", err, w.core.Running())
 	}
 	work.PermitsAtHand = true
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -172,7 +172,7 @@
 		if !ok {
 			return l, err
 		}
-		b.cfg.Limits.Ask(ctx, need.Run)
+		b.cfg.Limits.Ask(ctx, need.Incarnation)
 	}
 }
 
