--- a/internal/balance/knowledge.go
+++ b/internal/balance/knowledge.go
@@ -7,7 +7,7 @@
 )
 
 // CachedParts lists the prompt parts that a server has cached, the least recently used first.
-type Known struct {
+type CachedParts struct {
 	Server instance.Incarnation
 	Parts  []Part
 	// CacheTokens is the server's cache capacity in tokens.
@@ -19,32 +19,32 @@
 const maxDispatched = 256
 
 // TakeDispatched returns the parts sent to servers since the last call.
-func (c *Core) Touched() []Known {
-	var out []Known
+func (c *Core) Touched() []CachedParts {
+	var out []CachedParts
 	for inc, parts := range c.dispatched {
 		parts = parts[max(len(parts)-maxDispatched, 0):]
-		out = append(out, Known{Server: inc, Parts: parts, CacheTokens: c.server(inc).cache.capacity})
+		out = append(out, CachedParts{Server: inc, Parts: parts, CacheTokens: c.server(inc).cache.capacity})
 	}
 	clear(c.dispatched)
 	return out
 }
 
 // ShardCaches returns the estimated caches of a service's servers in a shard.
-func (c *Core) Knowledge(service string, in Shard) []Known {
-	var out []Known
+func (c *Core) Knowledge(service string, in Shard) []CachedParts {
+	var out []CachedParts
 	for _, inst := range c.reg.Serving(service) {
 		s := c.servers[inst.Incarnation()]
 		if s == nil || !in.contains(inst.ID) || s.cache.size == 0 {
 			continue
 		}
-		out = append(out, Known{Server: inst.Incarnation(), Parts: s.cache.list(), CacheTokens: s.cache.capacity})
+		out = append(out, CachedParts{Server: inst.Incarnation(), Parts: s.cache.list(), CacheTokens: s.cache.capacity})
 	}
 	return out
 }
 
 // MergeCaches adds the parts that another host reports as cached. Entries of an incarnation that
 // has ended are ignored: the next incarnation starts with an empty cache.
-func (c *Core) Learn(known []Known) {
+func (c *Core) Learn(known []CachedParts) {
 	for _, k := range known {
 		if c.reg.Over(k.Server) {
 			continue
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -65,8 +65,8 @@
 // one is known. Cache reports once carried the id alone.
 func TestCacheReportsAreOfOneIncarnation(t *testing.T) {
 	parts := []Part{{ID: 1, Tokens: 3_000}, {ID: 7, Tokens: 13_000}}
-	of := func(started uint64) []Known {
-		return []Known{{Server: instance.Incarnation{ID: "e00", Started: started}, Parts: parts, CacheTokens: memory}}
+	of := func(started uint64) []CachedParts {
+		return []CachedParts{{Server: instance.Incarnation{ID: "e00", Started: started}, Parts: parts, CacheTokens: memory}}
 	}
 	w := newFixture("z", restartedAt(100))
 	w.core.Learn(of(100))
--- a/internal/controller/assign/assign.go
+++ b/internal/controller/assign/assign.go
@@ -66,9 +66,9 @@
 	Cooling(service string) (runs []instance.Incarnation, first time.Duration, all bool)
 	End(run instance.Incarnation) error
 	Drain(run instance.Incarnation)
-	Touched() []balance.Known
-	Knowledge(service string, in balance.Shard) []balance.Known
-	Learn([]balance.Known)
+	Touched() []balance.CachedParts
+	Knowledge(service string, in balance.Shard) []balance.CachedParts
+	Learn([]balance.CachedParts)
 	ShardOfServer(run instance.Incarnation) (service string, in balance.Shard, ok bool)
 }
 
--- a/internal/controller/assign/share.go
+++ b/internal/controller/assign/share.go
@@ -47,7 +47,7 @@
 // share tells what was read since the last call.
 func (a *Assigner) share(ctx context.Context) {
 	now := time.Now()
-	news := make(map[shardKey][]balance.Known)
+	news := make(map[shardKey][]balance.CachedParts)
 	for _, k := range a.cfg.Local.Touched() {
 		service, shard, ok := a.cfg.Local.ShardOfServer(k.Server)
 		if !ok {
@@ -70,7 +70,7 @@
 }
 
 // shareShard tells the first host in rank other than this one.
-func (a *Assigner) shareShard(ctx context.Context, key shardKey, s *shared, news []balance.Known) {
+func (a *Assigner) shareShard(ctx context.Context, key shardKey, s *shared, news []balance.CachedParts) {
 	to, ok := a.successor(key)
 	if !ok {
 		return
@@ -102,7 +102,7 @@
 	return outbox.Receiver{}, false
 }
 
-func (a *Assigner) tellParts(ctx context.Context, to outbox.Receiver, known []balance.Known) error {
+func (a *Assigner) tellParts(ctx context.Context, to outbox.Receiver, known []balance.CachedParts) error {
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	req := &pb.SharePartsRequest{}
@@ -127,7 +127,7 @@
 
 // HandleShareParts takes what another host knows of engines' caches.
 func (a *Assigner) HandleShareParts(req *pb.SharePartsRequest) *pb.SharePartsReply {
-	known := make([]balance.Known, 0, len(req.GetServers()))
+	known := make([]balance.CachedParts, 0, len(req.GetServers()))
 	for _, s := range req.GetServers() {
 		known = append(known, decodeKnown(s))
 	}
@@ -135,14 +135,14 @@
 	return &pb.SharePartsReply{}
 }
 
-func encodeKnown(k balance.Known) *pb.ServerParts {
+func encodeKnown(k balance.CachedParts) *pb.ServerParts {
 	return &pb.ServerParts{
 		Server: k.Server.ID, Incarnation: k.Server.Started, CacheTokens: k.CacheTokens, Parts: encodeParts(k.Parts),
 	}
 }
 
-func decodeKnown(s *pb.ServerParts) balance.Known {
-	return balance.Known{
+func decodeKnown(s *pb.ServerParts) balance.CachedParts {
+	return balance.CachedParts{
 		Server:      instance.Incarnation{ID: s.GetServer(), Started: s.GetIncarnation()},
 		CacheTokens: s.GetCacheTokens(), Parts: decodeParts(s.GetParts()),
 	}
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -273,21 +273,21 @@
 }
 
 // Touched takes the prompt parts that were sent to instances since the last call.
-func (b *Balancer) Touched() []balance.Known {
+func (b *Balancer) Touched() []balance.CachedParts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.Touched()
 }
 
 // Knowledge is what this host knows of the caches of a service's instances in a shard.
-func (b *Balancer) Knowledge(service string, in balance.Shard) []balance.Known {
+func (b *Balancer) Knowledge(service string, in balance.Shard) []balance.CachedParts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.core.Knowledge(service, in)
 }
 
 // Learn takes what another host knows of instances' caches.
-func (b *Balancer) Learn(known []balance.Known) {
+func (b *Balancer) Learn(known []balance.CachedParts) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.core.Learn(known)
