--- a/internal/balance/knowledge.go
+++ b/internal/balance/knowledge.go
@@ -19,7 +19,7 @@
 const maxDispatched = 256
 
 // TakeDispatched returns the parts sent to servers since the last call.
-func (c *Core) Touched() []CachedParts {
+func (c *Core) TakeDispatched() []CachedParts {
 	var out []CachedParts
 	for inc, parts := range c.dispatched {
 		parts = parts[max(len(parts)-maxDispatched, 0):]
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -276,7 +276,7 @@
 func (b *Balancer) Touched() []balance.CachedParts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.Touched()
+	return b.core.TakeDispatched()
 }
 
 // Knowledge is what this host knows of the caches of a service's instances in a shard.
