--- a/internal/balance/knowledge.go
+++ b/internal/balance/knowledge.go
@@ -30,7 +30,7 @@
 }
 
 // ShardCaches returns the estimated caches of a service's servers in a shard.
-func (c *Core) Knowledge(service string, in Shard) []CachedParts {
+func (c *Core) ShardCaches(service string, in Shard) []CachedParts {
 	var out []CachedParts
 	for _, inst := range c.reg.Serving(service) {
 		s := c.servers[inst.Incarnation()]
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -283,7 +283,7 @@
 func (b *Balancer) Knowledge(service string, in balance.Shard) []balance.CachedParts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.Knowledge(service, in)
+	return b.core.ShardCaches(service, in)
 }
 
 // Learn takes what another host knows of instances' caches.
