--- a/internal/balance/knowledge.go
+++ b/internal/balance/knowledge.go
@@ -44,7 +44,7 @@
 
 // MergeCaches adds the parts that another host reports as cached. Entries of an incarnation that
 // has ended are ignored: the next incarnation starts with an empty cache.
-func (c *Core) Learn(known []CachedParts) {
+func (c *Core) MergeCaches(known []CachedParts) {
 	for _, k := range known {
 		if c.reg.Over(k.Server) {
 			continue
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -290,7 +290,7 @@
 func (b *Balancer) Learn(known []balance.CachedParts) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.core.Learn(known)
+	b.core.MergeCaches(known)
 }
 
 // ShardOfServer is the service of a run of a server and the shard that it is in.
