--- a/internal/balance/core.go
+++ b/internal/balance/core.go
@@ -47,7 +47,7 @@
 	// Shard restricts the choice to a part of the service's servers.
 	Shard Shard
 	// HeldPermitsOnly excludes servers for which a permit would have to be requested first.
-	PermitsAtHand bool
+	HeldPermitsOnly bool
 }
 
 // Choice is the assignment of one request to a server.
--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -13,7 +13,7 @@
 		return true
 	}
 	state, _ := c.cfg.Permits.Check(now, inc)
-	return state != ratelimit.Exhausted && (state != ratelimit.AskFirst || !w.PermitsAtHand)
+	return state != ratelimit.Exhausted && (state != ratelimit.AskFirst || !w.HeldPermitsOnly)
 }
 
 // usePermit takes the permit for a request to a server.
--- a/internal/balance/permits_test.go
+++ b/internal/balance/permits_test.go
@@ -61,7 +61,7 @@
 	if !errors.As(err, &need) || need.Incarnation.ID != "e00" || w.core.Running() != 0 {
 		t.Fatalf("got %v, %d running", err, w.core.Running())
 	}
-	work.PermitsAtHand = true
+	work.HeldPermitsOnly = true
 	if _, err := w.core.Choose(w.now, work); !errkind.Is(err, errkind.NoBackendServer) {
 		t.Errorf("with held permits only: %v", err)
 	}
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -166,7 +166,7 @@
 func (b *Balancer) Acquire(ctx context.Context, w *balance.Work) (relay.Lease, error) {
 	in := *w
 	for asked := 0; ; asked++ {
-		in.PermitsAtHand = asked == maxAsks
+		in.HeldPermitsOnly = asked == maxAsks
 		l, err := b.choose(&in)
 		need, ok := err.(*balance.PermitNeeded)
 		if !ok {
