--- a/internal/balance/core.go
+++ b/internal/balance/core.go
@@ -390,7 +390,7 @@
 }
 
 // HealthChange is the change of a server's health by the end of a request.
-type Standing struct {
+type HealthChange struct {
 	// Lost reports that the server has begun to fail; it gets no request for Pause. Regained
 	// reports that it answers again, after the given number of Failures.
 	Lost, Regained bool
@@ -399,16 +399,16 @@
 }
 
 // Done ends a request and updates the server's health and answer time by the outcome.
-func (c *Core) Done(now time.Time, ticket uint64, result Result) Standing {
+func (c *Core) Done(now time.Time, ticket uint64, result Result) HealthChange {
 	r := c.attempts[ticket]
 	if r == nil {
-		return Standing{}
+		return HealthChange{}
 	}
 	delete(c.attempts, ticket)
 	before := r.server.failures
 	r.server.end(now, r, result)
 	after := r.server.failures
-	return Standing{
+	return HealthChange{
 		Lost: before == 0 && after > 0, Regained: before > 0 && after == 0,
 		Pause: max(r.server.backoffUntil.Sub(now), 0), Failures: max(before, after),
 	}
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -416,7 +416,7 @@
 		Int("failures", s.Failures).Dur("pause", s.Pause).Send()
 }
 
-func (l *lease) done(r balance.Result) balance.Standing {
+func (l *lease) done(r balance.Result) balance.HealthChange {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
 	return l.b.core.Done(time.Now(), l.choice.Ticket, r)
