--- a/internal/balance/core.go
+++ b/internal/balance/core.go
@@ -378,7 +378,7 @@
 }
 
 // FirstPart records that the first part of the answer has arrived.
-func (c *Core) First(now time.Time, ticket uint64) {
+func (c *Core) FirstPart(now time.Time, ticket uint64) {
 	if r := c.attempts[ticket]; r != nil {
 		r.server.firstPart(now, r)
 	}
--- a/internal/balance/core_test.go
+++ b/internal/balance/core_test.go
@@ -77,7 +77,7 @@
 	t.Helper()
 	c := w.choose(t, work)
 	w.now = w.now.Add(d)
-	w.core.First(w.now, c.Ticket)
+	w.core.FirstPart(w.now, c.Ticket)
 	w.core.Done(w.now, c.Ticket, Served)
 	return c
 }
@@ -341,7 +341,7 @@
 	w := newFixture("z", engines(2)...)
 	c := w.choose(t, prompt(1, 1, 3_000, 100))
 	w.now = w.now.Add(2 * time.Second)
-	w.core.First(w.now, c.Ticket)
+	w.core.FirstPart(w.now, c.Ticket)
 	w.core.Done(w.now, c.Ticket, Served)
 	if next := w.choose(t, prompt(2, 2, 3_000, 100)); next.Instance.ID == c.Instance.ID {
 		t.Error("the late engine was chosen again at once")
@@ -402,7 +402,7 @@
 			},
 			"first": func(t *rapid.T) {
 				if len(open) > 0 {
-					w.core.First(w.now, open[rapid.IntRange(0, len(open)-1).Draw(t, "which")].Ticket)
+					w.core.FirstPart(w.now, open[rapid.IntRange(0, len(open)-1).Draw(t, "which")].Ticket)
 				}
 			},
 			"done": func(t *rapid.T) {
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -35,7 +35,7 @@
 	}
 	w.core.Done(w.now, c.Ticket, Served)
 	// Late results of the former incarnation's requests do not affect the new one.
-	w.core.First(w.now, open.Ticket)
+	w.core.FirstPart(w.now, open.Ticket)
 	w.core.Done(w.now, open.Ticket, Broken)
 	if c := w.choose(t, prompt(7, 6, 13_000, 3_000)); c.Running != 0 || c.Cached != 13_000 {
 		t.Errorf("choice after a failure of the former incarnation: %+v", c)
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -376,7 +376,7 @@
 		return
 	}
 	l.first = true
-	l.b.core.First(time.Now(), l.choice.Ticket)
+	l.b.core.FirstPart(time.Now(), l.choice.Ticket)
 }
 
 // Report implements relay.Lease.
