--- a/internal/balance/core.go
+++ b/internal/balance/core.go
@@ -385,7 +385,7 @@
 }
 
 // ReportLoad records the load that a server reports.
-func (c *Core) Report(now time.Time, inc instance.Incarnation, l Load) {
+func (c *Core) ReportLoad(now time.Time, inc instance.Incarnation, l Load) {
 	c.server(inc).recordReport(now, l)
 }
 
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -383,7 +383,7 @@
 func (l *lease) Report(load balance.Load) {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
-	l.b.core.Report(time.Now(), l.choice.Instance.Incarnation(), load)
+	l.b.core.ReportLoad(time.Now(), l.choice.Instance.Incarnation(), load)
 }
 
 // CoolDown implements relay.Lease.
