--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -7,10 +7,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// minRetryAfter is the least time to come back that a refusal names.
+// minRetryAfter is the minimum Retry-After of a refusal.
 const minRetryAfter = 50 * time.Millisecond
 
-// returnSpread is the time over which the returns of callers are spread who are refused while all
+// returnSpread is the range of the jitter in the Retry-After of callers that are refused while all
 // servers cool down.
 const returnSpread = 500 * time.Millisecond
 
@@ -25,29 +25,29 @@
 	return n
 }
 
-// bestTime is the shortest bare run time of w among the usable servers.
-func (c *Core) bestTime(now time.Time, p *pool, w *Work) time.Duration {
+// bestRunTime returns the shortest unqueued run time of w among the usable servers.
+func (c *Core) bestRunTime(now time.Time, p *pool, w *Work) time.Duration {
 	best := time.Duration(-1)
 	for i := range p.members {
 		s := p.members[i].server
 		if !c.eligible(now, s, w) {
 			continue
 		}
-		if d := c.bareTime(s, w); best < 0 || d < best {
+		if d := c.minRunTime(s, w); best < 0 || d < best {
 			best = d
 		}
 	}
 	return best
 }
 
-// refuse returns the refusal of a request that has to wait, or nil if it may.
-func (c *Core) refuse(now time.Time, p *pool, w *Work, bare time.Duration) error {
+// refuse returns the refusal of a request that would have to wait, or nil if it may wait.
+func (c *Core) refuse(now time.Time, p *pool, w *Work, minRun time.Duration) error {
 	wait := max(c.waitFor(now, p, w), c.permitWait(now, p, w))
-	if now.Add(wait + bare).After(w.Deadline) {
-		over := now.Add(wait + bare).Sub(w.Deadline)
+	if now.Add(wait + minRun).After(w.Deadline) {
+		over := now.Add(wait + minRun).Sub(w.Deadline)
 		return errkind.New(errkind.DeadlineUnreachable,
-			"the wait for a backend server is about %v and the run takes up to %v, but %v are left",
-			wait.Round(time.Millisecond), bare.Round(time.Millisecond), w.Deadline.Sub(now).Round(time.Millisecond)).
+			"a predicted wait of about %v for a backend server plus a run of up to %v exceeds the %v left before the deadline",
+			wait.Round(time.Millisecond), minRun.Round(time.Millisecond), w.Deadline.Sub(now).Round(time.Millisecond)).
 			After(max(over, minRetryAfter))
 	}
 	full := p.waiting >= c.cfg.QueuePerTarget
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// waitFor predicts the time in the queue: the slot time granted before w, over
-// the slots that this host has.
+// waitFor predicts the queue wait of w: the slot time that is granted before it, divided by the
+// slots that this host has.
 func (c *Core) waitFor(now time.Time, p *pool, w *Work) time.Duration {
 	slots := c.ownSlots(now, p)
 	if slots == 0 {
@@ -76,7 +76,7 @@
 	return time.Duration(p.usage * float64(ahead) / float64(slots))
 }
 
-// ownSlots is the number of slots that this host can count on.
+// ownSlots returns the number of slots that this host can count on.
 func (c *Core) ownSlots(now time.Time, p *pool) int {
 	n := 0
 	for i := range p.members {
@@ -95,8 +95,8 @@
 	return errkind.New(errkind.UnknownModel, "no backend server has announced model %q", t.Name)
 }
 
-// noServer refuses a request: none of the servers is in service, or all of them want nothing from
-// this host for a while.
+// noServer returns the refusal of a request for which no server is usable, or all usable servers
+// cool down for this host.
 func (c *Core) noServer(now time.Time, p *pool) error {
 	after := c.reg.Lapse()
 	cooldown := time.Duration(0)
@@ -112,9 +112,9 @@
 	return errkind.New(errkind.NoBackendServer, "no backend server for %q is in service", p.target.Name).After(after)
 }
 
-// CoolDown takes that the server at an address wants nothing from this host for so long. It returns
-// whether the server was not cooling. Requests that wait for it alone are decided on by the next
-// Step.
+// StartCooldown starts a cooldown: the server at an address gets no request from this host for d.
+// It returns whether the server was not cooling down before. The next Step decides on waiting
+// requests that no other server can run.
 func (c *Core) CoolDown(now time.Time, address string, d time.Duration) (began bool) {
 	s, known := c.reg.Server(address)
 	if !known {
@@ -128,6 +128,6 @@
 
 func tooLong(run, left time.Duration) error {
 	return errkind.New(errkind.DeadlineUnreachable,
-		"the run takes up to %v on a server that is free, but %v are left",
+		"a run takes up to %v on a server without a queue, but only %v are left before the deadline",
 		run.Round(time.Millisecond), left.Round(time.Millisecond))
 }
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -22,7 +22,7 @@
 	return c, reg
 }
 
-// BenchmarkDecision is one Submit with its Release.
+// BenchmarkDecision measures one Submit with its Release.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ servers, hosts int }{{18, 7}, {180, 70}, {3700, 1400}} {
 		b.Run(fmt.Sprint(size.servers), func(b *testing.B) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// BenchmarkSubset is the work after a change of hosts or of what servers serve.
+// BenchmarkSubset measures the work after a change of the hosts or of the models of servers.
 func BenchmarkSubset(b *testing.B) {
 	c, _ := fleet(3700, 1400)
 	for b.Loop() {
@@ -67,8 +67,8 @@
 	b.ReportMetric(float64(proto.Size(st)), "wire-B")
 }
 
-// BenchmarkServerMemory reports the bytes held per announced backend server,
-// without and with 1024 known prefix blocks.
+// BenchmarkServerMemory reports the bytes held per announced backend server, without and with
+// 1024 known prefix blocks.
 func BenchmarkServerMemory(b *testing.B) {
 	for _, blocks := range []int{0, 1024} {
 		b.Run(fmt.Sprint(blocks), func(b *testing.B) {
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -7,11 +7,12 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// lastChance is how long before its latest start a waiting request is preferred.
-const lastChance = 3 * time.Second
+// lastStartWindow is the time before its latest start in which a waiting request may use
+// reserved slots.
+const lastStartWindow = 3 * time.Second
 
-// Submit decides on a new request. A result comes at once if it is granted or
-// refused; otherwise it waits and Step gives the result later.
+// Submit decides on a new request. It returns a result if the request is granted or refused at
+// once; otherwise the request waits and Step returns the result later.
 func (c *Core) Submit(now time.Time, w Work) (Result, bool) {
 	if len(c.reg.Serving(w.Target)) == 0 {
 		return Result{Ticket: w.Ticket, Err: unknownTarget(w.Target)}, true
@@ -20,25 +21,25 @@
 	if c.usable(now, p, &w) == 0 {
 		return Result{Ticket: w.Ticket, Err: c.noServer(now, p)}, true
 	}
-	bare := c.withMargin(c.bestTime(now, p, &w))
-	if now.Add(bare).After(w.Deadline) {
-		return Result{Ticket: w.Ticket, Err: tooLong(bare, w.Deadline.Sub(now))}, true
+	minRun := c.withMargin(c.bestRunTime(now, p, &w))
+	if now.Add(minRun).After(w.Deadline) {
+		return Result{Ticket: w.Ticket, Err: tooLong(minRun, w.Deadline.Sub(now))}, true
 	}
 	if p.waiting == 0 || c.isFirst(p, &w) {
 		if r, ok := c.tryGrant(now, p, &w, now, time.Time{}); ok {
 			return r, true
 		}
 	}
-	if err := c.refuse(now, p, &w, bare); err != nil {
-		p.pressed(now, w.Class)
+	if err := c.refuse(now, p, &w, minRun); err != nil {
+		p.notePressure(now, w.Class)
 		return Result{Ticket: w.Ticket, Err: err}, true
 	}
-	c.enqueue(now, p, w, bare)
+	c.enqueue(now, p, w, minRun)
 	return Result{}, false
 }
 
-// isFirst tells whether w would be the first to be offered room: nobody of its
-// class or a more pressing one waits, and no class has reached its bound.
+// isFirst reports whether w would be the first to be offered room: no request of its class or a
+// higher priority class waits, and no lower priority class has reached its starvation bound.
 func (c *Core) isFirst(p *pool, w *Work) bool {
 	if p.classOrder()[0] > w.Class {
 		return false
@@ -51,8 +52,8 @@
 	return true
 }
 
-func (c *Core) enqueue(now time.Time, p *pool, w Work, bare time.Duration) {
-	it := &item{work: w, queued: now, slotTime: bare, latest: w.Deadline.Add(-bare), pool: p}
+func (c *Core) enqueue(now time.Time, p *pool, w Work, minRun time.Duration) {
+	it := &item{work: w, queued: now, slotTime: minRun, latest: w.Deadline.Add(-minRun), pool: p}
 	p.classes[w.Class].push(it)
 	p.waiting++
 	c.queued[w.Ticket] = it
@@ -67,15 +68,15 @@
 	delete(c.queued, it.work.Ticket)
 }
 
-// tryGrant gives w room if a server has it.
+// tryGrant grants w if a server has room for it.
 func (c *Core) tryGrant(now time.Time, p *pool, w *Work, queued, latest time.Time) (Result, bool) {
-	due := w.Class > Urgent && p.classOrder()[0] == w.Class && p.passed[w.Class] >= normalPassedBound
-	// The last chance of a request that waited: it may use what is kept for others,
-	// unless others are refused for want of it.
-	if !latest.IsZero() && latest.Sub(now) < lastChance && !now.Before(p.pressedUntil) {
-		due = true
+	useReserved := w.Class > Urgent && p.classOrder()[0] == w.Class && p.skipped[w.Class] >= maxNormalSkips
+	// A request close to its latest start may use slots reserved for higher priority classes,
+	// unless requests of these are being refused for want of room.
+	if !latest.IsZero() && latest.Sub(now) < lastStartWindow && !now.Before(p.pressureUntil) {
+		useReserved = true
 	}
-	ch, considered := c.choose(now, p, w, due)
+	ch, considered := c.choose(now, p, w, useReserved)
 	if ch.server == nil {
 		return Result{}, false
 	}
@@ -83,7 +84,7 @@
 	c.usePermit(now, ch.server)
 	ch.server.Begin(now, w.Ticket, prompt)
 	ch.server.Assume(w.PromptHashes)
-	c.runs[w.Ticket] = &run{work: *w, server: ch.server, started: now}
+	c.attempts[w.Ticket] = &attempt{work: *w, server: ch.server, started: now}
 	p.granted(w.Class)
 	return Result{Ticket: w.Ticket, Grant: &Grant{
 		State: ch.server.State(), Finish: ch.finish, Waited: now.Sub(queued),
@@ -91,7 +92,7 @@
 	}}, true
 }
 
-// Step gives the results of waiting requests that can be decided now.
+// Step returns the results of waiting requests that can be decided now.
 func (c *Core) Step(now time.Time) []Result {
 	var out []Result
 	c.permitDue = time.Time{}
@@ -137,8 +138,8 @@
 	return Result{}, false
 }
 
-// someRoom tells whether any server may have room for the class at all: without
-// it no waiting request of the class need be tried.
+// someRoom reports whether any server may have room for the class at all. If not, no waiting
+// request of the class needs to be tried.
 func (c *Core) someRoom(now time.Time, p *pool, class Class) bool {
 	for _, m := range p.members {
 		if c.reg.UsableServer(now, m.server) && c.hasRoom(now, p, m, class, true) {
@@ -148,8 +149,8 @@
 	return false
 }
 
-// expire refuses the waiting requests that can no longer end in time, or for
-// which no server is left.
+// expire refuses the waiting requests that can no longer end in time, or for which no server is
+// left.
 func (c *Core) expire(now time.Time, p *pool, out []Result) []Result {
 	if len(p.members) > 0 && now.Before(p.nextExpiry) {
 		return out
@@ -169,11 +170,11 @@
 	}
 	for _, it := range gone {
 		c.dequeue(it)
-		p.pressed(now, it.work.Class)
+		p.notePressure(now, it.work.Class)
 		err := c.noServer(now, p)
 		if c.usable(now, p, &it.work) > 0 {
 			err = errkind.New(errkind.DeadlineUnreachable,
-				"no backend server had room within %v and the run takes up to %v",
+				"no backend server had room within %v and a run takes up to %v",
 				now.Sub(it.queued).Round(time.Millisecond), it.slotTime.Round(time.Millisecond)).
 				After(max(c.waitFor(now, p, &it.work), minRetryAfter))
 		}
@@ -182,8 +183,7 @@
 	return out
 }
 
-// NextWake is when Step has to be called again at the latest; zero: not before
-// another input.
+// NextWake returns the latest time for the next call of Step; zero: not before another input.
 func (c *Core) NextWake(now time.Time) time.Time {
 	var next time.Time
 	for _, p := range c.order {
@@ -197,7 +197,7 @@
 	return next
 }
 
-// Cancel withdraws a waiting request; false if it does not wait.
+// Cancel withdraws a waiting request; it returns false if the request does not wait.
 func (c *Core) Cancel(ticket uint64) bool {
 	it := c.queued[ticket]
 	if it == nil {
@@ -207,29 +207,29 @@
 	return true
 }
 
-// FirstToken notes that a granted request got its first token, after d.
+// FirstToken records that a granted request got its first token d after its dispatch.
 func (c *Core) FirstToken(ticket uint64, d time.Duration) {
-	if r := c.runs[ticket]; r != nil {
+	if r := c.attempts[ticket]; r != nil {
 		r.first = d
 		r.server.Computed(ticket)
 	}
 }
 
-// End is how a granted request ended.
+// End is the outcome of a granted request.
 type End struct {
-	// Whole tells that the run came to its end.
+	// Completed reports that the request ran to its end.
 	Whole bool
 	// Output is the number of tokens generated.
 	Output uint64
 }
 
-// Release frees the room of a granted request and learns from the run.
+// Release frees the slot of a granted request and updates the server's measured speed.
 func (c *Core) Release(now time.Time, ticket uint64, end End) {
-	r := c.runs[ticket]
+	r := c.attempts[ticket]
 	if r == nil {
 		return
 	}
-	delete(c.runs, ticket)
+	delete(c.attempts, ticket)
 	r.server.End(now, ticket)
 	if !end.Whole {
 		return
@@ -241,7 +241,7 @@
 		r.server.Measured(r.first, took, end.Output)
 	}
 	p := c.pool(r.work.Target)
-	planned := c.withMargin(c.bareTime(r.server, &r.work))
+	planned := c.withMargin(c.minRunTime(r.server, &r.work))
 	if planned <= 0 {
 		return
 	}
@@ -249,8 +249,8 @@
 	p.usage += usageWeight * (min(max(share, minUsage), 1) - p.usage)
 }
 
-// Waiting is the number of waiting requests.
+// Waiting returns the number of waiting requests.
 func (c *Core) Waiting() int { return len(c.queued) }
 
-// Running is the number of granted requests not yet released.
-func (c *Core) Running() int { return len(c.runs) }
+// Running returns the number of granted requests not yet released.
+func (c *Core) Running() int { return len(c.attempts) }
--- a/internal/sched/core_test.go
+++ b/internal/sched/core_test.go
@@ -32,38 +32,38 @@
 	return New(cfg, reg, rand.New(rand.NewSource(1))), reg
 }
 
-// machine runs one host's core against an oracle that only keeps books: who waits,
-// who runs where, which servers are alive.
+// machine runs one host's core against a simple model that tracks which requests wait, which run
+// where, and which servers are alive.
 type machine struct {
-	core    *Core
-	reg     *backend.Registry
-	now     time.Time
-	ticket  uint64
-	seq     uint64
-	waiting map[uint64]Work
-	running map[uint64]string
-	leaving map[string]bool
-	heard   map[string]time.Time
-	// passed counts grants to more pressing classes while a class waits with room.
-	passed [classes]int
+	core      *Core
+	reg       *backend.Registry
+	now       time.Time
+	ticket    uint64
+	seq       uint64
+	waiting   map[uint64]Work
+	running   map[uint64]string
+	leaving   map[string]bool
+	announced map[string]time.Time
+	// skipped counts grants to higher priority classes while a class waits.
+	skipped [classes]int
 }
 
 const (
-	testServers  = 2
-	testSlots    = 2
-	perAccount   = 2
-	perTarget    = 4
-	starvedBound = batchPassedBound + normalPassedBound
+	testServers = 2
+	testSlots   = 2
+	perAccount  = 2
+	perTarget   = 4
+	maxSkips    = maxBatchSkips + maxNormalSkips
 )
 
 func newMachine() *machine {
 	m := &machine{
 		now: t0, seq: 1, waiting: make(map[uint64]Work), running: make(map[uint64]string),
-		leaving: make(map[string]bool), heard: make(map[string]time.Time),
+		leaving: make(map[string]bool), announced: make(map[string]time.Time),
 	}
 	m.core, m.reg = newCore(Config{Host: "h", QueuePerAccount: perAccount, QueuePerTarget: perTarget}, testServers, testSlots)
 	for i := range testServers {
-		m.heard[fmt.Sprintf("s%d", i)] = t0
+		m.announced[fmt.Sprintf("s%d", i)] = t0
 	}
 	return m
 }
@@ -72,32 +72,32 @@
 	delete(m.waiting, res.Ticket)
 	if res.Err != nil {
 		if errkind.From(res.Err).Ran() != errkind.RanNo {
-			t.Fatalf("refusal of work that did not run says %v", errkind.From(res.Err).Ran())
+			t.Fatalf("refusal of a request that did not run reports ran=%v", errkind.From(res.Err).Ran())
 		}
 		return
 	}
 	addr := res.Grant.State.GetAddress()
-	if m.leaving[addr] || m.now.Sub(m.heard[addr]) >= backend.DefaultLapse {
-		t.Fatalf("granted at %s, which leaves or is not heard of", addr)
+	if m.leaving[addr] || m.now.Sub(m.announced[addr]) >= backend.DefaultLapse {
+		t.Fatalf("granted at %s, which is leaving or has lapsed", addr)
 	}
 	if res.Grant.Finish.After(w.Deadline) {
-		t.Fatalf("granted although it ends at %v, after its deadline %v", res.Grant.Finish, w.Deadline)
+		t.Fatalf("granted with the predicted end %v, after its deadline %v", res.Grant.Finish, w.Deadline)
 	}
 	m.running[res.Ticket] = addr
 	m.count(t, w.Class)
 }
 
-// count keeps book of who was passed over.
+// count tracks how often each waiting class was skipped.
 func (m *machine) count(t *rapid.T, class Class) {
-	m.passed[class] = 0
+	m.skipped[class] = 0
 	for k := class + 1; k < classes; k++ {
 		if !m.waits(k) {
-			m.passed[k] = 0
+			m.skipped[k] = 0
 			continue
 		}
-		m.passed[k]++
-		if m.passed[k] > starvedBound {
-			t.Fatalf("class %d was passed over %d times", k, m.passed[k])
+		m.skipped[k]++
+		if m.skipped[k] > maxSkips {
+			t.Fatalf("class %d was skipped %d times in a row", k, m.skipped[k])
 		}
 	}
 }
@@ -159,7 +159,7 @@
 			st.Running++
 		}
 	}
-	m.heard[addr] = m.now
+	m.announced[addr] = m.now
 	m.reg.Announce(m.now, st)
 	m.step(t)
 }
@@ -168,7 +168,7 @@
 	perServer := make(map[string]int)
 	for _, addr := range m.running {
 		perServer[addr]++
-		if perServer[addr] > testSlots+testSlots/urgentPart {
+		if perServer[addr] > testSlots+testSlots/urgentExtra {
 			t.Fatalf("%s runs %d requests with %d slots", addr, perServer[addr], testSlots)
 		}
 	}
@@ -177,19 +177,18 @@
 		key := fmt.Sprint(w.Account, w.Class)
 		accounts[key]++
 		if accounts[key] > perAccount || len(m.waiting) > perTarget {
-			t.Fatalf("%d wait in all, %d of one account and class", len(m.waiting), accounts[key])
+			t.Fatalf("%d requests wait, %d of one account and class", len(m.waiting), accounts[key])
 		}
 	}
 	if m.core.Waiting() != len(m.waiting) || m.core.Running() != len(m.running) {
-		t.Fatalf("core: %d wait, %d run; books: %d and %d", m.core.Waiting(), m.core.Running(), len(m.waiting), len(m.running))
+		t.Fatalf("core: %d waiting, %d running; model: %d and %d", m.core.Waiting(), m.core.Running(), len(m.waiting), len(m.running))
 	}
 }
 
-// Symptom: a server with more requests than slots, a request held past its deadline,
-// a class that never runs, work at a server that left.
-// Sequence: any order of arrivals, ends, announcements, lapses and leaves.
-// Cause: any fault in queue or choice; the books are kept apart from the core.
-func TestCoreAgainstBooks(t *testing.T) {
+// Checks the core against a model for any order of arrivals, ends, announcements, lapses and leaves.
+// Guards against a server with more requests than allowed, a request held past its deadline, a
+// class that never runs, and requests at a server that left.
+func TestCoreAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
 		t.Repeat(map[string]func(*rapid.T){
@@ -207,7 +206,7 @@
 					m.now = at
 					m.step(t)
 					if again := m.core.NextWake(at); !again.IsZero() && !again.After(at) {
-						t.Fatalf("NextWake stands still at %v", at)
+						t.Fatalf("NextWake returns %v again after Step at that time", at)
 					}
 				}
 				m.now = until
@@ -218,9 +217,8 @@
 	})
 }
 
-// Symptom: batch waits for as long as there is any other work.
-// Sequence: one slot; urgent and normal requests arrive faster than it serves them.
-// Cause: strict priority.
+// Guards against batch requests that wait as long as there is any other work, which strict priority
+// causes when urgent and normal requests arrive faster than the only slot serves them.
 func TestBatchIsNotStarved(t *testing.T) {
 	c, reg := newCore(Config{Host: "h", QueuePerTarget: 1000, QueuePerAccount: 1000}, 1, 1)
 	now, ticket := t0, uint64(0)
@@ -251,14 +249,13 @@
 			}
 		}
 	}
-	if served != 3 || most > starvedBound+1 {
-		t.Errorf("%d of 3 batch requests ran, one after %d grants; the bound is %d", served, most, starvedBound)
+	if served != 3 || most > maxSkips+1 {
+		t.Errorf("%d of 3 batch requests ran, one after %d grants; the bound is %d", served, most, maxSkips)
 	}
 }
 
-// Symptom: one account's burst makes all others wait.
-// Sequence: one account queues 40 requests, then another queues 4 with twice the weight.
-// Cause: a queue in order of arrival.
+// Guards against one account's burst delaying all others, as in a queue in order of arrival: one
+// account queues 40 requests, then another queues 4 with twice the weight.
 func TestAccountsShareByWeight(t *testing.T) {
 	c, _ := newCore(Config{Host: "h"}, 1, 1)
 	ticket := uint64(0)
@@ -292,12 +289,12 @@
 	}
 }
 
-func TestRefusedAtOnceWithTimeToComeBack(t *testing.T) {
+func TestImmediateRefusalCarriesRetryAfter(t *testing.T) {
 	c, _ := newCore(Config{Host: "h"}, 1, 1)
 	w := Work{Ticket: 1, Account: "a", Class: Normal, Target: model, OutputCap: 100, Deadline: t0.Add(time.Second)}
 	res, decided := c.Submit(t0, w)
 	if !decided || !errkind.Is(res.Err, errkind.DeadlineUnreachable) || errkind.From(res.Err).RetryAfter != 0 {
-		t.Errorf("2s of work in 1s: %v, want deadline_unreachable that no wait helps", res.Err)
+		t.Errorf("2s of work in 1s: %v, want deadline_unreachable without Retry-After", res.Err)
 	}
 	for i := range uint64(3) {
 		w.Ticket, w.Deadline = i+2, t0.Add(10*time.Second)
@@ -307,17 +304,16 @@
 	w.Class = Batch
 	res, decided = c.Submit(t0, w)
 	if !decided || !errkind.Is(res.Err, errkind.DeadlineUnreachable) {
-		t.Fatalf("behind 4s of work with 3s left: %v, want a refusal at once", res.Err)
+		t.Fatalf("behind 4s of work with 3s left: %v, want an immediate refusal", res.Err)
 	}
 	after := errkind.From(res.Err).RetryAfter
 	if after < time.Second || after > 10*time.Second {
-		t.Errorf("come back after %v; the work before it takes about 4s", after)
+		t.Errorf("Retry-After %v; the work ahead takes about 4s", after)
 	}
 }
 
-// Symptom: some servers of a big fleet get work from twice as many hosts as others.
-// Sequence: more servers than a host uses, each host uses a part; one host goes.
-// Cause: hosts that choose their part without regard to the others.
+// Guards against servers of a large fleet that get requests from twice as many hosts as others,
+// because hosts choose their subset without regard to the others. One host leaves at the end.
 func TestSubsetsCoverServersEvenly(t *testing.T) {
 	hosts := make([]string, 200)
 	for i := range hosts {
@@ -335,7 +331,7 @@
 	for _, h := range hosts {
 		part := subsetOf(h, hosts, servers, DefaultSubset)
 		if len(part) < DefaultSubset/2 || len(part) > 2*DefaultSubset {
-			t.Errorf("%s uses %d servers, about %d wanted", h, len(part), DefaultSubset)
+			t.Errorf("%s uses %d servers, want about %d", h, len(part), DefaultSubset)
 		}
 		for _, m := range part {
 			count[m.server.Address()]++
@@ -345,7 +341,7 @@
 	}
 	for _, s := range servers {
 		if count[s.Address()] != cover || shares[s.Address()] != 64 {
-			t.Fatalf("%s: %d hosts with %d slots in all, want %d and 64", s.Address(), count[s.Address()], shares[s.Address()], cover)
+			t.Fatalf("%s: %d hosts with %d slots in total, want %d and 64", s.Address(), count[s.Address()], shares[s.Address()], cover)
 		}
 	}
 	moved := 0
@@ -357,6 +353,6 @@
 		}
 	}
 	if lost := len(servers) * cover / len(hosts); moved > 2*lost {
-		t.Errorf("%d pairs are new after one host of %d pairs went", moved, lost)
+		t.Errorf("%d new pairs of host and server after one host with %d pairs left", moved, lost)
 	}
 }
--- a/internal/sched/permits.go
+++ b/internal/sched/permits.go
@@ -8,20 +8,20 @@
 	"github.com/bluebellsail/bluebellsail/internal/ratelimit"
 )
 
-// runOf names the run of a server that is known by its address.
-func runOf(s *backend.Server) instance.Incarnation {
+// incarnationOf returns the incarnation of a server, whose address serves as its id.
+func incarnationOf(s *backend.Server) instance.Incarnation {
 	return instance.Incarnation{ID: s.Address(), Started: s.State().GetIncarnation()}
 }
 
-// permitted tells whether a server's rate limit lets it have a request now. If not, it notes what
-// to ask for, or when.
+// permitted reports whether the rate limit of a server allows a request now. If not, it records the
+// permit to request, or when one may be available.
 func (c *Core) permitted(now time.Time, s *backend.Server) bool {
 	if c.cfg.Permits == nil {
 		return true
 	}
-	switch state, wait := c.cfg.Permits.Check(now, runOf(s)); state {
+	switch state, wait := c.cfg.Permits.Check(now, incarnationOf(s)); state {
 	case ratelimit.AskFirst:
-		c.wanted[runOf(s)] = true
+		c.permitRequests[incarnationOf(s)] = true
 		return false
 	case ratelimit.Exhausted:
 		if due := now.Add(wait); c.permitDue.IsZero() || due.Before(c.permitDue) {
@@ -34,23 +34,23 @@
 
 func (c *Core) usePermit(now time.Time, s *backend.Server) {
 	if c.cfg.Permits != nil {
-		c.cfg.Permits.Use(now, runOf(s))
+		c.cfg.Permits.Use(now, incarnationOf(s))
 	}
 }
 
-// TakeWanted returns the servers for which permits have to be asked for. Step has to be called
-// once the answer is there.
+// TakePermitRequests returns the servers for which permits have to be requested. The caller calls
+// Step once they are answered.
 func (c *Core) TakeWanted() []instance.Incarnation {
 	var out []instance.Incarnation
-	for run := range c.wanted {
-		out = append(out, run)
-		delete(c.wanted, run)
+	for inc := range c.permitRequests {
+		out = append(out, inc)
+		delete(c.permitRequests, inc)
 	}
 	return out
 }
 
-// permitWait predicts how long w waits for a permit behind those that wait already. It is zero
-// while any server names no limit. This host counts on its even part of each limit only.
+// permitWait predicts how long w waits for a permit behind the requests that already wait. It is
+// zero if any eligible server is not rate limited. This host counts on its even part of each limit.
 func (c *Core) permitWait(now time.Time, p *pool, w *Work) time.Duration {
 	if c.cfg.Permits == nil {
 		return 0
@@ -61,7 +61,7 @@
 		if !c.eligible(now, m.server, w) {
 			continue
 		}
-		limit, limited := c.cfg.Permits.Limit(runOf(m.server))
+		limit, limited := c.cfg.Permits.Limit(incarnationOf(m.server))
 		if !limited {
 			return 0
 		}
--- a/internal/sched/pool.go
+++ b/internal/sched/pool.go
@@ -6,50 +6,50 @@
 	"github.com/bluebellsail/bluebellsail/internal/backend"
 )
 
-// Bounds against starvation: a class with waiting requests that could run is
-// passed over by at most this many grants in a row to more pressing classes.
+// Bounds against starvation: a class with waiting requests that could run is skipped for at most
+// this many grants in a row to higher priority classes.
 const (
-	normalPassedBound = 4
-	batchPassedBound  = 64
+	maxNormalSkips = 4
+	maxBatchSkips  = 64
 )
 
-// urgentPart: urgent may go beyond a server's slots by 1 in so many. The server puts
-// it first for the next slot, which on a big server comes soon; other hosts' slots
-// are out of this host's reach otherwise.
-const urgentPart = 16
+// urgentExtra is the fraction (1/urgentExtra) of its slots by which urgent requests may exceed a
+// server's slots. The server gives them its next free slot, which on a large server comes soon;
+// this host has no other way to use the slots that other hosts hold.
+const urgentExtra = 16
 
-// batchPart: batch leaves 1 slot in so many of each server free, so that an urgent
-// request never finds all slots held by long jobs.
-const batchPart = 16
+// batchReserve is the fraction (1/batchReserve) of a server's slots that batch requests leave free,
+// so that an urgent request never finds all slots held by long requests.
+const batchReserve = 16
 
-// Under pressure, for pressureTime after a more pressing request was refused for
-// want of room, batch leaves 1 slot in pressedPart free: hosts whose own queues are
-// short would else fill with long jobs what other hosts refuse short ones for.
+// For pressureTime after a higher priority request was refused for want of room, batch requests
+// leave the fraction 1/pressureReserve of a server's slots free. Otherwise hosts with short queues
+// would fill, with long requests, the slots for which other hosts refuse short ones.
 const (
-	pressedPart  = 4
-	pressureTime = 15 * time.Second
+	pressureReserve = 4
+	pressureTime    = 15 * time.Second
 )
 
 // pool is the scheduling state of one target.
 type pool struct {
 	target  backend.Target
 	classes [classes]classQueue
-	// passed counts the grants to more pressing classes since this class's last.
-	passed  [classes]int
+	// skipped counts, per class, the grants to higher priority classes since its last own grant.
+	skipped [classes]int
 	waiting int
 	// members is this host's subset of the target's servers.
 	members []member
 	changes uint64
 	stale   bool
-	// usage is the measured share of the planned slot time that runs really take.
+	// usage is the measured share of the planned slot time that requests actually take.
 	usage float64
-	// nextExpiry is the earliest latest start of the waiting requests.
+	// nextExpiry is the earliest of the waiting requests' latest start times.
 	nextExpiry time.Time
-	// pressedUntil is when the pressure by refused requests ends.
-	pressedUntil time.Time
+	// pressureUntil is the end of the pressure caused by the last refusal for want of room.
+	pressureUntil time.Time
 }
 
-// slotUsage bounds and weight of the measured share.
+// Initial value, lower bound and averaging weight of pool.usage.
 const (
 	initialUsage = 1.0
 	minUsage     = 0.1
@@ -71,48 +71,47 @@
 	return p
 }
 
-// classOrder is the order in which classes are offered room: a class that reached
-// its bound first, then by priority.
+// classOrder returns the order in which classes are offered room: a class that has reached its
+// starvation bound first, then by priority.
 func (p *pool) classOrder() [classes]Class {
 	order := [classes]Class{Urgent, Normal, Batch}
 	switch {
-	case p.classes[Batch].waiting > 0 && p.passed[Batch] >= batchPassedBound:
+	case p.classes[Batch].waiting > 0 && p.skipped[Batch] >= maxBatchSkips:
 		order = [classes]Class{Batch, Urgent, Normal}
-	case p.classes[Normal].waiting > 0 && p.passed[Normal] >= normalPassedBound:
+	case p.classes[Normal].waiting > 0 && p.skipped[Normal] >= maxNormalSkips:
 		order = [classes]Class{Normal, Urgent, Batch}
 	}
 	return order
 }
 
-// granted counts a grant against the less pressing classes that wait.
+// granted counts a grant against the lower priority classes that wait.
 func (p *pool) granted(class Class) {
-	p.passed[class] = 0
+	p.skipped[class] = 0
 	for k := class + 1; k < classes; k++ {
 		if p.classes[k].waiting > 0 {
-			p.passed[k]++
+			p.skipped[k]++
 		}
 	}
 }
 
-// room is how many requests of a class a server with slots may hold in all.
-// A server with few slots keeps none free: there the bound by passed grants and
-// short queues must do.
+// room returns how many requests of a class a server may hold in total. On a server with few slots
+// the reserves round down to zero; there only the starvation bounds and short queues help.
 func (p *pool) room(now time.Time, slots int, class Class) int {
 	if class == Urgent {
-		return slots + slots/urgentPart
+		return slots + slots/urgentExtra
 	}
 	if class == Normal {
 		return slots
 	}
-	if now.Before(p.pressedUntil) {
-		return slots - slots/pressedPart
+	if now.Before(p.pressureUntil) {
+		return slots - slots/pressureReserve
 	}
-	return slots - slots/batchPart
+	return slots - slots/batchReserve
 }
 
-// pressed notes that a request of the class was refused for want of room.
-func (p *pool) pressed(now time.Time, class Class) {
+// notePressure records that a request of the class was refused for want of room.
+func (p *pool) notePressure(now time.Time, class Class) {
 	if class < Batch {
-		p.pressedUntil = now.Add(pressureTime)
+		p.pressureUntil = now.Add(pressureTime)
 	}
 }
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -9,7 +9,7 @@
 type item struct {
 	work   Work
 	queued time.Time
-	// slotTime is how long it is expected to hold a slot.
+	// slotTime is the expected time for which it holds a slot.
 	slotTime time.Duration
 	// latest is the last time at which it can start and still meet its deadline.
 	latest time.Time
@@ -57,9 +57,9 @@
 	return it
 }
 
-// classQueue shares a class between accounts by start-time fair queueing: the
-// backlogged account with the least virtual time goes next, and each grant moves
-// its virtual time on by slot time / weight.
+// classQueue shares a class between accounts by start-time fair queueing: the backlogged account
+// with the least virtual time goes next, and each grant advances its virtual time by
+// slot time / weight.
 type classQueue struct {
 	accounts map[string]*accountQueue
 	// active are the accounts with waiting requests.
@@ -95,7 +95,7 @@
 	q.waiting++
 }
 
-// remove takes it out without charging the account.
+// remove removes a request without charging its account.
 func (q *classQueue) remove(it *item) {
 	a := it.queue
 	heap.Remove(a, it.pos)
@@ -114,7 +114,7 @@
 	q.forgetIdle()
 }
 
-// charge moves the account's virtual time on for a granted request.
+// charge advances the account's virtual time for a granted request.
 func (q *classQueue) charge(it *item) {
 	a := q.account(it.work.Account, it.work.Weight)
 	start := max(a.virtual, q.virtual)
@@ -122,7 +122,7 @@
 	a.virtual = start + it.slotTime.Seconds()/a.weight
 }
 
-// maxIdleAccounts bounds the accounts remembered with no waiting request.
+// maxIdleAccounts bounds the accounts that are kept without a waiting request.
 const maxIdleAccounts = 4096
 
 func (q *classQueue) forgetIdle() {
@@ -136,8 +136,8 @@
 	}
 }
 
-// inOrder calls try with the head of each backlogged account, least virtual time
-// first, until try says stop.
+// inOrder calls try with the first request of each backlogged account, in order of virtual time,
+// until try returns true.
 func (q *classQueue) inOrder(try func(*item) (stop bool)) {
 	tried := 0
 	after := -1.0
@@ -166,8 +166,8 @@
 	}
 }
 
-// ahead is the slot time that is granted before a new request of the account, by
-// weighted fairness: each other account gets as much per weight as this one.
+// ahead returns the slot time that is granted before a new request of the account. By weighted
+// fairness, each other account gets as much slot time per weight as this one.
 func (q *classQueue) ahead(account string, weight int, deadline time.Time) time.Duration {
 	own := time.Duration(0)
 	virtual := q.virtual
@@ -186,7 +186,7 @@
 			continue
 		}
 		share := time.Duration(max(finish-a.virtual, 0) * a.weight * float64(time.Second))
-		// The request at its head goes first too if its turn comes before.
+		// Its first request also goes before if its virtual time is not later.
 		if a.virtual <= finish {
 			share += a.items[0].slotTime
 		}
--- a/internal/sched/subset.go
+++ b/internal/sched/subset.go
@@ -11,13 +11,13 @@
 // member is a server of this host's subset of a target.
 type member struct {
 	server *backend.Server
-	// cover is the number of hosts that use the server, place this host's among them.
-	cover, place int
-	// hash of the server's address.
+	// cover is the number of hosts that use the server, position this host's position among them.
+	cover, position int
+	// hash is the hash of the server's address.
 	hash uint64
 }
 
-// rank is the rendezvous hash of a host for a server.
+// rank returns the rendezvous hash of a host for a server.
 func rank(serverHash, hostHash uint64) uint64 {
 	x := serverHash ^ (hostHash * 0x9e3779b97f4a7c15)
 	x ^= x >> 32
@@ -28,7 +28,7 @@
 	return x
 }
 
-// coverage is how many hosts use each server of a target, so that a host uses
+// coverage returns the number of hosts that use each server of a target, such that a host uses
 // about subset servers. Each server is covered by exactly that many hosts.
 func coverage(hosts, servers, subset int) int {
 	if servers <= subset {
@@ -37,10 +37,9 @@
 	return min(hosts, (hosts*subset+servers-1)/servers)
 }
 
-// subsetOf picks the servers that host uses: those for which host is among the
-// first covered hosts by rendezvous hash. The servers rank the hosts, not the
-// other way round: so each server has the same number of hosts, and a change of
-// one host or server moves only its own share.
+// subsetOf returns the servers that host uses: those for which it is among the first cover hosts
+// by rendezvous hash. The servers rank the hosts and not the reverse, so that each server has the
+// same number of hosts, and a change of one host or server moves only its own share.
 func subsetOf(host string, hosts []string, servers []*backend.Server, subset int) []member {
 	cover := coverage(len(hosts), len(servers), subset)
 	hashes := make([]uint64, len(hosts))
@@ -51,40 +50,40 @@
 	out := make([]member, 0, min(len(servers), 2*subset))
 	for _, s := range servers {
 		hash := hashOf(s.Address())
-		place := placeOf(self, hashes, hash)
-		if place >= cover {
+		position := positionOf(self, hashes, hash)
+		if position >= cover {
 			continue
 		}
-		out = append(out, member{server: s, cover: cover, place: place, hash: hash})
+		out = append(out, member{server: s, cover: cover, position: position, hash: hash})
 	}
 	return out
 }
 
-// placeOf is the number of hosts that rank before self for a server.
-func placeOf(self uint64, hosts []uint64, server uint64) int {
+// positionOf returns the number of hosts that rank before self for a server.
+func positionOf(self uint64, hosts []uint64, server uint64) int {
 	own := rank(server, self)
-	place := 0
+	position := 0
 	for _, h := range hosts {
 		if h != self && rank(server, h) > own {
-			place++
+			position++
 		}
 	}
-	return place
+	return position
 }
 
-// share is how much of the server's room is this host's own.
-func (m *member) share(room int) int { return shareOf(room, m.cover, m.place) }
+// share returns this host's own share of the server's room.
+func (m *member) share(room int) int { return shareOf(room, m.cover, m.position) }
 
-// shareOf splits slots among cover hosts; the remainder goes to the first places.
-func shareOf(slots, cover, place int) int {
+// shareOf splits slots among cover hosts; the remainder goes to the first positions.
+func shareOf(slots, cover, position int) int {
 	share := slots / cover
-	if place < slots%cover {
+	if position < slots%cover {
 		share++
 	}
 	return share
 }
 
-// SetHosts sets the hosts that share the servers, this one included.
+// SetHosts sets the hosts that share the servers. This host is always included.
 func (c *Core) SetHosts(hosts []string) {
 	hosts = slices.Clone(hosts)
 	if !slices.Contains(hosts, c.cfg.Host) {
--- a/internal/sched/work.go
+++ b/internal/sched/work.go
@@ -1,7 +1,7 @@
-// Package sched decides which request runs where and when: it admits a request
-// only if its predicted finish lies before its deadline, queues it fairly, and
-// chooses a backend server. It is pure: time and random source are passed in and
-// the caller serialises the calls.
+// Package sched decides which request runs where and when. It admits a request only if its
+// predicted finish lies before its deadline, queues it fairly, and chooses a backend server.
+// The package is pure: time and the random source are passed in, and the caller serializes the
+// calls.
 package sched
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Class is a priority class; a smaller one is more pressing.
+// Class is a priority class; smaller values have higher priority.
 type Class int
 
-// The classes.
+// Priority classes.
 const (
 	Urgent Class = iota
 	Normal
@@ -39,9 +39,9 @@
 	}
 }
 
-// Work is a request as far as scheduling needs to know it.
+// Work describes a request for scheduling.
 type Work struct {
-	// Ticket names the request in this host's core; never used twice.
+	// Ticket identifies the request in this host's core; it is never reused.
 	Ticket       uint64
 	Account      string
 	Weight       int
@@ -52,20 +52,20 @@
 	OutputCap    uint64
 	PromptHashes []uint64
 	Deadline     time.Time
-	// Exclude lists servers that failed this request already.
+	// Exclude lists the addresses of servers that already failed this request.
 	Exclude []string
-	// Prefer is the server that holds the request's stream or KV cache.
+	// Prefer is the address of the server that holds the request's stream or KV cache.
 	Prefer string
 }
 
-// Grant is room for one request at a server, whose announcement is State.
+// Grant is the assignment of one request to a server, whose announcement is State.
 type Grant struct {
 	State *pb.ServerState
-	// Finish is the predicted end.
+	// Finish is the predicted end of the request.
 	Finish time.Time
-	// Waited is the time in the queue.
+	// Waited is the time that the request waited in the queue.
 	Waited time.Duration
-	// Cached is the share of the prompt expected in the server's cache.
+	// Cached is the share of the prompt that the server is expected to have cached.
 	Cached float64
 	// Load is the corrected load of the server before this request.
 	Load int
@@ -80,50 +80,51 @@
 	Err    error
 }
 
-// Config of a Core; zero fields get the defaults.
+// Config configures a Core; zero fields get the defaults.
 type Config struct {
-	// Host is this host's name, Zone its availability zone.
+	// Host is the name of this host, Zone its availability zone.
 	Host string
 	Zone string
-	// ZoneDelay is the one-way time to another availability zone; default 1.5 ms.
+	// ZoneDelay is the one-way latency to another availability zone; default 1.5 ms.
 	ZoneDelay time.Duration
 	// Subset is the number of servers per target that a host uses on average in a
-	// big fleet; default 64.
+	// large fleet; default 64.
 	Subset int
-	// Samples is the number of servers compared per choice, besides those where the
-	// prompt's prefix belongs; default 4.
+	// Samples is the number of servers compared per choice, besides the preferred servers of
+	// the prompt's prefix; default 4.
 	Samples int
 	// QueuePerAccount bounds the waiting requests per target, class and account; default 64.
 	QueuePerAccount int
 	// QueuePerTarget bounds the waiting requests per target; default 512.
 	QueuePerTarget int
-	// Margin is the share of a predicted run kept back before the deadline; default 0.05.
+	// Margin is the safety margin before the deadline, as a share of the predicted run time;
+	// default 0.05.
 	Margin float64
-	// FreshLoad is the age up to which a load report lets this host use room beyond
-	// its own share of a server; default 2 s.
+	// MaxLoadAge is the age up to which a load report allows this host to use room beyond its
+	// own share of a server; default 2 s.
 	FreshLoad time.Duration
-	// Ahead is how much work beyond its slots a server is given, in time, if its runs
-	// are shorter than that: so that a slot that ends between two load reports finds
-	// its next request. Slots of longer runs stand idle for a small part of a run only.
-	// Default 500 ms.
+	// QueueAhead is the time for which a server with short requests is given work beyond its
+	// slots, so that a slot that becomes free between two load reports has a next request. With
+	// longer requests a free slot stays idle for a small part of a run only, and nothing is
+	// queued ahead. Default 500 ms.
 	Ahead time.Duration
-	// Parts switches parts of the policy off, for measuring what each is worth.
+	// Ablation disables parts of the policy, to measure what each contributes.
 	Parts Parts
-	// Permits for servers that limit their rate; nil: no server does.
+	// Permits grants the permits for rate-limited servers; nil: no server is rate limited.
 	Permits ratelimit.Permits
 }
 
-// Parts of the choice that can be switched off. The zero value is the whole policy.
+// Ablation lists the parts of the policy that can be disabled. The zero value is the whole policy.
 type Parts struct {
-	// NoCorrection compares load as reported, uncorrected.
+	// NoCorrection uses the load as reported, without correction.
 	NoCorrection bool
-	// NoPrefix ignores prefix cache knowledge.
+	// NoPrefix ignores which prompt prefixes servers have cached.
 	NoPrefix bool
 	// NoDistance ignores availability zones.
 	NoDistance bool
 }
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultZoneDelay       = 1500 * time.Microsecond
 	DefaultSubset          = 64
@@ -154,36 +155,36 @@
 	rng   *rand.Rand
 	hosts []string
 	pools map[backend.Target]*pool
-	// order has the pools in the order in which they were made: Step must not depend
-	// on the order of a map.
-	order  []*pool
-	queued map[uint64]*item
-	runs   map[uint64]*run
-	// wanted are servers for which permits have to be asked for, permitDue the first time at
-	// which one that had none may have some.
-	wanted    map[instance.Incarnation]bool
-	permitDue time.Time
+	// order lists the pools in the order of their creation: Step must not depend on the
+	// iteration order of a map.
+	order    []*pool
+	queued   map[uint64]*item
+	attempts map[uint64]*attempt
+	// permitRequests holds the servers for which permits have to be requested, permitDue the
+	// earliest time at which a server whose permits are exhausted may have some again.
+	permitRequests map[instance.Incarnation]bool
+	permitDue      time.Time
 }
 
-// run is a request of this host at a server.
-type run struct {
+// attempt is a request of this host at a server.
+type attempt struct {
 	work    Work
 	server  *backend.Server
 	started time.Time
 	first   time.Duration
 }
 
-// New makes a core that chooses among the servers of reg. rng is the only source
-// of randomness.
+// New returns a core that chooses among the servers of reg. rng is the only source of
+// randomness.
 func New(cfg Config, reg *backend.Registry, rng *rand.Rand) *Core {
 	return &Core{
-		cfg:    cfg.withDefaults(),
-		reg:    reg,
-		rng:    rng,
-		hosts:  []string{cfg.Host},
-		pools:  make(map[backend.Target]*pool),
-		queued: make(map[uint64]*item),
-		runs:   make(map[uint64]*run),
-		wanted: make(map[instance.Incarnation]bool),
+		cfg:            cfg.withDefaults(),
+		reg:            reg,
+		rng:            rng,
+		hosts:          []string{cfg.Host},
+		pools:          make(map[backend.Target]*pool),
+		queued:         make(map[uint64]*item),
+		attempts:       make(map[uint64]*attempt),
+		permitRequests: make(map[instance.Incarnation]bool),
 	}
 }
