--- a/internal/controller/scheduler/limits.go
+++ b/internal/controller/scheduler/limits.go
@@ -57,7 +57,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	began = s.core.CoolDown(now, address, d)
+	began = s.core.StartCooldown(now, address, d)
 	s.step(now)
 	return began
 }
--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -115,7 +115,7 @@
 // StartCooldown starts a cooldown: the server at an address gets no request from this host for d.
 // It returns whether the server was not cooling down before. The next Step decides on waiting
 // requests that no other server can run.
-func (c *Core) CoolDown(now time.Time, address string, d time.Duration) (began bool) {
+func (c *Core) StartCooldown(now time.Time, address string, d time.Duration) (began bool) {
 	s, known := c.reg.Server(address)
 	if !known {
 		return false
