--- a/internal/controller/scheduler/limits.go
+++ b/internal/controller/scheduler/limits.go
@@ -15,7 +15,7 @@
 // askPermits asks for the permits that waiting requests need, and decides again once they are
 // there or refused; mu is held.
 func (s *Scheduler) askPermits() {
-	for _, run := range s.core.TakeWanted() {
+	for _, run := range s.core.TakePermitRequests() {
 		go func() {
 			defer panics.Log(s.log, "asking for permits")
 			s.limits.Ask(context.Background(), run)
--- a/internal/sched/permits.go
+++ b/internal/sched/permits.go
@@ -40,7 +40,7 @@
 
 // TakePermitRequests returns the servers for which permits have to be requested. The caller calls
 // Step once they are answered.
-func (c *Core) TakeWanted() []instance.Incarnation {
+func (c *Core) TakePermitRequests() []instance.Incarnation {
 	var out []instance.Incarnation
 	for inc := range c.permitRequests {
 		out = append(out, inc)
