--- a/internal/controller/scheduler/lease.go
+++ b/internal/controller/scheduler/lease.go
@@ -45,7 +45,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.core.Release(now, ticket, sched.End{Whole: o.OK, Output: o.Usage.Output})
+	s.core.Release(now, ticket, sched.End{Completed: o.OK, Output: o.Usage.Output})
 	s.metrics.ended(o)
 	if o.Silent {
 		s.process.SilentConnections.Add(1)
--- a/internal/measure/routing/ours.go
+++ b/internal/measure/routing/ours.go
@@ -73,7 +73,7 @@
 }
 
 func (o *ours) ended(now time.Duration, j *job, whole bool) {
-	o.cores[j.host].Release(wall(now), j.ticket, sched.End{Whole: whole, Output: uint64(j.made)})
+	o.cores[j.host].Release(wall(now), j.ticket, sched.End{Completed: whole, Output: uint64(j.made)})
 }
 
 func (o *ours) first(now time.Duration, j *job) {
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -218,7 +218,7 @@
 // End is the outcome of a granted request.
 type End struct {
 	// Completed reports that the request ran to its end.
-	Whole bool
+	Completed bool
 	// Output is the number of tokens generated.
 	Output uint64
 }
@@ -231,7 +231,7 @@
 	}
 	delete(c.attempts, ticket)
 	r.server.End(now, ticket)
-	if !end.Whole {
+	if !end.Completed {
 		return
 	}
 	took := now.Sub(r.started)
--- a/internal/sched/core_test.go
+++ b/internal/sched/core_test.go
@@ -141,7 +141,7 @@
 	for ticket := range m.ticket + 1 {
 		if _, ok := m.running[ticket]; ok {
 			delete(m.running, ticket)
-			m.core.Release(m.now, ticket, End{Whole: rapid.Bool().Draw(t, "whole"), Output: 5})
+			m.core.Release(m.now, ticket, End{Completed: rapid.Bool().Draw(t, "whole"), Output: 5})
 			m.step(t)
 			return
 		}
