--- a/internal/measure/routing/table.go
+++ b/internal/measure/routing/table.go
@@ -20,17 +20,17 @@
 // oracleName marks the row that others are compared with.
 const oracleName = "oracle"
 
-func withParts(p sched.Parts) func(*sim, int64) router {
+func withParts(p sched.Ablation) func(*sim, int64) router {
 	return func(m *sim, seed int64) router { return newOurs(m, seed, sched.Config{Parts: p}) }
 }
 
 var policies = []policy{
 	{"round robin", roundRobin},
 	{"least reported", leastReported},
-	{"+admission, queues", withParts(sched.Parts{NoCorrection: true, NoPrefix: true, NoDistance: true})},
-	{"+corrected load", withParts(sched.Parts{NoPrefix: true, NoDistance: true})},
-	{"+zone distance", withParts(sched.Parts{NoPrefix: true})},
-	{"+prefix cache = ours", withParts(sched.Parts{})},
+	{"+admission, queues", withParts(sched.Ablation{NoCorrection: true, NoPrefix: true, NoDistance: true})},
+	{"+corrected load", withParts(sched.Ablation{NoPrefix: true, NoDistance: true})},
+	{"+zone distance", withParts(sched.Ablation{NoPrefix: true})},
+	{"+prefix cache = ours", withParts(sched.Ablation{})},
 	{oracleName, newOracle},
 }
 
--- a/internal/sched/work.go
+++ b/internal/sched/work.go
@@ -109,13 +109,13 @@
 	// queued ahead. Default 500 ms.
 	Ahead time.Duration
 	// Ablation disables parts of the policy, to measure what each contributes.
-	Parts Parts
+	Parts Ablation
 	// Permits grants the permits for rate-limited servers; nil: no server is rate limited.
 	Permits ratelimit.Permits
 }
 
 // Ablation lists the parts of the policy that can be disabled. The zero value is the whole policy.
-type Parts struct {
+type Ablation struct {
 	// NoCorrection uses the load as reported, without correction.
 	NoCorrection bool
 	// NoPrefix ignores which prompt prefixes servers have cached.
