--- a/internal/measure/routing/table.go
+++ b/internal/measure/routing/table.go
@@ -21,7 +21,7 @@
 const oracleName = "oracle"
 
 func withParts(p sched.Ablation) func(*sim, int64) router {
-	return func(m *sim, seed int64) router { return newOurs(m, seed, sched.Config{Parts: p}) }
+	return func(m *sim, seed int64) router { return newOurs(m, seed, sched.Config{Ablation: p}) }
 }
 
 var policies = []policy{
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -72,7 +72,7 @@
 // Without it, all hosts see the same three free slots in one report, each sends a request, and
 // most of these wait seconds for a slot.
 func (c *Core) hasTurn(m member, limit int) bool {
-	if c.cfg.Parts.NoCorrection {
+	if c.cfg.Ablation.NoCorrection {
 		return true
 	}
 	s := m.server
@@ -83,7 +83,7 @@
 
 // loadOf returns the load by which servers are compared.
 func (c *Core) loadOf(s *backend.Server) int {
-	if c.cfg.Parts.NoCorrection {
+	if c.cfg.Ablation.NoCorrection {
 		return s.Reported()
 	}
 	return s.Corrected()
@@ -91,7 +91,7 @@
 
 // cachedShare returns the share of w's prompt that s is expected to have cached.
 func (c *Core) cachedShare(s *backend.Server, w *Work) float64 {
-	if c.cfg.Parts.NoPrefix {
+	if c.cfg.Ablation.NoPrefix {
 		return 0
 	}
 	return s.CachedShare(w.PromptHashes)
@@ -144,7 +144,7 @@
 
 // roundTrip returns the network round trip to s.
 func (c *Core) roundTrip(s *backend.Server) time.Duration {
-	if c.cfg.Parts.NoDistance || s.State().GetZone() == c.cfg.Zone {
+	if c.cfg.Ablation.NoDistance || s.State().GetZone() == c.cfg.Zone {
 		return 0
 	}
 	return 2 * c.cfg.ZoneDelay
@@ -193,7 +193,7 @@
 			return best, 1
 		}
 	}
-	for _, i := range p.preferredOf(w, c.cfg.Parts.NoPrefix) {
+	for _, i := range p.preferredOf(w, c.cfg.Ablation.NoPrefix) {
 		if c.consider(now, p, p.members[i], w, useReserved, true, &best) {
 			considered++
 		}
--- a/internal/sched/work.go
+++ b/internal/sched/work.go
@@ -109,7 +109,7 @@
 	// queued ahead. Default 500 ms.
 	Ahead time.Duration
 	// Ablation disables parts of the policy, to measure what each contributes.
-	Parts Ablation
+	Ablation Ablation
 	// Permits grants the permits for rate-limited servers; nil: no server is rate limited.
 	Permits ratelimit.Permits
 }
