--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -38,7 +38,7 @@
 	own := s.Own()
 	depth := c.depth(m)
 	share := m.share(s.Slots() + depth)
-	if s.LoadAge(now) > c.cfg.FreshLoad {
+	if s.LoadAge(now) > c.cfg.MaxLoadAge {
 		// The dispatches of other hosts are not known: only the host's own share is safe.
 		return own < share
 	}
@@ -123,7 +123,7 @@
 // keep to their own shares, so there is no wait; the estimated load would be too high then,
 // because the ends of other hosts' requests are not known.
 func (c *Core) slotWait(now time.Time, s *backend.Server) time.Duration {
-	if s.LoadAge(now) > c.cfg.FreshLoad {
+	if s.LoadAge(now) > c.cfg.MaxLoadAge {
 		return 0
 	}
 	over := c.loadOf(s) - s.Slots() + 1
--- a/internal/sched/work.go
+++ b/internal/sched/work.go
@@ -102,7 +102,7 @@
 	Margin float64
 	// MaxLoadAge is the age up to which a load report allows this host to use room beyond its
 	// own share of a server; default 2 s.
-	FreshLoad time.Duration
+	MaxLoadAge time.Duration
 	// QueueAhead is the time for which a server with short requests is given work beyond its
 	// slots, so that a slot that becomes free between two load reports has a next request. With
 	// longer requests a free slot stays idle for a small part of a run only, and nothing is
@@ -143,7 +143,7 @@
 	defaults.Set(&c.QueuePerAccount, DefaultQueuePerAccount)
 	defaults.Set(&c.QueuePerTarget, DefaultQueuePerTarget)
 	defaults.Set(&c.Margin, DefaultMargin)
-	defaults.Set(&c.FreshLoad, DefaultFreshLoad)
+	defaults.Set(&c.MaxLoadAge, DefaultFreshLoad)
 	defaults.Set(&c.Ahead, DefaultAhead)
 	return c
 }
