--- a/internal/sched/work.go
+++ b/internal/sched/work.go
@@ -132,7 +132,7 @@
 	DefaultQueuePerAccount = 64
 	DefaultQueuePerTarget  = 512
 	DefaultMargin          = 0.05
-	DefaultFreshLoad       = 2 * time.Second
+	DefaultMaxLoadAge       = 2 * time.Second
 	DefaultAhead           = 500 * time.Millisecond
 )
 
@@ -143,7 +143,7 @@
 	defaults.Set(&c.QueuePerAccount, DefaultQueuePerAccount)
 	defaults.Set(&c.QueuePerTarget, DefaultQueuePerTarget)
 	defaults.Set(&c.Margin, DefaultMargin)
-	defaults.Set(&c.MaxLoadAge, DefaultFreshLoad)
+	defaults.Set(&c.MaxLoadAge, DefaultMaxLoadAge)
 	defaults.Set(&c.Ahead, DefaultAhead)
 	return c
 }
