--- a/internal/sched/work.go
+++ b/internal/sched/work.go
@@ -107,7 +107,7 @@
 	// slots, so that a slot that becomes free between two load reports has a next request. With
 	// longer requests a free slot stays idle for a small part of a run only, and nothing is
 	// queued ahead. Default 500 ms.
-	Ahead time.Duration
+	QueueAhead time.Duration
 	// Ablation disables parts of the policy, to measure what each contributes.
 	Ablation Ablation
 	// Permits grants the permits for rate-limited servers; nil: no server is rate limited.
@@ -144,7 +144,7 @@
 	defaults.Set(&c.QueuePerTarget, DefaultQueuePerTarget)
 	defaults.Set(&c.Margin, DefaultMargin)
 	defaults.Set(&c.MaxLoadAge, DefaultMaxLoadAge)
-	defaults.Set(&c.Ahead, DefaultAhead)
+	defaults.Set(&c.QueueAhead, DefaultAhead)
 	return c
 }
 
