--- a/internal/sched/work.go
+++ b/internal/sched/work.go
@@ -133,7 +133,7 @@
 	DefaultQueuePerTarget  = 512
 	DefaultMargin          = 0.05
 	DefaultMaxLoadAge       = 2 * time.Second
-	DefaultAhead           = 500 * time.Millisecond
+	DefaultQueueAhead           = 500 * time.Millisecond
 )
 
 func (c Config) withDefaults() Config {
@@ -144,7 +144,7 @@
 	defaults.Set(&c.QueuePerTarget, DefaultQueuePerTarget)
 	defaults.Set(&c.Margin, DefaultMargin)
 	defaults.Set(&c.MaxLoadAge, DefaultMaxLoadAge)
-	defaults.Set(&c.QueueAhead, DefaultAhead)
+	defaults.Set(&c.QueueAhead, DefaultQueueAhead)
 	return c
 }
 
