--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -1,18 +1,20 @@
-// Package ratelimit holds the rate limits that backend servers name for themselves. A server in
-// need says how many requests a second it takes from all hosts together. It is pure: time is
-// passed in, and the caller serialises the calls.
+// Package ratelimit enforces the rate limits that backend servers advertise. An overloaded server
+// advertises how many requests a second it accepts from all hosts together. The package is pure:
+// time is passed in, and the caller serializes the calls.
 //
-// No host can hold a sum by what it sends itself, so requests to a limited server need permits,
-// and one host, the owner of the server's limit, issues them from a token bucket. A permit is
-// for one request and lapses after PermitLifetime, so none outlives its owner for long.
+// A host that counts only its own requests cannot enforce a limit on the sum over all hosts.
+// Requests to a limited server therefore need permits, and one host, the owner of the server's
+// limit, issues them from a token bucket. A permit covers one request and expires after
+// PermitLifetime, so that none outlives its owner for long.
 //
-// What must hold: in no span of 4 s a server gets more than one and a half times what its limit
-// allows, and 5 requests. A bucket adds rate x (4 s + PermitLifetime) + burst at most. Two hosts
-// may take themselves for the owner, or the owner's place may be taken while it lives:
+// Invariant: in any span of 4 s a server gets at most 1.5 times what its limit allows, plus 5
+// requests. One bucket issues at most rate x (4 s + PermitLifetime) + burst. Two hosts may act as
+// the owner at the same time, or another host may become the owner while the former one is alive:
 //
-//   - The second in rank issues standInPart of the limit while nobody doubts the first one.
-//   - An owner that doubts a part of the hosts issues reachMargin times the rest of the
-//     limit: owners on the sides of a partition share it.
-//   - A host that may issue more than before, since it has become the owner or sees more hosts,
-//     does so after takeoverTime: the owner before it may not have heard of it.
+//   - The backup owner, second in rank, issues backupShare of the limit while the first in rank
+//     is not suspected.
+//   - An owner that suspects some of the hosts issues reachMargin times the share of the hosts
+//     that it reaches, so that the owners on the sides of a partition share the limit.
+//   - A host that may issue more than before, because it has become the owner or reaches more
+//     hosts, does so after ownerChangeTime: the former owner may not know of the change yet.
 package ratelimit
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -14,15 +14,15 @@
 const (
 	// step is the resolution of the model's time.
 	step = 10 * time.Millisecond
-	// detection is how long hosts take to find that another one is gone or back.
+	// detection is the longest time until hosts detect that another one stopped or is back.
 	detection = 2500 * time.Millisecond
-	// passedOver is how long a host that gave no answer is not asked.
-	passedOver = 500 * time.Millisecond
-	// unanswered is how long a host does without permits whose question got no answer.
-	unanswered = 250 * time.Millisecond
+	// avoidTime is how long a host sends no requests to one that did not answer.
+	avoidTime = 500 * time.Millisecond
+	// retryDelay is how long a host waits for permits after a request that got no answer.
+	retryDelay = 250 * time.Millisecond
 	window     = 4 * time.Second
-	// known is how long after its naming a limit may be exceeded.
-	known = 3 * time.Second
+	// settleTime is how long after the first observation a limit may be exceeded.
+	settleTime = 3 * time.Second
 )
 
 // modelHost is a host of the model.
@@ -30,33 +30,34 @@
 	up     bool
 	table  *Table
 	issuer *Issuer
-	// view is the side of each other host as this one believes it; -1: it is down.
+	// view is the side on which this host believes each other host to be; -1: it is down.
 	view    []int
 	numbers []int
 	avoided []time.Time
 }
 
-// modelFleet is hosts that send to one limited server. Host 0 owns its limit, host 1 is next.
+// modelFleet models hosts that send to one limited server. Host 0 owns its limit, host 1 is the
+// backup owner.
 type modelFleet struct {
 	rng   *rand.Rand
 	now   time.Time
 	hosts []*modelHost
-	// sides of a partition; hosts of different ones do not reach each other.
+	// sides are the hosts' sides of a partition; hosts on different sides do not reach each other.
 	sides    []int
 	limit    float64
 	arrivals []time.Time
 	refused  int
-	// seen are the changes that hosts have yet to notice, of changes so far.
-	seen    []notice
+	// pending are the changes that hosts have yet to detect; changes counts all changes so far.
+	pending []notice
 	changes int
 }
 
-// notice is a change of a host's place that another one notices later.
+// notice is a change of a host's side that another host detects later.
 type notice struct {
 	at           time.Time
 	viewer, host int
 	side         int
-	// number counts a host's changes: an older one that comes late changes nothing.
+	// number orders the changes: one that is older than the last detected one is ignored.
 	number int
 }
 
@@ -76,13 +77,13 @@
 	h.table.Hear(server, Observation{f.limit, f.now})
 	clear(h.avoided)
 	for i := range h.view {
-		h.view[i], h.numbers[i] = f.place(i), f.changes
+		h.view[i], h.numbers[i] = f.sideOf(i), f.changes
 	}
 	f.noticeLater(n)
 }
 
-// place is a host's side, -1 if it is down.
-func (f *modelFleet) place(n int) int {
+// sideOf returns a host's side, -1 if it is down.
+func (f *modelFleet) sideOf(n int) int {
 	if n >= len(f.hosts) || f.hosts[n] == nil || !f.hosts[n].up {
 		return -1
 	}
@@ -93,7 +94,7 @@
 	f.changes++
 	for viewer := range f.hosts {
 		at := f.now.Add(time.Duration(f.rng.Int64N(int64(detection))))
-		f.seen = append(f.seen, notice{at: at, viewer: viewer, host: n, side: f.place(n), number: f.changes})
+		f.pending = append(f.pending, notice{at: at, viewer: viewer, host: n, side: f.sideOf(n), number: f.changes})
 	}
 }
 
@@ -107,7 +108,7 @@
 	f.noticeLater(n)
 }
 
-// believes tells whether host n takes host m for one that it reaches.
+// believes reports whether host n believes that it reaches host m.
 func (f *modelFleet) believes(n, m int) bool { return n == m || f.hosts[n].view[m] == f.sides[n] }
 
 func (f *modelFleet) rank(n int) int {
@@ -130,8 +131,8 @@
 	return float64(alive) / float64(len(f.hosts))
 }
 
-// asked is the host that n asks: the first in rank that it does not pass over.
-func (f *modelFleet) asked(n int) int {
+// ownerFor returns the host that n requests permits from: the first in rank that it does not avoid.
+func (f *modelFleet) ownerFor(n int) int {
 	ranked := 0
 	for m := range f.hosts {
 		if !f.believes(n, m) {
@@ -147,14 +148,14 @@
 	return -1
 }
 
-func (f *modelFleet) ask(n int) {
+func (f *modelFleet) requestPermits(n int) {
 	h := f.hosts[n]
-	m := f.asked(n)
+	m := f.ownerFor(n)
 	if m < 0 || !f.hosts[m].up || f.sides[m] != f.sides[n] {
 		if m >= 0 {
-			h.avoided[m] = f.now.Add(passedOver)
+			h.avoided[m] = f.now.Add(avoidTime)
 		}
-		h.table.Refused(f.now.Add(unanswered), server)
+		h.table.Refused(f.now.Add(retryDelay), server)
 		return
 	}
 	granted, after := f.hosts[m].issuer.Issue(f.now, Ask{
@@ -167,11 +168,11 @@
 	h.table.Refused(f.now.Add(after), server)
 }
 
-// request sends a request at host n if it may.
+// request sends a request at host n if permits allow it.
 func (f *modelFleet) request(n int) {
 	h := f.hosts[n]
 	if state, _ := h.table.Check(f.now, server); state == AskFirst {
-		f.ask(n)
+		f.requestPermits(n)
 	}
 	if state, _ := h.table.Check(f.now, server); state != Held {
 		f.refused++
@@ -181,10 +182,10 @@
 	f.arrivals = append(f.arrivals, f.now.Add(time.Duration(f.rng.Int64N(int64(50*time.Millisecond)))))
 }
 
-// tick lets each host send with the given mean rate, in requests a second.
+// tick advances the time by one step and lets each host send at its mean rate in requests a second.
 func (f *modelFleet) tick(rates []float64) {
 	f.now = f.now.Add(step)
-	f.seen = slices.DeleteFunc(f.seen, func(s notice) bool {
+	f.pending = slices.DeleteFunc(f.pending, func(s notice) bool {
 		if f.now.Before(s.at) {
 			return false
 		}
@@ -205,12 +206,12 @@
 	}
 }
 
-// busiest is the most that arrives in a window, later than the limit must be held.
+// busiest returns the most arrivals in any window after settleTime.
 func (f *modelFleet) busiest() int {
 	sort.Slice(f.arrivals, func(i, j int) bool { return f.arrivals[i].Before(f.arrivals[j]) })
 	most, from := 0, 0
 	for to, at := range f.arrivals {
-		if at.Before(epoch.Add(known)) {
+		if at.Before(epoch.Add(settleTime)) {
 			from = to + 1
 			continue
 		}
@@ -224,9 +225,9 @@
 
 func (f *modelFleet) allowed() float64 { return 1.5*f.limit*window.Seconds() + 5 }
 
-// Guards against a server in need that gets more than it takes: from hosts that stop, start and are
-// cut from each other, each of which keeps to the limit for itself.
-func TestSumOverHostsKeepsToTheLimit(t *testing.T) {
+// Guards against an overloaded server that gets more requests than its limit allows, because hosts
+// that stop, start and are partitioned each enforce the limit for themselves only.
+func TestSumOverHostsStaysWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{1, 2, 3, 7, 20, 60}).Draw(t, "hosts")
 		limit := rapid.SampledFrom([]float64{0, 0.1, 0.5, 1, 1.5, 2.5, 7, 30, 200}).Draw(t, "limit")
@@ -261,39 +262,39 @@
 }
 
 // Guards against a limit that is left unused while callers are refused.
-func TestLimitIsUsedWhereMoreIsWanted(t *testing.T) {
+func TestLimitIsUsedWhenDemandExceedsIt(t *testing.T) {
 	const span = 20 * time.Second
 	for _, c := range []struct {
 		name  string
 		hosts int
 		limit float64
-		// rate of each host, and of host 3 alone.
+		// each is the rate of a host, third the rate of host 3.
 		each, third float64
 	}{
-		{"evenly wanted", 7, 1, 1, 1},
+		{"even demand", 7, 1, 1, 1},
 		{"fraction of a request a second", 7, 0.5, 1, 1},
-		{"one host has all requests", 7, 2.5, 0, 10},
-		{"many hosts, each with a little", 60, 1, 0.3, 0.3},
-		{"many hosts, a large limit", 60, 100, 4, 4},
-		{"hundreds a second", 7, 300, 100, 100},
-		{"hundreds a second at one host", 7, 300, 0, 700},
+		{"all demand at one host", 7, 2.5, 0, 10},
+		{"many hosts with little demand each", 60, 1, 0.3, 0.3},
+		{"many hosts with a large limit", 60, 100, 4, 4},
+		{"hundreds of requests a second", 7, 300, 100, 100},
+		{"hundreds of requests a second at one host", 7, 300, 0, 700},
 	} {
 		f := newModelFleet(1, c.hosts, c.limit)
 		rates := slices.Repeat([]float64{c.each}, c.hosts)
 		rates[3] = c.third
-		for f.now.Before(epoch.Add(known + span)) {
+		for f.now.Before(epoch.Add(settleTime + span)) {
 			f.tick(rates)
 		}
 		used := 0
 		for _, at := range f.arrivals {
-			if at.After(epoch.Add(known)) {
+			if at.After(epoch.Add(settleTime)) {
 				used++
 			}
 		}
 		mean := float64(used) / span.Seconds()
-		t.Logf("%s: %.2f a second of %v, %d in the busiest %v", c.name, mean, c.limit, f.busiest(), window)
+		t.Logf("%s: used %.2f a second of %v, %d in the busiest %v", c.name, mean, c.limit, f.busiest(), window)
 		if mean < 0.85*c.limit {
-			t.Errorf("%s: %.2f a second of %v are used", c.name, mean, c.limit)
+			t.Errorf("%s: used only %.2f a second of %v", c.name, mean, c.limit)
 		}
 		if most := f.busiest(); float64(most) > f.allowed() {
 			t.Errorf("%s: %d requests in %v, %v are allowed", c.name, most, window, f.allowed())
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// PermitLifetime is how long a permit is good for, from when it was asked for.
+	// PermitLifetime is how long a permit is valid, counted from when it was requested.
 	PermitLifetime = 300 * time.Millisecond
-	// leastRate is the rate, in requests a second, at which a server gets requests however low
-	// its limit is: only an answer tells that it is lifted.
-	leastRate = 0.2
-	// leastBurst is the number of permits that a bucket holds at most, besides those of burstTime.
-	leastBurst = 2
-	burstTime  = 100 * time.Millisecond
-	// standInPart of a limit is issued while another host may issue the whole.
-	standInPart = 0.2
-	// reachMargin has a fleet in which one host of six is lost issue the whole limit. The sides
-	// of a partition together issue as much at most.
+	// minRate is the rate, in requests a second, at which a server gets requests however low its
+	// limit is: only an answer can tell that the limit was lifted.
+	minRate = 0.2
+	// minBurst is the burst size of a bucket, in addition to the permits of burstTime.
+	minBurst  = 2
+	burstTime = 100 * time.Millisecond
+	// backupShare is the share of a limit that a host issues while another may issue all of it.
+	backupShare = 0.2
+	// reachMargin lets a fleet that has lost one host of six issue the whole limit. The sides
+	// of a partition together issue at most that factor times the limit.
 	reachMargin = 1.2
-	// takeoverTime is how long hosts may not agree on an owner, and on who is lost.
-	takeoverTime = 3 * time.Second
-	// bucketForget is the time without a question after which a bucket is dropped.
-	bucketForget = 10 * time.Second
-	// contestTime is the time in which hosts that ask count as wanting permits.
-	contestTime = time.Second
-	// askPause is how long a refused host waits for each of those: the owner then gets no more
-	// than one question in this time, however many hosts ask.
-	askPause = 5 * time.Millisecond
+	// ownerChangeTime is how long hosts may disagree on the owner and on which hosts are dead.
+	ownerChangeTime = 3 * time.Second
+	// bucketRetention is the time without a request after which a bucket is dropped.
+	bucketRetention = 10 * time.Second
+	// requesterWindow is how long a host counts as wanting permits after a request.
+	requesterWindow = time.Second
+	// requestSpacing is the wait of a refused host per requester, so that the owner gets no more
+	// than one request in this time, however many hosts want permits.
+	requestSpacing = 5 * time.Millisecond
 )
 
-// Part is the part of a limit that a host may issue that ranks so among the owners of it, 0 first,
-// and reaches so great a part of the hosts.
+// OwnerShare returns the share of a limit that a host may issue. rank is its rank among the owners
+// of the limit, 0 first, and reach the share of the hosts that it reaches.
 func Part(rank int, reach float64) float64 {
 	switch rank {
 	case 0:
 		return min(1, reachMargin*reach)
 	case 1:
-		return standInPart
+		return backupShare
 	}
 	return 0
 }
@@ -48,34 +48,35 @@
 	buckets map[instance.Incarnation]*bucket
 }
 
-// bucket fills with permits at the rate of a limit.
+// bucket fills with permits at the rate at which the limit may be issued.
 type bucket struct {
-	filled, asked time.Time
-	permits       float64
-	// part of the limit that is issued, and since when this host may issue more.
-	part    float64
+	filled, lastRequest time.Time
+	permits             float64
+	// share is the share of the limit that is issued, mayRise since when a larger one is allowed;
+	// zero: none is.
+	share   float64
 	mayRise time.Time
-	// asks is when each host last asked.
-	asks map[string]time.Time
+	// requests holds the time of each host's last request.
+	requests map[string]time.Time
 }
 
-// NewIssuer makes an issuer that has issued nothing.
+// NewIssuer returns an issuer without buckets.
 func NewIssuer() *Issuer { return &Issuer{buckets: make(map[instance.Incarnation]*bucket)} }
 
-// Ask is a host's question for permits.
+// PermitRequest is a host's request for permits.
 type Ask struct {
 	Run  instance.Incarnation
 	Host string
 	Want int
-	// Limit of the server, and the Part of it that may be issued here.
+	// Limit is the server's limit, Share the share of it that this host may issue.
 	Limit, Part float64
 }
 
-// Issue gives out up to as many permits as are asked for. after is when to ask again if it gives
-// none.
+// Issue grants up to as many permits as are requested. If it grants none, after is the time to wait
+// before the next request.
 func (i *Issuer) Issue(now time.Time, a Ask) (granted int, after time.Duration) {
 	b := i.bucket(now, a.Run)
-	b.asks[a.Host], b.asked = now, now
+	b.requests[a.Host], b.lastRequest = now, now
 	rate := b.rate(now, a)
 	b.fill(now, rate)
 	granted = min(max(a.Want, 1), int(b.permits))
@@ -84,58 +85,58 @@
 		return granted, 0
 	}
 	due := time.Duration((1 - b.permits) / rate * float64(time.Second))
-	return 0, max(due, time.Duration(b.contenders(now))*askPause)
+	return 0, max(due, time.Duration(b.requesters(now))*requestSpacing)
 }
 
-func (i *Issuer) bucket(now time.Time, run instance.Incarnation) *bucket {
-	b := i.buckets[run]
-	if b == nil || now.Sub(b.asked) >= bucketForget {
-		b = &bucket{filled: now, asks: make(map[string]time.Time)}
-		i.buckets[run] = b
+func (i *Issuer) bucket(now time.Time, inc instance.Incarnation) *bucket {
+	b := i.buckets[inc]
+	if b == nil || now.Sub(b.lastRequest) >= bucketRetention {
+		b = &bucket{filled: now, requests: make(map[string]time.Time)}
+		i.buckets[inc] = b
 	}
 	return b
 }
 
-// rate is that of issuing, in permits a second.
+// rate returns the rate of issue, in permits a second.
 func (b *bucket) rate(now time.Time, a Ask) float64 {
-	b.usePart(now, a.Part)
-	return max(a.Limit*b.part, leastRate)
+	b.setShare(now, a.Part)
+	return max(a.Limit*b.share, minRate)
 }
 
-// usePart has a lower part hold at once, and a higher one once the others have had the time to
-// see why.
-func (b *bucket) usePart(now time.Time, part float64) {
+// setShare applies a smaller share at once, and a larger one only after ownerChangeTime, when the
+// other hosts know of the change. Up to backupShare is applied at once.
+func (b *bucket) setShare(now time.Time, share float64) {
 	switch {
-	case part <= b.part:
-		b.part, b.mayRise = part, time.Time{}
+	case share <= b.share:
+		b.share, b.mayRise = share, time.Time{}
 	case b.mayRise.IsZero():
 		b.mayRise = now
-	case now.Sub(b.mayRise) >= takeoverTime:
-		b.part, b.mayRise = part, time.Time{}
+	case now.Sub(b.mayRise) >= ownerChangeTime:
+		b.share, b.mayRise = share, time.Time{}
 	}
-	b.part = max(b.part, min(part, standInPart))
+	b.share = max(b.share, min(share, backupShare))
 }
 
 func (b *bucket) fill(now time.Time, rate float64) {
-	b.permits = min(b.permits+rate*now.Sub(b.filled).Seconds(), leastBurst+rate*burstTime.Seconds())
+	b.permits = min(b.permits+rate*now.Sub(b.filled).Seconds(), minBurst+rate*burstTime.Seconds())
 	b.filled = now
 }
 
-// contenders counts the hosts that have asked lately.
-func (b *bucket) contenders(now time.Time) int {
-	for host, at := range b.asks {
-		if now.Sub(at) >= contestTime {
-			delete(b.asks, host)
+// requesters counts the hosts that requested permits within requesterWindow.
+func (b *bucket) requesters(now time.Time) int {
+	for host, at := range b.requests {
+		if now.Sub(at) >= requesterWindow {
+			delete(b.requests, host)
 		}
 	}
-	return len(b.asks)
+	return len(b.requests)
 }
 
-// Expire drops buckets that nobody asks of.
+// Expire drops buckets without recent requests.
 func (i *Issuer) Expire(now time.Time) {
-	for run, b := range i.buckets {
-		if now.Sub(b.asked) >= bucketForget {
-			delete(i.buckets, run)
+	for inc, b := range i.buckets {
+		if now.Sub(b.lastRequest) >= bucketRetention {
+			delete(i.buckets, inc)
 		}
 	}
 }
--- a/internal/ratelimit/observation.go
+++ b/internal/ratelimit/observation.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// Observation is what one answer of a server says of its rate limit. The zero value says nothing.
+// Observation is the rate limit observed in one answer of a server. The zero value is no observation.
 type Observation struct {
-	// Limit is the number of requests a second that the server takes from all hosts together.
-	// None: the server names no limit.
+	// Limit is the number of requests a second that the server accepts from all hosts together.
+	// None: the server advertises no limit.
 	Limit float64
-	// At orders the observations of a run: the latest counts. For an answer that names no limit it is
-	// when its request was sent: the server may have written the answer before another one that
-	// names a limit, and no limit is lifted by that. Zero: nothing was said.
+	// At orders the observations of an incarnation: the latest one counts. For an answer without a
+	// limit it is the time at which the request was sent: the server may have written the answer
+	// before another one that advertises a limit, and must not lift that limit. Zero: no observation.
 	At time.Time
 }
 
-// None is the limit of a server that names none.
+// None is the Limit of a server that advertises none.
 const None = -1
 
-// MaxLimit is the largest limit that is told apart from none, in requests a second.
+// MaxLimit is the largest effective limit, in requests a second; a larger one counts as None.
 const MaxLimit = 1e6
 
-// Valid tells whether a number can be a limit.
+// Valid reports whether a number can be a limit.
 func Valid(limit float64) bool { return limit >= 0 && !math.IsNaN(limit) && !math.IsInf(limit, 0) }
 
-// normal is the observation with a limit of None or within MaxLimit. A larger limit beyond MaxLimit limits nothing.
-func (w Observation) normal() Observation {
-	if w.Limit < 0 || w.Limit > MaxLimit {
-		w.Limit = None
+// normalized returns the observation with a Limit of None in place of one that is negative or above
+// MaxLimit.
+func (o Observation) normalized() Observation {
+	if o.Limit < 0 || o.Limit > MaxLimit {
+		o.Limit = None
 	}
-	return w
+	return o
 }
 
-// Limited tells whether the server names a limit.
-func (w Observation) Limited() bool { return !w.At.IsZero() && w.Limit >= 0 && w.Limit <= MaxLimit }
+// Limited reports whether the server advertises a limit.
+func (o Observation) Limited() bool { return !o.At.IsZero() && o.Limit >= 0 && o.Limit <= MaxLimit }
--- a/internal/ratelimit/permits.go
+++ b/internal/ratelimit/permits.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// demandTime is the time over which the use of permits is averaged.
-	demandTime = time.Second
-	// aheadTime is the time for whose requests a host asks at once. The rest of what it holds
-	// lapses when its requests go elsewhere.
-	aheadTime = 100 * time.Millisecond
+	// demandWindow is the time over which the use of permits is averaged.
+	demandWindow = time.Second
+	// prefetchTime is the time whose expected requests a host requests permits for at once. Unused
+	// permits expire if its requests go to other servers.
+	prefetchTime = 100 * time.Millisecond
 )
 
-// State says whether a request may be sent to a server.
+// State tells whether a request may be sent to a server.
 type State int
 
-// States.
+// Permit states.
 const (
-	// Free: the server names no limit.
+	// Free: the server advertises no limit.
 	Free State = iota
-	// Held: a permit is at hand.
+	// Held: this host holds a permit.
 	Held
-	// AskFirst: a permit has to be asked for.
+	// MustRequest: a permit has to be requested first.
 	AskFirst
-	// Exhausted: no permit is to be had for a while.
+	// Exhausted: no permit is available for a while.
 	Exhausted
 )
 
-// Permits says whether requests may be sent to servers that limit their rate.
+// Permits controls the sending of requests to rate-limited servers.
 type Permits interface {
-	// Check tells whether one may be sent to a server, and for how long none may.
-	Check(now time.Time, run instance.Incarnation) (State, time.Duration)
-	// Use takes the permit for a request.
-	Use(now time.Time, run instance.Incarnation)
-	// Limit is how many requests a second a server takes; ok is false if it names no limit.
-	Limit(run instance.Incarnation) (perSecond float64, ok bool)
+	// Check returns the permit state of a server and, if it is Exhausted, for how long.
+	Check(now time.Time, inc instance.Incarnation) (State, time.Duration)
+	// Use consumes a permit for a request.
+	Use(now time.Time, inc instance.Incarnation)
+	// Limit returns the limit of a server in requests a second; ok is false if it advertises none.
+	Limit(inc instance.Incarnation) (perSecond float64, ok bool)
 }
 
-// permits are those of one server at a host.
+// permits holds this host's permits for one server.
 type permits struct {
 	held  int
-	until time.Time // when they lapse
-	// exhausted is until when none is to be had.
+	until time.Time // when the held permits expire
+	// exhausted is the time before which no permit is available.
 	exhausted time.Time
-	// used is the decayed count of used permits, at usedAt.
+	// used is the number of used permits, decayed to usedAt.
 	used   float64
 	usedAt time.Time
 }
 
-// Check tells whether a request may be sent to a server; for how long not, if it is Exhausted.
-func (t *Table) Check(now time.Time, run instance.Incarnation) (State, time.Duration) {
-	if !t.observed[run].Limited() {
+// Check returns the permit state of a server and, if it is Exhausted, for how long.
+func (t *Table) Check(now time.Time, inc instance.Incarnation) (State, time.Duration) {
+	if !t.observed[inc].Limited() {
 		return Free, 0
 	}
-	p := t.permits[run]
+	p := t.permits[inc]
 	switch {
 	case p == nil:
 		return AskFirst, 0
@@ -68,48 +68,48 @@
 	return AskFirst, 0
 }
 
-// Use takes a permit for a request that is sent to a server, if the server is limited.
-func (t *Table) Use(now time.Time, run instance.Incarnation) {
-	if !t.observed[run].Limited() {
+// Use consumes a permit for a request to a server, if the server is limited.
+func (t *Table) Use(now time.Time, inc instance.Incarnation) {
+	if !t.observed[inc].Limited() {
 		return
 	}
-	p := t.permitsOf(run)
+	p := t.permitsOf(inc)
 	p.held = max(p.held-1, 0)
 	p.decay(now)
 	p.used++
 }
 
-// Want is how many permits to ask for.
-func (t *Table) Want(now time.Time, run instance.Incarnation) int {
-	p := t.permitsOf(run)
+// Want returns the number of permits to request.
+func (t *Table) Want(now time.Time, inc instance.Incarnation) int {
+	p := t.permitsOf(inc)
 	p.decay(now)
-	return 1 + int(p.used*aheadTime.Seconds()/demandTime.Seconds())
+	return 1 + int(p.used*prefetchTime.Seconds()/demandWindow.Seconds())
 }
 
-// Granted takes permits that were asked for at a time.
-func (t *Table) Granted(asked time.Time, run instance.Incarnation, n int) {
-	p := t.permitsOf(run)
+// Granted records n permits that were requested at asked.
+func (t *Table) Granted(asked time.Time, inc instance.Incarnation, n int) {
+	p := t.permitsOf(inc)
 	p.held, p.until, p.exhausted = n, asked.Add(PermitLifetime), time.Time{}
 }
 
-// Refused takes that there is no permit before a time.
-func (t *Table) Refused(until time.Time, run instance.Incarnation) {
-	p := t.permitsOf(run)
+// Refused records that no permit is available before until.
+func (t *Table) Refused(until time.Time, inc instance.Incarnation) {
+	p := t.permitsOf(inc)
 	p.held, p.exhausted = 0, until
 }
 
-func (t *Table) permitsOf(run instance.Incarnation) *permits {
-	p := t.permits[run]
+func (t *Table) permitsOf(inc instance.Incarnation) *permits {
+	p := t.permits[inc]
 	if p == nil {
 		p = &permits{}
-		t.permits[run] = p
+		t.permits[inc] = p
 	}
 	return p
 }
 
 func (p *permits) decay(now time.Time) {
 	if !p.usedAt.IsZero() {
-		p.used *= math.Exp(-now.Sub(p.usedAt).Seconds() / demandTime.Seconds())
+		p.used *= math.Exp(-now.Sub(p.usedAt).Seconds() / demandWindow.Seconds())
 	}
 	p.usedAt = now
 }
--- a/internal/ratelimit/send.go
+++ b/internal/ratelimit/send.go
@@ -1,14 +1,14 @@
 package ratelimit
 
-// Send is why a request is sent to a server.
+// Send is the reason for which a request is sent to a server.
 type Send string
 
-// Sends.
+// Reasons for sending a request.
 const (
 	// SendFirst: the request's first attempt.
 	SendFirst Send = "first"
 	// SendRepeat: another attempt after one that failed.
 	SendRepeat Send = "repeat"
-	// SendResume: the rest of a stream that broke off at another server.
+	// SendResume: the rest of a stream that was cut at another server.
 	SendResume Send = "resume"
 )
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -6,51 +6,51 @@
 	"github.com/bluebellsail/bluebellsail/internal/instance"
 )
 
-// Table is what one host knows of the servers' limits, and the permits that it holds.
+// Table holds the rate limits that this host has observed or was notified of, and its permits.
 type Table struct {
 	observed map[instance.Incarnation]Observation
 	permits  map[instance.Incarnation]*permits
 }
 
-// NewTable makes a table that knows no limit.
+// NewTable returns a table without limits.
 func NewTable() *Table {
 	return &Table{observed: make(map[instance.Incarnation]Observation), permits: make(map[instance.Incarnation]*permits)}
 }
 
-// Hear takes what a server said. It returns what held before and whether that has changed.
-func (t *Table) Hear(run instance.Incarnation, w Observation) (before Observation, changed bool) {
-	w = w.normal()
-	before, known := t.observed[run]
-	if w.At.IsZero() || known && !w.At.After(before.At) || !known && !w.Limited() {
+// Observe records an observation. It returns the former one and whether the limit has changed.
+func (t *Table) Hear(inc instance.Incarnation, o Observation) (before Observation, changed bool) {
+	o = o.normalized()
+	before, known := t.observed[inc]
+	if o.At.IsZero() || known && !o.At.After(before.At) || !known && !o.Limited() {
 		return before, false
 	}
-	t.observed[run] = w
-	changed = before.Limited() != w.Limited() || w.Limited() && before.Limit != w.Limit
+	t.observed[inc] = o
+	changed = before.Limited() != o.Limited() || o.Limited() && before.Limit != o.Limit
 	if changed {
-		delete(t.permits, run) // what was granted or refused was so by the former limit
+		delete(t.permits, inc) // they were granted or refused under the former limit
 	}
 	return before, changed
 }
 
-// Of is the newest observation of a run.
-func (t *Table) Of(run instance.Incarnation) Observation { return t.observed[run] }
+// Observed returns the newest observation of an incarnation.
+func (t *Table) Of(inc instance.Incarnation) Observation { return t.observed[inc] }
 
-// Expire forgets what was said before a time.
+// Expire drops the observations from before a time.
 func (t *Table) Expire(before time.Time) {
-	for run, w := range t.observed {
-		if w.At.Before(before) {
-			delete(t.observed, run)
-			delete(t.permits, run)
+	for inc, o := range t.observed {
+		if o.At.Before(before) {
+			delete(t.observed, inc)
+			delete(t.permits, inc)
 		}
 	}
 }
 
-// Limited are the runs that are limited, with what they said.
+// Limited returns the limited incarnations with their observations.
 func (t *Table) Limited() map[instance.Incarnation]Observation {
 	out := make(map[instance.Incarnation]Observation)
-	for run, w := range t.observed {
-		if w.Limited() {
-			out[run] = w
+	for inc, o := range t.observed {
+		if o.Limited() {
+			out[inc] = o
 		}
 	}
 	return out
