--- a/internal/controller/ratelimits/ratelimits.go
+++ b/internal/controller/ratelimits/ratelimits.go
@@ -114,7 +114,7 @@
 		l.issuer.Expire(now)
 		l.unreadable.Forget()
 	}
-	return l.table.Hear(run, w)
+	return l.table.Observe(run, w)
 }
 
 // logChange writes what a server says now. from is the request whose answer said it, or a peer.
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -74,7 +74,7 @@
 func (f *modelFleet) startHost(n int) {
 	h := f.hosts[n]
 	h.up, h.table, h.issuer = true, NewTable(), NewIssuer()
-	h.table.Hear(server, Observation{f.limit, f.now})
+	h.table.Observe(server, Observation{f.limit, f.now})
 	clear(h.avoided)
 	for i := range h.view {
 		h.view[i], h.numbers[i] = f.sideOf(i), f.changes
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -18,7 +18,7 @@
 }
 
 // Observe records an observation. It returns the former one and whether the limit has changed.
-func (t *Table) Hear(inc instance.Incarnation, o Observation) (before Observation, changed bool) {
+func (t *Table) Observe(inc instance.Incarnation, o Observation) (before Observation, changed bool) {
 	o = o.normalized()
 	before, known := t.observed[inc]
 	if o.At.IsZero() || known && !o.At.After(before.At) || !known && !o.Limited() {
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -32,7 +32,7 @@
 	} {
 		table := NewTable()
 		for _, o := range c.observed {
-			table.Hear(server, o)
+			table.Observe(server, o)
 		}
 		if o := table.Of(server); o.Limited() != (c.want >= 0) || o.Limited() && o.Limit != c.want {
 			t.Errorf("%s: got %v", c.name, o)
@@ -43,7 +43,7 @@
 // Guards against a limit that outlives the server's incarnation that advertised it.
 func TestLimitEndsWithTheIncarnation(t *testing.T) {
 	table := NewTable()
-	table.Hear(server, Observation{1, at(1)})
+	table.Observe(server, Observation{1, at(1)})
 	if table.Of(instance.Incarnation{ID: server.ID, Started: 2}).Limited() {
 		t.Error("the next incarnation under the same id is limited")
 	}
