--- a/internal/controller/ratelimits/bench_test.go
+++ b/internal/controller/ratelimits/bench_test.go
@@ -17,7 +17,7 @@
 	l := newLimiter(self(), nil)
 	run := instance.Incarnation{ID: "i-160861d91e", Started: 1_796_293_518_620}
 	l.Heard(run, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
-	req := &pb.TakePermitsRequest{Host: "frontend-scl-quilicura-1", Limit: encode(time.Now(), run, l.table.Of(run)), Want: 1}
+	req := &pb.TakePermitsRequest{Host: "frontend-scl-quilicura-1", Limit: encode(time.Now(), run, l.table.Observed(run)), Want: 1}
 	for b.Loop() {
 		l.HandleTake(req)
 	}
--- a/internal/controller/ratelimits/permits.go
+++ b/internal/controller/ratelimits/permits.go
@@ -83,7 +83,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return &pb.TakePermitsRequest{
-		Host: l.cfg.Host, Limit: encode(now, run, l.table.Of(run)), Want: uint32(l.table.Want(now, run)),
+		Host: l.cfg.Host, Limit: encode(now, run, l.table.Observed(run)), Want: uint32(l.table.Want(now, run)),
 	}
 }
 
@@ -120,7 +120,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	w := l.table.Of(run)
+	w := l.table.Observed(run)
 	reply := &pb.TakePermitsReply{Limit: encode(now, run, w)}
 	if part == 0 || !w.Limited() {
 		reply.AfterUs = unansweredPause.Microseconds()
--- a/internal/controller/ratelimits/ratelimits.go
+++ b/internal/controller/ratelimits/ratelimits.go
@@ -137,7 +137,7 @@
 func (l *Limiter) Sending(run instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.table.Of(run)
+	w := l.table.Observed(run)
 	if w.Limited() {
 		l.metrics.sends.Add(string(why), 1)
 	}
@@ -148,7 +148,7 @@
 func (l *Limiter) Limit(run instance.Incarnation) (perSecond float64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.table.Of(run)
+	w := l.table.Observed(run)
 	return w.Limit, w.Limited()
 }
 
--- a/internal/controller/ratelimits/ratelimits_test.go
+++ b/internal/controller/ratelimits/ratelimits_test.go
@@ -83,7 +83,7 @@
 	l.Heard(server, ratelimit.Observation{Limit: 20, At: time.Now()}, "r")
 	askUntilHeld(t, l)
 	l.Use(time.Now(), server)
-	if w := owner.table.Of(server); !w.Limited() || w.Limit != 20 {
+	if w := owner.table.Observed(server); !w.Limited() || w.Limit != 20 {
 		t.Errorf("the owner learned %v from the question", w)
 	}
 }
@@ -149,7 +149,7 @@
 	l := newLimiter(remote(), &peer{to: owner})
 	owner.Heard(server, ratelimit.Observation{Limit: 20, At: time.Now().Add(-time.Minute)}, "r")
 	l.Ask(t.Context(), server)
-	if !owner.table.Of(server).Limited() || !l.table.Of(server).Limited() {
+	if !owner.table.Observed(server).Limited() || !l.table.Observed(server).Limited() {
 		t.Error("the limit is lifted")
 	}
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -33,7 +33,7 @@
 }
 
 // Observed returns the newest observation of an incarnation.
-func (t *Table) Of(inc instance.Incarnation) Observation { return t.observed[inc] }
+func (t *Table) Observed(inc instance.Incarnation) Observation { return t.observed[inc] }
 
 // Expire drops the observations from before a time.
 func (t *Table) Expire(before time.Time) {
--- a/internal/ratelimit/table_test.go
+++ b/internal/ratelimit/table_test.go
@@ -34,7 +34,7 @@
 		for _, o := range c.observed {
 			table.Observe(server, o)
 		}
-		if o := table.Of(server); o.Limited() != (c.want >= 0) || o.Limited() && o.Limit != c.want {
+		if o := table.Observed(server); o.Limited() != (c.want >= 0) || o.Limited() && o.Limit != c.want {
 			t.Errorf("%s: got %v", c.name, o)
 		}
 	}
@@ -44,7 +44,7 @@
 func TestLimitEndsWithTheIncarnation(t *testing.T) {
 	table := NewTable()
 	table.Observe(server, Observation{1, at(1)})
-	if table.Of(instance.Incarnation{ID: server.ID, Started: 2}).Limited() {
+	if table.Observed(instance.Incarnation{ID: server.ID, Started: 2}).Limited() {
 		t.Error("the next incarnation under the same id is limited")
 	}
 }
