--- a/internal/controller/ratelimits/permits.go
+++ b/internal/controller/ratelimits/permits.go
@@ -126,7 +126,7 @@
 		reply.AfterUs = unansweredPause.Microseconds()
 		return reply
 	}
-	granted, after := l.issuer.Issue(now, ratelimit.Ask{
+	granted, after := l.issuer.Issue(now, ratelimit.PermitRequest{
 		Run: run, Host: req.GetHost(), Want: int(req.GetWant()), Limit: w.Limit, Part: part,
 	})
 	l.metrics.issued.Add(int64(granted))
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -158,7 +158,7 @@
 		h.table.Refused(f.now.Add(retryDelay), server)
 		return
 	}
-	granted, after := f.hosts[m].issuer.Issue(f.now, Ask{
+	granted, after := f.hosts[m].issuer.Issue(f.now, PermitRequest{
 		Run: server, Host: fmt.Sprint(n), Want: h.table.Want(f.now, server), Limit: f.limit, Part: Part(f.rank(m), f.reach(m)),
 	})
 	if granted > 0 {
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -64,7 +64,7 @@
 func NewIssuer() *Issuer { return &Issuer{buckets: make(map[instance.Incarnation]*bucket)} }
 
 // PermitRequest is a host's request for permits.
-type Ask struct {
+type PermitRequest struct {
 	Run  instance.Incarnation
 	Host string
 	Want int
@@ -74,7 +74,7 @@
 
 // Issue grants up to as many permits as are requested. If it grants none, after is the time to wait
 // before the next request.
-func (i *Issuer) Issue(now time.Time, a Ask) (granted int, after time.Duration) {
+func (i *Issuer) Issue(now time.Time, a PermitRequest) (granted int, after time.Duration) {
 	b := i.bucket(now, a.Run)
 	b.requests[a.Host], b.lastRequest = now, now
 	rate := b.rate(now, a)
@@ -98,7 +98,7 @@
 }
 
 // rate returns the rate of issue, in permits a second.
-func (b *bucket) rate(now time.Time, a Ask) float64 {
+func (b *bucket) rate(now time.Time, a PermitRequest) float64 {
 	b.setShare(now, a.Part)
 	return max(a.Limit*b.share, minRate)
 }
