--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -65,7 +65,7 @@
 
 // PermitRequest is a host's request for permits.
 type PermitRequest struct {
-	Run  instance.Incarnation
+	Incarnation  instance.Incarnation
 	Host string
 	Want int
 	// Limit is the server's limit, Share the share of it that this host may issue.
@@ -75,7 +75,7 @@
 // Issue grants up to as many permits as are requested. If it grants none, after is the time to wait
 // before the next request.
 func (i *Issuer) Issue(now time.Time, a PermitRequest) (granted int, after time.Duration) {
-	b := i.bucket(now, a.Run)
+	b := i.bucket(now, a.Incarnation)
 	b.requests[a.Host], b.lastRequest = now, now
 	rate := b.rate(now, a)
 	b.fill(now, rate)
