--- a/internal/controller/ratelimits/permits.go
+++ b/internal/controller/ratelimits/permits.go
@@ -127,7 +127,7 @@
 		return reply
 	}
 	granted, after := l.issuer.Issue(now, ratelimit.PermitRequest{
-		Incarnation: run, Host: req.GetHost(), Want: int(req.GetWant()), Limit: w.Limit, Part: part,
+		Incarnation: run, Host: req.GetHost(), Want: int(req.GetWant()), Limit: w.Limit, Share: part,
 	})
 	l.metrics.issued.Add(int64(granted))
 	reply.Granted, reply.AfterUs = uint32(granted), after.Microseconds()
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -69,7 +69,7 @@
 	Host string
 	Want int
 	// Limit is the server's limit, Share the share of it that this host may issue.
-	Limit, Part float64
+	Limit, Share float64
 }
 
 // Issue grants up to as many permits as are requested. If it grants none, after is the time to wait
@@ -99,7 +99,7 @@
 
 // rate returns the rate of issue, in permits a second.
 func (b *bucket) rate(now time.Time, a PermitRequest) float64 {
-	b.setShare(now, a.Part)
+	b.setShare(now, a.Share)
 	return max(a.Limit*b.share, minRate)
 }
 
