--- a/internal/controller/ratelimits/permits.go
+++ b/internal/controller/ratelimits/permits.go
@@ -115,7 +115,7 @@
 	rank, owns := l.cfg.Owners.Rank(Key(run))
 	part := 0.0
 	if owns {
-		part = ratelimit.Part(rank, l.cfg.Owners.Reach())
+		part = ratelimit.OwnerShare(rank, l.cfg.Owners.Reach())
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -159,7 +159,7 @@
 		return
 	}
 	granted, after := f.hosts[m].issuer.Issue(f.now, PermitRequest{
-		Incarnation: server, Host: fmt.Sprint(n), Want: h.table.Want(f.now, server), Limit: f.limit, Share: Part(f.rank(m), f.reach(m)),
+		Incarnation: server, Host: fmt.Sprint(n), Want: h.table.Want(f.now, server), Limit: f.limit, Share: OwnerShare(f.rank(m), f.reach(m)),
 	})
 	if granted > 0 {
 		h.table.Granted(f.now, server, granted)
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -33,7 +33,7 @@
 
 // OwnerShare returns the share of a limit that a host may issue. rank is its rank among the owners
 // of the limit, 0 first, and reach the share of the hosts that it reaches.
-func Part(rank int, reach float64) float64 {
+func OwnerShare(rank int, reach float64) float64 {
 	switch rank {
 	case 0:
 		return min(1, reachMargin*reach)
