--- a/internal/balance/permits.go
+++ b/internal/balance/permits.go
@@ -13,7 +13,7 @@
 		return true
 	}
 	state, _ := c.cfg.Permits.Check(now, inc)
-	return state != ratelimit.Exhausted && (state != ratelimit.AskFirst || !w.HeldPermitsOnly)
+	return state != ratelimit.Exhausted && (state != ratelimit.MustRequest || !w.HeldPermitsOnly)
 }
 
 // usePermit takes the permit for a request to a server.
@@ -21,7 +21,7 @@
 	if c.cfg.Permits == nil {
 		return nil
 	}
-	if state, _ := c.cfg.Permits.Check(now, inc); state == ratelimit.AskFirst {
+	if state, _ := c.cfg.Permits.Check(now, inc); state == ratelimit.MustRequest {
 		return &PermitNeeded{Incarnation: inc}
 	}
 	c.cfg.Permits.Use(now, inc)
--- a/internal/balance/permits_test.go
+++ b/internal/balance/permits_test.go
@@ -53,7 +53,7 @@
 }
 
 func TestPermitIsNeededOnlyForTheBestServer(t *testing.T) {
-	p := &fakePermits{states: map[string]ratelimit.State{"e00": ratelimit.AskFirst}}
+	p := &fakePermits{states: map[string]ratelimit.State{"e00": ratelimit.MustRequest}}
 	w := newLimitedFixture(p, engines(1)...)
 	work := prompt(1, 2, 100, 10)
 	_, err := w.core.Choose(w.now, work)
--- a/internal/controller/ratelimits/ratelimits_test.go
+++ b/internal/controller/ratelimits/ratelimits_test.go
@@ -69,7 +69,7 @@
 		switch state, _ := l.Check(time.Now(), server); state {
 		case ratelimit.Held:
 			return
-		case ratelimit.AskFirst:
+		case ratelimit.MustRequest:
 			l.Ask(t.Context(), server)
 		}
 	}
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -171,7 +171,7 @@
 // request sends a request at host n if permits allow it.
 func (f *modelFleet) request(n int) {
 	h := f.hosts[n]
-	if state, _ := h.table.Check(f.now, server); state == AskFirst {
+	if state, _ := h.table.Check(f.now, server); state == MustRequest {
 		f.requestPermits(n)
 	}
 	if state, _ := h.table.Check(f.now, server); state != Held {
--- a/internal/ratelimit/permits.go
+++ b/internal/ratelimit/permits.go
@@ -25,7 +25,7 @@
 	// Held: this host holds a permit.
 	Held
 	// MustRequest: a permit has to be requested first.
-	AskFirst
+	MustRequest
 	// Exhausted: no permit is available for a while.
 	Exhausted
 )
@@ -59,13 +59,13 @@
 	p := t.permits[inc]
 	switch {
 	case p == nil:
-		return AskFirst, 0
+		return MustRequest, 0
 	case p.held > 0 && now.Before(p.until):
 		return Held, 0
 	case now.Before(p.exhausted):
 		return Exhausted, p.exhausted.Sub(now)
 	}
-	return AskFirst, 0
+	return MustRequest, 0
 }
 
 // Use consumes a permit for a request to a server, if the server is limited.
--- a/internal/sched/permits.go
+++ b/internal/sched/permits.go
@@ -20,7 +20,7 @@
 		return true
 	}
 	switch state, wait := c.cfg.Permits.Check(now, incarnationOf(s)); state {
-	case ratelimit.AskFirst:
+	case ratelimit.MustRequest:
 		c.permitRequests[incarnationOf(s)] = true
 		return false
 	case ratelimit.Exhausted:
