--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -65,9 +65,9 @@
 
 // PermitRequest is a host's request for permits.
 type PermitRequest struct {
-	Incarnation  instance.Incarnation
-	Host string
-	Want int
+	Incarnation instance.Incarnation
+	Host        string
+	Want        int
 	// Limit is the server's limit, Share the share of it that this host may issue.
 	Limit, Share float64
 }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous assigns keys to members by highest random weight. All who know the
-// same members assign a key alike without a word between them, and a member that comes
-// or goes moves only the keys that it ranks first for.
+// Package rendezvous assigns keys to members by rendezvous hashing (highest random weight). Hosts
+// with the same set of members compute the same assignment without communication, and a member
+// that joins or leaves moves only the keys for which it ranks first.
 package rendezvous
 
 import (
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash is a key or a member's name as Rank takes it.
+// Hash returns the hash of a key or a member's name, as Rank takes it.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Rank is a member's weight for a key; the highest has the key.
+// Rank returns a member's weight for a key; the member with the highest weight owns the key.
 func Rank(key, member uint64) uint64 {
 	x := key ^ member*0x9e3779b97f4a7c15
 	x ^= x >> 32
@@ -28,7 +28,7 @@
 	hashes []uint64
 }
 
-// New makes a set.
+// New returns the set of members with the given names.
 func New(names []string) Members {
 	m := Members{names: slices.Clone(names), hashes: make([]uint64, len(names))}
 	for i, name := range names {
@@ -37,10 +37,10 @@
 	return m
 }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (m Members) Len() int { return len(m.names) }
 
-// RankOf is the place of a member for a key, 0 first; ok is false if it is none.
+// RankOf returns a member's rank for a key, 0 first; ok is false if the name is not in the set.
 func (m Members) RankOf(name string, key uint64) (rank int, ok bool) {
 	at := slices.Index(m.names, name)
 	if at < 0 {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -14,7 +14,7 @@
 	return out
 }
 
-func TestOneLeavesAndOnlyItsKeysMove(t *testing.T) {
+func TestRemovedMemberMovesOnlyItsOwnKeys(t *testing.T) {
 	all := names(20)
 	before, after := New(all), New(all[1:])
 	moved := 0
@@ -30,7 +30,7 @@
 		}
 	}
 	if moved < 60 || moved > 140 {
-		t.Errorf("%d of 2000 keys moved, 100 belong to one of 20 hosts on average", moved)
+		t.Errorf("%d of 2000 keys moved, want about 100, the share of one of 20 hosts", moved)
 	}
 }
 
@@ -45,9 +45,9 @@
 	}
 }
 
-func TestFewerMembersThanAsked(t *testing.T) {
+func TestFewerMembersThanRequested(t *testing.T) {
 	if got := New(nil).First(1, 2); len(got) != 0 {
-		t.Errorf("nobody has the key, got %v", got)
+		t.Errorf("got %v from an empty set", got)
 	}
 	if got := New(names(2)).First(1, 5); len(got) != 2 || got[0] == got[1] {
 		t.Errorf("got %v", got)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry decides whether a request may be tried again at another backend
-// server: each team has an allowance in proportion to its first tries, and only
-// what surely did not run or may run twice is tried again. It is pure.
+// Package retry decides whether a request may be tried again at another backend server. Each team
+// has an allowance in proportion to its first attempts, and only requests that certainly did not
+// run or that are idempotent are tried again. The package is pure: time is passed in.
 package retry
 
 import (
@@ -9,22 +9,22 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Defaults and bounds.
+// Defaults and limits.
 const (
 	defaultShare       = 0.1
 	defaultMaxAttempts = 3
-	// burst is how many retries a team may save up, and has at the start.
+	// burst is the maximum number of retries that a team can save up; a team starts with them.
 	burst = 10.0
-	// idleForget is when a team's allowance is dropped from memory.
-	idleForget = 10 * time.Minute
+	// idleRetention is the idle time after which a team's allowance is dropped from memory.
+	idleRetention = 10 * time.Minute
 )
 
-// Allowance holds the teams' token buckets. A first try adds the team's share of a
-// token, a retry takes a whole one: over any stretch with n first tries a team has
-// at most share*n + burst retries.
+// Allowance holds the teams' token buckets. A first attempt adds the team's share of a token, and
+// a retry takes a whole one: over any period with n first attempts a team has at most
+// share*n + burst retries.
 //
-// Symptom this prevents: servers slow down, callers' requests fail, each is tried
-// again, and the retries keep the servers overloaded after the cause is gone.
+// Without it, when servers slow down and requests fail, the retries keep the servers overloaded
+// after the cause is gone.
 type Allowance struct {
 	teams map[string]*bucket
 	swept time.Time
@@ -36,10 +36,10 @@
 	used   time.Time
 }
 
-// NewAllowance makes an empty Allowance.
+// NewAllowance returns an empty Allowance.
 func NewAllowance() *Allowance { return &Allowance{teams: make(map[string]*bucket)} }
 
-// First counts a first try of the team.
+// CountFirst counts a first attempt of the team.
 func (a *Allowance) First(now time.Time, team string) {
 	a.sweep(now)
 	b := a.bucket(team)
@@ -47,8 +47,8 @@
 	b.tokens = min(b.tokens+b.share, burst)
 }
 
-// Allow takes one retry from the team's allowance, or returns false. r gives the
-// share from now on.
+// Allow takes one retry from the team's allowance, or returns false if there is none. The share of r
+// applies to the team's first attempts from now on.
 func (a *Allowance) Allow(now time.Time, team string, r settings.Retry) bool {
 	b := a.bucket(team)
 	b.used = now
@@ -76,34 +76,34 @@
 	return b
 }
 
-// sweep drops teams that were idle for long, so that memory stays bounded.
+// sweep drops teams that were idle for idleRetention, so that memory stays bounded.
 func (a *Allowance) sweep(now time.Time) {
-	if now.Sub(a.swept) < idleForget {
+	if now.Sub(a.swept) < idleRetention {
 		return
 	}
 	a.swept = now
 	for team, b := range a.teams {
-		if now.Sub(b.used) >= idleForget {
+		if now.Sub(b.used) >= idleRetention {
 			delete(a.teams, team)
 		}
 	}
 }
 
-// Attempt is a failed attempt at a backend server.
+// Attempt describes a failed attempt at a backend server.
 type Attempt struct {
-	// Number of attempts made, this one included.
+	// Number is the number of attempts made, this one included.
 	Number int
-	// NotRun: the server surely did not run the request.
+	// NotRun: the server certainly did not run the request.
 	NotRun bool
 	// Idempotent: the request may run twice.
 	Idempotent bool
-	// Started: part of the answer is already with the caller.
+	// AnswerStarted: part of the answer has already been sent to the caller.
 	Started bool
 }
 
-// Safe tells whether the rules allow another attempt, the allowance aside: it
-// surely did not run or is idempotent, no part of an answer is with the caller,
-// attempts are left and run, the predicted time of a run, fits before the deadline.
+// MayRetry reports whether another attempt is allowed, apart from the allowance: the request
+// certainly did not run or is idempotent, no part of an answer has been sent, the maximum number of
+// attempts is not reached, and run, the predicted run time, fits before the deadline.
 func Safe(now time.Time, at Attempt, r settings.Retry, deadline time.Time, run time.Duration) bool {
 	most := r.MaxAttempts
 	if most <= 0 {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,16 +9,15 @@
 
 var t0 = time.Unix(1000, 0)
 
-// Symptom: servers that fail get several times the load of the callers.
-// Sequence: every attempt fails, and each is tried again as often as allowed.
-// Cause: retries that are bounded per request only, not as a share of first tries.
-func TestRetriesStayWithinTheAllowanceWhileAllFails(t *testing.T) {
+// Guards against retries that multiply the load on failing servers. Every attempt fails and is
+// retried as often as allowed, so a limit per request alone is not enough.
+func TestRetriesStayWithinTheAllowanceWhenAllAttemptsFail(t *testing.T) {
 	for _, share := range []float64{0.05, 0.1, 1} {
 		a := NewAllowance()
 		r := settings.Retry{Share: share, MaxAttempts: 5}
-		const firstTries = 10000
+		const firstAttempts = 10000
 		retries := 0
-		for i := range firstTries {
+		for i := range firstAttempts {
 			now := t0.Add(time.Duration(i) * time.Millisecond)
 			a.First(now, "team")
 			at := Attempt{Number: 1, NotRun: true}
@@ -27,14 +26,14 @@
 				at.Number++
 			}
 		}
-		most := int(share*firstTries) + 2*int(burst)
+		most := int(share*firstAttempts) + 2*int(burst)
 		if retries > most || retries < most/2 {
-			t.Errorf("share %v: %d retries for %d first tries, at most %d allowed", share, retries, firstTries, most)
+			t.Errorf("share %v: %d retries for %d first attempts, at most %d allowed", share, retries, firstAttempts, most)
 		}
 	}
 }
 
-func TestTeamsDoNotShareAnAllowance(t *testing.T) {
+func TestTeamsHaveSeparateAllowances(t *testing.T) {
 	a := NewAllowance()
 	for range 1000 {
 		a.Allow(t0, "greedy", settings.Retry{})
@@ -44,9 +43,8 @@
 	}
 }
 
-// Symptom: a ledger entry is posted twice, or an answer begins anew in its middle.
-// Sequence: an attempt fails in a state in which it may have run.
-// Cause: a retry of what neither surely did not run nor may run twice.
+// Guards against retries of attempts that may have run or whose answer has begun, which post a
+// ledger entry twice or begin an answer anew in its middle.
 func TestOnlySafeAttemptsAreRetried(t *testing.T) {
 	left := t0.Add(time.Second)
 	for _, c := range []struct {
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -6,40 +6,38 @@
 	"github.com/bluebellsail/bluebellsail/internal/defaults"
 )
 
-// Bounds hold the attempts beyond the first that a whole fleet makes for a service: in
-// any span of Window at most Share of the requests plus Extra. Zero fields take the
-// defaults.
+// Bounds limit the retries of a whole fleet for a service: in any span of Window, at most Share of
+// the requests plus Extra. Zero fields get the defaults.
 type Bounds struct {
-	// Window is the span; default 10 s.
+	// Window is the length of the span; default 10 s.
 	Window time.Duration
-	// Share of the requests of the span; default 0.1.
+	// Share is the share of the span's requests that may be retried; default 0.1.
 	Share float64
-	// Extra attempts of the span that all hosts share; default 10.
+	// Extra is the number of additional retries per span, which all hosts share; default 10.
 	Extra int
 }
 
-// Defaults of Bounds.
+// Default values of Bounds.
 const (
 	DefaultWindow = 10 * time.Second
 	DefaultShare  = 0.1
 	DefaultExtra  = 10
 )
 
-// Window keeps one host's part of the bounds: its share of its own requests and an
-// equal part of Extra. So the fleet keeps them without a word between hosts, also while
-// they are cut off from each other. It is not safe for concurrent use.
+// Window enforces one host's part of the bounds: Share of its own requests and an equal part of
+// Extra. The fleet thus stays within the bounds without communication between hosts, also during
+// a partition. It is not safe for concurrent use.
 type Window struct {
 	bounds   Bounds
 	services map[string]*attempts
 }
 
-// attempts are the times of a service's requests and further attempts in the window,
-// oldest first.
+// attempts holds the times of a service's requests and retries in the window, oldest first.
 type attempts struct {
-	first, again []time.Time
+	requests, retries []time.Time
 }
 
-// NewWindow makes a window without requests.
+// NewWindow returns a window without requests.
 func NewWindow(b Bounds) *Window {
 	defaults.Set(&b.Window, DefaultWindow)
 	defaults.Set(&b.Share, DefaultShare)
@@ -54,12 +52,12 @@
 		w.services[name] = a
 	}
 	since := now.Add(-w.bounds.Window)
-	a.first = after(a.first, since)
-	a.again = after(a.again, since)
+	a.requests = after(a.requests, since)
+	a.retries = after(a.retries, since)
 	return a
 }
 
-// after drops the times before since.
+// after returns times without those before since.
 func after(times []time.Time, since time.Time) []time.Time {
 	n := 0
 	for n < len(times) && times[n].Before(since) {
@@ -68,20 +66,20 @@
 	return times[n:]
 }
 
-// First counts a request for a service.
+// CountFirst counts a request for a service, which is its first attempt.
 func (w *Window) First(now time.Time, service string) {
 	a := w.service(now, service)
-	a.first = append(a.first, now)
+	a.requests = append(a.requests, now)
 }
 
-// Allow takes one further attempt of a service, or says no. hosts is the number of hosts
-// that share Extra.
+// Allow takes one retry of a service, or returns false if none is allowed. hosts is the number of
+// hosts that share Extra.
 func (w *Window) Allow(now time.Time, service string, hosts int) bool {
 	a := w.service(now, service)
-	limit := w.bounds.Share*float64(len(a.first)) + float64(w.bounds.Extra)/float64(max(hosts, 1))
-	if float64(len(a.again)+1) > limit {
+	limit := w.bounds.Share*float64(len(a.requests)) + float64(w.bounds.Extra)/float64(max(hosts, 1))
+	if float64(len(a.retries)+1) > limit {
 		return false
 	}
-	a.again = append(a.again, now)
+	a.retries = append(a.retries, now)
 	return true
 }
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -9,7 +9,7 @@
 
 var windowStart = time.Unix(1000, 0)
 
-func TestWindowForgets(t *testing.T) {
+func TestWindowDropsOldRequests(t *testing.T) {
 	w := NewWindow(Bounds{Window: 10 * time.Second, Share: 0.5, Extra: 1})
 	w.First(windowStart, "s")
 	w.First(windowStart, "s")
@@ -20,31 +20,30 @@
 	}
 	later := windowStart.Add(10*time.Second + 1)
 	if !w.Allow(later, "s", 1) || w.Allow(later, "s", 1) {
-		t.Error("after the window only the extra attempt is left")
+		t.Error("after the window not exactly the extra attempt is allowed")
 	}
 }
 
-func TestServicesHaveAllowancesOfTheirOwn(t *testing.T) {
+func TestServicesHaveSeparateAllowances(t *testing.T) {
 	w := NewWindow(Bounds{Window: time.Second, Share: 0, Extra: 1})
 	if !w.Allow(windowStart, "a", 1) || !w.Allow(windowStart, "b", 1) || w.Allow(windowStart, "a", 1) {
-		t.Error("one service takes from another's")
+		t.Error("one service's retries use up another's allowance")
 	}
 }
 
-// TestFleetKeepsTheBounds: in no span of the window do all hosts together make more
-// further attempts than the share of the requests there plus the extra ones, though no
-// host knows of the others' attempts.
+// Checks that in no span of the window all hosts together make more retries than Share of the
+// span's requests plus Extra, although no host knows of the others' retries.
 //
-// A request counts for the window in which it came and for the one before: an attempt
-// may follow it some time later.
-func TestFleetKeepsTheBounds(t *testing.T) {
+// A request counts for the window in which it arrived and for the next one, because its retry may
+// follow some time later.
+func TestFleetStaysWithinTheBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts, extra, share, span = 3, 7, 0.25, 1000
 		fleet := make([]*Window, hosts)
 		for i := range fleet {
 			fleet[i] = NewWindow(Bounds{Window: span * time.Millisecond, Share: share, Extra: extra})
 		}
-		var first, again []int
+		var requests, retries []int
 		now := 0
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
 			now += rapid.IntRange(0, 40).Draw(t, "ms")
@@ -52,15 +51,15 @@
 			w := fleet[rapid.IntRange(0, hosts-1).Draw(t, "host")]
 			if rapid.Bool().Draw(t, "first") {
 				w.First(at, "s")
-				first = append(first, now)
+				requests = append(requests, now)
 			} else if w.Allow(at, "s", hosts) {
-				again = append(again, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, from := range again {
-			firsts, agains := within(first, from-span, from+span), within(again, from, from+span-1)
-			if float64(agains) > share*float64(firsts)+extra {
-				t.Fatalf("%d further attempts in the span from %d ms, with %d requests in it and the one before", agains, from, firsts)
+		for _, from := range retries {
+			requestsInSpan, retriesInSpan := within(requests, from-span, from+span), within(retries, from, from+span-1)
+			if float64(retriesInSpan) > share*float64(requestsInSpan)+extra {
+				t.Fatalf("%d retries in the span from %d ms, with %d requests in it and the one before", retriesInSpan, from, requestsInSpan)
 			}
 		}
 	})
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,5 +1,5 @@
-// Package retryafter reads the header Retry-After (RFC 9110, section 10.2.3): seconds, here with
-// fractions as well, or a date.
+// Package retryafter parses the Retry-After header (RFC 9110, section 10.2.3): a number of seconds,
+// here also with a fraction, or a date.
 package retryafter
 
 import (
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Longest is the longest time that a header can name; a longer one counts as this.
+// Longest is the maximum of a parsed time; longer ones are reduced to it.
 const Longest = 24 * time.Hour
 
-// Parse reads the header's text. An empty one, and a date in the past, is no time; ok is false if
-// it can't be read.
+// Parse parses the header's text. An empty text and a date in the past give 0; ok is false if the
+// text is malformed.
 func Parse(text string, now time.Time) (after time.Duration, ok bool) {
 	text = strings.TrimSpace(text)
 	if text == "" {
--- a/internal/sched/work.go
+++ b/internal/sched/work.go
@@ -132,8 +132,8 @@
 	DefaultQueuePerAccount = 64
 	DefaultQueuePerTarget  = 512
 	DefaultMargin          = 0.05
-	DefaultMaxLoadAge       = 2 * time.Second
-	DefaultQueueAhead           = 500 * time.Millisecond
+	DefaultMaxLoadAge      = 2 * time.Second
+	DefaultQueueAhead      = 500 * time.Millisecond
 )
 
 func (c Config) withDefaults() Config {
--- a/internal/silence/gaps.go
+++ b/internal/silence/gaps.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Learning of gaps.
+// Parameters of the averages.
 const (
 	gapWeight = 0.05
-	// gapDeviations above the mean gap that are still usual.
+	// gapDeviations is the number of mean deviations above the mean that a usual gap can have.
 	gapDeviations = 8
-	// gapFactor times the mean is usual in any case.
+	// gapFactor is the multiple of the mean that a gap may reach even if the deviation is small.
 	gapFactor  = 4
 	minGaps    = 8
 	maxServers = 8192
 )
 
-// Gaps learns per server how long its connections are usually quiet, before the
-// first byte of an answer and between two.
+// Gaps tracks per server how long its connections are usually quiet, before the first byte of an
+// answer and between two bytes.
 type Gaps struct {
 	cfg     Config
 	servers map[string]*serverGaps
@@ -25,18 +25,18 @@
 
 type serverGaps struct{ first, next gap }
 
-// gap is a learnt quiet time, in seconds.
+// gap holds moving averages of a quiet time, in seconds.
 type gap struct {
 	mean, dev float64
 	n         int
 }
 
-// NewGaps makes a Gaps that knows nothing.
+// NewGaps returns a Gaps without observations.
 func NewGaps(cfg Config) *Gaps {
 	return &Gaps{cfg: cfg.withDefaults(), servers: make(map[string]*serverGaps)}
 }
 
-// Heard learns a quiet time that ended; first: it came before an answer's first byte.
+// Record adds an observed quiet time; first: it was before an answer's first byte.
 func (g *Gaps) Heard(server string, first bool, quiet time.Duration) {
 	s := g.servers[server]
 	if s == nil {
@@ -63,8 +63,8 @@
 	g.dev += gapWeight * (math.Abs(diff) - g.dev)
 }
 
-// limit is the quiet time that is nothing unusual, between floor and ceiling;
-// the ceiling while little was learnt.
+// limit returns the longest usual quiet time, between floor and ceiling; it is the ceiling before
+// minGaps observations.
 func (g *gap) limit(floor, ceiling time.Duration) time.Duration {
 	if g.n < minGaps {
 		return ceiling
@@ -73,8 +73,8 @@
 	return min(max(time.Duration(seconds*float64(time.Second)), floor), ceiling)
 }
 
-// Limit is how long a connection to server may be quiet before it is suspected;
-// first: before an answer's first byte, when a long prompt may be under way.
+// Limit returns how long a connection to server may be quiet before it is suspected; first: before
+// an answer's first byte, when a long prompt may be in prefill.
 func (g *Gaps) Limit(server string, first bool) time.Duration {
 	s := g.servers[server]
 	if s == nil {
--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -1,8 +1,8 @@
-// Package silence finds connections that went silent for good while new ones to
-// the same server work, as when something between the two ends lost track of them.
-// It learns the gaps to expect per server, asks for a probe over a new connection
-// when a stream is quiet for longer, and says when to replace the connection. It is
-// pure: the caller passes the time in, serialises the calls and does the probing.
+// Package silence detects connections that have gone silent for good while new ones to the same
+// server work, for example because a middlebox dropped their state. It tracks the usual gaps per
+// server, requests a probe over a new connection when a stream is quiet for longer, and decides
+// when to replace the connection. It is pure: the caller passes the time in, serializes the calls
+// and sends the probes.
 package silence
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/defaults"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultFloor        = 250 * time.Millisecond
 	DefaultCeiling      = 5 * time.Second
@@ -21,17 +21,17 @@
 	DefaultFirstCeiling = time.Minute
 )
 
-// Config bounds what is taken for silence; zero fields get the defaults.
+// Config sets the time limits of detection; zero fields get the defaults.
 type Config struct {
 	// Floor and Ceiling bound the quiet time between bytes after which a stream is probed.
 	Floor, Ceiling time.Duration
-	// ProbeTimeout is how long a probe may take.
+	// ProbeTimeout is the timeout of a probe.
 	ProbeTimeout time.Duration
-	// FirstFactor times the predicted time to the first token is waited for it.
+	// FirstFactor times the predicted time to the first token is the wait for it before a probe.
 	FirstFactor float64
-	// FirstFloor is the least wait for a first token where none was predicted.
+	// FirstFloor is the minimum wait for a first token where none was predicted.
 	FirstFloor time.Duration
-	// FirstCeiling bounds the wait for a first token if the server can't tell of progress.
+	// FirstCeiling limits the wait for a first token if the server cannot report its progress.
 	FirstCeiling time.Duration
 }
 
@@ -45,39 +45,39 @@
 	return c
 }
 
-// Verdict is what to do about a stream.
+// Verdict is the action to take for a stream.
 type Verdict int
 
 // Verdicts.
 const (
-	// Wait: nothing is wrong as far as can be told.
+	// Wait: no fault detected.
 	Wait Verdict = iota
-	// Probe: ask the server over a new connection and report with Probed.
+	// Probe: query the server over a new connection and pass the result to Probed.
 	Probe
-	// Replace: close the connection and resume its request over a new one, at
-	// another server if the probe had no answer.
+	// Replace: close the connection and resume its request over a new one, at another server if
+	// the probe was not answered.
 	Replace
 )
 
-// Progress is what a probe over a new connection found.
+// Progress is the result of a probe over a new connection.
 type Progress int
 
-// Results of a probe.
+// Probe results.
 const (
 	// NoAnswer: the server did not answer in time.
 	NoAnswer Progress = iota
-	// Answers: the server answers but can't tell how far the request is.
+	// Answers: the server answers but cannot report the request's progress.
 	Answers
-	// Waiting: the request still waits or its prompt is computed; no token beyond
-	// those received exists.
+	// Waiting: the request is queued or in prefill; the server has no tokens beyond those
+	// received.
 	Waiting
-	// Ahead: the server made tokens that never arrived here.
+	// Ahead: the server has sent tokens that did not arrive here.
 	Ahead
-	// Gone: the server does not know the request.
+	// UnknownRequest: the server does not know the request.
 	Gone
 )
 
-// Detector watches the streams of one host.
+// Detector monitors the streams of one host.
 type Detector struct {
 	cfg     Config
 	gaps    *Gaps
@@ -85,58 +85,57 @@
 }
 
 type stream struct {
-	server  string
-	first   time.Duration // predicted time to the first byte
-	opened  time.Time
-	last    time.Time // last byte, or when a probe showed that nothing is wrong
-	begun   bool
-	probing time.Time // when a probe began; zero: none under way
-	replace bool
+	server    string
+	first     time.Duration // predicted time to the first byte
+	opened    time.Time
+	last      time.Time // last byte, or last probe that found no fault
+	tokenSeen bool
+	probing   time.Time // start of the running probe; zero: none
+	replace   bool
 }
 
-// New makes a Detector.
+// New returns a Detector without streams.
 func New(cfg Config) *Detector {
 	return &Detector{cfg: cfg.withDefaults(), gaps: NewGaps(cfg), streams: make(map[string]*stream)}
 }
 
-// Open begins to watch a request sent to server; first is the predicted time to
-// its first byte.
+// Open starts to monitor a request sent to server; first is the predicted time to its first byte.
 func (d *Detector) Open(now time.Time, id, server string, first time.Duration) {
 	d.streams[id] = &stream{server: server, first: first, opened: now, last: now}
 }
 
-// Close ends the watch.
+// Close stops monitoring a stream.
 func (d *Detector) Close(id string) { delete(d.streams, id) }
 
-// Byte notes that any byte came on the stream, a keepalive included; token tells
-// that it carried a part of the answer, whose gaps are learnt.
+// Received records that a byte arrived on the stream, even if only a keepalive. token reports that
+// it carried a part of the answer; the gaps between these are tracked.
 func (d *Detector) Byte(now time.Time, id string, token bool) {
 	s := d.streams[id]
 	if s == nil {
 		return
 	}
-	if token && s.begun {
+	if token && s.tokenSeen {
 		d.gaps.Heard(s.server, false, now.Sub(s.last))
 	}
-	s.begun = s.begun || token
+	s.tokenSeen = s.tokenSeen || token
 	s.last = now
 	s.probing = time.Time{}
 	s.replace = false
 }
 
-// allowed is how long the stream may be quiet before it is probed.
+// allowed returns how long the stream may be quiet before it is probed.
 //
-// Symptom this prevents: a long prompt is being computed, the connection is quiet
-// meanwhile, and the request is moved again and again without ever starting.
+// Before the first byte it depends on the predicted time: a stream is quiet during the prefill of a
+// long prompt, and with a fixed limit the request would be moved again and again without starting.
 func (d *Detector) allowed(s *stream) time.Duration {
-	if s.begun {
+	if s.tokenSeen {
 		return d.gaps.Limit(s.server, false)
 	}
 	wait := time.Duration(d.cfg.FirstFactor * float64(s.first))
 	return min(max(wait, d.cfg.Floor), d.cfg.FirstCeiling)
 }
 
-// Check says what to do about the stream now. Probe is said once per quiet time.
+// Check returns the action for the stream at this time. It returns Probe once per quiet time.
 func (d *Detector) Check(now time.Time, id string) Verdict {
 	s := d.streams[id]
 	switch {
@@ -156,11 +155,11 @@
 	return Wait
 }
 
-// Probed takes the result of a probe and returns what to do.
+// Probed processes the result of a probe and returns the action to take.
 func (d *Detector) Probed(now time.Time, id string, p Progress) Verdict {
 	s := d.streams[id]
 	if s == nil || s.probing.IsZero() {
-		// A byte came while the probe was under way.
+		// A byte arrived during the probe.
 		return Wait
 	}
 	s.probing = time.Time{}
@@ -169,8 +168,8 @@
 		s.last = now
 		return Wait
 	case Answers:
-		// Before the first token quiet is no proof: the prompt may be long.
-		if !s.begun && now.Sub(s.opened) < d.cfg.FirstCeiling {
+		// Before the first token a quiet stream proves nothing: the prompt may be long.
+		if !s.tokenSeen && now.Sub(s.opened) < d.cfg.FirstCeiling {
 			s.last = now
 			return Wait
 		}
@@ -179,7 +178,7 @@
 	return Replace
 }
 
-// NextCheck is when Check has to be called for the stream; zero: not watched.
+// NextCheck returns when Check has to be called for the stream; zero: the stream is not monitored.
 func (d *Detector) NextCheck(id string) time.Time {
 	s := d.streams[id]
 	switch {
@@ -193,6 +192,6 @@
 	return s.last.Add(d.allowed(s))
 }
 
-// Bound is the longest time from the last byte of a stream that has begun until
-// Replace is said, if the server answers probes truly.
+// MaxDetection returns the longest time from the last byte of a stream that has begun until Replace,
+// if the server answers probes correctly.
 func (d *Detector) Bound() time.Duration { return d.cfg.Ceiling + d.cfg.ProbeTimeout }
--- a/internal/silence/silence_test.go
+++ b/internal/silence/silence_test.go
@@ -7,8 +7,8 @@
 
 var t0 = time.Unix(1000, 0)
 
-// drive calls Check each millisecond from when it is due until it says something
-// other than Wait, or until the end.
+// drive calls Check each millisecond from when it is due until it returns something other than
+// Wait, or until the given time.
 func drive(d *Detector, id string, until time.Time) (Verdict, time.Time) {
 	at := d.NextCheck(id)
 	if at.IsZero() {
@@ -22,8 +22,8 @@
 	return Wait, until
 }
 
-// begun opens a stream and feeds n tokens, every apart.
-func begun(d *Detector, n int, every time.Duration) time.Time {
+// startStream opens a stream and feeds it n tokens, one per interval of every.
+func startStream(d *Detector, n int, every time.Duration) time.Time {
 	now := t0
 	d.Open(now, "s", "server", 100*time.Millisecond)
 	for range n {
@@ -33,13 +33,13 @@
 	return now
 }
 
-// Symptom: a stream stops in its middle and its caller waits until the deadline.
-// Sequence: tokens come each 30 ms, then nothing; a new connection works.
-// Cause: something between the two ends has lost track of the connection.
+// Guards against a stream that stops in its middle and leaves its caller waiting until the deadline.
+// Tokens come each 30 ms, then nothing, because a middlebox dropped the connection's state; a new
+// connection works.
 func TestSilentStreamIsReplacedWithinItsBound(t *testing.T) {
 	for _, tokens := range []int{3, 100} {
 		d := New(Config{})
-		last := begun(d, tokens, 30*time.Millisecond)
+		last := startStream(d, tokens, 30*time.Millisecond)
 		v, at := drive(d, "s", last.Add(time.Minute))
 		if v != Probe {
 			t.Fatalf("after %d tokens: %v, want Probe", tokens, v)
@@ -58,7 +58,7 @@
 	want := map[Progress]Verdict{NoAnswer: Replace, Answers: Replace, Waiting: Wait, Ahead: Replace, Gone: Replace}
 	for p, v := range want {
 		d := New(Config{})
-		last := begun(d, 20, 30*time.Millisecond)
+		last := startStream(d, 20, 30*time.Millisecond)
 		_, at := drive(d, "s", last.Add(time.Minute))
 		if got := d.Probed(at, "s", p); got != v {
 			t.Errorf("progress %d: got %d, want %d", p, got, v)
@@ -69,13 +69,12 @@
 	}
 }
 
-// Symptom: a request with a long prompt is moved from server to server and never starts.
-// Sequence: the prompt takes 20 s where 2 s were predicted; the connection is quiet meanwhile.
-// Cause: quiet before the first token is taken for a lost connection.
-func TestLongPrefillIsNoSilence(t *testing.T) {
+// Guards against a request with a long prompt that is moved from server to server and never starts.
+// The prefill takes 20 s where 2 s were predicted, and the quiet connection counted as lost.
+func TestLongPrefillIsNotReplaced(t *testing.T) {
 	for _, p := range []Progress{Waiting, Answers} {
 		d := New(Config{})
-		begun(d, 100, 30*time.Millisecond)
+		startStream(d, 100, 30*time.Millisecond)
 		d.Open(t0, "long", "server", 2*time.Second)
 		probes := 0
 		end := t0.Add(20 * time.Second)
@@ -90,53 +89,53 @@
 			}
 		}
 		if probes == 0 {
-			t.Error("20s of quiet without one probe")
+			t.Error("no probe in 20s of quiet")
 		}
 	}
 }
 
 func TestByteDuringProbeEndsIt(t *testing.T) {
 	d := New(Config{})
-	last := begun(d, 20, 30*time.Millisecond)
+	last := startStream(d, 20, 30*time.Millisecond)
 	_, at := drive(d, "s", last.Add(time.Minute))
 	d.Byte(at.Add(time.Millisecond), "s", false)
 	if v := d.Probed(at.Add(2*time.Millisecond), "s", NoAnswer); v != Wait {
-		t.Errorf("a stream that goes on was given %d", v)
+		t.Errorf("a stream that continues got verdict %d", v)
 	}
 	d.Close("s")
 	if v, _ := drive(d, "s", t0); v != Wait || !d.NextCheck("s").IsZero() {
-		t.Error("a closed stream is still watched")
+		t.Error("a closed stream is still monitored")
 	}
 }
 
-// Symptom: a server's first long prompt after many short ones is taken for silence.
-// Sequence: first bytes come after 50 ms, tokens each 30 ms; then a prompt takes 9 s.
-// Cause: one limit for both quiet times, or a first limit learnt from short prompts alone.
+// Guards against a server's first long prompt after many short ones counting as silence, as with one
+// limit for both quiet times, or a first limit from short prompts alone. First bytes come after
+// 50 ms and tokens each 30 ms; then a prompt takes 9 s.
 func TestLimitsBeforeAndAfterTheFirstByte(t *testing.T) {
 	g := NewGaps(Config{})
 	if g.Limit("s", true) != DefaultFirstCeiling || g.Limit("s", false) != DefaultCeiling {
-		t.Error("an unknown server does not get the ceilings")
+		t.Error("the limits of an unknown server are not the ceilings")
 	}
 	for range 100 {
 		g.Heard("s", true, 50*time.Millisecond)
 		g.Heard("s", false, 30*time.Millisecond)
 	}
 	if l := g.Limit("s", true); l != DefaultFirstFloor {
-		t.Errorf("%v before the first byte, want the floor, which a prompt of 9s fits", l)
+		t.Errorf("limit %v before the first byte, want the floor, which allows a prompt of 9s", l)
 	}
 	if l := g.Limit("s", false); l > 2*DefaultFloor {
-		t.Errorf("%v between tokens that come each 30ms", l)
+		t.Errorf("limit %v between tokens that come each 30ms", l)
 	}
 	for range 100 {
 		g.Heard("s", false, 2*time.Second)
 	}
 	if l := g.Limit("s", false); l < 4*time.Second || l > DefaultCeiling {
-		t.Errorf("%v between tokens that come each 2s", l)
+		t.Errorf("limit %v between tokens that come each 2s", l)
 	}
 	for i := range 2 * maxServers {
 		g.Heard(string(rune(i)), false, time.Second)
 	}
 	if len(g.servers) > maxServers {
-		t.Errorf("%d servers remembered", len(g.servers))
+		t.Errorf("%d servers kept in memory", len(g.servers))
 	}
 }
