--- a/internal/controller/scheduler/scheduler.go
+++ b/internal/controller/scheduler/scheduler.go
@@ -137,7 +137,7 @@
 func (s *Scheduler) First(team string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.retries.First(s.now(), team)
+	s.retries.CountFirst(s.now(), team)
 }
 
 // Allow takes one retry from the team's allowance, or says no.
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -40,7 +40,7 @@
 func NewAllowance() *Allowance { return &Allowance{teams: make(map[string]*bucket)} }
 
 // CountFirst counts a first attempt of the team.
-func (a *Allowance) First(now time.Time, team string) {
+func (a *Allowance) CountFirst(now time.Time, team string) {
 	a.sweep(now)
 	b := a.bucket(team)
 	b.used = now
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -19,7 +19,7 @@
 		retries := 0
 		for i := range firstAttempts {
 			now := t0.Add(time.Duration(i) * time.Millisecond)
-			a.First(now, "team")
+			a.CountFirst(now, "team")
 			at := Attempt{Number: 1, NotRun: true}
 			for Safe(now, at, r, now.Add(time.Minute), time.Second) && a.Allow(now, "team", r) {
 				retries++
