--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -190,7 +190,7 @@
 func (b *Balancer) First(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.retries.First(time.Now(), service)
+	b.retries.CountFirst(time.Now(), service)
 }
 
 // Allow implements relay.Retries.
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -67,7 +67,7 @@
 }
 
 // CountFirst counts a request for a service, which is its first attempt.
-func (w *Window) First(now time.Time, service string) {
+func (w *Window) CountFirst(now time.Time, service string) {
 	a := w.service(now, service)
 	a.requests = append(a.requests, now)
 }
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -11,8 +11,8 @@
 
 func TestWindowDropsOldRequests(t *testing.T) {
 	w := NewWindow(Bounds{Window: 10 * time.Second, Share: 0.5, Extra: 1})
-	w.First(windowStart, "s")
-	w.First(windowStart, "s")
+	w.CountFirst(windowStart, "s")
+	w.CountFirst(windowStart, "s")
 	for i, want := range []bool{true, true, false} {
 		if got := w.Allow(windowStart, "s", 1); got != want {
 			t.Errorf("attempt %d: %t", i+1, got)
@@ -50,7 +50,7 @@
 			at := windowStart.Add(time.Duration(now) * time.Millisecond)
 			w := fleet[rapid.IntRange(0, hosts-1).Draw(t, "host")]
 			if rapid.Bool().Draw(t, "first") {
-				w.First(at, "s")
+				w.CountFirst(at, "s")
 				requests = append(requests, now)
 			} else if w.Allow(at, "s", hosts) {
 				retries = append(retries, now)
