--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -98,7 +98,7 @@
 	// Idempotent: the request may run twice.
 	Idempotent bool
 	// AnswerStarted: part of the answer has already been sent to the caller.
-	Started bool
+	AnswerStarted bool
 }
 
 // MayRetry reports whether another attempt is allowed, apart from the allowance: the request
@@ -109,7 +109,7 @@
 	if most <= 0 {
 		most = defaultMaxAttempts
 	}
-	if at.Number >= most || at.Started {
+	if at.Number >= most || at.AnswerStarted {
 		return false
 	}
 	if !at.NotRun && !at.Idempotent {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -56,7 +56,7 @@
 		{"surely not run", Attempt{Number: 1, NotRun: true}, 0, true},
 		{"idempotent", Attempt{Number: 1, Idempotent: true}, 0, true},
 		{"may have run", Attempt{Number: 1}, 0, false},
-		{"answer begun", Attempt{Number: 1, Idempotent: true, Started: true}, 0, false},
+		{"answer begun", Attempt{Number: 1, Idempotent: true, AnswerStarted: true}, 0, false},
 		{"attempts used up", Attempt{Number: 3, NotRun: true}, 0, false},
 		{"no time left for a run", Attempt{Number: 1, NotRun: true}, 2 * time.Second, false},
 	} {
