--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -104,7 +104,7 @@
 // MayRetry reports whether another attempt is allowed, apart from the allowance: the request
 // certainly did not run or is idempotent, no part of an answer has been sent, the maximum number of
 // attempts is not reached, and run, the predicted run time, fits before the deadline.
-func Safe(now time.Time, at Attempt, r settings.Retry, deadline time.Time, run time.Duration) bool {
+func MayRetry(now time.Time, at Attempt, r settings.Retry, deadline time.Time, run time.Duration) bool {
 	most := r.MaxAttempts
 	if most <= 0 {
 		most = defaultMaxAttempts
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -21,7 +21,7 @@
 			now := t0.Add(time.Duration(i) * time.Millisecond)
 			a.CountFirst(now, "team")
 			at := Attempt{Number: 1, NotRun: true}
-			for Safe(now, at, r, now.Add(time.Minute), time.Second) && a.Allow(now, "team", r) {
+			for MayRetry(now, at, r, now.Add(time.Minute), time.Second) && a.Allow(now, "team", r) {
 				retries++
 				at.Number++
 			}
@@ -60,7 +60,7 @@
 		{"attempts used up", Attempt{Number: 3, NotRun: true}, 0, false},
 		{"no time left for a run", Attempt{Number: 1, NotRun: true}, 2 * time.Second, false},
 	} {
-		if got := Safe(t0, c.at, settings.Retry{}, left, c.run); got != c.want {
+		if got := MayRetry(t0, c.at, settings.Retry{}, left, c.run); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
