--- a/internal/silence/gaps.go
+++ b/internal/silence/gaps.go
@@ -37,7 +37,7 @@
 }
 
 // Record adds an observed quiet time; first: it was before an answer's first byte.
-func (g *Gaps) Heard(server string, first bool, quiet time.Duration) {
+func (g *Gaps) Record(server string, first bool, quiet time.Duration) {
 	s := g.servers[server]
 	if s == nil {
 		if len(g.servers) >= maxServers {
--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -115,7 +115,7 @@
 		return
 	}
 	if token && s.tokenSeen {
-		d.gaps.Heard(s.server, false, now.Sub(s.last))
+		d.gaps.Record(s.server, false, now.Sub(s.last))
 	}
 	s.tokenSeen = s.tokenSeen || token
 	s.last = now
--- a/internal/silence/silence_test.go
+++ b/internal/silence/silence_test.go
@@ -117,8 +117,8 @@
 		t.Error("the limits of an unknown server are not the ceilings")
 	}
 	for range 100 {
-		g.Heard("s", true, 50*time.Millisecond)
-		g.Heard("s", false, 30*time.Millisecond)
+		g.Record("s", true, 50*time.Millisecond)
+		g.Record("s", false, 30*time.Millisecond)
 	}
 	if l := g.Limit("s", true); l != DefaultFirstFloor {
 		t.Errorf("limit %v before the first byte, want the floor, which allows a prompt of 9s", l)
@@ -127,13 +127,13 @@
 		t.Errorf("limit %v between tokens that come each 30ms", l)
 	}
 	for range 100 {
-		g.Heard("s", false, 2*time.Second)
+		g.Record("s", false, 2*time.Second)
 	}
 	if l := g.Limit("s", false); l < 4*time.Second || l > DefaultCeiling {
 		t.Errorf("limit %v between tokens that come each 2s", l)
 	}
 	for i := range 2 * maxServers {
-		g.Heard(string(rune(i)), false, time.Second)
+		g.Record(string(rune(i)), false, time.Second)
 	}
 	if len(g.servers) > maxServers {
 		t.Errorf("%d servers kept in memory", len(g.servers))
