--- a/internal/filter/dispatch/silence.go
+++ b/internal/filter/dispatch/silence.go
@@ -53,7 +53,7 @@
 func (l *LearnedSilence) Byte(now time.Time, id string, token bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.detector.Byte(now, id, token)
+	l.detector.Received(now, id, token)
 }
 
 // Limit implements Silence.
--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -109,7 +109,7 @@
 
 // Received records that a byte arrived on the stream, even if only a keepalive. token reports that
 // it carried a part of the answer; the gaps between these are tracked.
-func (d *Detector) Byte(now time.Time, id string, token bool) {
+func (d *Detector) Received(now time.Time, id string, token bool) {
 	s := d.streams[id]
 	if s == nil {
 		return
--- a/internal/silence/silence_test.go
+++ b/internal/silence/silence_test.go
@@ -28,7 +28,7 @@
 	d.Open(now, "s", "server", 100*time.Millisecond)
 	for range n {
 		now = now.Add(every)
-		d.Byte(now, "s", true)
+		d.Received(now, "s", true)
 	}
 	return now
 }
@@ -98,7 +98,7 @@
 	d := New(Config{})
 	last := startStream(d, 20, 30*time.Millisecond)
 	_, at := drive(d, "s", last.Add(time.Minute))
-	d.Byte(at.Add(time.Millisecond), "s", false)
+	d.Received(at.Add(time.Millisecond), "s", false)
 	if v := d.Probed(at.Add(2*time.Millisecond), "s", NoAnswer); v != Wait {
 		t.Errorf("a stream that continues got verdict %d", v)
 	}
