--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -194,4 +194,4 @@
 
 // MaxDetection returns the longest time from the last byte of a stream that has begun until Replace,
 // if the server answers probes correctly.
-func (d *Detector) Bound() time.Duration { return d.cfg.Ceiling + d.cfg.ProbeTimeout }
+func (d *Detector) MaxDetection() time.Duration { return d.cfg.Ceiling + d.cfg.ProbeTimeout }
--- a/internal/silence/silence_test.go
+++ b/internal/silence/silence_test.go
@@ -48,8 +48,8 @@
 			t.Errorf("a stream with known gaps of 30ms was probed only after %v", at.Sub(last))
 		}
 		v, at = drive(d, "s", last.Add(time.Minute))
-		if v != Replace || at.Sub(last) > d.Bound() {
-			t.Errorf("no probe answer: %v after %v, the bound is %v", v, at.Sub(last), d.Bound())
+		if v != Replace || at.Sub(last) > d.MaxDetection() {
+			t.Errorf("no probe answer: %v after %v, the bound is %v", v, at.Sub(last), d.MaxDetection())
 		}
 	}
 }
