--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -74,7 +74,7 @@
 	// Ahead: the server has sent tokens that did not arrive here.
 	Ahead
 	// UnknownRequest: the server does not know the request.
-	Gone
+	UnknownRequest
 )
 
 // Detector monitors the streams of one host.
--- a/internal/silence/silence_test.go
+++ b/internal/silence/silence_test.go
@@ -55,7 +55,7 @@
 }
 
 func TestProbeResultsAfterTheFirstToken(t *testing.T) {
-	want := map[Progress]Verdict{NoAnswer: Replace, Answers: Replace, Waiting: Wait, Ahead: Replace, Gone: Replace}
+	want := map[Progress]Verdict{NoAnswer: Replace, Answers: Replace, Waiting: Wait, Ahead: Replace, UnknownRequest: Replace}
 	for p, v := range want {
 		d := New(Config{})
 		last := startStream(d, 20, 30*time.Millisecond)
