--- a/internal/controller/assign/assign.go
+++ b/internal/controller/assign/assign.go
@@ -66,9 +66,9 @@
 	Cooling(service string) (incarnations []instance.Incarnation, shortest time.Duration, all bool)
 	End(inc instance.Incarnation) error
 	Drain(inc instance.Incarnation)
-	TakeCacheUpdates() []balance.Known
-	CacheContents(service string, in balance.Shard) []balance.Known
-	MergeCaches([]balance.Known)
+	TakeCacheUpdates() []balance.CachedParts
+	CacheContents(service string, in balance.Shard) []balance.CachedParts
+	MergeCaches([]balance.CachedParts)
 	ShardOfServer(inc instance.Incarnation) (service string, in balance.Shard, ok bool)
 }
 
@@ -217,7 +217,7 @@
 	l.choice = balance.Choice{
 		Instance: instance.Announcement{ID: reply.GetServer(), Started: reply.GetIncarnation(), Address: reply.GetAddress()},
 		Wait:     time.Duration(reply.GetWaitUs()) * time.Microsecond, Cached: reply.GetCached(), Shared: balance.SharedTokens(w.Prompt),
-		HomeWait: time.Duration(reply.GetHomeWaitUs()) * time.Microsecond, Running: int(reply.GetRunning()),
+		PreferredWait: time.Duration(reply.GetHomeWaitUs()) * time.Microsecond, Running: int(reply.GetRunning()),
 	}
 	l.choice.CooldownLeft = a.cfg.Local.CooldownLeft(l.choice.Instance.Incarnation())
 	return l, nil
--- a/internal/controller/assign/share.go
+++ b/internal/controller/assign/share.go
@@ -47,7 +47,7 @@
 // share sends the prompt parts that servers have been sent since the last call.
 func (a *Assigner) share(ctx context.Context) {
 	now := time.Now()
-	updates := make(map[shardKey][]balance.Known)
+	updates := make(map[shardKey][]balance.CachedParts)
 	for _, k := range a.cfg.Local.TakeCacheUpdates() {
 		service, shard, ok := a.cfg.Local.ShardOfServer(k.Server)
 		if !ok {
@@ -71,7 +71,7 @@
 
 // shareShard sends the updates of one shard to the first host in rank other than this one, or
 // everything known of the shard if that host has not received it yet.
-func (a *Assigner) shareShard(ctx context.Context, key shardKey, s *shareState, updates []balance.Known) {
+func (a *Assigner) shareShard(ctx context.Context, key shardKey, s *shareState, updates []balance.CachedParts) {
 	to, ok := a.successor(key)
 	if !ok {
 		return
@@ -103,7 +103,7 @@
 	return outbox.Receiver{}, false
 }
 
-func (a *Assigner) sendParts(ctx context.Context, to outbox.Receiver, known []balance.Known) error {
+func (a *Assigner) sendParts(ctx context.Context, to outbox.Receiver, known []balance.CachedParts) error {
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	req := &pb.SharePartsRequest{}
@@ -129,7 +129,7 @@
 
 // HandleShareParts merges another host's knowledge of engines' caches.
 func (a *Assigner) HandleShareParts(req *pb.SharePartsRequest) *pb.SharePartsReply {
-	known := make([]balance.Known, 0, len(req.GetServers()))
+	known := make([]balance.CachedParts, 0, len(req.GetServers()))
 	for _, s := range req.GetServers() {
 		known = append(known, decodeKnown(s))
 	}
@@ -137,14 +137,14 @@
 	return &pb.SharePartsReply{}
 }
 
-func encodeKnown(k balance.Known) *pb.ServerParts {
+func encodeKnown(k balance.CachedParts) *pb.ServerParts {
 	return &pb.ServerParts{
 		Server: k.Server.ID, Incarnation: k.Server.Started, CacheTokens: k.CacheTokens, Parts: encodeParts(k.Parts),
 	}
 }
 
-func decodeKnown(s *pb.ServerParts) balance.Known {
-	return balance.Known{
+func decodeKnown(s *pb.ServerParts) balance.CachedParts {
+	return balance.CachedParts{
 		Server:      instance.Incarnation{ID: s.GetServer(), Started: s.GetIncarnation()},
 		CacheTokens: s.GetCacheTokens(), Parts: decodeParts(s.GetParts()),
 	}
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -168,13 +168,13 @@
 func (b *Balancer) Acquire(ctx context.Context, w *balance.Work) (relay.Lease, error) {
 	in := *w
 	for asked := 0; ; asked++ {
-		in.PermitsAtHand = asked == maxPermitRequests
+		in.HeldPermitsOnly = asked == maxPermitRequests
 		l, err := b.choose(&in)
 		need, ok := err.(*balance.PermitNeeded)
 		if !ok {
 			return l, err
 		}
-		b.cfg.Limits.RequestPermits(ctx, need.Run)
+		b.cfg.Limits.RequestPermits(ctx, need.Incarnation)
 	}
 }
 
@@ -192,7 +192,7 @@
 func (b *Balancer) First(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.retries.First(time.Now(), service)
+	b.retries.CountFirst(time.Now(), service)
 }
 
 // Allow implements relay.Retries.
@@ -275,24 +275,24 @@
 }
 
 // TakeCacheUpdates returns the prompt parts sent to instances since the last call.
-func (b *Balancer) TakeCacheUpdates() []balance.Known {
+func (b *Balancer) TakeCacheUpdates() []balance.CachedParts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.Touched()
+	return b.core.TakeDispatched()
 }
 
 // CacheContents returns what this host knows of the caches of a service's instances in a shard.
-func (b *Balancer) CacheContents(service string, shard balance.Shard) []balance.Known {
+func (b *Balancer) CacheContents(service string, shard balance.Shard) []balance.CachedParts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.Knowledge(service, shard)
+	return b.core.ShardCaches(service, shard)
 }
 
 // MergeCaches merges another host's knowledge of instances' caches.
-func (b *Balancer) MergeCaches(known []balance.Known) {
+func (b *Balancer) MergeCaches(known []balance.CachedParts) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.core.Learn(known)
+	b.core.MergeCaches(known)
 }
 
 // ShardOfServer returns the service and the shard of an incarnation of a server.
@@ -313,7 +313,7 @@
 func (b *Balancer) cooldown(inc instance.Incarnation, d time.Duration) (began bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.CoolDown(time.Now(), inc, d)
+	return b.core.StartCooldown(time.Now(), inc, d)
 }
 
 // CoolDownForPeer records that a server is cooling down for d for another host whose requests this
@@ -321,14 +321,14 @@
 func (b *Balancer) CoolDownForPeer(inc instance.Incarnation, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.core.CoolDownElsewhere(time.Now(), inc, d)
+	b.core.StartRemoteCooldown(time.Now(), inc, d)
 }
 
 // Cooling returns the servers of a service that are cooling down for this host; see balance.Core.
 func (b *Balancer) Cooling(service string) (incarnations []instance.Incarnation, shortest time.Duration, all bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.core.Cooling(time.Now(), service)
+	return b.core.CoolingDown(time.Now(), service)
 }
 
 // CooldownUnreadable records that a server sent a Retry-After that can't be parsed. An earlier cooldown
@@ -378,14 +378,14 @@
 		return
 	}
 	l.firstReported = true
-	l.b.core.First(time.Now(), l.choice.Ticket)
+	l.b.core.FirstPart(time.Now(), l.choice.Ticket)
 }
 
 // Report implements relay.Lease.
 func (l *lease) Report(load balance.Load) {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
-	l.b.core.Report(time.Now(), l.choice.Instance.Incarnation(), load)
+	l.b.core.ReportLoad(time.Now(), l.choice.Instance.Incarnation(), load)
 }
 
 // CoolDown implements relay.Lease.
@@ -419,7 +419,7 @@
 		Int("failures", s.Failures).Dur("pause", s.Pause).Send()
 }
 
-func (l *lease) done(r balance.Result) balance.Standing {
+func (l *lease) done(r balance.Result) balance.HealthChange {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
 	return l.b.core.Done(time.Now(), l.choice.Ticket, r)
--- a/internal/controller/ratelimits/bench_test.go
+++ b/internal/controller/ratelimits/bench_test.go
@@ -17,7 +17,7 @@
 	l := newLimiter(self(), nil)
 	inc := instance.Incarnation{ID: "i-160861d91e", Started: 1_796_293_518_620}
 	l.Heard(inc, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
-	req := &pb.TakePermitsRequest{Host: "frontend-scl-quilicura-1", Limit: encode(time.Now(), inc, l.table.Of(inc)), Want: 1}
+	req := &pb.TakePermitsRequest{Host: "frontend-scl-quilicura-1", Limit: encode(time.Now(), inc, l.table.Observed(inc)), Want: 1}
 	for b.Loop() {
 		l.HandleTake(req)
 	}
--- a/internal/controller/ratelimits/permits.go
+++ b/internal/controller/ratelimits/permits.go
@@ -85,7 +85,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return &pb.TakePermitsRequest{
-		Host: l.cfg.Host, Limit: encode(now, inc, l.table.Of(inc)), Want: uint32(l.table.Want(now, inc)),
+		Host: l.cfg.Host, Limit: encode(now, inc, l.table.Observed(inc)), Want: uint32(l.table.Want(now, inc)),
 	}
 }
 
@@ -117,19 +117,19 @@
 	rank, owns := l.cfg.Owners.Rank(Key(inc))
 	part := 0.0
 	if owns {
-		part = ratelimit.Part(rank, l.cfg.Owners.AliveFraction())
+		part = ratelimit.OwnerShare(rank, l.cfg.Owners.AliveFraction())
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	obs := l.table.Of(inc)
+	obs := l.table.Observed(inc)
 	reply := &pb.TakePermitsReply{Limit: encode(now, inc, obs)}
 	if part == 0 || !obs.Limited() {
 		reply.AfterUs = unansweredBackoff.Microseconds()
 		return reply
 	}
-	granted, after := l.issuer.Issue(now, ratelimit.Ask{
-		Run: inc, Host: req.GetHost(), Want: int(req.GetWant()), Limit: obs.Limit, Part: part,
+	granted, after := l.issuer.Issue(now, ratelimit.PermitRequest{
+		Incarnation: inc, Host: req.GetHost(), Want: int(req.GetWant()), Limit: obs.Limit, Share: part,
 	})
 	l.metrics.issued.Add(int64(granted))
 	reply.Granted, reply.AfterUs = uint32(granted), after.Microseconds()
--- a/internal/controller/ratelimits/ratelimits.go
+++ b/internal/controller/ratelimits/ratelimits.go
@@ -115,7 +115,7 @@
 		l.issuer.Expire(now)
 		l.unreadable.Forget()
 	}
-	return l.table.Hear(inc, obs)
+	return l.table.Observe(inc, obs)
 }
 
 // logChange logs a changed limit. from is its source: the ID of the request whose answer carried it, or
@@ -140,7 +140,7 @@
 func (l *Limiter) Sending(inc instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	obs := l.table.Of(inc)
+	obs := l.table.Observed(inc)
 	if obs.Limited() {
 		l.metrics.sends.Add(string(why), 1)
 	}
@@ -151,7 +151,7 @@
 func (l *Limiter) Limit(inc instance.Incarnation) (perSecond float64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	obs := l.table.Of(inc)
+	obs := l.table.Observed(inc)
 	return obs.Limit, obs.Limited()
 }
 
--- a/internal/controller/ratelimits/ratelimits_test.go
+++ b/internal/controller/ratelimits/ratelimits_test.go
@@ -69,7 +69,7 @@
 		switch state, _ := l.Check(time.Now(), server); state {
 		case ratelimit.Held:
 			return
-		case ratelimit.AskFirst:
+		case ratelimit.MustRequest:
 			l.RequestPermits(t.Context(), server)
 		}
 	}
@@ -83,7 +83,7 @@
 	l.Heard(server, ratelimit.Observation{Limit: 20, At: time.Now()}, "r")
 	requestUntilHeld(t, l)
 	l.Use(time.Now(), server)
-	if obs := owner.table.Of(server); !obs.Limited() || obs.Limit != 20 {
+	if obs := owner.table.Observed(server); !obs.Limited() || obs.Limit != 20 {
 		t.Errorf("the owner observed %v from the call", obs)
 	}
 }
@@ -150,7 +150,7 @@
 	l := newLimiter(remote(), &peer{to: owner})
 	owner.Heard(server, ratelimit.Observation{Limit: 20, At: time.Now().Add(-time.Minute)}, "r")
 	l.RequestPermits(t.Context(), server)
-	if !owner.table.Of(server).Limited() || !l.table.Of(server).Limited() {
+	if !owner.table.Observed(server).Limited() || !l.table.Observed(server).Limited() {
 		t.Error("the limit is lifted")
 	}
 }
--- a/internal/controller/scheduler/limits.go
+++ b/internal/controller/scheduler/limits.go
@@ -15,7 +15,7 @@
 // askPermits requests the permits that waiting requests need, and schedules again once they have
 // been granted or refused; mu is held.
 func (s *Scheduler) askPermits() {
-	for _, inc := range s.core.TakeWanted() {
+	for _, inc := range s.core.TakePermitRequests() {
 		go func() {
 			defer panics.Log(s.log, "requesting permits")
 			s.limits.RequestPermits(context.Background(), inc)
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	began = s.core.CoolDown(now, address, d)
+	began = s.core.StartCooldown(now, address, d)
 	s.step(now)
 	return began
 }
