--- a/internal/controller/routes/confirm_test.go
+++ b/internal/controller/routes/confirm_test.go
@@ -11,13 +11,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// Symptom: after a loss of power of the whole fleet, hosts refused a route as unknown that a
-// table confirmed before the loss had.
-// Sequence: a host starts; the control hosts answer it, but their group has no leader yet and
-// confirms nothing; 2 s after the start the host serves under the table that one of them had.
-// Cause: time passed was taken for knowledge: "whoever is in contact with the quorum confirms
-// within a second".
-func TestHostInReachOfControlHostsWaitsForAConfirmation(t *testing.T) {
+// Guards against hosts that, after a power failure of the whole fleet, reject a route as unknown that
+// the newest confirmed table contains. The control hosts answer a starting host, but have no leader
+// yet and confirm nothing. The host served 2 s after its start under the older table of one of them,
+// on the false assumption that a reachable quorum confirms within a second.
+func TestHostThatReachesControlHostsWaitsForConfirmation(t *testing.T) {
 	f := newFixture()
 	f.sources = []Source{{Address: "control", Revision: 4, Control: true}}
 	f.replies["control"] = &pb.FetchRoutesReply{Routes: table(t, 4)}
@@ -40,9 +38,9 @@
 	}
 }
 
-// A group cut into halves elects no leader, though all of its replicas can be asked. A host
-// that starts meanwhile serves under the table that they have.
-func TestHostServesWithoutAConfirmationIfNoQuorumIsThere(t *testing.T) {
+// A control group split into halves elects no leader although all of its replicas answer. A host that
+// starts meanwhile must serve under the table that they have.
+func TestHostServesUnconfirmedTableWithoutQuorum(t *testing.T) {
 	f := newFixture()
 	f.sources = []Source{{Address: "control", Revision: 4, Control: true}}
 	f.replies["control"] = &pb.FetchRoutesReply{Routes: table(t, 4)}
@@ -53,16 +51,16 @@
 	f.Reconcile(t.Context())
 	f.fetches.Wait()
 	_, err := f.Current()
-	testutil.Refused(t, err, errkind.HostNotReady, "so soon after a quorum was there")
+	testutil.Refused(t, err, errkind.HostNotReady, "within the grace period after the last contact with a quorum")
 	f.now = start.Add(unconfirmedGrace + confirmEvery)
 	f.Reconcile(t.Context())
 	f.fetches.Wait()
 	if _, err := f.Current(); err != nil {
-		t.Errorf("still refused: %v", err)
+		t.Errorf("still rejected: %v", err)
 	}
 }
 
-// running has a controller look on by the bubble's clock until the test ends.
+// running runs a controller with the clock of a synctest bubble for the duration of test.
 func running(t *testing.T, test func(t *testing.T, f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
@@ -76,13 +74,12 @@
 	})
 }
 
-// Symptom: hosts refused as unknown what a table had that was confirmed 4 s before.
-// Sequence: the host's own table was confirmed long ago; the newer one has not come to it.
-// Cause: what the host's table does not have was taken for unknown.
-func TestNewestIsConfirmedAnew(t *testing.T) {
+// Guards against hosts that reject as unknown what a table confirmed 4 s earlier contains: the host's
+// own table was confirmed long ago, and the newer one has not reached it.
+func TestNewestRenewsTheConfirmation(t *testing.T) {
 	running(t, func(t *testing.T, f *fixture) {
 		if _, err := f.Newest(t.Context()); err != nil {
-			t.Errorf("refused right after a confirmation: %v", err)
+			t.Errorf("rejected right after a confirmation: %v", err)
 		}
 		time.Sleep(time.Minute)
 		f.mu.Lock()
@@ -92,39 +89,38 @@
 		x, err := f.Newest(t.Context())
 		testutil.NoError(t, err)
 		if x.Revision() != 5 {
-			t.Errorf("revision %d of 5 is called the newest", x.Revision())
+			t.Errorf("got revision %d, want 5", x.Revision())
 		}
 		asked := len(f.sortedAsked())
 		time.Sleep(time.Minute)
 		if again := len(f.sortedAsked()); again > asked+int(retryUnconfirmed/confirmEvery)+1 {
-			t.Errorf("asked %d times more with nobody who wants it", again-asked)
+			t.Errorf("asked %d more times without a request for a confirmation", again-asked)
 		}
 	})
 }
 
-func TestNewestIsRefusedWithoutAConfirmation(t *testing.T) {
+func TestNewestFailsWithoutConfirmation(t *testing.T) {
 	running(t, func(t *testing.T, f *fixture) {
 		time.Sleep(time.Minute)
-		for _, most := range []time.Duration{startWait + startLook, 0} { // the second one knows already
+		for _, most := range []time.Duration{awaitTimeout + awaitPollInterval, 0} { // the second call fails at once
 			asked := time.Now()
 			_, err := f.Newest(t.Context())
 			testutil.Refused(t, err, errkind.HostNotReady, "without a control host")
 			if back := errkind.From(err).RetryAfter; back == 0 || time.Since(asked) > most {
-				t.Errorf("refused after %v, to come back in %v", time.Since(asked), back)
+				t.Errorf("rejected after %v, Retry-After %v", time.Since(asked), back)
 			}
 		}
 		if x, err := f.Current(); err != nil || x.Revision() != 4 {
-			t.Errorf("what the table has is refused: %v", err)
+			t.Errorf("Current fails as well: %v", err)
 		}
 	})
 }
 
-// Symptom: a host serves under an older table for seconds while others have a newer one, and
-// can't have its own confirmed meanwhile.
-// Sequence: a host that has told of a newer table freezes; it is the first to be asked for it.
-// Cause: the loop waited for its answer, 1 s and twice as long each time after that, before it
-// asked anybody for anything else.
-func TestFrozenHostHoldsUpNoNewerTable(t *testing.T) {
+// Guards against a host that serves under an older table for seconds while others have a newer one,
+// and can't get its own confirmed meanwhile. The first host from which it fetched the newer table was
+// frozen, and the loop waited for its answer, 1 s and then twice as long each time, before it called
+// any other host.
+func TestFrozenHostDoesNotDelayNewerTable(t *testing.T) {
 	running(t, func(t *testing.T, f *fixture) {
 		f.mu.Lock()
 		f.replies["sound"] = &pb.FetchRoutesReply{Routes: table(t, 5)}
@@ -133,9 +129,9 @@
 			{Address: "sound", Revision: 5}, {Address: "silent", Revision: 5}, {Address: "control", Control: true},
 		}
 		f.mu.Unlock()
-		time.Sleep(hedgeAfter + 2*lookEvery)
+		time.Sleep(hedgeAfter + 2*reconcileEvery)
 		if f.Revision() != 5 {
-			t.Fatalf("revision %d of 5 is in force", f.Revision())
+			t.Fatalf("revision %d is in force, want 5", f.Revision())
 		}
 		time.Sleep(time.Minute)
 		if _, err := f.Newest(t.Context()); err != nil {
--- a/internal/controller/routes/controller.go
+++ b/internal/controller/routes/controller.go
@@ -1,10 +1,10 @@
-// Package routes holds the routing table in force at a host. Heartbeats name the
-// revision that each host has; a host that sees a newer one than its own fetches it from
-// there. So a table spreads from the control group's replicas over the hosts without a
-// connection kept for it, also around a partition.
+// Package routes holds the routing table in force at a host. Heartbeats carry the revision
+// of each host's table. A host that sees a newer revision than its own fetches the table
+// from a host that has it. A table therefore spreads from the control group's replicas to
+// all hosts without dedicated connections, and also around a partition.
 //
-// A host never goes back to an older table within a run: a request must not be treated
-// as an operator wanted it before the newest change that this host has seen.
+// A host never goes back to an older table while its process runs: once it has seen a
+// change by an operator, it must not handle requests by the rules before that change.
 package routes
 
 import (
@@ -22,61 +22,60 @@
 )
 
 const (
-	// unconfirmedGrace is how long no control host that hears a quorum has answered when a
-	// starting host begins to serve under a table that no quorum confirmed: one is asked every
-	// 100 ms, and gives its answer within 400. The quorum is out of reach then, and what other
-	// hosts serve under is the best there is.
+	// unconfirmedGrace is how long no control host in contact with a quorum must have answered
+	// before a starting host serves under a table that no quorum confirmed. A control host is
+	// asked every 100 ms and answers within 400 ms, so by then the quorum is unreachable, and
+	// the table of the other hosts is the best available.
 	//
-	// What goes wrong if the time since the start counts in place of that: the quorum is in
-	// reach and has no leader yet, as after a loss of power of the whole fleet. Hosts served
-	// under a table from before the newest that was confirmed, and refused as unknown what
-	// this one allows.
+	// The time since the start would not do instead: after a power failure of the whole fleet
+	// the quorum is reachable but has no leader yet. Hosts then served under a table older than
+	// the newest confirmed one and rejected as unknown what the newest one allows.
 	unconfirmedGrace = 2 * time.Second
-	// usualStart is how long a host of a fleet that lost power takes until it serves:
-	// replicas open their files, elect a leader and confirm the table. A caller that comes
-	// back sooner than that has come in vain.
-	usualStart = 1500 * time.Millisecond
-	// retryNotReady is when a caller may try a host again whose start takes longer.
+	// typicalStart is how long a host takes until it serves after a power failure of the
+	// fleet: replicas open their files, elect a leader and confirm the table. A caller that
+	// retries sooner is rejected again.
+	typicalStart = 1500 * time.Millisecond
+	// retryNotReady is the retry time for callers of a host whose start takes longer than that.
 	retryNotReady = 400 * time.Millisecond
-	// startGrace is how old a host is at most that waits for what it Lacks. Servers announce
+	// startGrace is how long after its start a host waits for what is Missing. Servers announce
 	// themselves, and hosts exchange heartbeats, more often than that.
 	startGrace = 2 * time.Second
-	// startWait is how long a request waits at a host that has no table yet. It is part of
-	// the shortest objectives, and as long as the last steps of a start take.
-	startWait = 250 * time.Millisecond
-	// startLook is how often a waiting request looks for the table.
-	startLook = 10 * time.Millisecond
-	// lookEvery is how often the hosts' revisions are looked at.
-	lookEvery = 100 * time.Millisecond
-	// confirmEvery is how often a host that serves nobody yet asks a control host. A fleet
-	// of 75 hosts that starts sends each of five control hosts 150 calls a second, which
+	// awaitTimeout is how long a request waits at a host that can't serve yet. It covers the
+	// last steps of a start and is a fraction of the shortest objectives.
+	awaitTimeout = 250 * time.Millisecond
+	// awaitPollInterval is how often a waiting request checks for the table.
+	awaitPollInterval = 10 * time.Millisecond
+	// reconcileEvery is how often the revisions of the other hosts are checked.
+	reconcileEvery = 100 * time.Millisecond
+	// confirmEvery is how often a host without a confirmed table asks a control host. A
+	// starting fleet of 75 hosts sends each of five control hosts 150 calls per second, which
 	// cost a sixtieth of a core.
 	confirmEvery = 100 * time.Millisecond
 )
 
-// Source is a host that a table can be fetched from.
+// Source is a host from which a table can be fetched.
 type Source struct {
 	Address  string
 	Revision uint64
-	// Control: it runs a replica of the control group, and can confirm.
+	// Control is set if the host runs a replica of the control group and can confirm tables.
 	Control bool
 }
 
-// Config of a Controller.
+// Config configures a Controller.
 type Config struct {
-	// Sources are the hosts that can be reached, with the revisions that they told.
+	// Sources returns the reachable hosts with the revisions that they reported.
 	Sources func() []Source
-	// Fetch asks the host at an address for its table.
+	// Fetch requests the table of the host at an address.
 	Fetch func(ctx context.Context, address string, req *pb.FetchRoutesRequest) (*pb.FetchRoutesReply, error)
-	// OnChange is called after each newer table; before is nil for the first.
+	// OnChange is called after each change to a newer table; before is nil for the first table.
 	OnChange func(before, after *routes.Index)
-	// Missing is asked while this host starts: what it does not know yet that requests under
-	// the table need; empty: nothing. nil: it needs nothing but the table.
+	// Missing is called while this host starts. It returns what this host does not know yet but
+	// needs for requests under the table, or "". If Missing is nil, the table is enough.
 	Missing func(*routes.Index) string
-	// FirstSource is the place among the sources at which this host begins to ask. It should be
-	// another one at each host: those that start together then don't ask the same one.
+	// FirstSource is the index of the source that this host asks first. It should differ between
+	// hosts, so that those that start together don't ask the same one.
 	FirstSource int
-	// Now is the clock; nil: time.Now.
+	// Now is the clock; the default is time.Now.
 	Now func() time.Time
 	Log zerolog.Logger
 }
@@ -89,49 +88,49 @@
 	current   atomic.Pointer[routes.Index]
 	confirmed atomic.Bool
 	// confirmedAt is when a quorum last confirmed the table in force, in nanoseconds since
-	// started; 0: never.
+	// started; 0 if it never did.
 	confirmedAt atomic.Int64
-	// quorumAt is when a control host that hears a quorum last answered, in nanoseconds since
-	// started.
-	quorumAt atomic.Int64
-	// wanted is until when control hosts are asked to confirm the table again, and hopeless
-	// until when refusals don't wait for that, as one has in vain; both in nanoseconds since
-	// started.
-	wanted, hopeless atomic.Int64
-	// wake has Run look at once.
+	// quorumSeenAt is when a control host in contact with a quorum last answered, in nanoseconds
+	// since started.
+	quorumSeenAt atomic.Int64
+	// confirmUntil is until when control hosts are asked to confirm the table again.
+	// unconfirmableUntil is until when Newest returns its error at once, after one call has waited
+	// in vain. Both are in nanoseconds since started.
+	confirmUntil, unconfirmableUntil atomic.Int64
+	// wake makes Run call Reconcile at once.
 	wake chan struct{}
-	// served: the ground on which this host serves was told.
-	served atomic.Bool
+	// servingLogged is set once it has been logged that this host serves.
+	servingLogged atomic.Bool
 
 	fetches sync.WaitGroup
 
-	mu    sync.Mutex
-	table *pb.Routes
-	next  int
-	// patience is the timeout of the next fetch from a host; fetchTimeout if it is not there.
-	patience map[string]time.Duration
-	// fetching are the hosts that are being asked for a table, and since when.
+	mu         sync.Mutex
+	table      *pb.Routes
+	nextSource int
+	// timeouts holds the timeout of the next fetch from a host; fetchTimeout if it has no entry.
+	timeouts map[string]time.Duration
+	// fetching holds the hosts from which a table is being fetched, and the start of the fetch.
 	fetching map[string]time.Time
-	// offers are hosts that told a revision when they were asked to confirm.
-	offers map[string]uint64
-	// asking are the control hosts that are being asked for a confirmation.
-	asking    map[string]bool
-	nextAsked int
+	// reportedRevisions holds the revisions that hosts reported when they were asked to confirm.
+	reportedRevisions map[string]uint64
+	// confirming holds the control hosts that are being asked for a confirmation.
+	confirming        map[string]bool
+	nextControlSource int
 }
 
-// New makes a controller without a table.
+// New returns a Controller without a table.
 func New(cfg Config) *Controller {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
 	return &Controller{
 		cfg: cfg, started: cfg.Now(), table: &pb.Routes{}, wake: make(chan struct{}, 1),
-		patience: make(map[string]time.Duration), fetching: make(map[string]time.Time), next: cfg.FirstSource,
-		offers: make(map[string]uint64), asking: make(map[string]bool), nextAsked: cfg.FirstSource,
+		timeouts: make(map[string]time.Duration), fetching: make(map[string]time.Time), nextSource: cfg.FirstSource,
+		reportedRevisions: make(map[string]uint64), confirming: make(map[string]bool), nextControlSource: cfg.FirstSource,
 	}
 }
 
-// Run fetches newer tables until ctx ends.
+// Run fetches newer tables until ctx is done.
 func (c *Controller) Run(ctx context.Context) {
 	defer c.fetches.Wait()
 	for {
@@ -145,48 +144,49 @@
 	}
 }
 
-// pause until the next look.
+// pause returns the time until the next call of Reconcile.
 func (c *Controller) pause() time.Duration {
 	if c.confirmed.Load() {
-		return lookEvery
+		return reconcileEvery
 	}
 	return confirmEvery
 }
 
-// Reconcile fetches from a host that has a newer table. Until a table was confirmed it
-// asks the control hosts in turn as well, and does not wait for their answers.
+// Reconcile fetches the table from a host that has a newer one. Until a table has been
+// confirmed, it also asks the control hosts in turn for a confirmation.
 //
-// What goes wrong when it does: after a loss of power some of them are not back, or were
-// replaced, and each of these costs its timeout while callers are refused.
+// It does not wait for the answers of control hosts. After a power failure some of them are
+// not back or have been replaced, and each of these would cost its timeout while callers are
+// rejected.
 //
-// They are asked for the revision alone, and one host for the table, a second one if it does
-// not answer soon. What goes wrong otherwise: after the loss of all of 70 hosts each asked
-// five control hosts at once for a table of 300 KB. No answer came through its link of 10
-// Mbit/s in time, all asked again, and the control hosts' links were full of tables: their
-// heartbeats came late, no leader lasted, and the fleet served nobody any more.
+// Control hosts are asked for the revision only. The table itself is requested from one host,
+// and from a second one if that does not answer soon. Otherwise, after a failure of all of 70
+// hosts, each asked five control hosts at once for a table of 300 KB. No answer came through a
+// host's link of 10 Mbit/s in time, all asked again, and tables filled the control hosts'
+// links: their heartbeats came late, no leader lasted, and the fleet served nobody any more.
 func (c *Controller) Reconcile(ctx context.Context) {
 	sources := c.cfg.Sources()
-	if source, ok := c.newer(sources); ok {
+	if source, ok := c.nextNewer(sources); ok {
 		c.fetches.Go(func() {
 			defer panics.Log(c.cfg.Log, "fetching routes")
-			defer c.fetched(source.Address)
+			defer c.endFetch(source.Address)
 			c.fetch(ctx, source)
 		})
 	}
-	if c.confirmed.Load() && int64(c.age()) >= c.wanted.Load() {
+	if c.confirmed.Load() && int64(c.uptime()) >= c.confirmUntil.Load() {
 		return
 	}
 	if s, ok := c.nextControl(sources); ok {
 		c.fetches.Go(func() {
 			defer panics.Log(c.cfg.Log, "confirming routes")
-			defer c.end(s.Address)
-			c.ask(ctx, s)
+			defer c.endConfirm(s.Address)
+			c.askToConfirm(ctx, s)
 		})
 	}
 }
 
-// Apply takes the answer of a host at an address, if it is newer or confirms what this one
-// has.
+// Apply applies a reply to Fetch from the host at an address: a newer table is put in force, and a
+// confirmation of the table in force is recorded.
 func (c *Controller) Apply(from string, reply *pb.FetchRoutesReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,8 +199,8 @@
 	}
 }
 
-// age is how long ago this host started.
-func (c *Controller) age() time.Duration { return c.cfg.Now().Sub(c.started) }
+// uptime returns how long ago this host started.
+func (c *Controller) uptime() time.Duration { return c.cfg.Now().Sub(c.started) }
 
 // advance puts a newer table in force; c.mu is held.
 func (c *Controller) advance(from string, offered *pb.Routes) {
@@ -217,77 +217,77 @@
 	c.cfg.OnChange(before, next)
 }
 
-// HandleFetch answers another host from the table in force here.
+// HandleFetch answers another host's request with the table in force at this host.
 func (c *Controller) HandleFetch(req *pb.FetchRoutesRequest) *pb.FetchRoutesReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &pb.FetchRoutesReply{Routes: wanted(req, c.table)}
+	return &pb.FetchRoutesReply{Routes: replyRoutes(req, c.table)}
 }
 
-// wanted is held without its document or, if it is not newer than what the other host has
-// or that one asks for no more, its revision only.
-func wanted(req *pb.FetchRoutesRequest, held *pb.Routes) *pb.Routes {
+// replyRoutes returns the revision and the JSON form of held; only the revision if held is not newer
+// than the other host's table or that host asks for no more.
+func replyRoutes(req *pb.FetchRoutesRequest, held *pb.Routes) *pb.Routes {
 	if held.GetRevision() <= req.GetHave() || req.GetRevisionOnly() {
 		return &pb.Routes{Revision: held.GetRevision()}
 	}
 	return &pb.Routes{Revision: held.GetRevision(), TableJson: held.GetTableJson()}
 }
 
-// Current is the table in force, or the refusal while there is none to serve under.
+// Current returns the table in force, or an error while this host can't serve under one.
 func (c *Controller) Current() (*routes.Index, error) {
-	x, age := c.current.Load(), c.age()
+	x, uptime := c.current.Load(), c.uptime()
 	if x == nil {
-		return nil, errkind.New(errkind.HostNotReady, "this host has no routing table yet").After(retryAt(age))
+		return nil, errkind.New(errkind.HostNotReady, "this host has no routing table yet").After(retryAfter(uptime))
 	}
-	if !c.confirmed.Load() && age-time.Duration(c.quorumAt.Load()) < unconfirmedGrace {
-		return nil, errkind.New(errkind.HostNotReady, "the routing table is not confirmed by a quorum yet").After(retryAt(age))
+	if !c.confirmed.Load() && uptime-time.Duration(c.quorumSeenAt.Load()) < unconfirmedGrace {
+		return nil, errkind.New(errkind.HostNotReady, "the routing table is not confirmed by a quorum yet").After(retryAfter(uptime))
 	}
-	if c.cfg.Missing == nil || age > startGrace {
-		c.noteServing(x, age)
+	if c.cfg.Missing == nil || uptime > startGrace {
+		c.logServing(x, uptime)
 		return x, nil
 	}
-	if lacks := c.cfg.Missing(x); lacks != "" {
-		return nil, errkind.New(errkind.HostNotReady, "this host has just started and does not know %s yet", lacks).After(retryAt(age))
+	if missing := c.cfg.Missing(x); missing != "" {
+		return nil, errkind.New(errkind.HostNotReady, "this host has just started and does not know %s yet", missing).After(retryAfter(uptime))
 	}
-	c.noteServing(x, age)
+	c.logServing(x, uptime)
 	return x, nil
 }
 
-// noteServing tells once on which ground this host begins to serve.
-func (c *Controller) noteServing(x *routes.Index, age time.Duration) {
-	if !c.served.Swap(true) {
+// logServing logs once that this host begins to serve, and whether its table is confirmed.
+func (c *Controller) logServing(x *routes.Index, uptime time.Duration) {
+	if !c.servingLogged.Swap(true) {
 		c.cfg.Log.Info().Str("event", "table-served").Uint64("revision", x.Revision()).Bool("confirmed", c.confirmed.Load()).
-			Dur("after", age).Send()
+			Dur("after", uptime).Send()
 	}
 }
 
-// retryAt is when a caller may come back to a host that started so long ago.
-func retryAt(age time.Duration) time.Duration { return max(usualStart-age, retryNotReady) }
+// retryAfter returns the retry time for callers of a host that is still starting.
+func retryAfter(uptime time.Duration) time.Duration { return max(typicalStart-uptime, retryNotReady) }
 
-// Await is Current for a request: it waits a moment for a host's start to end.
+// Await returns Current, and waits up to awaitTimeout for the host's start to end.
 func (c *Controller) Await(ctx context.Context) (*routes.Index, error) {
 	x, err := c.Current()
 	if err == nil {
 		return x, nil
 	}
-	end := time.NewTimer(startWait)
-	defer end.Stop()
-	look := time.NewTicker(startLook)
-	defer look.Stop()
+	timeout := time.NewTimer(awaitTimeout)
+	defer timeout.Stop()
+	poll := time.NewTicker(awaitPollInterval)
+	defer poll.Stop()
 	for err != nil {
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-end.C:
+		case <-timeout.C:
 			return nil, err
-		case <-look.C:
+		case <-poll.C:
 			x, err = c.Current()
 		}
 	}
 	return x, nil
 }
 
-// Revision of the table in force; 0: none.
+// Revision returns the revision of the table in force; 0 if there is none.
 func (c *Controller) Revision() uint64 {
 	if x := c.current.Load(); x != nil {
 		return x.Revision()
@@ -295,17 +295,17 @@
 	return 0
 }
 
-// Replica is the control group's state at this host.
+// Replica is this host's replica of the control group's state.
 type Replica interface {
-	// Routes is the routing table that this replica has applied, and whether a quorum
-	// confirmed lately that nothing newer was committed.
+	// Routes returns the routing table that this replica has applied, and whether a quorum
+	// confirmed recently that no newer one was committed.
 	Routes() (table *pb.Routes, confirmed bool)
-	// HearsQuorum tells whether a leader may be elected among the replicas that this one hears.
+	// HearsQuorum reports whether this replica is in contact with enough others to elect a leader.
 	HearsQuorum() bool
 }
 
-// FromReplica answers another host from a replica.
+// FromReplica answers another host's request with the table of a replica.
 func FromReplica(r Replica, req *pb.FetchRoutesRequest) *pb.FetchRoutesReply {
 	held, confirmed := r.Routes()
-	return &pb.FetchRoutesReply{Routes: wanted(req, held), Confirmed: confirmed, WithoutQuorum: !r.HearsQuorum()}
+	return &pb.FetchRoutesReply{Routes: replyRoutes(req, held), Confirmed: confirmed, WithoutQuorum: !r.HearsQuorum()}
 }
--- a/internal/controller/routes/controller_test.go
+++ b/internal/controller/routes/controller_test.go
@@ -22,7 +22,7 @@
 
 var start = time.Unix(1000, 0)
 
-// table is a sound table of a revision.
+// table returns a valid table with a revision.
 func table(t testutil.TB, revision uint64) *pb.Routes {
 	t.Helper()
 	b, err := json.Marshal(routes.Table{
@@ -36,7 +36,7 @@
 	return &pb.Routes{Revision: revision, TableJson: b}
 }
 
-// fixture is a controller with hosts that it can ask.
+// fixture is a controller with the replies of other hosts.
 type fixture struct {
 	*Controller
 	mu      sync.Mutex
@@ -76,7 +76,7 @@
 	return f
 }
 
-// sortedAsked lists the hosts that were asked so far.
+// sortedAsked returns the hosts called so far, sorted.
 func (f *fixture) sortedAsked() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,21 +89,20 @@
 	_, err := f.Current()
 	testutil.Refused(t, err, errkind.HostNotReady, "without a table")
 	if errkind.From(err).RetryAfter == 0 {
-		t.Error("the refusal does not say when to come back")
+		t.Error("the refusal has no Retry-After")
 	}
 }
 
-func TestTableWaitsForAConfirmation(t *testing.T) {
-	// Symptom: a host that has just started runs requests under keys that were taken away.
-	// Sequence: it starts, and hears first of a host that was cut off and has an old table.
-	// Cause: the first table heard of was put in force at once.
+func TestTableIsNotServedBeforeConfirmation(t *testing.T) {
+	// Guards against a starting host that accepts revoked keys because it serves under the
+	// first table it gets, which may come from a partitioned host and be old.
 	f := newFixture()
 	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4)})
 	_, err := f.Current()
 	testutil.Refused(t, err, errkind.HostNotReady, "before a confirmation")
 	f.Apply("peer", &pb.FetchRoutesReply{Routes: &pb.Routes{Revision: 5}, Confirmed: true})
 	_, err = f.Current()
-	testutil.Refused(t, err, errkind.HostNotReady, "a newer one is confirmed")
+	testutil.Refused(t, err, errkind.HostNotReady, "while a newer one is confirmed")
 	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 5), Confirmed: true})
 	x, err := f.Current()
 	testutil.NoError(t, err)
@@ -112,19 +111,19 @@
 	}
 }
 
-func TestUnconfirmedTableServesInTheEnd(t *testing.T) {
-	// Symptom: a host that starts during a partition serves nobody until it is over.
-	// Sequence: no host that it hears of is in contact with a quorum.
-	// Cause: it waits for a confirmation without bound.
+func TestUnconfirmedTableIsServedAfterGrace(t *testing.T) {
+	// Guards against a host that starts during a partition and serves nobody until it ends: no
+	// host that it reaches is in contact with a quorum, and it waits for a confirmation without
+	// bound.
 	f := newFixture()
 	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4)})
 	f.now = start.Add(unconfirmedGrace)
 	if _, err := f.Current(); err != nil {
-		t.Errorf("still refused: %v", err)
+		t.Errorf("still rejected: %v", err)
 	}
 }
 
-func TestReconcileAsksWhoeverHasANewerTable(t *testing.T) {
+func TestReconcileFetchesOnlyNewerTables(t *testing.T) {
 	f := newFixture()
 	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 	f.sources = []Source{{Address: "same", Revision: 4}, {Address: "older", Revision: 3, Control: true}, {Address: "newer", Revision: 6}}
@@ -138,10 +137,9 @@
 	}
 }
 
-// Symptom: after a loss of power hosts serve nobody for a second longer than they must.
-// Sequence: a host starts; of the control hosts that it knows one is not back yet and
-// gives no answer, another has what a quorum confirmed.
-// Cause: they are asked in turn, and each is waited for.
+// Guards against hosts that serve nobody for a second longer than necessary after a power failure:
+// they ask the control hosts in turn and wait for the answer of one that is not back yet, although
+// another one can confirm the table.
 func TestSilentControlHostIsNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
@@ -153,7 +151,7 @@
 		f.replies["sound"] = &pb.FetchRoutesReply{Routes: &pb.Routes{Revision: 4}, Confirmed: true}
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Run(ctx)
-		time.Sleep(3 * confirmEvery) // less than waiting for the silent one would take
+		time.Sleep(3 * confirmEvery) // less than the timeout of the silent host
 		if _, err := f.Current(); err != nil {
 			t.Fatal(err)
 		}
@@ -163,61 +161,57 @@
 		}
 		time.Sleep(time.Second)
 		if again := f.sortedAsked(); len(again) != len(asked) {
-			t.Errorf("asked on after the confirmation: %v", again)
+			t.Errorf("asked again after the confirmation: %v", again)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// Symptom: after a loss of power callers are refused by hosts that serve a moment later,
-// come back, and are refused again.
-// Sequence: a request comes to a host whose table is confirmed 100 ms later; another to
-// one whose start takes longer.
-// Cause: both are refused at once, with a time to come back at which nothing has changed.
-func TestRequestsWaitForTheEndOfAStart(t *testing.T) {
+// Guards against callers that are rejected after a power failure by hosts that would serve a moment
+// later, and rejected again when they retry. A host whose table is confirmed 100 ms later rejected
+// requests at once, as did one whose start takes longer, both with a Retry-After that was too short.
+func TestAwaitWaitsForTheEndOfAStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
 		f.cfg.Now = time.Now
 		f.started = time.Now()
 		go func() {
-			time.Sleep(startWait + 100*time.Millisecond)
+			time.Sleep(awaitTimeout + 100*time.Millisecond)
 			f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 		}()
 		_, err := f.Await(t.Context())
 		testutil.Refused(t, err, errkind.HostNotReady, "long before the end of the start")
 		waited := time.Since(f.started)
-		if back := errkind.From(err).RetryAfter; waited > startWait+startLook || back < usualStart-startWait-startLook {
-			t.Errorf("refused after %v, to come back in %v", waited, back)
+		if back := errkind.From(err).RetryAfter; waited > awaitTimeout+awaitPollInterval || back < typicalStart-awaitTimeout-awaitPollInterval {
+			t.Errorf("rejected after %v, Retry-After %v", waited, back)
 		}
 		if x, err := f.Await(t.Context()); err != nil || x.Revision() != 4 {
-			t.Errorf("refused shortly before the end of the start: %v", err)
+			t.Errorf("rejected shortly before the end of the start: %v", err)
 		}
 	})
 }
 
-// Symptom: a host that has just started refuses what all others could serve, and calls
-// itself ready.
-// Sequence: it gets its table; the heartbeats of hosts and servers come a moment later.
-// Cause: the table taken for all that it needs.
-func TestStartingHostWaitsForWhatItLacks(t *testing.T) {
+// Guards against a host that has just started, reports itself ready, and rejects what all others could
+// serve: it has its table, but the heartbeats of hosts and servers arrive a moment later.
+func TestStartingHostWaitsForWhatIsMissing(t *testing.T) {
 	f := newFixture()
-	lacks := "a backend server"
-	f.cfg.Missing = func(*routes.Index) string { return lacks }
+	missing := "a backend server"
+	f.cfg.Missing = func(*routes.Index) string { return missing }
 	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 	_, err := f.Current()
 	testutil.Refused(t, err, errkind.HostNotReady, "without servers")
 	f.now = start.Add(startGrace + 1)
 	if _, err := f.Current(); err != nil {
-		t.Errorf("a service without servers keeps a host from serving the others: %v", err)
+		t.Errorf("a service without servers keeps the host from serving others: %v", err)
 	}
-	f.now, lacks = start, ""
+	f.now, missing = start, ""
 	if _, err := f.Current(); err != nil {
-		t.Errorf("refused with all it needs: %v", err)
+		t.Errorf("rejected although nothing is missing: %v", err)
 	}
 }
 
-func TestUnreadableTableIsNotTaken(t *testing.T) {
+func TestUnreadableTableIsNotApplied(t *testing.T) {
 	f := newFixture()
 	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 	f.Apply("peer", &pb.FetchRoutesReply{Routes: &pb.Routes{Revision: 5, TableJson: []byte(`{"routes":[{}]}`)}, Confirmed: true})
@@ -226,14 +220,14 @@
 	}
 }
 
-func TestHostsAnswerWithWhatTheyHave(t *testing.T) {
+func TestHandleFetchReturnsTheTableIfNewer(t *testing.T) {
 	f := newFixture()
 	f.Apply("peer", &pb.FetchRoutesReply{Routes: table(t, 4), Confirmed: true})
 	if got := f.HandleFetch(&pb.FetchRoutesRequest{Have: 3}); got.GetRoutes().GetRevision() != 4 || got.GetRoutes().GetTableJson() == nil || got.GetConfirmed() {
-		t.Errorf("to one that has 3: %v", got)
+		t.Errorf("to a host with revision 3: %v", got)
 	}
 	if got := f.HandleFetch(&pb.FetchRoutesRequest{Have: 4}); got.GetRoutes().GetTableJson() != nil {
-		t.Errorf("to one that has 4: %v", got)
+		t.Errorf("to a host with revision 4: %v", got)
 	}
 }
 
@@ -245,16 +239,16 @@
 func (r replica) Routes() (*pb.Routes, bool) { return r.table, r.confirmed }
 func (r replica) HearsQuorum() bool          { return r.confirmed }
 
-func TestReplicaAnswersConfirmWhatItApplied(t *testing.T) {
+func TestReplicaConfirmsTheTableItApplied(t *testing.T) {
 	got := FromReplica(replica{table: table(t, 7), confirmed: true}, &pb.FetchRoutesRequest{Have: 7})
 	if !got.GetConfirmed() || got.GetRoutes().GetRevision() != 7 || got.GetRoutes().GetTableJson() != nil {
 		t.Errorf("got %v", got)
 	}
 }
 
-// TestNeverGoesBack: whatever answers come in whatever order, the table in force only
-// gets newer, and each change is told once.
-func TestNeverGoesBack(t *testing.T) {
+// TestRevisionNeverDecreases checks that for all replies in any order the revision in force only
+// increases, and that each change is reported once.
+func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture()
 		last := uint64(0)
@@ -273,7 +267,7 @@
 		}
 		for i := 1; i < len(f.changes); i++ {
 			if f.changes[i] <= f.changes[i-1] {
-				t.Fatalf("told %v", f.changes)
+				t.Fatalf("reported changes: %v", f.changes)
 			}
 		}
 	})
--- a/internal/controller/routes/fetch.go
+++ b/internal/controller/routes/fetch.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// fetchTimeout bounds the first try of a fetch: the largest tables have some ten
-	// kilobytes as they are sent. Each try after one that took too long has twice the time,
-	// up to maxFetchTimeout: what is given up half-way has used the link for nothing.
+	// fetchTimeout bounds the first try of a fetch; the largest tables take tens of kilobytes
+	// on the wire. After each timeout the next try gets twice the time, up to maxFetchTimeout,
+	// because a fetch that is abandoned half-way has used the link in vain.
 	fetchTimeout    = time.Second
 	maxFetchTimeout = 8 * time.Second
-	// hedgeAfter is how long a fetch is waited for before another host is asked, too; maxFetches
-	// are under way at most. A table of 1,400 routes takes 16 ms over a link of 10 Mbit/s; a
-	// host that is frozen, or cut off, is told of as alive for some heartbeats.
+	// hedgeAfter is how long a fetch may take before the table is fetched from another host as
+	// well; at most maxFetches run at once. A table of 1,400 routes takes 16 ms over a link of
+	// 10 Mbit/s, and a host that is frozen or partitioned counts as alive for some heartbeats.
 	hedgeAfter = 300 * time.Millisecond
 	maxFetches = 2
 )
 
-// FetchFrom gets the table of the host at an address, which has told that its revision is
-// this one, unless this host has as new a table.
+// FetchFrom fetches the table of the host at an address, which has reported this revision,
+// unless this host's table is as new.
 func (c *Controller) FetchFrom(ctx context.Context, address string, revision uint64) {
 	if c.Revision() < revision {
 		c.fetch(ctx, Source{Address: address, Revision: revision})
 	}
 }
 
-// newer is a host that has a newer table, another one each time, and that is to be asked for
-// it; it counts as being asked from now on.
-func (c *Controller) newer(sources []Source) (Source, bool) {
+// nextNewer returns the next host in turn that has a newer table, and marks it as being fetched from.
+// It returns false if there is none, or no further fetch may start yet.
+func (c *Controller) nextNewer(sources []Source) (Source, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.cfg.Now()
@@ -45,21 +45,21 @@
 	have := c.table.GetRevision()
 	var candidates []Source
 	for _, s := range sources {
-		if _, asked := c.fetching[s.Address]; !asked && max(s.Revision, c.offers[s.Address]) > have {
+		if _, asked := c.fetching[s.Address]; !asked && max(s.Revision, c.reportedRevisions[s.Address]) > have {
 			candidates = append(candidates, s)
 		}
 	}
 	if len(candidates) == 0 {
 		return Source{}, false
 	}
-	c.next++
-	source := candidates[c.next%len(candidates)]
+	c.nextSource++
+	source := candidates[c.nextSource%len(candidates)]
 	c.fetching[source.Address] = now
 	return source, true
 }
 
-// fetched notes that a host is not being asked for its table any more.
-func (c *Controller) fetched(address string) {
+// endFetch records that the fetch from a host has ended.
+func (c *Controller) endFetch(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.fetching, address)
@@ -67,7 +67,7 @@
 
 func (c *Controller) fetch(parent context.Context, source Source) {
 	c.mu.Lock()
-	timeout := c.patience[source.Address]
+	timeout := c.timeouts[source.Address]
 	if timeout == 0 {
 		timeout = fetchTimeout
 	}
@@ -82,12 +82,12 @@
 	c.mu.Lock()
 	switch {
 	case err == nil:
-		delete(c.patience, source.Address)
+		delete(c.timeouts, source.Address)
 	case ctx.Err() != nil:
-		c.patience[source.Address] = min(2*timeout, maxFetchTimeout)
+		c.timeouts[source.Address] = min(2*timeout, maxFetchTimeout)
 	}
 	if err != nil {
-		delete(c.offers, source.Address)
+		delete(c.reportedRevisions, source.Address)
 	}
 	c.mu.Unlock()
 	if err == nil {
--- a/internal/controller/routes/newest.go
+++ b/internal/controller/routes/newest.go
@@ -9,71 +9,73 @@
 )
 
 const (
-	// freshFor is how long ago a quorum confirmed the table in force at most when a host
-	// refuses what the table does not have. A control host's word rests on what its leader said
-	// within two election timeouts, 1 s; together this is less than the 2 s within which a
-	// table has to be in force. Callers who ask for nothing but unknown routes have a host ask
-	// a control host twice a second.
-	freshFor = 500 * time.Millisecond
-	// retryUnconfirmed is when a caller may come back to a host that can't have its table
-	// confirmed: elections take about as long.
+	// confirmationLifetime is the greatest age of the last confirmation at which a host rejects a
+	// request for something that its table does not contain. A control host confirms by what
+	// its leader reported within two election timeouts, 1 s; together this is less than the 2 s
+	// within which a table has to be in force. If all requests are for unknown routes, a host
+	// asks a control host twice per second.
+	confirmationLifetime = 500 * time.Millisecond
+	// retryUnconfirmed is the retry time for callers of a host that can't get its table
+	// confirmed. Elections take about as long.
 	retryUnconfirmed = time.Second
 )
 
-// Newest is the table in force once a quorum has confirmed, not long ago, that there is no
-// newer one. It may be a newer one than Current just was. Without a confirmation it refuses.
+// Newest returns the table in force once a quorum has confirmed, within confirmationLifetime, that
+// there is no newer one. The table may be newer than one that Current returned just before. Without
+// a confirmation Newest returns an error.
 //
-// Whoever refuses a request because the table does not have something, a route or a key, needs
-// it. What goes wrong otherwise: a host that has not heard of the newest table yet, since the
-// control group was lost right after it had taken it, tells callers that a route does not
-// exist, or that their key is wrong, and they don't come back.
+// It must be called before a request is rejected because the table lacks a route or a key. Otherwise
+// a host that does not have the newest table yet, because the control group failed right after
+// committing it, would tell callers that a route does not exist or that their key is wrong, and
+// they would not retry.
 func (c *Controller) Newest(ctx context.Context) (*routes.Index, error) {
-	if x, ok := c.fresh(); ok {
+	if x, ok := c.freshlyConfirmed(); ok {
 		return x, nil
 	}
-	if int64(c.age()) < c.hopeless.Load() {
-		return nil, unconfirmed()
+	if int64(c.uptime()) < c.unconfirmableUntil.Load() {
+		return nil, errUnconfirmed()
 	}
-	end := time.NewTimer(startWait)
-	defer end.Stop()
-	look := time.NewTicker(startLook)
-	defer look.Stop()
+	timeout := time.NewTimer(awaitTimeout)
+	defer timeout.Stop()
+	poll := time.NewTicker(awaitPollInterval)
+	defer poll.Stop()
 	for {
-		c.want()
+		c.requestConfirmation()
 		select {
 		case <-ctx.Done():
-			return nil, unconfirmed()
-		case <-end.C:
-			c.hopeless.Store(int64(c.age() + retryUnconfirmed))
-			return nil, unconfirmed()
-		case <-look.C:
+			return nil, errUnconfirmed()
+		case <-timeout.C:
+			c.unconfirmableUntil.Store(int64(c.uptime() + retryUnconfirmed))
+			return nil, errUnconfirmed()
+		case <-poll.C:
 		}
-		if x, ok := c.fresh(); ok {
+		if x, ok := c.freshlyConfirmed(); ok {
 			return x, nil
 		}
 	}
 }
 
-// fresh is the table in force if a quorum confirmed it within freshFor, or one before it: what
-// is newer than this one is newer than the confirmation then, too.
-func (c *Controller) fresh() (*routes.Index, bool) {
+// freshlyConfirmed returns the table in force, and whether a quorum confirmed it, or an earlier table
+// of this host, within confirmationLifetime. A table newer than the one in force is then newer than
+// the confirmation too.
+func (c *Controller) freshlyConfirmed() (*routes.Index, bool) {
 	age, ok := c.Confirmation()
-	return c.current.Load(), ok && age <= freshFor
+	return c.current.Load(), ok && age <= confirmationLifetime
 }
 
-// want has control hosts asked to confirm the table in force, one after the other, until one
-// has or nobody has wanted it for a while.
-func (c *Controller) want() {
-	before := c.wanted.Swap(int64(c.age() + retryUnconfirmed))
-	if int64(c.age()) < before {
-		return // they are being asked
+// requestConfirmation has Run ask the control hosts in turn to confirm the table in force, for
+// retryUnconfirmed after the last request.
+func (c *Controller) requestConfirmation() {
+	before := c.confirmUntil.Swap(int64(c.uptime() + retryUnconfirmed))
+	if int64(c.uptime()) < before {
+		return // Run is asking them already
 	}
 	select {
 	case c.wake <- struct{}{}:
-	default: // Run is about to look
+	default: // Run has been woken already
 	}
 }
 
-func unconfirmed() error {
+func errUnconfirmed() error {
 	return errkind.New(errkind.HostNotReady, "this host can't tell at present whether it has the newest routing table").After(retryUnconfirmed)
 }
--- a/internal/controller/routes/start_test.go
+++ b/internal/controller/routes/start_test.go
@@ -13,8 +13,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// link carries answers one after the other. What a caller gave up on still takes its time:
-// it is on its way.
+// link carries answers one after the other. An answer that the caller has given up on still takes
+// its share of the link.
 type link struct {
 	bytesPerSecond float64
 
@@ -22,7 +22,7 @@
 	free time.Time
 }
 
-// carry returns when a message of so many bytes has passed.
+// carry returns when a message of the given size has been transmitted.
 func (l *link) carry(bytes int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,8 +41,8 @@
 	controlHosts  = 5
 )
 
-// startAll has all hosts of a fleet start at the same time under a table of so many bytes,
-// and returns how many serve after a time.
+// startAll starts all hosts of a fleet at the same time with a table of tableBytes, and returns how
+// many of them serve after a time.
 func startAll(t *testing.T, tableBytes int, within time.Duration) (serving int) {
 	held := table(t, 7)
 	control := make(map[string]*link)
@@ -88,14 +88,13 @@
 	return serving
 }
 
-// Symptom: after all hosts were killed at the same time none serves for the rest of the
-// day, and the control group elects a leader every half second.
-// Sequence: the table has 1,400 routes, 307 KB; each of 70 hosts asks five control hosts at
-// once for it. None of the answers comes through the host's link in 400 ms; all are asked
-// again, and the control hosts' links are full of answers that nobody waits for any more.
-// Cause: the question whether a table is the newest brought the table with each answer, and
-// what took too long was tried again with no more time.
-func TestFleetStartsUnderALargeTable(t *testing.T) {
+// Guards against a fleet that never serves again after all hosts were killed at the same time, while
+// the control group elects a leader every half second. The table has 1,400 routes, 307 KB, and each of
+// 70 hosts requested it from five control hosts at once. No answer came through a host's link within
+// 400 ms, all asked again, and answers that nobody waited for filled the control hosts' links. The
+// cause was that each answer about the newest revision carried the table, and that retries got no
+// longer timeout.
+func TestFleetStartsWithALargeTable(t *testing.T) {
 	for name, tableBytes := range map[string]int{"packed": 20_000, "not packed": 307_000} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
