--- a/internal/controller/budgets/budgets.go
+++ b/internal/controller/budgets/budgets.go
@@ -69,8 +69,8 @@
 
 // Config of a Desk.
 type Config struct {
-	// Run names this run of the host; no other run has the same.
-	Run string
+	// Incarnation names this run of the host; no other run has the same.
+	Incarnation string
 	// Self is this host with its incarnation, as owner of its own grants.
 	Self func() *pb.Holder
 	// Local is nil until this run holds grants.
@@ -228,7 +228,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	reply, err := d.cfg.Client(h.Address).ReserveTokens(callCtx, &pb.ReserveTokensRequest{
-		Run: d.cfg.Run, Request: request, Budget: budget, Tokens: tokens, LifetimeMs: time.Until(until).Milliseconds(),
+		Run: d.cfg.Incarnation, Request: request, Budget: budget, Tokens: tokens, LifetimeMs: time.Until(until).Milliseconds(),
 	})
 	if err == nil {
 		d.cfg.Owners.MarkAnswered(h.Name)
--- a/internal/controller/budgets/budgets_test.go
+++ b/internal/controller/budgets/budgets_test.go
@@ -96,7 +96,7 @@
 	for _, name := range rank {
 		f.purses[name] = newPurse(1000)
 		f.desks[name] = New(Config{
-			Run: name + "/run", Self: func() *pb.Holder { return &pb.Holder{Host: name, Incarnation: 1} },
+			Incarnation: name + "/run", Self: func() *pb.Holder { return &pb.Holder{Host: name, Incarnation: 1} },
 			Local: func() Local { return f.purses[name] }, Await: func(context.Context) Local { return f.purses[name] }, Owners: view{f, name},
 			Client: func(address string) pb.PeerClient { return &client{f: f, to: address} },
 		})
--- a/internal/controller/budgets/run.go
+++ b/internal/controller/budgets/run.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithTimeout(ctx, spendTimeout)
 	defer cancel()
 	_, err := d.cfg.Client(m.To.Address).SpendTokens(ctx, &pb.SpendTokensRequest{
-		Owner: &pb.Holder{Host: m.To.Host, Incarnation: m.To.Incarnation}, Run: d.cfg.Run, Spent: m.Items,
+		Owner: &pb.Holder{Host: m.To.Host, Incarnation: m.To.Incarnation}, Run: d.cfg.Incarnation, Spent: m.Items,
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -19,7 +19,7 @@
 
 func (g *gateway) newBudgets() *budgets.Desk {
 	return budgets.New(budgets.Config{
-		Run: g.run, Self: g.holder,
+		Incarnation: g.run, Self: g.holder,
 		Local: g.localGrants, Await: g.awaitGrants,
 		Owners: g.owners, Client: g.d.pool.Client, Log: g.d.tel.Log,
 	})
