--- a/internal/controller/budgets/await.go
+++ b/internal/controller/budgets/await.go
@@ -44,7 +44,7 @@
 //
 // What goes wrong without it: in the first seconds of a partition requests are refused of
 // whose budget plenty is left, and come back at a time that is a guess.
-func (d *Desk) awaitReserve(ctx context.Context, c *closed, budget, request string, tokens uint64) (string, error) {
+func (d *Reserver) awaitReserve(ctx context.Context, c *closed, budget, request string, tokens uint64) (string, error) {
 	host, refusal := c.host, error(c.refusal)
 	until := waitUntil(ctx, time.Now())
 	for c != nil && waitFor(ctx, c.opens, until) {
--- a/internal/controller/budgets/budgets.go
+++ b/internal/controller/budgets/budgets.go
@@ -82,8 +82,8 @@
 	Log    zerolog.Logger
 }
 
-// Desk is safe for concurrent use.
-type Desk struct {
+// Reserver is safe for concurrent use.
+type Reserver struct {
 	cfg Config
 
 	mu     sync.Mutex
@@ -101,8 +101,8 @@
 }
 
 // New makes a desk; Run must be called for the ends of requests to be told.
-func New(cfg Config) *Desk {
-	return &Desk{
+func New(cfg Config) *Reserver {
+	return &Reserver{
 		cfg: cfg, book: book.New(), outbox: outbox.New[*pb.SpentTokens](),
 		placed: make(map[string]place),
 	}
@@ -110,7 +110,7 @@
 
 // Reserve sets tokens of a budget aside for a request, at the latest when ctx ends. It
 // returns the name of the host that holds them.
-func (d *Desk) Reserve(ctx context.Context, budget, request string, tokens uint64) (holder string, err error) {
+func (d *Reserver) Reserve(ctx context.Context, budget, request string, tokens uint64) (holder string, err error) {
 	if !d.begin(request) {
 		return "", errkind.New(errkind.Internal, "request %s has a reservation already", request)
 	}
@@ -151,7 +151,7 @@
 //
 // What goes wrong when nobody is asked then: a host whose link was full for a moment takes
 // all of them for lost, and refuses what it holds no tokens for though the owner has enough.
-func (d *Desk) ask(budget string) []owners.Host {
+func (d *Reserver) ask(budget string) []owners.Host {
 	hosts := d.cfg.Owners.FirstRanked(Key(budget), ranks)
 	if len(hosts) > 0 {
 		return hosts
@@ -166,7 +166,7 @@
 var errUnanswered = errors.New("budgets: no answer")
 
 // begin notes that a request is about to get tokens; false: one of its name has some.
-func (d *Desk) begin(request string) bool {
+func (d *Reserver) begin(request string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, twice := d.placed[request]; twice {
@@ -176,7 +176,7 @@
 	return true
 }
 
-func (d *Desk) forget(request string) {
+func (d *Reserver) forget(request string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.placed, request)
@@ -194,7 +194,7 @@
 	return false
 }
 
-func (d *Desk) reserveAt(ctx context.Context, h owners.Host, budget, request string, tokens uint64) error {
+func (d *Reserver) reserveAt(ctx context.Context, h owners.Host, budget, request string, tokens uint64) error {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return errkind.New(errkind.Internal, "request %s has no deadline", request)
@@ -214,7 +214,7 @@
 	return err
 }
 
-func (d *Desk) reserveHere(ctx context.Context, budget, request string, tokens uint64) error {
+func (d *Reserver) reserveHere(ctx context.Context, budget, request string, tokens uint64) error {
 	local := d.cfg.Await(ctx)
 	if local == nil {
 		return errkind.New(errkind.BudgetUnreachable, "this host is not registered with the control group yet").After(time.Second)
@@ -224,7 +224,7 @@
 
 // reserveThere asks another host. A call without an answer may have made a reservation:
 // it is ended, in case it was made.
-func (d *Desk) reserveThere(ctx context.Context, h owners.Host, budget, request string, tokens uint64, until time.Time) error {
+func (d *Reserver) reserveThere(ctx context.Context, h owners.Host, budget, request string, tokens uint64, until time.Time) error {
 	callCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	reply, err := d.cfg.Client(h.Address).ReserveTokens(callCtx, &pb.ReserveTokensRequest{
@@ -245,7 +245,7 @@
 }
 
 // Spend bills tokens out of a request's reservation and frees the rest.
-func (d *Desk) Spend(request string, tokens uint64) {
+func (d *Reserver) Spend(request string, tokens uint64) {
 	d.mu.Lock()
 	p, ok := d.placed[request]
 	delete(d.placed, request)
@@ -261,7 +261,7 @@
 }
 
 // tell puts the end of a request into the outbox.
-func (d *Desk) tell(h owners.Host, request string, tokens uint64, until time.Time) {
+func (d *Reserver) tell(h owners.Host, request string, tokens uint64, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.outbox.Add(h.Receiver(), &pb.SpentTokens{Request: request, Tokens: tokens}, until)
--- a/internal/controller/budgets/budgets_test.go
+++ b/internal/controller/budgets/budgets_test.go
@@ -71,7 +71,7 @@
 
 // fleet is some desks that reach each other through calls that can be made to fail.
 type fleet struct {
-	desks  map[string]*Desk
+	desks  map[string]*Reserver
 	purses map[string]*purse
 	// rank is the order of the owners of the budget.
 	rank []string
@@ -92,7 +92,7 @@
 )
 
 func newFleet(rank ...string) *fleet {
-	f := &fleet{desks: map[string]*Desk{}, purses: map[string]*purse{}, rank: rank, fault: func(string, string) fault { return arrives }}
+	f := &fleet{desks: map[string]*Reserver{}, purses: map[string]*purse{}, rank: rank, fault: func(string, string) fault { return arrives }}
 	for _, name := range rank {
 		f.purses[name] = newPurse(1000)
 		f.desks[name] = New(Config{
--- a/internal/controller/budgets/owner.go
+++ b/internal/controller/budgets/owner.go
@@ -14,11 +14,11 @@
 func localID(k book.Key) string { return k.Run + "/" + k.Request }
 
 // HandleReserve sets tokens aside for a request of another host.
-func (d *Desk) HandleReserve(ctx context.Context, req *pb.ReserveTokensRequest) *pb.ReserveTokensReply {
+func (d *Reserver) HandleReserve(ctx context.Context, req *pb.ReserveTokensRequest) *pb.ReserveTokensReply {
 	return encodeRefusal(d.reserveFor(ctx, req))
 }
 
-func (d *Desk) reserveFor(ctx context.Context, req *pb.ReserveTokensRequest) error {
+func (d *Reserver) reserveFor(ctx context.Context, req *pb.ReserveTokensRequest) error {
 	local := d.cfg.Local()
 	if local == nil {
 		return errkind.New(errkind.BudgetUnreachable, "host %s is not registered with the control group yet", d.cfg.Self().GetHost()).After(time.Second)
@@ -39,7 +39,7 @@
 
 // HandleSpend ends reservations of another host's requests. Those of a former run of this
 // host are gone: the control group has counted them as spent.
-func (d *Desk) HandleSpend(req *pb.SpendTokensRequest) *pb.SpendTokensReply {
+func (d *Reserver) HandleSpend(req *pb.SpendTokensRequest) *pb.SpendTokensReply {
 	self, local := d.cfg.Self(), d.cfg.Local()
 	if local == nil || req.GetOwner().GetHost() != self.GetHost() || req.GetOwner().GetIncarnation() != self.GetIncarnation() {
 		return &pb.SpendTokensReply{}
@@ -57,7 +57,7 @@
 }
 
 // expire bills the reservations whose hosts have not ended them in time.
-func (d *Desk) expire(expired []book.Expired) {
+func (d *Reserver) expire(expired []book.Expired) {
 	for _, e := range expired {
 		d.cfg.Log.Warn().Str("event", "reservation-expired").Str("run", e.Run).Str("request", e.Request).
 			Uint64("billed", e.Tokens).Send()
--- a/internal/controller/budgets/run.go
+++ b/internal/controller/budgets/run.go
@@ -11,7 +11,7 @@
 )
 
 // Run tells owners of ended requests and ends what has expired, until ctx ends.
-func (d *Desk) Run(ctx context.Context) {
+func (d *Reserver) Run(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	defer d.sends.Wait()
@@ -25,7 +25,7 @@
 	}
 }
 
-func (d *Desk) step(ctx context.Context, now time.Time) {
+func (d *Reserver) step(ctx context.Context, now time.Time) {
 	expired, due := d.due(now)
 	d.expire(expired)
 	for _, m := range due {
@@ -37,14 +37,14 @@
 }
 
 // due takes what has expired and what is to be told now.
-func (d *Desk) due(now time.Time) ([]book.Expired, []outbox.Message[*pb.SpentTokens]) {
+func (d *Reserver) due(now time.Time) ([]book.Expired, []outbox.Message[*pb.SpentTokens]) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.book.Expire(now), d.outbox.Due(now)
 }
 
 // send tells one owner.
-func (d *Desk) send(ctx context.Context, m outbox.Message[*pb.SpentTokens]) {
+func (d *Reserver) send(ctx context.Context, m outbox.Message[*pb.SpentTokens]) {
 	ctx, cancel := context.WithTimeout(ctx, spendTimeout)
 	defer cancel()
 	_, err := d.cfg.Client(m.To.Address).SpendTokens(ctx, &pb.SpendTokensRequest{
@@ -66,7 +66,7 @@
 
 // Drain waits until the owners know of all this host's requests and all reservations made
 // here have ended. What has not ended in time is billed whole. Run must still be running.
-func (d *Desk) Drain(ctx context.Context) {
+func (d *Reserver) Drain(ctx context.Context) {
 	deadline, ok := ctx.Deadline()
 	if ok {
 		var cancel context.CancelFunc
@@ -86,7 +86,7 @@
 	}
 }
 
-func (d *Desk) idle() bool {
+func (d *Reserver) idle() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.outbox.Empty() && d.book.Open() == 0
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -57,7 +57,7 @@
 	news     *news.Spreader
 	suspects *quarantinectl.Guard
 	owners   *owners.Table
-	budgets  *budgets.Desk
+	budgets  *budgets.Reserver
 	assigner *assign.Assigner
 	// grants is nil until this run is registered; then registered is closed.
 	grants     atomic.Pointer[grants.Manager]
--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -17,7 +17,7 @@
 	return owners.Host{Name: self.GetHost(), Incarnation: self.GetIncarnation()}, ok
 }
 
-func (g *gateway) newBudgets() *budgets.Desk {
+func (g *gateway) newBudgets() *budgets.Reserver {
 	return budgets.New(budgets.Config{
 		Incarnation: g.run, Self: g.holder,
 		Local: g.localGrants, Await: g.awaitGrants,
