--- a/internal/controller/budgets/await.go
+++ b/internal/controller/budgets/await.go
@@ -15,65 +15,65 @@
 
 const (
 	// reserveWait bounds how long a request waits for its owner's reserve to open. It is the
-	// time between the end of what an owner holds open and the first of its reserve.
+	// time from when an owner has used up its free tokens until its reserve starts to open.
 	reserveWait = 2 * time.Second
-	// patiencePart is the part of its time, one in so many, that a request may wait for tokens;
-	// the rest is for its answer.
-	patiencePart = 2
+	// waitDivisor limits the wait for tokens to this fraction of a request's remaining time; the
+	// rest is left for its answer.
+	waitDivisor = 2
 )
 
-// closed is a refusal of a host whose reserve will cover the request soon.
-type closed struct {
+// reserveClosed is the refusal of a host whose reserve will cover the request soon.
+type reserveClosed struct {
 	host owners.Host
-	// opens is when it will.
+	// opens is when the reserve will cover the request.
 	opens   time.Time
 	refusal *errkind.Error
 }
 
-// asClosed returns nil if the refusal is another one.
-func asClosed(h owners.Host, refusal error) *closed {
+// asReserveClosed returns nil if the refusal has any other reason.
+func asReserveClosed(h owners.Host, refusal error) *reserveClosed {
 	var answer *grant.NotOpenYet
 	if !errors.As(refusal, &answer) {
 		return nil
 	}
-	return &closed{host: h, opens: time.Now().Add(answer.In), refusal: answer.Refusal}
+	return &reserveClosed{host: h, opens: time.Now().Add(answer.In), refusal: answer.Refusal}
 }
 
 // awaitReserve asks the host again when its reserve should cover the request, as long as
 // that leaves time for an answer.
 //
-// What goes wrong without it: in the first seconds of a partition requests are refused of
-// whose budget plenty is left, and come back at a time that is a guess.
-func (d *Reserver) awaitReserve(ctx context.Context, c *closed, budget, request string, tokens uint64) (string, error) {
+// Without it requests are rejected in the first seconds of a partition although plenty of
+// their budget is left, with a Retry-After that is a guess.
+func (r *Reserver) awaitReserve(ctx context.Context, c *reserveClosed, budget, request string, tokens uint64) (string, error) {
 	host, refusal := c.host, error(c.refusal)
 	until := waitUntil(ctx, time.Now())
-	for c != nil && waitFor(ctx, c.opens, until) {
-		refusal = d.reserveAt(ctx, host, budget, request, tokens)
+	for c != nil && sleepUntil(ctx, c.opens, until) {
+		refusal = r.reserveAt(ctx, host, budget, request, tokens)
 		if refusal == nil {
 			return host.Name, nil
 		}
-		c = asClosed(host, refusal)
+		c = asReserveClosed(host, refusal)
 	}
 	if errors.Is(refusal, errUnanswered) {
-		refusal = errkind.New(errkind.BudgetUnreachable, "host %s, which holds budget %s, gives no answer", host.Name, budget).
+		refusal = errkind.New(errkind.BudgetUnreachable, "host %s, which holds budget %s, did not answer", host.Name, budget).
 			After(grant.RetryUnreachable)
 	}
 	return host.Name, refusal
 }
 
-// waitUntil is until when a request may wait for tokens.
+// waitUntil returns until when a request may wait for tokens.
 func waitUntil(ctx context.Context, now time.Time) time.Time {
 	until := now.Add(reserveWait)
 	if deadline, ok := ctx.Deadline(); ok {
-		if half := now.Add(deadline.Sub(now) / patiencePart); half.Before(until) {
+		if half := now.Add(deadline.Sub(now) / waitDivisor); half.Before(until) {
 			return half
 		}
 	}
 	return until
 }
 
-// waitFor waits for a moment. It returns false if that is too late, or the request ends.
-func waitFor(ctx context.Context, moment, until time.Time) bool {
+// sleepUntil sleeps until moment. It returns false if moment is after until, or if ctx is done first.
+func sleepUntil(ctx context.Context, moment, until time.Time) bool {
 	if moment.After(until) {
 		return false
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// encodeRefusal is the answer to a reservation; nil: it was made.
+// encodeRefusal encodes the result of a reservation; err is nil if it was made.
 func encodeRefusal(err error) *pb.ReserveTokensReply {
 	reply := &pb.ReserveTokensReply{Error: wire.EncodeError(err)}
 	var later *grant.NotOpenYet
--- a/internal/controller/budgets/budgets.go
+++ b/internal/controller/budgets/budgets.go
@@ -1,22 +1,22 @@
-// Package budgets sets the tokens of routed requests aside at the owner of their budget.
+// Package budgets reserves the tokens of routed requests at the owner of their budget.
 //
-// A grant that every host holds for itself is split into as many parts as there are
-// hosts. With 58 of them and 24 budgets most parts are smaller than one request: tokens
-// lie where nobody needs them, and the control group settles with every host several
-// times a second. So of all hosts one, the owner, holds a budget's grant, and the others
-// ask it for each request: one call of some milliseconds. In a partition between hosts
-// and control group they go on with what the owner holds.
+// If every host held its own grant, a budget would be split into as many parts as there
+// are hosts. With 58 hosts and 24 budgets most parts are smaller than one request, tokens
+// are held where they are not needed, and the control group settles with every host several
+// times per second. Therefore a single host, the owner, holds a budget's grant, and the other
+// hosts reserve tokens there for each request with one call of a few milliseconds. During a
+// partition between hosts and control group they go on with the tokens that the owner holds.
 //
-// When the owner gives no answer, or can't reach the control group and has nothing left,
-// the next host in rank is asked, and this host goes by its own grant only if neither gives
-// an answer. Each spends from a grant of its own, so no agreement about who owns a budget is
-// needed for it not to be overspent.
+// If the owner does not answer, or can't reach the control group and has no tokens left, the
+// next host in rank is asked. This host uses its own grant only if neither answers. Each host
+// spends from its own grant, so a budget is not overspent even if hosts disagree about its
+// owner.
 //
-// What goes wrong when every host turns to its own grant in a partition: each asks the
-// control group for tokens of each budget, and goes on asking until it is answered, since
-// the ledger may have granted them. 70 hosts and 24 budgets had 1,600 such calls open when
-// a partition ended; the leader lost its office over them, again and again, and what it
-// granted lay at hosts that had no use for it.
+// Hosts don't simply fall back to their own grants in a partition because each would ask the
+// control group for tokens of each budget, and repeat the call until it is answered, since
+// the ledger may have granted them. 70 hosts and 24 budgets had 1,600 such calls open when a
+// partition ended. They made the control group change its leader again and again, and the
+// tokens that it granted were held by hosts that did not need them.
 package budgets
 
 import (
@@ -35,21 +35,21 @@
 )
 
 const (
-	// ranks is how many hosts are asked for a reservation: the owner, and the next one for
-	// the time in which the owner's loss is not known.
-	ranks = 2
-	// reserveTimeout bounds one call for a reservation. An owner that is cut off from the
-	// control group answers after a quarter of a second at the latest; where this host's link
-	// is full, answers wait for half a second and more, and are still better than none.
+	// maxOwners is how many hosts are asked for a reservation: the owner, and the next one in
+	// rank while a failure of the owner has not been detected.
+	maxOwners = 2
+	// reserveTimeout bounds one call for a reservation. An owner that can't reach the control
+	// group answers within 250 ms. If this host's link is full, answers take half a second and
+	// more, and a late answer is still better than none.
 	reserveTimeout = 800 * time.Millisecond
-	// spendTimeout bounds one call that ends reservations.
+	// spendTimeout bounds one call that settles reservations.
 	spendTimeout = 500 * time.Millisecond
-	// lifetimeMargin is what a reservation outlives the deadline of its request by: the
-	// request's host ends it in that time, or has been lost.
+	// lifetimeMargin is how long a reservation is kept after the deadline of its request. A
+	// host that has not ended the reservation by then has failed.
 	lifetimeMargin = 3 * time.Second
-	// tick is how long the end of a request waits for others to be told with it. The bill
-	// has to be with the control group within a second and a half.
-	tick = 100 * time.Millisecond
+	// flushInterval is how often the ends of requests are sent to owners. The control group
+	// must get the bill within 1.5 s.
+	flushInterval = 100 * time.Millisecond
 )
 
 // Local spends from this host's own grants; *grants.Manager implements it.
@@ -67,61 +67,63 @@
 	MarkAnswered(host string)
 }
 
-// Config of a Desk.
+// Config configures a Reserver.
 type Config struct {
-	// Incarnation names this run of the host; no other run has the same.
+	// Incarnation identifies this incarnation of the host; it is unique.
 	Incarnation string
-	// Self is this host with its incarnation, as owner of its own grants.
+	// Self returns this host with its incarnation, as owner of its own grants.
 	Self func() *pb.Holder
-	// Local is nil until this run holds grants.
+	// Local returns nil until this incarnation holds grants.
 	Local func() Local
-	// Await waits for Local while this host starts; nil: it has none in time.
+	// Await waits for Local while this host starts. It returns nil if ctx is done first.
 	Await  func(ctx context.Context) Local
 	Owners Owners
 	Client func(address string) pb.PeerClient
 	Log    zerolog.Logger
 }
 
-// Reserver is safe for concurrent use.
+// Reserver reserves tokens at the owners of budgets, and for other hosts at this one. It is safe for
+// concurrent use.
 type Reserver struct {
 	cfg Config
 
 	mu     sync.Mutex
 	book   *book.Book
 	outbox *outbox.Outbox[*pb.SpentTokens]
-	// placed says where the tokens of this host's requests are set aside.
-	placed map[string]place
-	sends  sync.WaitGroup
+	// reservations holds the owner at which the tokens of each of this host's requests are
+	// reserved.
+	reservations map[string]reservation
+	sends        sync.WaitGroup
 }
 
-// place of a reservation.
-type place struct {
+// reservation is where tokens are reserved, and until when.
+type reservation struct {
 	owner owners.Host
 	until time.Time
 }
 
-// New makes a desk; Run must be called for the ends of requests to be told.
+// New returns a Reserver. It sends the ends of requests to owners only while Run runs.
 func New(cfg Config) *Reserver {
 	return &Reserver{
 		cfg: cfg, book: book.New(), outbox: outbox.New[*pb.SpentTokens](),
-		placed: make(map[string]place),
+		reservations: make(map[string]reservation),
 	}
 }
 
-// Reserve sets tokens of a budget aside for a request, at the latest when ctx ends. It
-// returns the name of the host that holds them.
-func (d *Reserver) Reserve(ctx context.Context, budget, request string, tokens uint64) (holder string, err error) {
-	if !d.begin(request) {
+// Reserve reserves tokens of a budget for a request, and returns the name of the host that
+// holds them, or that refused them. It returns when ctx is done at the latest.
+func (r *Reserver) Reserve(ctx context.Context, budget, request string, tokens uint64) (holder string, err error) {
+	if !r.begin(request) {
 		return "", errkind.New(errkind.Internal, "request %s has a reservation already", request)
 	}
 	defer func() {
 		if err != nil {
-			d.forget(request)
+			r.forget(request)
 		}
 	}()
-	var first *closed
-	for _, h := range d.ask(budget) {
-		answer := d.reserveAt(ctx, h, budget, request, tokens)
+	var first *reserveClosed
+	for _, h := range r.ownersOf(budget) {
+		answer := r.reserveAt(ctx, h, budget, request, tokens)
 		if answer == nil {
 			return h.Name, nil
 		}
@@ -130,63 +132,64 @@
 		}
 		holder, err = h.Name, answer
 		if first == nil {
-			first = asClosed(h, answer)
+			first = asReserveClosed(h, answer)
 		}
-		if ctx.Err() != nil || !elsewhere(err) {
+		if ctx.Err() != nil || !mayHaveTokensElsewhere(err) {
 			break
 		}
 	}
 	switch {
 	case first != nil:
-		return d.awaitReserve(ctx, first, budget, request, tokens)
+		return r.awaitReserve(ctx, first, budget, request, tokens)
 	case err != nil:
 		return holder, err
 	}
-	self := owners.Host{Name: d.cfg.Self().GetHost()}
-	return self.Name, d.reserveAt(ctx, self, budget, request, tokens)
+	self := owners.Host{Name: r.cfg.Self().GetHost()}
+	return self.Name, r.reserveAt(ctx, self, budget, request, tokens)
 }
 
-// ask lists the hosts to ask for tokens of a budget: those that rank first, or the owner if
-// none of them gave an answer lately.
+// ownersOf returns the hosts to ask for tokens of a budget: those that rank first, or the owner
+// if none of them answered recently.
 //
-// What goes wrong when nobody is asked then: a host whose link was full for a moment takes
-// all of them for lost, and refuses what it holds no tokens for though the owner has enough.
-func (d *Reserver) ask(budget string) []owners.Host {
-	hosts := d.cfg.Owners.FirstRanked(Key(budget), ranks)
+// The owner is asked even then because a host whose link was full for a moment takes all of them
+// for failed, and would reject requests although the owner has enough tokens.
+func (r *Reserver) ownersOf(budget string) []owners.Host {
+	hosts := r.cfg.Owners.FirstRanked(Key(budget), maxOwners)
 	if len(hosts) > 0 {
 		return hosts
 	}
-	if owner, ok := d.cfg.Owners.Owner(Key(budget)); ok {
+	if owner, ok := r.cfg.Owners.Owner(Key(budget)); ok {
 		return []owners.Host{owner}
 	}
 	return nil
 }
 
-// errUnanswered tells that an owner gave no answer.
-var errUnanswered = errors.New("budgets: no answer")
+// errUnanswered is returned if an owner did not answer.
+var errUnanswered = errors.New("budgets: the owner did not answer")
 
-// begin notes that a request is about to get tokens; false: one of its name has some.
-func (d *Reserver) begin(request string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if _, twice := d.placed[request]; twice {
+// begin records that a reservation is being made for a request. It returns false if the request has one
+// already.
+func (r *Reserver) begin(request string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, twice := r.reservations[request]; twice {
 		return false
 	}
-	d.placed[request] = place{}
+	r.reservations[request] = reservation{}
 	return true
 }
 
-func (d *Reserver) forget(request string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.placed, request)
+func (r *Reserver) forget(request string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.reservations, request)
 }
 
-// Key is a budget's name among the keys that hosts own.
+// Key returns the key by which hosts are ranked as owners of a budget.
 func Key(budget string) string { return "budget/" + budget }
 
-// elsewhere tells whether another host may still have tokens after a refusal.
-func elsewhere(err error) bool {
+// mayHaveTokensElsewhere reports whether another host may still have tokens after this refusal.
+func mayHaveTokensElsewhere(err error) bool {
 	switch errkind.From(err).Kind {
 	case errkind.BudgetUnreachable, errkind.HostNotReady, errkind.HostLeaving, errkind.DeadlineExceeded:
 		return true
@@ -194,7 +197,7 @@
 	return false
 }
 
-func (d *Reserver) reserveAt(ctx context.Context, h owners.Host, budget, request string, tokens uint64) error {
+func (r *Reserver) reserveAt(ctx context.Context, h owners.Host, budget, request string, tokens uint64) error {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return errkind.New(errkind.Internal, "request %s has no deadline", request)
@@ -202,67 +205,67 @@
 	until := deadline.Add(lifetimeMargin)
 	var err error
 	if h.Self() {
-		err = d.reserveHere(ctx, budget, request, tokens)
+		err = r.reserveLocally(ctx, budget, request, tokens)
 	} else {
-		err = d.reserveThere(ctx, h, budget, request, tokens, until)
+		err = r.reserveRemotely(ctx, h, budget, request, tokens, until)
 	}
 	if err == nil {
-		d.mu.Lock()
-		d.placed[request] = place{owner: h, until: until}
-		d.mu.Unlock()
+		r.mu.Lock()
+		r.reservations[request] = reservation{owner: h, until: until}
+		r.mu.Unlock()
 	}
 	return err
 }
 
-func (d *Reserver) reserveHere(ctx context.Context, budget, request string, tokens uint64) error {
-	local := d.cfg.Await(ctx)
+func (r *Reserver) reserveLocally(ctx context.Context, budget, request string, tokens uint64) error {
+	local := r.cfg.Await(ctx)
 	if local == nil {
 		return errkind.New(errkind.BudgetUnreachable, "this host is not registered with the control group yet").After(time.Second)
 	}
 	return local.Reserve(ctx, budget, request, tokens)
 }
 
-// reserveThere asks another host. A call without an answer may have made a reservation:
-// it is ended, in case it was made.
-func (d *Reserver) reserveThere(ctx context.Context, h owners.Host, budget, request string, tokens uint64, until time.Time) error {
+// reserveRemotely reserves tokens at another host. A call that was not answered may have made a
+// reservation, so its end is sent.
+func (r *Reserver) reserveRemotely(ctx context.Context, h owners.Host, budget, request string, tokens uint64, until time.Time) error {
 	callCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	reply, err := d.cfg.Client(h.Address).ReserveTokens(callCtx, &pb.ReserveTokensRequest{
-		Run: d.cfg.Incarnation, Request: request, Budget: budget, Tokens: tokens, LifetimeMs: time.Until(until).Milliseconds(),
+	reply, err := r.cfg.Client(h.Address).ReserveTokens(callCtx, &pb.ReserveTokensRequest{
+		Run: r.cfg.Incarnation, Request: request, Budget: budget, Tokens: tokens, LifetimeMs: time.Until(until).Milliseconds(),
 	})
 	if err == nil {
-		d.cfg.Owners.MarkAnswered(h.Name)
+		r.cfg.Owners.MarkAnswered(h.Name)
 		return decodeRefusal(reply)
 	}
-	d.tell(h, request, 0, until)
+	r.queueSpend(h, request, 0, until)
 	if ctx.Err() != nil {
-		return errkind.New(errkind.DeadlineExceeded, "no tokens of budget %s in time", budget).WithRan(errkind.RanNo)
+		return errkind.New(errkind.DeadlineExceeded, "the deadline passed before tokens of budget %s were reserved", budget).WithRan(errkind.RanNo)
 	}
-	d.cfg.Owners.MarkUnanswered(h.Name)
-	d.cfg.Log.Warn().Str("event", "budget-owner-unanswered").Str("owner", h.Name).Str("budget", budget).
+	r.cfg.Owners.MarkUnanswered(h.Name)
+	r.cfg.Log.Warn().Str("event", "budget-owner-unanswered").Str("owner", h.Name).Str("budget", budget).
 		Str("request", request).Err(err).Send()
 	return errUnanswered
 }
 
 // Spend bills tokens out of a request's reservation and frees the rest.
-func (d *Reserver) Spend(request string, tokens uint64) {
-	d.mu.Lock()
-	p, ok := d.placed[request]
-	delete(d.placed, request)
-	d.mu.Unlock()
+func (r *Reserver) Spend(request string, tokens uint64) {
+	r.mu.Lock()
+	p, ok := r.reservations[request]
+	delete(r.reservations, request)
+	r.mu.Unlock()
 	switch {
 	case !ok:
-		d.cfg.Log.Error().Str("event", "spend-without-reservation").Str("request", request).Uint64("tokens", tokens).Send()
+		r.cfg.Log.Error().Str("event", "spend-without-reservation").Str("request", request).Uint64("tokens", tokens).Send()
 	case p.owner.Self():
-		d.cfg.Local().Spend(request, tokens)
+		r.cfg.Local().Spend(request, tokens)
 	default:
-		d.tell(p.owner, request, tokens, p.until)
+		r.queueSpend(p.owner, request, tokens, p.until)
 	}
 }
 
-// tell puts the end of a request into the outbox.
-func (d *Reserver) tell(h owners.Host, request string, tokens uint64, until time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.outbox.Add(h.Receiver(), &pb.SpentTokens{Request: request, Tokens: tokens}, until)
+// queueSpend queues the end of a request for its owner.
+func (r *Reserver) queueSpend(h owners.Host, request string, tokens uint64, until time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.outbox.Add(h.Receiver(), &pb.SpentTokens{Request: request, Tokens: tokens}, until)
 }
--- a/internal/controller/budgets/budgets_test.go
+++ b/internal/controller/budgets/budgets_test.go
@@ -22,96 +22,98 @@
 
 const budget = "school"
 
-// purse is a host's own grant of one budget.
-type purse struct {
+// fakeGrants is a host's own grant of one budget.
+type fakeGrants struct {
 	mu     sync.Mutex
 	free   uint64
-	refuse errkind.Kind // in place of tokens
-	// opens is when tokens may be had; until then the refusal says so.
+	refuse errkind.Kind // if set, every reservation is refused with it
+	// opens is when tokens become available; until then reservations are refused with that time.
 	opens time.Time
 	// slow is how long a refusal takes.
 	slow     time.Duration
 	reserved map[string]uint64
 	spent    uint64
-	asked    int
+	calls    int
 }
 
-func newPurse(tokens uint64) *purse { return &purse{free: tokens, reserved: map[string]uint64{}} }
+func newFakeGrants(tokens uint64) *fakeGrants {
+	return &fakeGrants{free: tokens, reserved: map[string]uint64{}}
+}
 
-func (p *purse) Reserve(_ context.Context, _, id string, tokens uint64) error {
-	time.Sleep(p.slow)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.asked++
-	if p.refuse != "" {
-		return errkind.New(p.refuse, "refused")
+func (g *fakeGrants) Reserve(_ context.Context, _, id string, tokens uint64) error {
+	time.Sleep(g.slow)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.calls++
+	if g.refuse != "" {
+		return errkind.New(g.refuse, "refused")
 	}
-	if in := time.Until(p.opens); in > 0 {
+	if in := time.Until(g.opens); in > 0 {
 		return &grant.NotOpenYet{Refusal: errkind.New(errkind.BudgetUnreachable, "in reserve").After(time.Second), In: in}
 	}
-	if p.free < tokens {
-		return errkind.New(errkind.BudgetExhausted, "%d of %d", p.free, tokens)
+	if g.free < tokens {
+		return errkind.New(errkind.BudgetExhausted, "%d of %d", g.free, tokens)
 	}
-	p.free -= tokens
-	p.reserved[id] = tokens
+	g.free -= tokens
+	g.reserved[id] = tokens
 	return nil
 }
 
-func (p *purse) Spend(id string, tokens uint64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	whole := p.reserved[id]
-	delete(p.reserved, id)
+func (g *fakeGrants) Spend(id string, tokens uint64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	whole := g.reserved[id]
+	delete(g.reserved, id)
 	tokens = min(tokens, whole)
-	p.spent += tokens
-	p.free += whole - tokens
+	g.spent += tokens
+	g.free += whole - tokens
 }
 
-func (p *purse) Release(id string) { p.Spend(id, 0) }
+func (g *fakeGrants) Release(id string) { g.Spend(id, 0) }
 
-// fleet is some desks that reach each other through calls that can be made to fail.
+// fleet is a set of hosts whose calls to each other can be made to fail.
 type fleet struct {
-	desks  map[string]*Reserver
-	purses map[string]*purse
+	reservers map[string]*Reserver
+	grants    map[string]*fakeGrants
 	// rank is the order of the owners of the budget.
 	rank []string
-	// fault says what becomes of a call: nil: it arrives and is answered.
+	// fault returns what happens to a call.
 	fault      func(to, method string) fault
 	unanswered []string
-	// paused: all owners gave no answer lately.
-	paused bool
+	// allSkipped is set if no owner answered recently, so that all are skipped.
+	allSkipped bool
 }
 
 type fault int
 
 const (
-	arrives fault = iota
-	// lost before it arrives, or its answer.
+	delivered fault = iota
+	// lost: the call is lost before it arrives. answerLost: only the answer is lost.
 	lost
 	answerLost
 )
 
 func newFleet(rank ...string) *fleet {
-	f := &fleet{desks: map[string]*Reserver{}, purses: map[string]*purse{}, rank: rank, fault: func(string, string) fault { return arrives }}
+	f := &fleet{reservers: map[string]*Reserver{}, grants: map[string]*fakeGrants{}, rank: rank, fault: func(string, string) fault { return delivered }}
 	for _, name := range rank {
-		f.purses[name] = newPurse(1000)
-		f.desks[name] = New(Config{
+		f.grants[name] = newFakeGrants(1000)
+		f.reservers[name] = New(Config{
 			Incarnation: name + "/run", Self: func() *pb.Holder { return &pb.Holder{Host: name, Incarnation: 1} },
-			Local: func() Local { return f.purses[name] }, Await: func(context.Context) Local { return f.purses[name] }, Owners: view{f, name},
+			Local: func() Local { return f.grants[name] }, Await: func(context.Context) Local { return f.grants[name] }, Owners: view{f, name},
 			Client: func(address string) pb.PeerClient { return &client{f: f, to: address} },
 		})
 	}
 	return f
 }
 
-// run starts the desks' loops.
+// run starts the loops of all reservers.
 func (f *fleet) run(t *testing.T) {
-	for _, d := range f.desks {
-		go d.Run(t.Context())
+	for _, r := range f.reservers {
+		go r.Run(t.Context())
 	}
 }
 
-// view is the owners as one host sees them.
+// view is the table of owners at one host.
 type view struct {
 	f    *fleet
 	self string
@@ -122,7 +124,7 @@
 }
 
 func (v view) FirstRanked(_ string, n int) []owners.Host {
-	if v.f.paused {
+	if v.f.allSkipped {
 		return nil
 	}
 	var out []owners.Host
@@ -139,14 +141,14 @@
 func (v view) MarkUnanswered(host string) { v.f.unanswered = append(v.f.unanswered, host) }
 func (v view) MarkAnswered(string)        {}
 
-// client calls another desk of the fleet.
+// client calls another host of the fleet.
 type client struct {
 	pb.PeerClient
 	f  *fleet
 	to string
 }
 
-func through[T any](c *client, method string, call func() T) (T, error) {
+func callPeer[T any](c *client, method string, call func() T) (T, error) {
 	var none T
 	switch c.f.fault(c.to, method) {
 	case lost:
@@ -159,19 +161,19 @@
 }
 
 func (c *client) ReserveTokens(ctx context.Context, r *pb.ReserveTokensRequest, _ ...grpc.CallOption) (*pb.ReserveTokensReply, error) {
-	return through(c, "reserve", func() *pb.ReserveTokensReply { return c.f.desks[c.to].HandleReserve(ctx, r) })
+	return callPeer(c, "reserve", func() *pb.ReserveTokensReply { return c.f.reservers[c.to].HandleReserve(ctx, r) })
 }
 
 func (c *client) SpendTokens(_ context.Context, r *pb.SpendTokensRequest, _ ...grpc.CallOption) (*pb.SpendTokensReply, error) {
-	return through(c, "spend", func() *pb.SpendTokensReply { return c.f.desks[c.to].HandleSpend(r) })
+	return callPeer(c, "spend", func() *pb.SpendTokensReply { return c.f.reservers[c.to].HandleSpend(r) })
 }
 
-// patience of the tests' requests.
-const patience = 5 * time.Second
+// requestTimeout is the timeout of the tests' requests.
+const requestTimeout = 5 * time.Second
 
 func (f *fleet) reserve(t *testing.T, host, request string, tokens uint64) (string, error) {
 	t.Helper()
-	return f.desks[host].Reserve(testutil.Within(t, patience), budget, request, tokens)
+	return f.reservers[host].Reserve(testutil.Within(t, requestTimeout), budget, request, tokens)
 }
 
 func TestTokensComeFromTheOwner(t *testing.T) {
@@ -180,19 +182,19 @@
 		f.run(t)
 		holder, err := f.reserve(t, "c", "r1", 300)
 		testutil.NoError(t, err)
-		f.desks["c"].Spend("r1", 120)
-		time.Sleep(2 * tick)
+		f.reservers["c"].Spend("r1", 120)
+		time.Sleep(2 * flushInterval)
 		synctest.Wait()
-		if p := f.purses["a"]; holder != "a" || p.spent != 120 || p.free != 880 {
-			t.Errorf("held by %s; the owner has spent %d, %d are free", holder, p.spent, p.free)
+		if g := f.grants["a"]; holder != "a" || g.spent != 120 || g.free != 880 {
+			t.Errorf("held by %s; the owner has spent %d, %d are free", holder, g.spent, g.free)
 		}
-		if p := f.purses["c"]; p.free != 1000 {
-			t.Errorf("the asking host used %d tokens of its own", 1000-p.free)
+		if g := f.grants["c"]; g.free != 1000 {
+			t.Errorf("the requesting host used %d tokens of its own grant", 1000-g.free)
 		}
 	})
 }
 
-func TestExhaustedBudgetIsNotAskedForElsewhere(t *testing.T) {
+func TestExhaustedBudgetIsNotRequestedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b", "c")
 		holder, err := f.reserve(t, "c", "r1", 1001)
@@ -203,10 +205,9 @@
 	})
 }
 
-// Symptom: requests are refused though hosts have tokens, or the control group has.
-// Sequence: the owner of a budget is lost, or cut off from the control group.
-// Cause: nobody else was asked.
-func TestNextInRankIsAsked(t *testing.T) {
+// Guards against requests that are rejected although hosts or the control group have tokens: the
+// owner of the budget has failed, or can't reach the control group, and no other host was asked.
+func TestBackupOwnerIsAsked(t *testing.T) {
 	for name, c := range map[string]struct {
 		owner   fault
 		refusal errkind.Kind
@@ -225,96 +226,93 @@
 				if to == "a" && method == "reserve" {
 					return c.owner
 				}
-				return arrives
+				return delivered
 			}
-			f.purses["a"].refuse = c.refusal
+			f.grants["a"].refuse = c.refusal
 			holder, err := f.reserve(t, "c", "r1", 300)
 			if err != nil || holder != "b" {
 				t.Errorf("%s: held by %s, %v", name, holder, err)
 			}
-			time.Sleep(2 * tick)
+			time.Sleep(2 * flushInterval)
 			synctest.Wait()
-			if p := f.purses["a"]; p.free != 1000 || len(p.reserved) != 0 {
-				t.Errorf("%s: the owner still holds %v for the request", name, p.reserved)
+			if g := f.grants["a"]; g.free != 1000 || len(g.reserved) != 0 {
+				t.Errorf("%s: the owner still holds %v for the request", name, g.reserved)
 			}
-			if (len(f.unanswered) > 0) != (c.owner != arrives) {
-				t.Errorf("%s: passed over from now on: %v", name, f.unanswered)
+			if (len(f.unanswered) > 0) != (c.owner != delivered) {
+				t.Errorf("%s: hosts marked as unanswered: %v", name, f.unanswered)
 			}
 		})
 	}
 }
 
-// Symptom: one host refuses all requests of a budget whose owner has enough.
-// Sequence: the host's link is full for a moment, neither the owner nor the next in rank
-// answers in time; both are passed over; the link is free again.
-// Cause: nobody was asked until the pause had ended.
-func TestOwnerIsAskedWhenAllSeemLost(t *testing.T) {
+// Guards against a host that rejects all requests of a budget whose owner has enough tokens: its link
+// was full for a moment, neither the owner nor the next host in rank answered in time, and no host was
+// asked until the backoff of both had ended.
+func TestOwnerIsAskedWhenAllAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b", "c")
 		f.run(t)
-		f.paused = true
+		f.allSkipped = true
 		if holder, err := f.reserve(t, "c", "r1", 300); err != nil || holder != "a" {
 			t.Errorf("held by %s, %v", holder, err)
 		}
 	})
 }
 
-func TestCutOffHostSpendsItsOwn(t *testing.T) {
+func TestIsolatedHostUsesItsOwnGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b", "c")
 		f.fault = func(string, string) fault { return lost }
 		holder, err := f.reserve(t, "c", "r1", 300)
-		if err != nil || holder != "c" || f.purses["c"].free != 700 {
+		if err != nil || holder != "c" || f.grants["c"].free != 700 {
 			t.Errorf("held by %s, %v", holder, err)
 		}
-		f.desks["c"].Spend("r1", 100)
-		if f.purses["c"].spent != 100 {
-			t.Errorf("spent %d", f.purses["c"].spent)
+		f.reservers["c"].Spend("r1", 100)
+		if f.grants["c"].spent != 100 {
+			t.Errorf("spent %d", f.grants["c"].spent)
 		}
 	})
 }
 
-// Symptom: when a partition between hosts and control group ends, the leader is buried
-// under calls, and tokens lie at hosts that have no use for them.
-// Sequence: neither owner of a budget can reach the control group.
-// Cause: every host asked for tokens of its own as well.
-func TestPartitionLeavesOtherHostsAlone(t *testing.T) {
+// Guards against hosts that all request tokens of their own while neither owner of a budget can reach
+// the control group. When the partition ended, their calls overloaded the leader, and tokens were
+// granted to hosts that did not need them.
+func TestPartitionDoesNotUseOwnGrants(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b", "c")
-		f.purses["a"].refuse, f.purses["b"].refuse = errkind.BudgetUnreachable, errkind.BudgetUnreachable
+		f.grants["a"].refuse, f.grants["b"].refuse = errkind.BudgetUnreachable, errkind.BudgetUnreachable
 		holder, err := f.reserve(t, "c", "r1", 300)
-		testutil.Refused(t, err, errkind.BudgetUnreachable, "owners without tokens")
-		if p := f.purses["c"]; holder != "b" || p.asked != 0 {
-			t.Errorf("refused by %s, %d asked of this host's own grant", holder, p.asked)
+		testutil.Refused(t, err, errkind.BudgetUnreachable, "owners that can't reach the control group")
+		if g := f.grants["c"]; holder != "b" || g.calls != 0 {
+			t.Errorf("refused by %s, %d reservations tried at this host's own grant", holder, g.calls)
 		}
 		f.fault = func(to, _ string) fault {
 			if to == "a" {
 				return lost
 			}
-			return arrives
+			return delivered
 		}
 		_, err = f.reserve(t, "c", "r2", 300)
-		testutil.Refused(t, err, errkind.BudgetUnreachable, "one owner lost, the other without tokens")
+		testutil.Refused(t, err, errkind.BudgetUnreachable, "one owner failed, the other can't reach the control group")
 	})
 }
 
-func TestRequestOfOneNameGetsTokensOnce(t *testing.T) {
+func TestDuplicateReservationIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b")
 		_, err := f.reserve(t, "b", "r1", 300)
 		testutil.NoError(t, err)
 		_, err = f.reserve(t, "b", "r1", 300)
-		testutil.Refused(t, err, errkind.Internal, "a second reservation of the name")
-		f.desks["b"].Spend("r1", 0)
+		testutil.Refused(t, err, errkind.Internal, "a second reservation for the same request")
+		f.reservers["b"].Spend("r1", 0)
 		_, err = f.reserve(t, "b", "r1", 300)
 		testutil.NoError(t, err)
 	})
 }
 
-// Symptom: a host that is stopped leaves reservations at owners that nobody ends, or takes
-// those of others with it, and the control group counts all that it held as spent.
-// Sequence: SIGTERM with requests under way, here and at other hosts.
-// Cause: the process ends before the messages are acknowledged.
+// Guards against a host that gets a SIGTERM with requests in progress, here and at other hosts, and
+// exits before its messages are acknowledged: its reservations at owners are never ended, and those
+// of other hosts at this one end with it, so that the control group counts all their tokens as spent.
 func TestDrainEndsReservationsOnBothSides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b")
@@ -324,65 +322,63 @@
 		go func() {
 			time.Sleep(time.Second)
 			synctest.Wait()
-			f.desks["b"].Spend("r1", 10)
+			f.reservers["b"].Spend("r1", 10)
 		}()
-		f.desks["a"].Drain(testutil.Within(t, 6*time.Second))
-		if p := f.purses["a"]; p.spent != 10 || len(p.reserved) != 0 {
-			t.Errorf("the owner left with %d spent and %v reserved", p.spent, p.reserved)
+		f.reservers["a"].Drain(testutil.Within(t, 6*time.Second))
+		if g := f.grants["a"]; g.spent != 10 || len(g.reserved) != 0 {
+			t.Errorf("the owner drained with %d spent and %v reserved", g.spent, g.reserved)
 		}
 		_, err = f.reserve(t, "b", "r2", 300)
 		testutil.NoError(t, err)
-		f.desks["b"].Spend("r2", 20)
-		f.desks["b"].Drain(testutil.Within(t, 6*time.Second))
-		if p := f.purses["a"]; p.spent != 30 {
-			t.Errorf("the host left before the owner knew: %d spent", p.spent)
+		f.reservers["b"].Spend("r2", 20)
+		f.reservers["b"].Drain(testutil.Within(t, 6*time.Second))
+		if g := f.grants["a"]; g.spent != 30 {
+			t.Errorf("the host drained before the owner had all ends: %d spent", g.spent)
 		}
 		_, err = f.reserve(t, "b", "r3", 300)
 		testutil.NoError(t, err)
-		f.desks["a"].Drain(testutil.Within(t, 6*time.Second))
-		if p := f.purses["a"]; p.spent != 330 || len(p.reserved) != 0 {
-			t.Errorf("a request that outlived the drain is billed with %d", p.spent-30)
+		f.reservers["a"].Drain(testutil.Within(t, 6*time.Second))
+		if g := f.grants["a"]; g.spent != 330 || len(g.reserved) != 0 {
+			t.Errorf("a request that outlasted the drain is billed with %d", g.spent-30)
 		}
 	})
 }
 
-func TestFormerRunsReservationsAreLeftAlone(t *testing.T) {
+func TestSpendForAnotherIncarnationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b")
 		_, err := f.reserve(t, "b", "r1", 300)
 		testutil.NoError(t, err)
-		f.desks["a"].HandleSpend(&pb.SpendTokensRequest{
+		f.reservers["a"].HandleSpend(&pb.SpendTokensRequest{
 			Owner: &pb.Holder{Host: "a", Incarnation: 7}, Run: "b/run", Spent: []*pb.SpentTokens{{Request: "r1", Tokens: 1}},
 		})
-		if f.purses["a"].reserved["b/run/r1"] != 300 {
-			t.Error("a message for another run ended a reservation")
+		if f.grants["a"].reserved["b/run/r1"] != 300 {
+			t.Error("a message for another incarnation ended a reservation")
 		}
 	})
 }
 
-// Symptom: in the first seconds of a partition requests are refused though plenty of their
-// budget is left.
-// Sequence: the owner has used up what it may spend at once; its reserve opens soon, to it
-// alone; the next in rank has nothing.
-// Cause: the request was refused in place of waiting.
-func TestRequestWaitsForTheOwnersReserve(t *testing.T) {
+// Guards against requests that are rejected in the first seconds of a partition although plenty of
+// their budget is left: the owner has used up its free tokens, its reserve opens soon and only at the
+// owner, and the next host in rank has no tokens. Such requests must wait.
+func TestRequestWaitsForOwnerReserve(t *testing.T) {
 	for name, c := range map[string]struct {
-		opens, patience time.Duration
-		want            errkind.Kind
-		took            time.Duration
+		opens, timeout time.Duration
+		want           errkind.Kind
+		took           time.Duration
 	}{
-		"soon":                     {1200 * time.Millisecond, patience, "", 1200 * time.Millisecond},
+		"soon":                     {1200 * time.Millisecond, requestTimeout, "", 1200 * time.Millisecond},
 		"not soon":                 {3 * time.Second, 10 * time.Second, errkind.BudgetUnreachable, 300 * time.Millisecond},
 		"too late for the request": {1200 * time.Millisecond, 2 * time.Second, errkind.BudgetUnreachable, 300 * time.Millisecond},
 	} {
 		for _, host := range []string{"a", "c"} { // the owner itself, and another host
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet("a", "b", "c")
-				f.purses["a"].opens = time.Now().Add(c.opens)
-				// The next in rank finds out for itself that the ledger is out of reach.
-				f.purses["b"].refuse, f.purses["b"].slow = errkind.BudgetUnreachable, 300*time.Millisecond
+				f.grants["a"].opens = time.Now().Add(c.opens)
+				// The next host in rank takes 300 ms to find the ledger unreachable.
+				f.grants["b"].refuse, f.grants["b"].slow = errkind.BudgetUnreachable, 300*time.Millisecond
 				began := time.Now()
-				holder, err := f.desks[host].Reserve(testutil.Within(t, c.patience), budget, "r1", 300)
+				holder, err := f.reservers[host].Reserve(testutil.Within(t, c.timeout), budget, "r1", 300)
 				took := time.Since(began).Round(10 * time.Millisecond)
 				switch {
 				case c.want == "" && (err != nil || holder != "a"):
@@ -397,38 +393,37 @@
 	}
 }
 
-// Symptom: a request is held for seconds and then refused.
-// Sequence: its owner's reserve opens soon, but others are always faster.
-// Cause: each answer of the owner began a wait of its own.
-func TestWaitForTheReserveIsBounded(t *testing.T) {
+// Guards against a request that waits for seconds and is then rejected: its owner's reserve opens soon,
+// but other requests always take the tokens first, and each answer of the owner started a new wait.
+func TestWaitForReserveIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b", "c")
-		f.purses["b"].refuse = errkind.BudgetUnreachable
+		f.grants["b"].refuse = errkind.BudgetUnreachable
 		go func() {
 			for range 100 {
-				f.purses["a"].mu.Lock()
-				f.purses["a"].opens = time.Now().Add(300 * time.Millisecond)
-				f.purses["a"].mu.Unlock()
+				f.grants["a"].mu.Lock()
+				f.grants["a"].opens = time.Now().Add(300 * time.Millisecond)
+				f.grants["a"].mu.Unlock()
 				time.Sleep(100 * time.Millisecond)
 			}
 		}()
 		synctest.Wait()
 		began := time.Now()
 		_, err := f.reserve(t, "c", "r1", 300)
-		testutil.Refused(t, err, errkind.BudgetUnreachable, "tokens that others take")
+		testutil.Refused(t, err, errkind.BudgetUnreachable, "tokens that other requests take")
 		if took := time.Since(began); took > reserveWait {
-			t.Errorf("held for %v", took)
+			t.Errorf("waited for %v", took)
 		}
 		time.Sleep(10 * time.Second) // the other goroutine ends
 	})
 }
 
-// lostEvery: of so many requests one is lost with its host, which never tells what it used.
-const lostEvery = 4
+// lostInterval: one of this many requests fails with its host, which never reports its usage.
+const lostInterval = 4
 
-// TestNothingIsSpentThatIsNotCounted: whatever is lost on the way, the owners have counted
-// at least what the requests used once all reservations have ended, and no token is lost.
-func TestNothingIsSpentThatIsNotCounted(t *testing.T) {
+// TestUsedTokensAreCounted checks that whichever calls and answers are lost, the owners have counted
+// at least the tokens that the requests used once all reservations have ended, and no token is lost.
+func TestUsedTokensAreCounted(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.SliceOfN(rapid.IntRange(0, 9), 20, 60).Draw(rt, "faults")
 		uses := rapid.SliceOfN(rapid.Uint64Range(0, 100), 1, 15).Draw(rt, "uses")
@@ -447,7 +442,7 @@
 				case 2, 3:
 					return answerLost
 				}
-				return arrives
+				return delivered
 			}
 			f.run(t)
 			used := uint64(0)
@@ -458,11 +453,11 @@
 				}
 				time.Sleep(time.Duration(tokens) * time.Millisecond)
 				used += tokens
-				if i%lostEvery != 0 {
-					f.desks["c"].Spend(id, tokens)
+				if i%lostInterval != 0 {
+					f.reservers["c"].Spend(id, tokens)
 				}
 			}
-			time.Sleep(patience + lifetimeMargin + 5*time.Second)
+			time.Sleep(requestTimeout + lifetimeMargin + 5*time.Second)
 			synctest.Wait()
 			wrong = f.check(used)
 		})
@@ -472,17 +467,17 @@
 	})
 }
 
-// check compares what requests of host c used with what was counted. Tokens that c, which
-// was lost with some of its requests, holds itself count as spent at the control group.
+// check compares the tokens that requests of host c used with those counted. Host c fails with some of
+// its requests; the tokens that it holds itself count as spent at the control group.
 func (f *fleet) check(used uint64) string {
 	counted := uint64(0)
-	for name, p := range f.purses {
-		counted += p.spent
-		for _, tokens := range p.reserved {
+	for name, g := range f.grants {
+		counted += g.spent
+		for _, tokens := range g.reserved {
 			counted += tokens
 		}
-		if name != "c" && len(p.reserved) > 0 || name != "c" && p.free+p.spent != 1000 {
-			return fmt.Sprintf("host %s: %d free, %d spent of 1000, reserved %v", name, p.free, p.spent, p.reserved)
+		if name != "c" && len(g.reserved) > 0 || name != "c" && g.free+g.spent != 1000 {
+			return fmt.Sprintf("host %s: %d free, %d spent of 1000, reserved %v", name, g.free, g.spent, g.reserved)
 		}
 	}
 	if counted < used {
--- a/internal/controller/budgets/run.go
+++ b/internal/controller/budgets/run.go
@@ -10,84 +10,85 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Run tells owners of ended requests and ends what has expired, until ctx ends.
-func (d *Reserver) Run(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+// Run sends the ends of requests to owners and ends expired reservations until ctx is done.
+func (r *Reserver) Run(ctx context.Context) {
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
-	defer d.sends.Wait()
+	defer r.sends.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.step(ctx, time.Now())
+			r.step(ctx, time.Now())
 		}
 	}
 }
 
-func (d *Reserver) step(ctx context.Context, now time.Time) {
-	expired, due := d.due(now)
-	d.expire(expired)
+func (r *Reserver) step(ctx context.Context, now time.Time) {
+	expired, due := r.takeDue(now)
+	r.expire(expired)
 	for _, m := range due {
-		d.sends.Go(func() {
-			defer panics.Log(d.cfg.Log, "telling a budget's owner")
-			d.send(ctx, m)
+		r.sends.Go(func() {
+			defer panics.Log(r.cfg.Log, "sending ended requests to a budget's owner")
+			r.send(ctx, m)
 		})
 	}
 }
 
-// due takes what has expired and what is to be told now.
-func (d *Reserver) due(now time.Time) ([]book.Expired, []outbox.Message[*pb.SpentTokens]) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.book.Expire(now), d.outbox.Due(now)
+// takeDue returns the reservations that have expired and the messages to send now.
+func (r *Reserver) takeDue(now time.Time) ([]book.Expired, []outbox.Message[*pb.SpentTokens]) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.book.Expire(now), r.outbox.Due(now)
 }
 
-// send tells one owner.
-func (d *Reserver) send(ctx context.Context, m outbox.Message[*pb.SpentTokens]) {
+// send sends a message to one owner.
+func (r *Reserver) send(ctx context.Context, m outbox.Message[*pb.SpentTokens]) {
 	ctx, cancel := context.WithTimeout(ctx, spendTimeout)
 	defer cancel()
-	_, err := d.cfg.Client(m.To.Address).SpendTokens(ctx, &pb.SpendTokensRequest{
-		Owner: &pb.Holder{Host: m.To.Host, Incarnation: m.To.Incarnation}, Run: d.cfg.Incarnation, Spent: m.Items,
+	_, err := r.cfg.Client(m.To.Address).SpendTokens(ctx, &pb.SpendTokensRequest{
+		Owner: &pb.Holder{Host: m.To.Host, Incarnation: m.To.Incarnation}, Run: r.cfg.Incarnation, Spent: m.Items,
 	})
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if err == nil {
-		d.outbox.Acknowledged(m.To)
+		r.outbox.Acknowledged(m.To)
 		return
 	}
-	d.outbox.Failed(time.Now(), m.To)
-	d.cfg.Log.Debug().Str("event", "spend-unanswered").Str("owner", m.To.Host).Int("requests", len(m.Items)).Err(err).Send()
+	r.outbox.Failed(time.Now(), m.To)
+	r.cfg.Log.Debug().Str("event", "spend-unanswered").Str("owner", m.To.Host).Int("requests", len(m.Items)).Err(err).Send()
 }
 
-// settlePart of the time left, one in so many, is kept for the settlement of what Drain
-// bills by itself.
-const settlePart = 3
+// settleDivisor keeps this fraction of the time left for the settlement of the reservations that
+// Drain bills itself.
+const settleDivisor = 3
 
-// Drain waits until the owners know of all this host's requests and all reservations made
-// here have ended. What has not ended in time is billed whole. Run must still be running.
-func (d *Reserver) Drain(ctx context.Context) {
+// Drain waits until the owners have acknowledged the ends of all this host's requests and all
+// reservations made at this host have ended. Reservations that have not ended in time are billed in
+// full. Run must still be running.
+func (r *Reserver) Drain(ctx context.Context) {
 	deadline, ok := ctx.Deadline()
 	if ok {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithDeadline(ctx, deadline.Add(-time.Until(deadline)/settlePart))
+		ctx, cancel = context.WithDeadline(ctx, deadline.Add(-time.Until(deadline)/settleDivisor))
 		defer cancel()
 	}
-	for !d.idle() {
+	for !r.idle() {
 		select {
 		case <-ctx.Done():
-			d.mu.Lock()
-			expired := d.book.All()
-			d.mu.Unlock()
-			d.expire(expired)
+			r.mu.Lock()
+			expired := r.book.All()
+			r.mu.Unlock()
+			r.expire(expired)
 			return
-		case <-time.After(tick):
+		case <-time.After(flushInterval):
 		}
 	}
 }
 
-func (d *Reserver) idle() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.outbox.Empty() && d.book.Open() == 0
+func (r *Reserver) idle() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.outbox.Empty() && r.book.Open() == 0
 }
