--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -17,9 +17,9 @@
 	return owners.Host{Name: self.GetHost(), Incarnation: self.GetIncarnation()}, ok
 }
 
-func (g *gateway) newBudgets() *budgets.Desk {
+func (g *gateway) newBudgets() *budgets.Reserver {
 	return budgets.New(budgets.Config{
-		Run: g.run, Self: g.holder,
+		Incarnation: g.run, Self: g.holder,
 		Local: g.localGrants, Await: g.awaitGrants,
 		Owners: g.owners, Client: g.d.pool.Client, Log: g.d.tel.Log,
 	})
