--- a/internal/instance/announcement.go
+++ b/internal/instance/announcement.go
@@ -7,20 +7,19 @@
 	"github.com/pkg/errors"
 )
 
-// Incarnation names one run of a backend server.
+// Incarnation identifies one run of a backend server's process.
 //
-// A server may start again under the id that it had. It has lost its requests and its
-// caches then, and it numbers its announcements anew, so nothing that was learned of the
-// former run holds for the new one.
+// A server may start again under the same id. It has then lost its requests and its caches, and
+// numbers its announcements anew, so nothing known of the former incarnation applies to the new one.
 type Incarnation struct {
 	ID string
-	// Started is when the run began, in Unix milliseconds of the server's clock. It orders
-	// the runs under one id and is compared with nothing else. Zero if the server does not
-	// say: a run that does comes after it.
+	// Started is when the process started, in Unix milliseconds of the server's clock. It only
+	// orders the incarnations under one id. It is zero if the server does not report it; an
+	// incarnation that does comes after such a one.
 	Started uint64
 }
 
-// Announcement is what an instance says of itself.
+// Announcement is the state that an instance announces of itself.
 type Announcement struct {
 	ID      string
 	Started uint64
@@ -29,50 +28,50 @@
 	Zone    string
 	// Version of the server's software.
 	Version string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs at once.
 	Slots int
-	// Draining: it takes no new requests.
+	// Draining reports that it accepts no new requests.
 	Draining bool
-	// WarmupLeft is how much longer it is slow after its start.
+	// WarmupLeft is the remaining time in which it is slow after its start.
 	WarmupLeft time.Duration
-	// Seq counts up with each announcement of the run.
+	// Seq increases with each announcement of the incarnation.
 	Seq uint64
 }
 
-// Incarnation is the run that announces itself.
+// Incarnation returns the incarnation that announces itself.
 func (a Announcement) Incarnation() Incarnation {
 	return Incarnation{ID: a.ID, Started: a.Started}
 }
 
 const (
-	// maxText bounds an id, a service's name and the like, in bytes. Hosts tell each other
-	// 64 servers in one message.
+	// maxText bounds an id, a service's name and the like, in bytes. One message between hosts
+	// carries up to 64 servers.
 	maxText = 256
-	// maxSlots bounds the requests that a server runs at once; engines have some dozen.
+	// maxSlots bounds the requests that a server runs at once; engines run some dozens.
 	maxSlots = 1 << 20
-	// maxWarmup bounds how long a server is slow after its start; models load in minutes.
+	// maxWarmup bounds the warm-up time of a server; models load in minutes.
 	maxWarmup = 24 * time.Hour
 )
 
-// CheckID tells what is wrong with the id of a server. An id goes into a header of each
-// request and into the messages between hosts.
+// CheckID returns an error if the id of a server is invalid. The id is sent in a header of each
+// request and in messages between hosts.
 //
-// What goes wrong with any bytes: an id that is not UTF-8 can't be encoded into a message,
-// so no heartbeat of the host that took it leaves, and its peers count it as dead. A line
-// break can't stand in a header, so each request to the server fails.
+// An id that is not UTF-8 cannot be encoded into a message: no heartbeat of a host that accepted
+// it could be sent, and its peers would consider the host dead. A line break is not allowed in a
+// header, so each request to the server would fail.
 func CheckID(id string) error {
 	if id == "" || len(id) > maxText {
-		return errors.Errorf("an id of %d bytes", len(id))
+		return errors.Errorf("invalid id length of %d bytes", len(id))
 	}
 	for i := range len(id) {
 		if id[i] <= ' ' || id[i] > '~' {
-			return errors.Errorf("the id %q has other characters than visible ASCII", id)
+			return errors.Errorf("the id %q contains characters other than visible ASCII", id)
 		}
 	}
 	return nil
 }
 
-// Check tells why an announcement names no server to use; nil if it does.
+// Check returns an error if the announcement does not describe a usable server.
 func (a Announcement) Check() error {
 	if err := CheckID(a.ID); err != nil {
 		return err
@@ -81,13 +80,13 @@
 		return errors.New("the service, zone or version is missing or too long")
 	}
 	if at, err := netip.ParseAddrPort(a.Address); err != nil || at.Port() == 0 || at.Addr().IsUnspecified() {
-		return errors.Errorf("%q is no address of a server", a.Address)
+		return errors.Errorf("%q is not a server address", a.Address)
 	}
 	if a.Slots < 1 || a.Slots > maxSlots {
-		return errors.Errorf("%d slots", a.Slots)
+		return errors.Errorf("invalid number of slots: %d", a.Slots)
 	}
 	if a.WarmupLeft < 0 || a.WarmupLeft > maxWarmup {
-		return errors.Errorf("a warm-up of %v", a.WarmupLeft)
+		return errors.Errorf("invalid warm-up time: %v", a.WarmupLeft)
 	}
 	return nil
 }
--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -8,16 +8,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// unknownTransit is how long a state counts as having been on its way where nothing bounds
-// it: twice what a host waits for the answer to a heartbeat. A state that a partition held
-// up for longer makes a server that was lost look present for as long again.
+// unknownTransit is the assumed transit time of a state where nothing bounds it: twice the timeout
+// of a heartbeat's answer. A state that a partition delays for longer makes a dead server look alive
+// for as long again.
 //
-// What goes wrong with a bound of some seconds: in a large fleet most hosts hear of a server
-// by hosts whose clocks they can't compare with their own. A third of the servers looked
-// silent, got requests only when no other was left, and the others were late.
+// With a bound of some seconds, a third of the servers looked stale in a large fleet, where most
+// hosts know of a server through hosts whose clocks they cannot compare with their own. These servers
+// got requests only when no other was left, and the answers of the others were late.
 const unknownTransit = 500 * time.Millisecond
 
-// State is a known instance with the age of what is known, for peers.
+// State returns a known instance with the age of the information, for peers.
 func (r *Registry) State(now time.Time, id string) *pb.ServerState {
 	if i := r.instances[id]; i != nil {
 		return i.state(now)
@@ -25,7 +25,7 @@
 	return &pb.ServerState{Id: id}
 }
 
-// Snapshot is every known instance with the age of what is known, for peers.
+// Snapshot returns all known instances with the age of the information, for peers.
 func (r *Registry) Snapshot(now time.Time) []*pb.ServerState {
 	out := make([]*pb.ServerState, 0, len(r.instances))
 	for _, i := range r.instances {
@@ -35,8 +35,8 @@
 	return out
 }
 
-// state is the instance in the form in which hosts tell each other of it. The age is
-// rounded up, so that a peer never takes it for fresher than it is.
+// state returns the instance in the form of messages between hosts. The age is rounded up, so that
+// a peer never considers it fresher than it is.
 func (i *Instance) state(now time.Time) *pb.ServerState {
 	age := now.Sub(i.Heard) + time.Millisecond - 1
 	st := &pb.ServerState{
@@ -50,33 +50,32 @@
 	return st
 }
 
-// Merge takes what a peer knows of an instance. transit is how long that was on its way at
-// most; below zero if nothing bounds it. It returns whether anything but the time of the
-// last announcement has changed, or what is wrong with the state, which then changes
-// nothing.
+// Merge applies a peer's state of an instance. transit is an upper bound of the state's transit time;
+// negative if nothing bounds it. It returns whether anything but the time of the last announcement
+// has changed. A state with a fault is ignored, and the error describes the fault.
 func (r *Registry) Merge(now time.Time, transit time.Duration, st *pb.ServerState) (changed bool, err error) {
 	if transit < 0 {
 		transit = unknownTransit
 	}
 	age := milliseconds(st.GetAgeMs())
 	if age+transit >= r.cfg.Forget {
-		return false, nil // the peer is about to forget it too
+		return false, nil // the peer is about to drop it too
 	}
-	heard := now.Add(-max(age, 0) - transit)
+	announced := now.Add(-max(age, 0) - transit)
 	if st.GetGone() {
 		if err := CheckID(st.GetId()); err != nil {
 			return false, err
 		}
-		return r.End(heard, Incarnation{ID: st.GetId(), Started: st.GetIncarnation()}), nil
+		return r.End(announced, Incarnation{ID: st.GetId(), Started: st.GetIncarnation()}), nil
 	}
 	a := announcementOf(st)
 	if err := a.Check(); err != nil {
 		return false, err
 	}
-	return r.Announce(heard, a), nil
+	return r.Announce(announced, a), nil
 }
 
-// announcementOf reads a peer's state of a server; Check tells whether it is one.
+// announcementOf converts a peer's state of a server; the result may fail Check.
 func announcementOf(st *pb.ServerState) Announcement {
 	a := Announcement{
 		ID: st.GetId(), Started: st.GetIncarnation(), Address: st.GetAddress(), Zone: st.GetZone(),
@@ -89,8 +88,8 @@
 	return a
 }
 
-// milliseconds is a duration out of a message, at most a bit more than maxWarmup: nothing
-// there may be as long, and the multiplication can't overflow.
+// milliseconds converts a duration in a message. The result is limited to slightly more than
+// maxWarmup, the longest valid duration, so that the multiplication cannot overflow.
 func milliseconds(ms int64) time.Duration {
 	const bound = int64(maxWarmup/time.Millisecond) + 1
 	return time.Duration(min(max(ms, -bound), bound)) * time.Millisecond
--- a/internal/instance/registry.go
+++ b/internal/instance/registry.go
@@ -1,13 +1,13 @@
-// Package instance is a host's registry of backend servers that announce themselves. It
-// says which of them may get new requests. It is pure: time is passed in, and the caller
-// serialises the calls.
+// Package instance is a host's registry of backend servers that announce themselves. It decides
+// which of them may get new requests. The package is pure: time is passed in, and the caller
+// serializes the calls.
 //
-// A run of a server is called an instance; its Incarnation names it. The registry holds
-// one instance for each id, the one that started last: word of an earlier run changes
-// nothing, however late it comes, and nothing of an earlier run holds for a later one.
-// Within a run announcements are numbered; what it says last counts, but that it leaves or
-// is gone is never taken back. Addresses are used again by other instances, so an instance
-// is known by its id and never by its address.
+// An incarnation of a server is called an instance. The registry holds one instance per id, the
+// one that started last: updates about an earlier incarnation change nothing, however late they
+// arrive, and nothing known of an earlier incarnation applies to a later one. The announcements of
+// an incarnation are numbered, and the latest one counts; but once an instance is known to be
+// draining or ended, no announcement reverts that. Addresses are reused by other instances, so an
+// instance is identified by its id and never by its address.
 package instance
 
 import (
@@ -18,150 +18,151 @@
 	"github.com/bluebellsail/bluebellsail/internal/defaults"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	// DefaultLapse is how long an announcement takes through a fleet of 75 hosts, 4 s at the
-	// most, and three more at the usual period of 1.2 s: one may be lost. Servers that are
-	// lost fail requests long before.
+	// DefaultLapse is the time in which an announcement spreads through a fleet of 75 hosts, at
+	// most 4 s, plus three announcements at the usual period of 1.2 s, so that one may be lost.
+	// Requests to dead servers fail long before.
 	DefaultLapse = 8 * time.Second
-	// DefaultForget is how long the id of an instance that is gone is kept. An
-	// announcement that a partition held up for longer than this would revive it.
+	// DefaultForget is how long the id of an ended instance is kept. An announcement that a
+	// partition delays for longer would revive the instance.
 	DefaultForget = 2 * time.Minute
 )
 
-// Config of a Registry; zero fields get the defaults.
+// Config configures a Registry; zero fields get the defaults.
 type Config struct {
-	// Lapse is the silence after which an instance gets requests only if no other does.
+	// Lapse is the age of the last announcement from which an instance is no longer fresh and gets
+	// requests only if no other instance can.
 	Lapse time.Duration
-	// Forget is the silence after which an instance is dropped from memory.
+	// Forget is the age of the last announcement at which an instance is dropped from memory.
 	Forget time.Duration
 }
 
-// Instance is one backend server's run as this host knows it.
+// Instance is one incarnation of a backend server as this host knows it.
 type Instance struct {
 	Announcement
-	// Heard is when its last announcement reached the first host, at the latest.
+	// LastAnnounced is the latest time at which its last announcement can have reached the first host.
 	Heard time.Time
-	// Gone: it said that it ends, or another instance has its address.
+	// Ended reports that the incarnation announced its end, or that another instance has its address.
 	Gone bool
-	// unnamed: its end was heard, and neither before nor with it which run that was of.
-	unnamed bool
-	// contested: another instance at the same address was heard a moment ago. It is an
-	// instance that was held up in the network, or the one that came after.
+	// incUnknown reports that its end was announced without an incarnation, and none was known.
+	incUnknown bool
+	// contested reports that another instance has recently been announced at the same address. This
+	// instance is either a former one, whose announcement was delayed, or the next one.
 	contested bool
 }
 
-// Registry holds the known instances.
+// Registry holds the known instances of a host.
 type Registry struct {
 	cfg       Config
 	instances map[string]*Instance
-	// holder is the instance that is believed to be at an address.
-	holder    map[string]*Instance
+	// byAddress holds the instance that is assumed to be at an address.
+	byAddress map[string]*Instance
 	byService map[string][]*Instance
 	changes   uint64
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New(cfg Config) *Registry {
 	defaults.Set(&cfg.Lapse, DefaultLapse)
 	defaults.Set(&cfg.Forget, DefaultForget)
 	return &Registry{
 		cfg:       cfg,
 		instances: make(map[string]*Instance),
-		holder:    make(map[string]*Instance),
+		byAddress: make(map[string]*Instance),
 		byService: make(map[string][]*Instance),
 	}
 }
 
-// Announce takes an announcement that was made at heard. It returns whether anything
+// Announce applies an announcement that was made at the time announced. It returns whether anything
 // but the time of the last announcement has changed.
-func (r *Registry) Announce(heard time.Time, a Announcement) bool {
+func (r *Registry) Announce(announced time.Time, a Announcement) bool {
 	i := r.instances[a.ID]
 	if i == nil {
-		r.enter(heard, a)
+		r.addNew(announced, a)
 		return true
 	}
 	switch {
-	case a.Started > i.Started && i.unnamed && heard.Sub(i.Heard) < r.cfg.Lapse:
-		r.endNamed(heard, i, a)
+	case a.Started > i.Started && i.incUnknown && announced.Sub(i.Heard) < r.cfg.Lapse:
+		r.endIdentified(announced, i, a)
 		return true
 	case a.Started > i.Started:
-		r.succeed(heard, i, a)
+		r.replaceIncarnation(announced, i, a)
 		return true
 	case a.Started < i.Started || i.Gone:
 		return false
 	case a.Service != i.Service:
-		return r.contradict(heard, i, a)
+		return r.serviceConflict(announced, i, a)
 	case a.Seq <= i.Seq:
 		return a.Draining && r.drain(i)
 	}
-	return r.renew(heard, i, a)
+	return r.update(announced, i, a)
 }
 
-// renew takes a newer announcement of the run that is held.
-func (r *Registry) renew(heard time.Time, i *Instance, a Announcement) bool {
+// update applies a newer announcement of the incarnation that is held.
+func (r *Registry) update(announced time.Time, i *Instance, a Announcement) bool {
 	changed := i.Slots != a.Slots || !i.Draining && a.Draining || i.Address != a.Address
 	a.Draining = a.Draining || i.Draining
 	moved := i.Address != a.Address
 	if moved {
-		r.vacate(i)
+		r.releaseAddress(i)
 	}
 	i.Announcement = a
-	if heard.After(i.Heard) {
-		i.Heard = heard
+	if announced.After(i.Heard) {
+		i.Heard = announced
 	}
 	if moved || i.contested {
-		// A second announcement can't come from an instance that ended before it.
-		r.settle(i)
+		// An instance that ended earlier would not send a second announcement.
+		r.claimAddress(i)
 		changed = true
 	}
 	return changed
 }
 
-// succeed takes the first announcement of a later run under the same id.
+// replaceIncarnation applies the first announcement of a later incarnation under the same id.
 //
-// What goes wrong when the id alone names a run: a server that starts again counts its
-// announcements from the beginning, so all are dropped as late ones; that the former run
-// was leaving or gone holds for the new one, which then gets no request as long as it
-// lives; or a late word of the former run's end takes the new one out.
-func (r *Registry) succeed(heard time.Time, former *Instance, a Announcement) {
-	held := r.holder[former.Address] == former
+// If the id alone identified a server, a restarted one, which numbers its announcements from the
+// beginning again, would have all of them dropped as late; the draining or the end of the former
+// incarnation would keep the new one from getting any request; and a late update on the end of the
+// former one would take the new one out of service.
+func (r *Registry) replaceIncarnation(announced time.Time, former *Instance, a Announcement) {
+	held := r.byAddress[former.Address] == former
 	r.remove(former)
 	former.Gone = true
-	r.enter(heard, a)
+	r.addNew(announced, a)
 	if held && a.Address != former.Address {
-		r.promote(former.Address)
+		r.promoteWaiting(former.Address)
 	}
 }
 
-// contradict takes that a run is heard of in another service than before. One of the two
-// is not what the server says: a run never changes its service. The one that keeps being
-// heard holds.
+// serviceConflict handles an announcement of an incarnation for another service than before. One of
+// the two is false, since an incarnation never changes its service. The one that continues to be
+// announced wins.
 //
-// What goes wrong when the newest holds: one faulty announcement in the name of a server
-// has the requests of another service sent to it, or takes it out of its own.
-func (r *Registry) contradict(heard time.Time, i *Instance, a Announcement) bool {
-	if heard.Sub(i.Heard) < r.cfg.Lapse {
+// If the newest one won, a single faulty announcement in the name of a server would direct requests
+// of another service to it, or take it out of its own.
+func (r *Registry) serviceConflict(announced time.Time, i *Instance, a Announcement) bool {
+	if announced.Sub(i.Heard) < r.cfg.Lapse {
 		return false
 	}
 	a.Draining = a.Draining || i.Draining
 	r.remove(i)
-	r.enter(heard, a)
+	r.addNew(announced, a)
 	return true
 }
 
-// endNamed takes the first announcement of a run whose end came first, and did not say of
-// which run it was.
-func (r *Registry) endNamed(heard time.Time, i *Instance, a Announcement) {
+// endIdentified applies the first announcement of an incarnation whose end was announced before it,
+// without an incarnation.
+func (r *Registry) endIdentified(announced time.Time, i *Instance, a Announcement) {
 	r.remove(i)
-	r.add(heard, a).Gone = true
+	r.add(announced, a).Gone = true
 }
 
-// Drain takes that a run takes no new requests: it said so to a host, in whatever way. It returns
-// whether that is news.
-func (r *Registry) Drain(run Incarnation) bool {
-	i := r.instances[run.ID]
-	return i != nil && i.Started == run.Started && r.drain(i)
+// Drain records that an incarnation accepts no new requests, which a host may observe in other ways
+// than an announcement. It returns whether that is a change.
+func (r *Registry) Drain(inc Incarnation) bool {
+	i := r.instances[inc.ID]
+	return i != nil && i.Started == inc.Started && r.drain(i)
 }
 
 func (r *Registry) drain(i *Instance) bool {
@@ -172,25 +173,25 @@
 	return true
 }
 
-// enter takes the first announcement of an instance.
+// addNew applies the first announcement of an instance.
 //
-// What goes wrong when it displaces the holder of its address at once: an announcement
-// that a partition held up comes after its sender has crashed and another instance has
-// the address. That one would count as gone though it serves. So the newcomer waits for
-// its second announcement, or for the holder to turn out not to be there.
-func (r *Registry) enter(heard time.Time, a Announcement) {
-	i := r.add(heard, a)
-	holder := r.holder[a.Address]
-	if holder != nil && !holder.Gone && heard.Sub(holder.Heard) < r.cfg.Lapse {
+// It does not replace the instance at its address at once: the announcement may have been delayed by
+// a partition until its sender has crashed and another instance has the address. That instance would
+// count as ended although it serves. So the new instance waits for its second announcement, or until
+// the other one has ended or is no longer fresh.
+func (r *Registry) addNew(announced time.Time, a Announcement) {
+	i := r.add(announced, a)
+	current := r.byAddress[a.Address]
+	if current != nil && !current.Gone && announced.Sub(current.Heard) < r.cfg.Lapse {
 		i.contested = true
 		return
 	}
-	r.settle(i)
+	r.claimAddress(i)
 }
 
-// add puts an instance into the registry, without an address yet.
-func (r *Registry) add(heard time.Time, a Announcement) *Instance {
-	i := &Instance{Announcement: a, Heard: heard}
+// add adds an instance to the registry, without an address yet.
+func (r *Registry) add(announced time.Time, a Announcement) *Instance {
+	i := &Instance{Announcement: a, Heard: announced}
 	r.instances[a.ID] = i
 	r.byService[a.Service] = append(r.byService[a.Service], i)
 	r.sortService(a.Service)
@@ -198,19 +199,19 @@
 	return i
 }
 
-// remove takes an instance out of the registry.
+// remove removes an instance from the registry.
 func (r *Registry) remove(i *Instance) {
 	delete(r.instances, i.ID)
-	r.vacate(i)
+	r.releaseAddress(i)
 	same := func(x *Instance) bool { return x == i }
 	r.byService[i.Service] = slices.DeleteFunc(r.byService[i.Service], same)
 	r.changes++
 }
 
-// vacate has the instance no longer be at its address.
-func (r *Registry) vacate(i *Instance) {
-	if r.holder[i.Address] == i {
-		delete(r.holder, i.Address)
+// releaseAddress records that the instance is no longer at its address.
+func (r *Registry) releaseAddress(i *Instance) {
+	if r.byAddress[i.Address] == i {
+		delete(r.byAddress, i.Address)
 	}
 }
 
@@ -218,46 +219,47 @@
 	slices.SortFunc(r.byService[service], func(a, b *Instance) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// settle makes i the one instance at its address.
-func (r *Registry) settle(i *Instance) {
+// claimAddress makes i the only instance at its address.
+func (r *Registry) claimAddress(i *Instance) {
 	i.contested = false
-	if old := r.holder[i.Address]; old != nil && old != i {
+	if old := r.byAddress[i.Address]; old != nil && old != i {
 		old.Gone = true
 	}
-	r.holder[i.Address] = i
+	r.byAddress[i.Address] = i
 	r.changes++
 }
 
-// End takes that a run is gone: it said so, or another answers at its address. heard is
-// when the first host heard it. It returns whether that is news.
-func (r *Registry) End(heard time.Time, run Incarnation) bool {
-	i := r.instances[run.ID]
-	if i != nil && run.Started == i.Started {
+// End records that an incarnation has ended, by its own announcement or because another instance
+// answers at its address. announced is when the first host observed that. It returns whether that is
+// a change.
+func (r *Registry) End(announced time.Time, inc Incarnation) bool {
+	i := r.instances[inc.ID]
+	if i != nil && inc.Started == i.Started {
 		return r.end(i)
 	}
-	if i != nil && run.Started < i.Started {
+	if i != nil && inc.Started < i.Started {
 		return false
 	}
-	// Its announcement may still be on its way.
-	unnamed := i != nil && i.unnamed
+	// Its announcement may still be in transit.
+	incUnknown := i != nil && i.incUnknown
 	if i != nil {
 		r.remove(i)
-		defer r.promote(i.Address)
+		defer r.promoteWaiting(i.Address)
 	}
-	ended := r.add(heard, Announcement{ID: run.ID, Started: run.Started})
-	ended.Gone, ended.unnamed = true, unnamed
+	ended := r.add(announced, Announcement{ID: inc.ID, Started: inc.Started})
+	ended.Gone, ended.incUnknown = true, incUnknown
 	return true
 }
 
-// EndKnown takes that a server ends which does not say in which of its runs. It is the one
-// known now; if none is, then the first one that is heard of in the time that announcements
-// take through the fleet.
+// EndCurrent records the end of a server that does not report which incarnation ended. It is the
+// known one. If none is known, it is the first one that is announced within Lapse, the time in which
+// announcements spread through the fleet.
 func (r *Registry) EndKnown(now time.Time, id string) bool {
 	if i := r.instances[id]; i != nil {
 		return r.end(i)
 	}
 	i := r.add(now, Announcement{ID: id})
-	i.Gone, i.unnamed = true, true
+	i.Gone, i.incUnknown = true, true
 	return true
 }
 
@@ -267,40 +269,40 @@
 	}
 	i.Gone = true
 	r.changes++
-	r.promote(i.Address)
+	r.promoteWaiting(i.Address)
 	return true
 }
 
-// promote lets an instance that waited for an address have it.
-func (r *Registry) promote(address string) {
+// promoteWaiting gives the address to an instance that waits for it.
+func (r *Registry) promoteWaiting(address string) {
 	for _, other := range r.instances {
 		if other.Address == address && other.contested && !other.Gone {
-			r.settle(other)
+			r.claimAddress(other)
 			return
 		}
 	}
 }
 
-// Get finds an instance by id.
+// Get returns an instance by id.
 func (r *Registry) Get(id string) (*Instance, bool) {
 	i, ok := r.instances[id]
 	return i, ok
 }
 
-// Holds tells whether a run is the one that is known under its id.
-func (r *Registry) Holds(run Incarnation) bool {
-	i, ok := r.instances[run.ID]
-	return ok && i.Started == run.Started
+// IsCurrent reports whether an incarnation is the one that is held under its id.
+func (r *Registry) Holds(inc Incarnation) bool {
+	i, ok := r.instances[inc.ID]
+	return ok && i.Started == inc.Started
 }
 
-// Over tells whether a run is known to be over: it is gone, or another has started since.
-func (r *Registry) Over(run Incarnation) bool {
-	i, ok := r.instances[run.ID]
-	return ok && (run.Started < i.Started || run.Started == i.Started && i.Gone)
+// HasEnded reports whether an incarnation has ended or a later one is known.
+func (r *Registry) Over(inc Incarnation) bool {
+	i, ok := r.instances[inc.ID]
+	return ok && (inc.Started < i.Started || inc.Started == i.Started && i.Gone)
 }
 
-// Serving returns the instances of a service that may get requests, by id. The list
-// must not be changed.
+// Serving returns the instances of a service that may get requests, ordered by id. The list must not
+// be changed.
 func (r *Registry) Serving(service string) []*Instance {
 	var out []*Instance
 	for _, i := range r.byService[service] {
@@ -311,16 +313,16 @@
 	return out
 }
 
-// Usable tells whether the instance may get requests.
+// Usable reports whether the instance may get requests.
 func (i *Instance) Usable() bool { return !i.Gone && !i.Draining && !i.contested }
 
-// Fresh tells whether the instance was heard of lately.
+// Fresh reports whether the instance's last announcement is younger than Lapse.
 func (r *Registry) Fresh(now time.Time, i *Instance) bool { return now.Sub(i.Heard) < r.cfg.Lapse }
 
-// Changes counts the changes in which instances may get requests.
+// Changes counts the changes of the set of instances that may get requests.
 func (r *Registry) Changes() uint64 { return r.changes }
 
-// Expire forgets instances not heard of for long. Call it now and then.
+// Expire drops instances without an announcement for Forget. Call it periodically.
 func (r *Registry) Expire(now time.Time) {
 	for _, i := range r.instances {
 		if now.Sub(i.Heard) >= r.cfg.Forget {
--- a/internal/instance/registry_test.go
+++ b/internal/instance/registry_test.go
@@ -40,33 +40,31 @@
 	draining := ready("a", 3)
 	draining.Draining = true
 	if !r.Announce(start, draining) {
-		t.Error("the drain is no news")
+		t.Error("Announce reports no change by the drain")
 	}
 	want(t, r)
-	r.Announce(start, ready("a", 2)) // overtaken on the way
+	r.Announce(start, ready("a", 2)) // arrives late
 	r.Announce(start, ready("a", 4))
 	want(t, r)
 }
 
-// Symptom: a server that leaves gets requests for another heartbeat.
-// Sequence: its word that it drains is overtaken by an older one that says ready.
-// Cause: an announcement with a lower number dropped whole.
-func TestDrainCountsFromALateAnnouncement(t *testing.T) {
+// Guards against a draining server that gets requests for another heartbeat, because its draining
+// announcement arrives after a ready one with a higher number and is dropped as a whole.
+func TestDrainCountsInALateAnnouncement(t *testing.T) {
 	r := New(Config{})
 	r.Announce(start, ready("a", 5))
 	draining := ready("a", 4)
 	draining.Draining = true
 	if !r.Announce(start, draining) {
-		t.Error("the drain is no news")
+		t.Error("Announce reports no change by the drain")
 	}
 	want(t, r)
 }
 
-// Symptom: a server that serves gets no requests.
-// Sequence: server a crashes behind a partition; b starts at its address and announces
-// itself; then the partition lets a's last announcement, a's first one here, through.
-// Cause: the newest first announcement at an address displaced the one that was there.
-func TestHeldUpAnnouncementDisplacesNobody(t *testing.T) {
+// Guards against a serving server that gets no requests: server a crashes behind a partition, b starts
+// at its address and announces itself, and then the partition delivers a's last announcement, the
+// first one of a at this host. Once the newest first announcement at an address displaced the other.
+func TestDelayedAnnouncementDisplacesNobody(t *testing.T) {
 	r := New(Config{})
 	r.Announce(start, ready("b", 1))
 	r.Announce(start.Add(time.Second), ready("a", 9))
@@ -82,39 +80,39 @@
 	want(t, r, "a")
 	r.Announce(start.Add(2*time.Second), ready("b", 2))
 	want(t, r, "b")
-	r.Announce(start.Add(3*time.Second), ready("a", 2)) // a is gone for good
+	r.Announce(start.Add(3*time.Second), ready("a", 2)) // a has ended for good
 	want(t, r, "b")
 }
 
-func TestOtherAnswersAtTheAddress(t *testing.T) {
+func TestEndOfTheFormerInstanceReleasesTheAddress(t *testing.T) {
 	r := New(Config{})
 	r.Announce(start, ready("a", 1))
 	r.Announce(start, ready("b", 1))
 	if !r.End(start, Incarnation{ID: "a"}) {
-		t.Error("the end is no news")
+		t.Error("End reports no change")
 	}
 	want(t, r, "b")
 }
 
-func TestNewAddressOwnerAfterSilence(t *testing.T) {
+func TestAddressIsFreeAfterTheLapse(t *testing.T) {
 	r := New(Config{})
 	r.Announce(start, ready("a", 1))
 	r.Announce(start.Add(DefaultLapse), ready("b", 1))
 	want(t, r, "b")
 }
 
-func TestFreshAndForgotten(t *testing.T) {
+func TestFreshnessAndExpiry(t *testing.T) {
 	r := New(Config{Lapse: time.Second, Forget: time.Minute})
 	r.Announce(start, ready("a", 1))
 	i, _ := r.Get("a")
 	if !r.Fresh(start, i) || r.Fresh(start.Add(time.Second), i) {
-		t.Error("fresh for another time than the lapse")
+		t.Error("the instance is not fresh for exactly the lapse")
 	}
-	want(t, r, "a") // silent, but nobody else is there
+	want(t, r, "a") // stale, but the only instance
 	r.Expire(start.Add(time.Minute))
 	want(t, r)
 	if _, known := r.Get("a"); known {
-		t.Error("still known")
+		t.Error("the instance is known after Forget")
 	}
 }
 
@@ -125,8 +123,7 @@
 	want(t, r)
 }
 
-// Two registries that exchange snapshots agree on who may get requests, whatever each
-// heard itself and in whichever order the snapshots come.
+// mergeAll merges all states that the registry from holds into r.
 func mergeAll(r *Registry, now time.Time, from *Registry) {
 	for _, st := range from.Snapshot(now) {
 		if _, err := r.Merge(now, time.Millisecond, st); err != nil {
@@ -135,6 +132,8 @@
 	}
 }
 
+// Two registries that exchange snapshots agree on the instances that may get requests, whatever each
+// host observed itself and in whichever order the snapshots arrive.
 func TestMergedRegistriesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regs := []*Registry{New(Config{}), New(Config{})}
@@ -151,7 +150,7 @@
 				mergeAll(r, now, other)
 			default:
 				a := ready(id, uint64(rapid.IntRange(1, 9).Draw(t, "seq")))
-				a.Address = "10.0.0." + strconv.Itoa(int(id[0])) + ":80" // each its own address
+				a.Address = "10.0.0." + strconv.Itoa(int(id[0])) + ":80" // one address per id
 				a.Draining = rapid.IntRange(0, 4).Draw(t, "draining") == 0
 				r.Announce(now, a)
 			}
@@ -161,12 +160,12 @@
 			mergeAll(regs[1], now, regs[0])
 		}
 		if a, b := fmt.Sprint(serving(regs[0])), fmt.Sprint(serving(regs[1])); a != b {
-			t.Fatalf("%s against %s", a, b)
+			t.Fatalf("one registry serves %s, the other %s", a, b)
 		}
 	})
 }
 
-func TestMergeTakesNoAgeForYounger(t *testing.T) {
+func TestMergeNeverUnderestimatesTheAge(t *testing.T) {
 	r := New(Config{})
 	state := func(id string, age int64) *pb.ServerState {
 		return &pb.ServerState{Id: id, Address: "10.0.0.1:80", Services: []string{"pool"}, Slots: 1, Seq: 1, AgeMs: age}
@@ -175,29 +174,29 @@
 	testutil.NoError(t, err)
 	i, ok := r.Get("a")
 	if !ok || i.Heard != start.Add(-500*time.Millisecond) {
-		t.Fatalf("heard %v before", start.Sub(i.Heard))
+		t.Fatalf("last announced %v ago, want 500ms", start.Sub(i.Heard))
 	}
 	_, err = r.Merge(start, -1, state("b", 0))
 	testutil.NoError(t, err)
 	if b, _ := r.Get("b"); !b.Heard.Before(start) {
-		t.Error("a state of unknown age counts as heard now")
+		t.Error("a state with unknown transit time counts as announced now")
 	}
 }
 
-// Guards against an answer of an earlier run that takes the next one out of service.
-func TestLeavingInAnAnswerIsOfOneRun(t *testing.T) {
+// Guards against an answer of an earlier incarnation that takes the next one out of service.
+func TestDrainingInAnAnswerIsOfOneIncarnation(t *testing.T) {
 	r := New(Config{})
 	now := time.Unix(1000, 0)
 	a := Announcement{ID: "s", Started: 2, Service: "x", Address: "10.0.0.1:80", Slots: 1, Seq: 1}
 	r.Announce(now, a)
 	if r.Drain(Incarnation{ID: "s", Started: 1}) || r.Drain(Incarnation{ID: "other"}) || len(r.Serving("x")) != 1 {
-		t.Fatal("another run's leaving is taken for this one's")
+		t.Fatal("the draining of another incarnation is applied to this one")
 	}
 	if !r.Drain(a.Incarnation()) || r.Drain(a.Incarnation()) || len(r.Serving("x")) != 0 {
-		t.Fatal("the run's leaving is not taken, or is news twice")
+		t.Fatal("the draining is not applied, or is reported as a change twice")
 	}
 	a.Seq = 2
 	if r.Announce(now, a); len(r.Serving("x")) != 0 {
-		t.Error("a later announcement takes it back")
+		t.Error("a later announcement reverts the draining")
 	}
 }
