--- a/internal/instance/incarnation_test.go
+++ b/internal/instance/incarnation_test.go
@@ -43,7 +43,7 @@
 		}
 		want(t, r, "a")
 		i, _ := r.Get("a")
-		if i.Seq != 1 || i.Started != 200 || i.Heard != start.Add(time.Second) {
+		if i.Seq != 1 || i.Started != 200 || i.LastAnnounced != start.Add(time.Second) {
 			t.Errorf("%s: holds %+v", name, i)
 		}
 		r.Announce(start.Add(2*time.Second), draining(startedAt(200, 2)))
@@ -236,7 +236,7 @@
 			t.Error(err)
 		}
 	}
-	if i, ok := r.Get("a"); !ok || i.Heard.After(start) {
+	if i, ok := r.Get("a"); !ok || i.LastAnnounced.After(start) {
 		t.Errorf("a state with a negative age: %+v", i)
 	}
 }
--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -38,7 +38,7 @@
 // state returns the instance in the form of messages between hosts. The age is rounded up, so that
 // a peer never considers it fresher than it is.
 func (i *Instance) state(now time.Time) *pb.ServerState {
-	age := now.Sub(i.Heard) + time.Millisecond - 1
+	age := now.Sub(i.LastAnnounced) + time.Millisecond - 1
 	st := &pb.ServerState{
 		Id: i.ID, Incarnation: i.Started, Address: i.Address, Zone: i.Zone, Version: i.Version,
 		Slots: uint32(max(i.Slots, 0)), Leaving: i.Draining, Gone: i.Gone, Seq: i.Seq,
--- a/internal/instance/registry.go
+++ b/internal/instance/registry.go
@@ -42,7 +42,7 @@
 type Instance struct {
 	Announcement
 	// LastAnnounced is the latest time at which its last announcement can have reached the first host.
-	Heard time.Time
+	LastAnnounced time.Time
 	// Ended reports that the incarnation announced its end, or that another instance has its address.
 	Gone bool
 	// incUnknown reports that its end was announced without an incarnation, and none was known.
@@ -83,7 +83,7 @@
 		return true
 	}
 	switch {
-	case a.Started > i.Started && i.incUnknown && announced.Sub(i.Heard) < r.cfg.Lapse:
+	case a.Started > i.Started && i.incUnknown && announced.Sub(i.LastAnnounced) < r.cfg.Lapse:
 		r.endIdentified(announced, i, a)
 		return true
 	case a.Started > i.Started:
@@ -108,8 +108,8 @@
 		r.releaseAddress(i)
 	}
 	i.Announcement = a
-	if announced.After(i.Heard) {
-		i.Heard = announced
+	if announced.After(i.LastAnnounced) {
+		i.LastAnnounced = announced
 	}
 	if moved || i.contested {
 		// An instance that ended earlier would not send a second announcement.
@@ -142,7 +142,7 @@
 // If the newest one won, a single faulty announcement in the name of a server would direct requests
 // of another service to it, or take it out of its own.
 func (r *Registry) serviceConflict(announced time.Time, i *Instance, a Announcement) bool {
-	if announced.Sub(i.Heard) < r.cfg.Lapse {
+	if announced.Sub(i.LastAnnounced) < r.cfg.Lapse {
 		return false
 	}
 	a.Draining = a.Draining || i.Draining
@@ -182,7 +182,7 @@
 func (r *Registry) addNew(announced time.Time, a Announcement) {
 	i := r.add(announced, a)
 	current := r.byAddress[a.Address]
-	if current != nil && !current.Gone && announced.Sub(current.Heard) < r.cfg.Lapse {
+	if current != nil && !current.Gone && announced.Sub(current.LastAnnounced) < r.cfg.Lapse {
 		i.contested = true
 		return
 	}
@@ -191,7 +191,7 @@
 
 // add adds an instance to the registry, without an address yet.
 func (r *Registry) add(announced time.Time, a Announcement) *Instance {
-	i := &Instance{Announcement: a, Heard: announced}
+	i := &Instance{Announcement: a, LastAnnounced: announced}
 	r.instances[a.ID] = i
 	r.byService[a.Service] = append(r.byService[a.Service], i)
 	r.sortService(a.Service)
@@ -317,7 +317,7 @@
 func (i *Instance) Usable() bool { return !i.Gone && !i.Draining && !i.contested }
 
 // Fresh reports whether the instance's last announcement is younger than Lapse.
-func (r *Registry) Fresh(now time.Time, i *Instance) bool { return now.Sub(i.Heard) < r.cfg.Lapse }
+func (r *Registry) Fresh(now time.Time, i *Instance) bool { return now.Sub(i.LastAnnounced) < r.cfg.Lapse }
 
 // Changes counts the changes of the set of instances that may get requests.
 func (r *Registry) Changes() uint64 { return r.changes }
@@ -325,7 +325,7 @@
 // Expire drops instances without an announcement for Forget. Call it periodically.
 func (r *Registry) Expire(now time.Time) {
 	for _, i := range r.instances {
-		if now.Sub(i.Heard) >= r.cfg.Forget {
+		if now.Sub(i.LastAnnounced) >= r.cfg.Forget {
 			r.remove(i)
 		}
 	}
--- a/internal/instance/registry_test.go
+++ b/internal/instance/registry_test.go
@@ -173,12 +173,12 @@
 	_, err := r.Merge(start, 100*time.Millisecond, state("a", 400))
 	testutil.NoError(t, err)
 	i, ok := r.Get("a")
-	if !ok || i.Heard != start.Add(-500*time.Millisecond) {
-		t.Fatalf("last announced %v ago, want 500ms", start.Sub(i.Heard))
+	if !ok || i.LastAnnounced != start.Add(-500*time.Millisecond) {
+		t.Fatalf("last announced %v ago, want 500ms", start.Sub(i.LastAnnounced))
 	}
 	_, err = r.Merge(start, -1, state("b", 0))
 	testutil.NoError(t, err)
-	if b, _ := r.Get("b"); !b.Heard.Before(start) {
+	if b, _ := r.Get("b"); !b.LastAnnounced.Before(start) {
 		t.Error("a state with unknown transit time counts as announced now")
 	}
 }
