--- a/internal/instance/incarnation_test.go
+++ b/internal/instance/incarnation_test.go
@@ -303,7 +303,7 @@
 	if !ok {
 		return stage{}
 	}
-	return stage{started: i.Started, draining: i.Draining || i.Gone, gone: i.Gone}
+	return stage{started: i.Started, draining: i.Draining || i.Ended, gone: i.Ended}
 }
 
 // Checks that whatever is delayed, duplicated, lost or reordered between servers and hosts, no host
--- a/internal/instance/peers.go
+++ b/internal/instance/peers.go
@@ -41,7 +41,7 @@
 	age := now.Sub(i.LastAnnounced) + time.Millisecond - 1
 	st := &pb.ServerState{
 		Id: i.ID, Incarnation: i.Started, Address: i.Address, Zone: i.Zone, Version: i.Version,
-		Slots: uint32(max(i.Slots, 0)), Leaving: i.Draining, Gone: i.Gone, Seq: i.Seq,
+		Slots: uint32(max(i.Slots, 0)), Leaving: i.Draining, Gone: i.Ended, Seq: i.Seq,
 		WarmupLeftMs: i.WarmupLeft.Milliseconds(), AgeMs: max(age.Milliseconds(), 0),
 	}
 	if i.Service != "" {
--- a/internal/instance/registry.go
+++ b/internal/instance/registry.go
@@ -44,7 +44,7 @@
 	// LastAnnounced is the latest time at which its last announcement can have reached the first host.
 	LastAnnounced time.Time
 	// Ended reports that the incarnation announced its end, or that another instance has its address.
-	Gone bool
+	Ended bool
 	// incUnknown reports that its end was announced without an incarnation, and none was known.
 	incUnknown bool
 	// contested reports that another instance has recently been announced at the same address. This
@@ -89,7 +89,7 @@
 	case a.Started > i.Started:
 		r.replaceIncarnation(announced, i, a)
 		return true
-	case a.Started < i.Started || i.Gone:
+	case a.Started < i.Started || i.Ended:
 		return false
 	case a.Service != i.Service:
 		return r.serviceConflict(announced, i, a)
@@ -128,7 +128,7 @@
 func (r *Registry) replaceIncarnation(announced time.Time, former *Instance, a Announcement) {
 	held := r.byAddress[former.Address] == former
 	r.remove(former)
-	former.Gone = true
+	former.Ended = true
 	r.addNew(announced, a)
 	if held && a.Address != former.Address {
 		r.promoteWaiting(former.Address)
@@ -155,7 +155,7 @@
 // without an incarnation.
 func (r *Registry) endIdentified(announced time.Time, i *Instance, a Announcement) {
 	r.remove(i)
-	r.add(announced, a).Gone = true
+	r.add(announced, a).Ended = true
 }
 
 // Drain records that an incarnation accepts no new requests, which a host may observe in other ways
@@ -182,7 +182,7 @@
 func (r *Registry) addNew(announced time.Time, a Announcement) {
 	i := r.add(announced, a)
 	current := r.byAddress[a.Address]
-	if current != nil && !current.Gone && announced.Sub(current.LastAnnounced) < r.cfg.Lapse {
+	if current != nil && !current.Ended && announced.Sub(current.LastAnnounced) < r.cfg.Lapse {
 		i.contested = true
 		return
 	}
@@ -223,7 +223,7 @@
 func (r *Registry) claimAddress(i *Instance) {
 	i.contested = false
 	if old := r.byAddress[i.Address]; old != nil && old != i {
-		old.Gone = true
+		old.Ended = true
 	}
 	r.byAddress[i.Address] = i
 	r.changes++
@@ -247,7 +247,7 @@
 		defer r.promoteWaiting(i.Address)
 	}
 	ended := r.add(announced, Announcement{ID: inc.ID, Started: inc.Started})
-	ended.Gone, ended.incUnknown = true, incUnknown
+	ended.Ended, ended.incUnknown = true, incUnknown
 	return true
 }
 
@@ -259,15 +259,15 @@
 		return r.end(i)
 	}
 	i := r.add(now, Announcement{ID: id})
-	i.Gone, i.incUnknown = true, true
+	i.Ended, i.incUnknown = true, true
 	return true
 }
 
 func (r *Registry) end(i *Instance) bool {
-	if i.Gone {
+	if i.Ended {
 		return false
 	}
-	i.Gone = true
+	i.Ended = true
 	r.changes++
 	r.promoteWaiting(i.Address)
 	return true
@@ -276,7 +276,7 @@
 // promoteWaiting gives the address to an instance that waits for it.
 func (r *Registry) promoteWaiting(address string) {
 	for _, other := range r.instances {
-		if other.Address == address && other.contested && !other.Gone {
+		if other.Address == address && other.contested && !other.Ended {
 			r.claimAddress(other)
 			return
 		}
@@ -298,7 +298,7 @@
 // HasEnded reports whether an incarnation has ended or a later one is known.
 func (r *Registry) Over(inc Incarnation) bool {
 	i, ok := r.instances[inc.ID]
-	return ok && (inc.Started < i.Started || inc.Started == i.Started && i.Gone)
+	return ok && (inc.Started < i.Started || inc.Started == i.Started && i.Ended)
 }
 
 // Serving returns the instances of a service that may get requests, ordered by id. The list must not
@@ -314,7 +314,7 @@
 }
 
 // Usable reports whether the instance may get requests.
-func (i *Instance) Usable() bool { return !i.Gone && !i.Draining && !i.contested }
+func (i *Instance) Usable() bool { return !i.Ended && !i.Draining && !i.contested }
 
 // Fresh reports whether the instance's last announcement is younger than Lapse.
 func (r *Registry) Fresh(now time.Time, i *Instance) bool { return now.Sub(i.LastAnnounced) < r.cfg.Lapse }
