--- a/internal/balance/knowledge.go
+++ b/internal/balance/knowledge.go
@@ -46,7 +46,7 @@
 // has ended are ignored: the next incarnation starts with an empty cache.
 func (c *Core) MergeCaches(known []CachedParts) {
 	for _, k := range known {
-		if c.reg.Over(k.Server) {
+		if c.reg.HasEnded(k.Server) {
 			continue
 		}
 		c.server(k.Server).cache.merge(k.Parts, k.CacheTokens)
--- a/internal/instance/registry.go
+++ b/internal/instance/registry.go
@@ -296,7 +296,7 @@
 }
 
 // HasEnded reports whether an incarnation has ended or a later one is known.
-func (r *Registry) Over(inc Incarnation) bool {
+func (r *Registry) HasEnded(inc Incarnation) bool {
 	i, ok := r.instances[inc.ID]
 	return ok && (inc.Started < i.Started || inc.Started == i.Started && i.Ended)
 }
