--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -113,7 +113,7 @@
 	if err := instance.CheckID(id); err != nil {
 		return errkind.New(errkind.BadRequest, "no server: %v", err)
 	}
-	b.hear(id, func(now time.Time) bool { return b.reg.EndKnown(now, id) })
+	b.hear(id, func(now time.Time) bool { return b.reg.EndCurrent(now, id) })
 	return nil
 }
 
--- a/internal/instance/incarnation_test.go
+++ b/internal/instance/incarnation_test.go
@@ -31,10 +31,10 @@
 	for name, former := range map[string]func(r *Registry){
 		"crashed":  func(r *Registry) { r.Announce(start, startedAt(100, 40)) },
 		"drained":  func(r *Registry) { r.Announce(start, draining(startedAt(100, 40))) },
-		"ended":    func(r *Registry) { r.Announce(start, startedAt(100, 40)); r.EndKnown(start, "a") },
+		"ended":    func(r *Registry) { r.Announce(start, startedAt(100, 40)); r.EndCurrent(start, "a") },
 		"wrong":    func(r *Registry) { r.Announce(start, startedAt(100, 40)); r.End(start, Incarnation{"a", 100}) },
 		"unheard":  func(r *Registry) { r.End(start, Incarnation{"a", 100}) },
-		"no start": func(r *Registry) { r.Announce(start, startedAt(0, 40)); r.EndKnown(start, "a") },
+		"no start": func(r *Registry) { r.Announce(start, startedAt(0, 40)); r.EndCurrent(start, "a") },
 	} {
 		r := New(Config{})
 		former(r)
@@ -85,7 +85,7 @@
 // reports that incarnation, which the end must apply to.
 func TestEndBeforeTheIncarnationIsKnown(t *testing.T) {
 	r := New(Config{})
-	r.EndKnown(start, "a")
+	r.EndCurrent(start, "a")
 	r.Announce(start.Add(time.Second), startedAt(100, 9))
 	want(t, r)
 	if i, _ := r.Get("a"); i.Started != 100 {
@@ -95,13 +95,13 @@
 	want(t, r, "a")
 
 	r = New(Config{})
-	r.EndKnown(start, "a")
+	r.EndCurrent(start, "a")
 	r.End(start, Incarnation{"a", 50}) // a peer's update about an earlier incarnation
 	r.Announce(start.Add(time.Second), startedAt(100, 9))
 	want(t, r)
 
 	r = New(Config{})
-	r.EndKnown(start, "a")
+	r.EndCurrent(start, "a")
 	r.Announce(start.Add(DefaultLapse), startedAt(200, 1)) // by now all hosts know of the ended incarnation
 	want(t, r, "a")
 }
@@ -345,7 +345,7 @@
 				c.sendSnapshot(host, now)
 			case 4:
 				if known := stageOf(host, id); known.started > 0 {
-					deliver(host, message{id, known.started, func(r *Registry, now time.Time) { r.EndKnown(now, id) }})
+					deliver(host, message{id, known.started, func(r *Registry, now time.Time) { r.EndCurrent(now, id) }})
 				}
 			case 5, 6:
 				c.announce(id, 0)
--- a/internal/instance/registry.go
+++ b/internal/instance/registry.go
@@ -254,7 +254,7 @@
 // EndCurrent records the end of a server that does not report which incarnation ended. It is the
 // known one. If none is known, it is the first one that is announced within Lapse, the time in which
 // announcements spread through the fleet.
-func (r *Registry) EndKnown(now time.Time, id string) bool {
+func (r *Registry) EndCurrent(now time.Time, id string) bool {
 	if i := r.instances[id]; i != nil {
 		return r.end(i)
 	}
