--- a/internal/balance/core.go
+++ b/internal/balance/core.go
@@ -370,7 +370,7 @@
 // Expire drops the state of incarnations that the registry no longer holds. Call it periodically.
 func (c *Core) Expire() {
 	for inc := range c.servers {
-		if !c.reg.Holds(inc) {
+		if !c.reg.IsCurrent(inc) {
 			delete(c.servers, inc)
 			delete(c.dispatched, inc)
 		}
--- a/internal/balance/knowledge.go
+++ b/internal/balance/knowledge.go
@@ -57,7 +57,7 @@
 // incarnation has ended or is not known.
 func (c *Core) ShardOfServer(inc instance.Incarnation) (service string, in Shard, ok bool) {
 	inst, known := c.reg.Get(inc.ID)
-	if !known || !c.reg.Holds(inc) {
+	if !known || !c.reg.IsCurrent(inc) {
 		return "", Shard{}, false
 	}
 	of := shardCount(len(c.reg.Serving(inst.Service)))
--- a/internal/instance/registry.go
+++ b/internal/instance/registry.go
@@ -290,7 +290,7 @@
 }
 
 // IsCurrent reports whether an incarnation is the one that is held under its id.
-func (r *Registry) Holds(inc Incarnation) bool {
+func (r *Registry) IsCurrent(inc Incarnation) bool {
 	i, ok := r.instances[inc.ID]
 	return ok && i.Started == inc.Started
 }
