--- a/internal/balance/knowledge.go
+++ b/internal/balance/knowledge.go
@@ -46,7 +46,7 @@
 // has ended are ignored: the next incarnation starts with an empty cache.
 func (c *Core) MergeCaches(known []CachedParts) {
 	for _, k := range known {
-		if c.reg.Over(k.Server) {
+		if c.reg.HasEnded(k.Server) {
 			continue
 		}
 		c.server(k.Server).cache.merge(k.Parts, k.CacheTokens)
@@ -57,7 +57,7 @@
 // incarnation has ended or is not known.
 func (c *Core) ShardOfServer(inc instance.Incarnation) (service string, in Shard, ok bool) {
 	inst, known := c.reg.Get(inc.ID)
-	if !known || !c.reg.Holds(inc) {
+	if !known || !c.reg.IsCurrent(inc) {
 		return "", Shard{}, false
 	}
 	of := shardCount(len(c.reg.Serving(inst.Service)))
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -114,7 +114,7 @@
 	if err := instance.CheckID(id); err != nil {
 		return errkind.New(errkind.BadRequest, "invalid server ID: %v", err)
 	}
-	b.update(id, func(now time.Time) bool { return b.reg.EndKnown(now, id) })
+	b.update(id, func(now time.Time) bool { return b.reg.EndCurrent(now, id) })
 	return nil
 }
 
