--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -44,7 +44,7 @@
 		id: st.ID, role: st.Role, leader: st.Leader, term: st.Term, commit: st.Commit,
 		leaseEnd: r.core.LeaseUntil(), members: st.Members, logBytes: r.wal.Bytes(), snapIndex: r.snapIndex,
 		standing: StandingOutside, confirm: r.core.Confirmed(),
-		hears: r.formation == nil && r.core.HearsQuorum(int64(quorumTimeouts*r.cfg.ElectionTicks)),
+		hears: r.formation == nil && r.core.HeardFromQuorum(int64(quorumTimeouts*r.cfg.ElectionTicks)),
 	}
 	for _, m := range st.Members {
 		if m.Member.Id == st.Leader {
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -18,10 +18,10 @@
 	r.dispatch(m)
 }
 
-// HearsQuorum tells whether this voter has heard a majority of the voters, itself included,
+// HeardFromQuorum tells whether this voter has heard a majority of the voters, itself included,
 // within so many ticks, so that they may elect a leader if they have none. The start counts
 // as having heard all.
-func (r *Raft) HearsQuorum(within int64) bool {
+func (r *Raft) HeardFromQuorum(within int64) bool {
 	members := r.members.current()
 	return members.voter(r.cfg.ID) && members.quorum(func(id uint64) bool {
 		return id == r.cfg.ID || r.now-r.heard[id] <= within
