--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -78,7 +78,7 @@
 }
 
 func (r *Replica) proposeOne(p *proposal) error {
-	if !r.core.Leads() {
+	if !r.core.IsLeader() {
 		return r.currentView().notLeader()
 	}
 	if p.members != nil {
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -100,8 +100,8 @@
 	Repaired bool
 }
 
-// Leads tells whether this replica is the leader of its term.
-func (r *Raft) Leads() bool { return r.role == Leader }
+// IsLeader tells whether this replica is the leader of its term.
+func (r *Raft) IsLeader() bool { return r.role == Leader }
 
 // Status returns the replica's present view.
 func (r *Raft) Status() Status {
