--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -162,7 +162,7 @@
 		if rd.Empty() {
 			return nil
 		}
-		r.sendAll(rd.Early)
+		r.sendAll(rd.MessagesBeforeSync)
 		if err := r.persist(rd); err != nil {
 			return err
 		}
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -7,7 +7,7 @@
 // sync; send Synced; apply Committed; call Advance. No other call may come
 // between Ready and Advance.
 type Ready struct {
-	Early     []*pb.RaftMessage
+	MessagesBeforeSync     []*pb.RaftMessage
 	Snapshot  *pb.Snapshot
 	HardState *pb.HardState // nil: nothing to write
 	// Entries to append. One whose index was written before replaces that entry
@@ -21,14 +21,14 @@
 
 // Empty tells whether there is nothing to do.
 func (rd Ready) Empty() bool {
-	return len(rd.Early) == 0 && rd.Snapshot == nil && rd.HardState == nil && len(rd.Entries) == 0 &&
+	return len(rd.MessagesBeforeSync) == 0 && rd.Snapshot == nil && rd.HardState == nil && len(rd.Entries) == 0 &&
 		len(rd.Synced) == 0 && len(rd.Committed) == 0
 }
 
 // Ready returns what is to be done since the last Advance.
 func (r *Raft) Ready() Ready {
 	rd := Ready{
-		Early:    r.early,
+		MessagesBeforeSync:    r.early,
 		Synced:   r.synced,
 		Snapshot: r.received,
 		Entries:  r.log.between(r.log.stable+1, r.log.lastIndex()),
@@ -44,8 +44,8 @@
 	if changed {
 		// Appends of a term that the disk could still forget would let the same
 		// term begin twice with different entries.
-		rd.Synced = append(rd.Early, rd.Synced...)
-		rd.Early = nil
+		rd.Synced = append(rd.MessagesBeforeSync, rd.Synced...)
+		rd.MessagesBeforeSync = nil
 	}
 	if r.log.applied < r.log.commit {
 		rd.Committed = r.log.between(r.log.applied+1, r.log.commit)
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -171,7 +171,7 @@
 		if rd.Empty() {
 			return
 		}
-		s.send(n, rd.Early)
+		s.send(n, rd.MessagesBeforeSync)
 		if n.crash == beforeSync {
 			s.stop(n)
 			return
