--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -166,7 +166,7 @@
 		if err := r.persist(rd); err != nil {
 			return err
 		}
-		r.sendAll(rd.Synced)
+		r.sendAll(rd.MessagesAfterSync)
 		n, err := r.apply(rd.Committed)
 		if err != nil {
 			return err
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -30,7 +30,7 @@
 func carryOut(r *Raft) []*pb.RaftMessage {
 	var out []*pb.RaftMessage
 	for rd := r.Ready(); !rd.Empty(); rd = r.Ready() {
-		out = append(append(out, rd.MessagesBeforeSync...), rd.Synced...)
+		out = append(append(out, rd.MessagesBeforeSync...), rd.MessagesAfterSync...)
 		r.Advance(rd)
 	}
 	return out
@@ -121,7 +121,7 @@
 	tick(r, simElection)
 	r.Step(voteRequest(2, 2))
 	rd := r.Ready()
-	if rd.HardState == nil || len(rd.MessagesBeforeSync) > 0 || len(rd.Synced) != 1 || rd.Synced[0].Reject {
+	if rd.HardState == nil || len(rd.MessagesBeforeSync) > 0 || len(rd.MessagesAfterSync) != 1 || rd.MessagesAfterSync[0].Reject {
 		t.Fatalf("a vote must go out only with its hard state synced: %+v", rd)
 	}
 	again := start(t, State{Members: members(1, 2, 3), Hard: rd.HardState})
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -13,23 +13,23 @@
 	// Entries to append. One whose index was written before replaces that entry
 	// and all after it.
 	Entries []*pb.LogEntry
-	// Synced messages go out only once the above is synced. A message of type
+	// MessagesAfterSync messages go out only once the above is synced. A message of type
 	// SNAPSHOT carries none: the caller puts its newest in.
-	Synced    []*pb.RaftMessage
+	MessagesAfterSync    []*pb.RaftMessage
 	Committed []*pb.LogEntry
 }
 
 // Empty tells whether there is nothing to do.
 func (rd Ready) Empty() bool {
 	return len(rd.MessagesBeforeSync) == 0 && rd.Snapshot == nil && rd.HardState == nil && len(rd.Entries) == 0 &&
-		len(rd.Synced) == 0 && len(rd.Committed) == 0
+		len(rd.MessagesAfterSync) == 0 && len(rd.Committed) == 0
 }
 
 // Ready returns what is to be done since the last Advance.
 func (r *Raft) Ready() Ready {
 	rd := Ready{
 		MessagesBeforeSync:    r.early,
-		Synced:   r.synced,
+		MessagesAfterSync:   r.synced,
 		Snapshot: r.received,
 		Entries:  r.log.between(r.log.stable+1, r.log.lastIndex()),
 	}
@@ -44,7 +44,7 @@
 	if changed {
 		// Appends of a term that the disk could still forget would let the same
 		// term begin twice with different entries.
-		rd.Synced = append(rd.MessagesBeforeSync, rd.Synced...)
+		rd.MessagesAfterSync = append(rd.MessagesBeforeSync, rd.MessagesAfterSync...)
 		rd.MessagesBeforeSync = nil
 	}
 	if r.log.applied < r.log.commit {
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -181,7 +181,7 @@
 			s.stop(n)
 			return
 		}
-		s.send(n, rd.Synced)
+		s.send(n, rd.MessagesAfterSync)
 		s.apply(n, rd.Committed)
 		n.r.Advance(rd)
 	}
