--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		if e.Index != l.lastIndex()+1 {
-			return nil, errors.Wrapf(ErrBadPersistence, "entry %d follows entry %d", e.Index, l.lastIndex())
+			return nil, errors.Wrapf(ErrCorruptState, "entry %d follows entry %d", e.Index, l.lastIndex())
 		}
 		l.entries = append(l.entries, e)
 	}
@@ -42,7 +42,7 @@
 	if st.Hard != nil && st.Hard.Commit > l.lastIndex() {
 		// The hard state is written with the entries or after the snapshot that it
 		// covers, so what it counts as committed was on this disk and is gone.
-		return nil, errors.Wrapf(ErrBadPersistence, "entry %d is committed, the log ends at %d", st.Hard.Commit, l.lastIndex())
+		return nil, errors.Wrapf(ErrCorruptState, "entry %d is committed, the log ends at %d", st.Hard.Commit, l.lastIndex())
 	}
 	if st.Hard != nil {
 		l.commit = max(l.commit, st.Hard.Commit)
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -219,7 +219,7 @@
 	if r.log.lastIndex() != 2 || r.log.lastTerm() != 5 {
 		t.Fatalf("log ends at %d, term %d", r.log.lastIndex(), r.log.lastTerm())
 	}
-	if _, err := New(r.cfg, State{Hard: &pb.HardState{Commit: 9}, Entries: stale}); !errors.Is(err, ErrBadPersistence) {
+	if _, err := New(r.cfg, State{Hard: &pb.HardState{Commit: 9}, Entries: stale}); !errors.Is(err, ErrCorruptState) {
 		t.Fatalf("committed entries are missing from the disk, got %v", err)
 	}
 }
