--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -96,7 +96,7 @@
 	switch {
 	case errors.Is(err, raft.ErrNotLeader):
 		return r.currentView().notLeader()
-	case errors.Is(err, raft.ErrBadChange):
+	case errors.Is(err, raft.ErrInvalidChange):
 		return errkind.New(errkind.NotFound, "%v", err)
 	case err != nil:
 		return errkind.New(errkind.Overloaded, "%v", err).After(r.cfg.TickInterval * 10)
--- a/internal/raft/members.go
+++ b/internal/raft/members.go
@@ -182,7 +182,7 @@
 			}
 			changes++
 		default:
-			return ErrBadChange
+			return ErrInvalidChange
 		}
 	}
 	nextSet := memberSet{list: next.GetMembers()}
@@ -192,7 +192,7 @@
 		}
 	}
 	if changes != 1 || len(nextSet.voters()) == 0 {
-		return ErrBadChange
+		return ErrInvalidChange
 	}
 	return nil
 }
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -36,7 +36,7 @@
 var (
 	ErrNotLeader      = errors.New("raft: this replica isn't the leader")
 	ErrChangePending  = errors.New("raft: a membership change is pending, or the leader's term has no committed entry yet")
-	ErrBadChange      = errors.New("raft: a membership change must add one learner, promote one learner or remove one member")
+	ErrInvalidChange      = errors.New("raft: a membership change must add one learner, promote one learner or remove one member")
 	ErrNotCaughtUp    = errors.New("raft: the learner doesn't hold everything committed yet")
 	ErrCorruptState = errors.New("raft: the snapshot and the log don't hold together; this replica's disk must be replaced")
 )
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -164,8 +164,8 @@
 	}
 	propose(learner, ErrChangePending) // nothing of its term is committed
 	holds(r, 2, 1)
-	propose(members(1, 2, 3, 4), ErrBadChange) // no voter without being a learner first
-	propose(members(1), ErrBadChange)
+	propose(members(1, 2, 3, 4), ErrInvalidChange) // no voter without being a learner first
+	propose(members(1), ErrInvalidChange)
 	r.Step(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_HEARTBEAT_REPLY, From: 2, To: 1, Term: r.term, Context: r.lease.round})
 	if r.LeaseUntil() == 0 {
 		t.Fatal("no lease")
