--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -2,15 +2,16 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/pb"
 
-// promised tells whether this voter must refuse other candidates, because it
-// heard a leader less than ElectionTicks ago. The leader's lease rests on it.
-func (r *Raft) promised() bool {
-	return r.role == Leader || r.now-r.heardLeader < int64(r.cfg.ElectionTicks)
+// refusesCandidates reports whether this voter must reject other candidates because it
+// received a message from a leader less than ElectionTicks ago. The leader's lease
+// relies on this promise.
+func (r *Raft) refusesCandidates() bool {
+	return r.role == Leader || r.now-r.lastLeaderContact < int64(r.cfg.ElectionTicks)
 }
 
-// preCampaign asks whether an election could be won, without touching the term.
-// Without it a replica that was cut off would come back with a high term and
-// depose a leader that works.
+// preCampaign asks the voters whether this replica could win an election, without
+// increasing its term. Otherwise a replica that was partitioned from the group would
+// come back with a higher term and depose a working leader.
 func (r *Raft) preCampaign() {
 	r.role = PreCandidate
 	r.leader = 0
@@ -43,10 +44,10 @@
 			continue
 		}
 		m := &pb.RaftMessage{Type: t, To: id, Term: term, LogIndex: r.log.lastIndex(), LogTerm: r.log.lastTerm()}
-		if r.transferred {
-			m.Context = transferMark
+		if r.campaignByTransfer {
+			m.Context = transferContext
 		}
-		r.sendSynced(m)
+		r.sendAfterSync(m)
 	}
 }
 
@@ -55,22 +56,22 @@
 }
 
 func (r *Raft) handlePreVote(m *pb.RaftMessage) {
-	granted := m.Term > r.term && !r.promised() && r.log.upToDate(m.LogIndex, m.LogTerm)
+	granted := m.Term > r.term && !r.refusesCandidates() && r.log.upToDate(m.LogIndex, m.LogTerm)
 	reply := &pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_PRE_VOTE_REPLY, To: m.From, Reject: !granted}
 	if granted {
 		reply.Term = m.Term
 	}
-	r.sendSynced(reply)
+	r.sendAfterSync(reply)
 }
 
 func (r *Raft) handleVote(m *pb.RaftMessage) {
 	free := r.vote == 0 || r.vote == m.From
-	granted := free && (!r.promised() || fromTransfer(m)) && r.log.upToDate(m.LogIndex, m.LogTerm)
+	granted := free && (!r.refusesCandidates() || isTransferVote(m)) && r.log.upToDate(m.LogIndex, m.LogTerm)
 	if granted {
 		r.vote = m.From
 		r.resetElectionTimer()
 	}
-	r.sendSynced(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_VOTE_REPLY, To: m.From, Reject: !granted})
+	r.sendAfterSync(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_VOTE_REPLY, To: m.From, Reject: !granted})
 }
 
 func (r *Raft) handlePreVoteReply(m *pb.RaftMessage) {
@@ -112,8 +113,8 @@
 	if len(data) == 0 {
 		t = pb.EntryType_ENTRY_TYPE_EMPTY
 	}
-	// An entry of an earlier term counts as committed only beneath a committed
-	// one of the leader's own (thesis, figure 3.7); this is that entry.
+	// An entry of an earlier term counts as committed only once a later entry of the
+	// leader's own term is committed (thesis, figure 3.7); this is that entry.
 	r.termStart = r.appendOwn(t, data)
 	r.broadcastHeartbeat()
 	r.broadcastAppend()
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -6,45 +6,45 @@
 	tick  int64
 }
 
-// lease is the leader's knowledge of when a quorum last acknowledged it.
+// lease records when a quorum last acknowledged the leader.
 type lease struct {
-	round    uint64 // last round sent
-	sentTick int64
-	open     []roundStart // rounds a quorum hasn't acknowledged yet
-	// start is the tick at which the last round acknowledged by a quorum was
-	// sent. It counts from the sending: a voter's promise starts at or after it.
+	round          uint64 // number of the last round sent
+	sentTick       int64
+	unacknowledged []roundStart // rounds not acknowledged by a quorum yet
+	// start is the tick at which the last round acknowledged by a quorum was sent. The
+	// lease counts from the sending, because a voter's promise starts then or later.
 	start int64
-	held  bool
-	// quorumTick is when the quorum was last known to follow: the start of that
-	// round, or the tick of the election.
+	valid bool
+	// quorumTick is when a quorum was last known to follow this leader: start, or the
+	// tick of the election.
 	quorumTick int64
 }
 
-// leaseTicks is how long after the start of an acknowledged round the lease
-// holds: the voters' promise, less the tick by which theirs may be cut short by
-// counting whole ticks, less the bound on different tick rates.
+// leaseTicks returns how long the lease lasts after the start of an acknowledged round:
+// the time for which voters reject other candidates (ElectionTicks), less one tick that
+// counting in whole ticks may cut from it, less the bound on the drift of tick rates.
 func (r *Raft) leaseTicks() int64 {
 	return int64((r.cfg.ElectionTicks - 1) * (100 - r.cfg.DriftPercent) / 100)
 }
 
-// startRound opens a heartbeat round at the present tick.
+// startRound records a heartbeat round sent at the current tick.
 func (l *lease) startRound(now int64) {
 	l.round++
 	l.sentTick = now
-	l.open = append(l.open, roundStart{l.round, now})
+	l.unacknowledged = append(l.unacknowledged, roundStart{l.round, now})
 }
 
-// acknowledged notes that a quorum answered the round.
-func (l *lease) acknowledged(round uint64) {
-	for len(l.open) > 0 && l.open[0].round <= round {
-		l.start = l.open[0].tick
+// acknowledge records that a quorum answered the round.
+func (l *lease) acknowledge(round uint64) {
+	for len(l.unacknowledged) > 0 && l.unacknowledged[0].round <= round {
+		l.start = l.unacknowledged[0].tick
 		l.quorumTick = max(l.quorumTick, l.start)
-		l.held = true
-		l.open = l.open[1:]
+		l.valid = true
+		l.unacknowledged = l.unacknowledged[1:]
 	}
 }
 
-// observeQuorum brings the lease up to the last round that a quorum answered.
+// observeQuorum extends the lease by the last round that a quorum answered.
 func (r *Raft) observeQuorum() {
 	round := r.members.current().quorumValue(func(id uint64) uint64 {
 		if id == r.cfg.ID {
@@ -52,15 +52,15 @@
 		}
 		return r.progress[id].ackRound
 	})
-	r.lease.acknowledged(round)
+	r.lease.acknowledge(round)
 }
 
-// LeaseUntil returns the tick at which the lease for reads ends; a read is
-// allowed while the caller's clock, in ticks, is below it. 0: no lease. The
-// caller must compare with the time that really passed, not with the ticks it
-// has fed: a process that was frozen has fed too few.
+// LeaseUntil returns the tick at which the lease for reads ends, or 0 without a lease.
+// A read is allowed while the caller's clock, in ticks, is below it. The caller must
+// compare with the time that really passed, not with the number of calls to Tick: a
+// process that was suspended has made too few.
 func (r *Raft) LeaseUntil() int64 {
-	if r.role != Leader || !r.lease.held || r.log.commit < r.termStart {
+	if r.role != Leader || !r.lease.valid || r.log.commit < r.termStart {
 		return 0
 	}
 	return r.lease.start + r.leaseTicks()
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -6,14 +6,15 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// entryLog holds the entries after a snapshot. Terms of earlier entries are unknown.
+// entryLog holds the entries after a snapshot. The terms of earlier entries are
+// unknown.
 type entryLog struct {
 	snapIndex uint64
 	snapTerm  uint64
 	entries   []*pb.LogEntry // entries[i] has the index snapIndex+1+i
-	stable    uint64         // last index handed to the disk and synced
+	stable    uint64         // last index written to disk and synced
 	commit    uint64
-	applied   uint64 // last index that Ready gave out and Advance confirmed
+	applied   uint64 // last index that Ready returned and Advance confirmed
 }
 
 func newLog(st State) (*entryLog, error) {
@@ -24,8 +25,8 @@
 	}
 	for _, e := range st.Entries {
 		if e.Index == l.snapIndex && e.Term != l.snapTerm {
-			// A leader's snapshot was made durable, and the replica stopped before
-			// its log was reset: the log from here on contradicts the snapshot.
+			// A snapshot from a leader was made durable, and the replica stopped before
+			// its log was reset: from this entry on, the log contradicts the snapshot.
 			break
 		}
 		if e.Index <= l.snapIndex {
@@ -40,9 +41,10 @@
 	l.commit = l.snapIndex
 	l.applied = l.snapIndex
 	if st.Hard != nil && st.Hard.Commit > l.lastIndex() {
-		// The hard state is written with the entries or after the snapshot that it
-		// covers, so what it counts as committed was on this disk and is gone.
-		return nil, errors.Wrapf(ErrCorruptState, "entry %d is committed, the log ends at %d", st.Hard.Commit, l.lastIndex())
+		// The hard state is written with the entries, or after the snapshot, up to its
+		// commit index. Committed entries were therefore on this disk and are now
+		// missing.
+		return nil, errors.Wrapf(ErrCorruptState, "entry %d is committed but the log ends at %d", st.Hard.Commit, l.lastIndex())
 	}
 	if st.Hard != nil {
 		l.commit = max(l.commit, st.Hard.Commit)
@@ -57,7 +59,7 @@
 	return t
 }
 
-// term of the entry at index; false if it isn't known.
+// term returns the term of the entry at index, or false if it isn't known.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.snapIndex {
 		return l.snapTerm, true
@@ -78,7 +80,7 @@
 	return l.entries[from-l.snapIndex-1 : to-l.snapIndex]
 }
 
-// batch returns entries from index on, at least one and up to about maxBytes.
+// batch returns entries from index on: at least one, and as many as fit into maxBytes.
 func (l *entryLog) batch(from uint64, maxBytes int) []*pb.LogEntry {
 	all := l.between(from, l.lastIndex())
 	size := 0
@@ -91,14 +93,15 @@
 	return all[:len(all):len(all)]
 }
 
-// truncateFrom drops the entries from index on.
+// truncateFrom discards the entries from index on.
 func (l *entryLog) truncateFrom(index uint64) {
 	n := index - l.snapIndex - 1
 	l.entries = append([]*pb.LogEntry(nil), l.entries[:n]...)
 	l.stable = min(l.stable, index-1)
 }
 
-// upToDate tells whether a log that ends at (index, term) holds at least as much as l.
+// upToDate reports whether a log that ends at (index, term) is at least as up to date
+// as l (thesis, section 3.6.1).
 func (l *entryLog) upToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -106,7 +109,7 @@
 	return index >= l.lastIndex()
 }
 
-// conflictHint is the last index at or before index that could match a leader
+// conflictHint returns the last index, at or before index, that could match a leader
 // whose entry at index has another term.
 func (l *entryLog) conflictHint(index uint64) uint64 {
 	if index > l.lastIndex() {
@@ -123,7 +126,7 @@
 	return index
 }
 
-// compact forgets the entries up to index, which a snapshot holds.
+// compact discards the entries up to index, which a snapshot covers.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.snapIndex || index > l.applied {
 		return
@@ -134,7 +137,7 @@
 	l.snapTerm = t
 }
 
-// restore replaces the log by a snapshot.
+// restore replaces the log with a snapshot.
 func (l *entryLog) restore(s *pb.Snapshot) {
 	*l = entryLog{snapIndex: s.Index, snapTerm: s.Term, stable: s.Index, commit: s.Index, applied: s.Index}
 }
--- a/internal/raft/members.go
+++ b/internal/raft/members.go
@@ -22,7 +22,7 @@
 	return nil
 }
 
-func (s memberSet) voter(id uint64) bool {
+func (s memberSet) isVoter(id uint64) bool {
 	m := s.find(id)
 	return m != nil && !m.Learner
 }
@@ -37,7 +37,8 @@
 	return ids
 }
 
-// quorumValue returns the largest value that a majority of voters reach; 0 without voters.
+// quorumValue returns the largest value that a majority of voters reach, or 0 without
+// voters.
 func (s memberSet) quorumValue(value func(id uint64) uint64) uint64 {
 	var values []uint64
 	for _, id := range s.voters() {
@@ -50,7 +51,7 @@
 	return values[(len(values)-1)/2]
 }
 
-// quorum tells whether a majority of voters satisfy ok.
+// quorum reports whether a majority of voters satisfy ok.
 func (s memberSet) quorum(ok func(id uint64) bool) bool {
 	n := 0
 	voters := s.voters()
@@ -62,12 +63,12 @@
 	return n > len(voters)/2
 }
 
-// memberHistory is every membership since the snapshot. The newest is in force
-// as soon as it stands in the log, committed or not (thesis, section 4.1); when
-// its entry is truncated the one before it is in force again.
+// memberHistory holds every membership since the snapshot. The newest takes effect as
+// soon as it is in the log, committed or not (thesis, section 4.1); if its entry is
+// truncated, the previous one takes effect again.
 type memberHistory struct {
-	at   []uint64 // index of the entry; 0 or the snapshot's for the first
-	sets []memberSet
+	indexes []uint64 // index of each entry; 0 or the snapshot's for the first
+	sets    []memberSet
 }
 
 func newMemberHistory(st State) *memberHistory {
@@ -84,12 +85,12 @@
 }
 
 func (h *memberHistory) push(index uint64, m *pb.Members) {
-	h.at = append(h.at, index)
+	h.indexes = append(h.indexes, index)
 	h.sets = append(h.sets, memberSet{list: m.GetMembers()})
 }
 
-// observe takes over the membership of e, if it carries one.
-func (h *memberHistory) observe(e *pb.LogEntry) {
+// record adds the membership of e, if it carries one.
+func (h *memberHistory) record(e *pb.LogEntry) {
 	if e.Type != pb.EntryType_ENTRY_TYPE_MEMBERSHIP {
 		return
 	}
@@ -102,13 +103,13 @@
 
 func (h *memberHistory) current() memberSet { return h.sets[len(h.sets)-1] }
 
-// index of the entry that carries the current membership.
-func (h *memberHistory) index() uint64 { return h.at[len(h.at)-1] }
+// index returns the index of the entry that carries the current membership.
+func (h *memberHistory) index() uint64 { return h.indexes[len(h.indexes)-1] }
 
-// truncateFrom forgets memberships of entries from index on.
+// truncateFrom discards memberships of entries from index on.
 func (h *memberHistory) truncateFrom(index uint64) {
-	for len(h.at) > 1 && h.index() >= index {
-		h.at = h.at[:len(h.at)-1]
+	for len(h.indexes) > 1 && h.index() >= index {
+		h.indexes = h.indexes[:len(h.indexes)-1]
 		h.sets = h.sets[:len(h.sets)-1]
 	}
 }
@@ -116,7 +117,7 @@
 // asOf returns the membership in force at index.
 func (h *memberHistory) asOf(index uint64) memberSet {
 	found := h.sets[0]
-	for i, at := range h.at {
+	for i, at := range h.indexes {
 		if at <= index {
 			found = h.sets[i]
 		}
@@ -124,10 +125,10 @@
 	return found
 }
 
-// compact forgets memberships that were replaced at or before index.
+// compact discards memberships that were replaced at or before index.
 func (h *memberHistory) compact(index uint64) {
-	for len(h.at) > 1 && h.at[1] <= index {
-		h.at = h.at[1:]
+	for len(h.indexes) > 1 && h.indexes[1] <= index {
+		h.indexes = h.indexes[1:]
 		h.sets = h.sets[1:]
 	}
 }
@@ -148,10 +149,10 @@
 	if r.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
-	// Two memberships may only differ by one while the elder isn't committed,
-	// or two disjoint majorities could each elect a leader. The leader must also
-	// have committed in its own term: an uncommitted change of an earlier leader
-	// could come back otherwise (Ongaro, raft-dev, July 2015).
+	// Two memberships may differ only by one member while the older one isn't
+	// committed; otherwise two disjoint majorities could each elect a leader. The
+	// leader must also have committed an entry of its own term, or an uncommitted
+	// change of an earlier leader could come back (Ongaro, raft-dev, July 2015).
 	if r.members.index() > r.log.commit || r.log.commit < r.termStart {
 		return 0, 0, ErrChangePending
 	}
@@ -163,7 +164,7 @@
 		return 0, 0, err
 	}
 	index = r.appendOwn(pb.EntryType_ENTRY_TYPE_MEMBERSHIP, data)
-	r.takeMembers(r.log.between(index, index))
+	r.adoptMemberships(r.log.between(index, index))
 	return index, r.term, nil
 }
 
@@ -197,20 +198,20 @@
 	return nil
 }
 
-// takeMembers puts memberships of new entries in force.
-func (r *Raft) takeMembers(entries []*pb.LogEntry) {
+// adoptMemberships puts the memberships of new entries into effect.
+func (r *Raft) adoptMemberships(entries []*pb.LogEntry) {
 	for _, e := range entries {
 		if e.Type != pb.EntryType_ENTRY_TYPE_MEMBERSHIP {
 			continue
 		}
-		r.members.observe(e)
+		r.members.record(e)
 		if r.role == Leader {
 			r.syncProgress()
 		}
 	}
 }
 
-// syncProgress makes the leader's view of the followers fit the membership.
+// syncProgress adapts the leader's view of the followers to the membership.
 func (r *Raft) syncProgress() {
 	cur := r.members.current()
 	for _, m := range cur.list {
@@ -223,8 +224,8 @@
 			delete(r.progress, id)
 		}
 	}
-	// The lease was counted under the former membership, whose majorities need
-	// not overlap those after two changes. It is counted anew.
-	r.lease.held = false
+	// The lease was granted by a majority of the former membership, which after two
+	// changes need not overlap with a current majority. It must be acquired anew.
+	r.lease.valid = false
 	r.observeQuorum()
 }
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -1,16 +1,15 @@
-// Package raft is the consensus of a control group as a pure state machine: it
-// has no clock, sockets, disk or goroutines. The caller feeds it ticks, messages
-// and proposals, and carries out what Ready returns.
+// Package raft implements the consensus of a control group as a pure state machine: it
+// has no clock, sockets, disk or goroutines. The caller passes it ticks, messages and
+// proposals, and carries out what Ready returns.
 //
-// The algorithm is Raft as published in Diego Ongaro's thesis "Consensus:
-// Bridging Theory and Practice" (Stanford, 2014): leader election and log
-// replication (chapter 3), single-server membership changes (section 4.1) with
-// the later correction that a leader first commits an entry of its own term,
-// snapshots (chapter 5), leader leases for reads (section 6.4.1) and pre-vote
-// (section 9.6).
+// The algorithm is Raft as published in Diego Ongaro's thesis "Consensus: Bridging
+// Theory and Practice" (Stanford, 2014): leader election and log replication (chapter
+// 3), single-server membership changes (section 4.1) with the later correction that a
+// leader first commits an entry of its own term, snapshots (chapter 5), leader leases
+// for reads (section 6.4.1) and pre-vote (section 9.6).
 //
-// All times are ticks. A tick is the caller's; replicas' tick rates may differ
-// by less than Config.DriftPercent.
+// All times are in ticks, which the caller generates. The tick rates of two replicas
+// may differ by less than Config.DriftPercent.
 package raft
 
 import (
@@ -21,10 +20,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Role of a replica in its term.
+// Role is the role of a replica in its term.
 type Role int
 
-// The roles.
+// The roles of a replica.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -32,50 +31,51 @@
 	Leader
 )
 
-// Errors of proposals. None of them leaves anything in the log.
+// Errors of proposals and of New. A rejected proposal leaves nothing in the log.
 var (
-	ErrNotLeader      = errors.New("raft: this replica isn't the leader")
-	ErrChangePending  = errors.New("raft: a membership change is pending, or the leader's term has no committed entry yet")
-	ErrInvalidChange      = errors.New("raft: a membership change must add one learner, promote one learner or remove one member")
-	ErrNotCaughtUp    = errors.New("raft: the learner doesn't hold everything committed yet")
-	ErrCorruptState = errors.New("raft: the snapshot and the log don't hold together; this replica's disk must be replaced")
+	ErrNotLeader     = errors.New("raft: this replica is not the leader")
+	ErrChangePending = errors.New("raft: a membership change is pending, or the leader has not committed an entry of its term yet")
+	ErrInvalidChange = errors.New("raft: a membership change must add one learner, promote one learner or remove one member")
+	ErrNotCaughtUp   = errors.New("raft: the learner doesn't hold everything committed yet")
+	ErrCorruptState  = errors.New("raft: the persisted snapshot, log and hard state are inconsistent; this replica's disk must be replaced")
 )
 
-// Config of a replica.
+// Config configures a replica.
 type Config struct {
-	// ID of this replica, not 0. Never used again after its disk is lost.
+	// ID identifies this replica and is not 0. An ID is never reused after the
+	// replica's disk is lost.
 	ID uint64
-	// ElectionTicks is the least time without a leader before a replica
-	// campaigns, and the time for which a voter that heard a leader refuses
-	// other candidates; the timeout is drawn from [ElectionTicks, 2*ElectionTicks).
+	// ElectionTicks is the minimum time without a leader before a replica campaigns,
+	// and the time for which a voter rejects other candidates after a message from a
+	// leader. The election timeout is drawn from [ElectionTicks, 2*ElectionTicks).
 	ElectionTicks int
-	// HeartbeatTicks between two heartbeat rounds of the leader.
+	// HeartbeatTicks is the interval between two heartbeat rounds of the leader.
 	HeartbeatTicks int
-	// DriftPercent bounds by how much the tick rates of two replicas differ; it
+	// DriftPercent bounds the difference between the tick rates of two replicas; it
 	// shortens the leader's lease. Default 20.
 	DriftPercent int
-	// MaxBatchBytes of entries in one append message; default 256 KiB.
+	// MaxBatchBytes limits the entries in one append message; default 256 KiB.
 	MaxBatchBytes int
-	// MaxInflight append messages without an answer, for each peer; default 64.
+	// MaxInflight limits the unanswered append messages per peer; default 64.
 	MaxInflight int
 	// Rand draws the election timeouts.
 	Rand *rand.Rand
-	// FirstEntry gives the data of the first command of a leader's term; nil or
-	// empty data: an entry of type EMPTY.
+	// FirstEntry returns the data of the first command of a leader's term. If it is nil
+	// or returns empty data, the first entry has the type EMPTY.
 	FirstEntry func(term uint64) []byte
 }
 
-// State is what a replica had synced before it stopped.
+// State is what a replica had synced to disk before it stopped.
 type State struct {
 	Hard     *pb.HardState
-	Snapshot *pb.Snapshot // data isn't used
+	Snapshot *pb.Snapshot // the data is not used
 	Entries  []*pb.LogEntry
-	// Members is the membership before the first snapshot and entry: the
-	// bootstrap list, or empty for a replica that waits to be added.
+	// Members is the membership before the first snapshot and entry: the bootstrap
+	// list, or empty for a replica that waits to be added to a group.
 	Members *pb.Members
 }
 
-// Raft is one replica's consensus state. It isn't safe for concurrent use.
+// Raft is one replica's consensus state. It is not safe for concurrent use.
 type Raft struct {
 	cfg     Config
 	log     *entryLog
@@ -86,50 +86,52 @@
 	vote   uint64
 	leader uint64
 
-	now         int64
-	heardLeader int64 // tick at which a leader was last heard
-	// heard is the tick at which each member was last heard; none: the start.
-	heard            map[uint64]int64
-	electionDeadline int64
-	votes            map[uint64]bool
-	transferred      bool // the campaign being started was asked for by the leader
+	now               int64
+	lastLeaderContact int64 // tick of the last message from a leader
+	// lastContact is the tick of each member's last message; a member without one
+	// counts as heard from at the start (tick 0).
+	lastContact        map[uint64]int64
+	electionDeadline   int64
+	votes              map[uint64]bool
+	campaignByTransfer bool // the campaign being started was requested by the leader
 
 	progress  map[uint64]*progress
 	lease     lease
 	termStart uint64
 
-	epoch        uint64 // random offset of this run's stamps
+	stampBase    uint64 // random offset of the heartbeat stamps of this incarnation
 	confirmation Confirmation
 
-	early    []*pb.RaftMessage // see Ready.Early
-	synced   []*pb.RaftMessage // see Ready.Synced
-	saved    *pb.HardState     // as the disk has it
-	received *pb.Snapshot      // of a leader, not on the disk yet
+	messagesBeforeSync []*pb.RaftMessage // see Ready.MessagesBeforeSync
+	messagesAfterSync  []*pb.RaftMessage // see Ready.MessagesAfterSync
+	savedHardState     *pb.HardState     // as last written to disk
+	receivedSnapshot   *pb.Snapshot      // from a leader, not on disk yet
 }
 
-// New makes a replica from its persisted state. For ElectionTicks after the
-// start it refuses to vote.
+// New creates a replica from its persisted state. For ElectionTicks after the start the
+// replica rejects vote requests.
 func New(cfg Config, st State) (*Raft, error) {
 	setDefaults(&cfg)
 	log, err := newLog(st)
 	if err != nil {
 		return nil, err
 	}
-	r := &Raft{cfg: cfg, log: log, members: newMemberHistory(st), saved: &pb.HardState{}, heard: map[uint64]int64{}}
+	r := &Raft{cfg: cfg, log: log, members: newMemberHistory(st), savedHardState: &pb.HardState{}, lastContact: map[uint64]int64{}}
 	for _, e := range log.entries {
-		r.members.observe(e)
+		r.members.record(e)
 	}
 	if st.Hard != nil {
 		r.term = st.Hard.Term
 		r.vote = st.Hard.Vote
-		r.saved = &pb.HardState{Term: r.term, Vote: r.vote, Commit: log.commit}
+		r.savedHardState = &pb.HardState{Term: r.term, Vote: r.vote, Commit: log.commit}
 	}
-	// A voter that acknowledged a heartbeat, crashed and came back has forgotten
-	// it. If it voted at once, another leader could be elected while the old one
-	// still answers reads under its lease. heardLeader = now = 0 counts the start
-	// as if a leader had been heard, so the promise outlives the restart.
+	// A restarted voter no longer knows whether it acknowledged a heartbeat shortly
+	// before it stopped. If it voted at once, another leader could be elected while the
+	// old one still answers reads under its lease. Leaving lastLeaderContact and now at
+	// 0 treats the start as contact with a leader, so the voter rejects candidates for
+	// ElectionTicks.
 	r.resetElectionTimer()
-	r.epoch = 1 + uint64(cfg.Rand.Int63())
+	r.stampBase = 1 + uint64(cfg.Rand.Int63())
 	return r, nil
 }
 
@@ -140,8 +142,8 @@
 	defaultMaxInflight   = 64
 )
 
-// setDefaults replaces negative numbers too: a negative DriftPercent would lengthen
-// the leader's lease beyond the promise of its voters.
+// setDefaults replaces zero and negative values. A negative DriftPercent would extend
+// the leader's lease beyond the time for which voters reject other candidates.
 func setDefaults(cfg *Config) {
 	if cfg.DriftPercent <= 0 {
 		cfg.DriftPercent = defaultDriftPercent
@@ -161,16 +163,16 @@
 		r.tickLeader()
 		return
 	}
-	if r.now >= r.electionDeadline && r.members.current().voter(r.cfg.ID) {
+	if r.now >= r.electionDeadline && r.members.current().isVoter(r.cfg.ID) {
 		r.preCampaign()
 	}
 }
 
 func (r *Raft) tickLeader() {
 	r.observeQuorum()
-	// A leader cut off from its quorum can't commit, yet callers would go on
-	// waiting on it. It gives up by its own clock at the end of its lease, which
-	// is before any voter may elect another.
+	// A leader that cannot reach a quorum cannot commit, yet callers would keep waiting
+	// for it. It steps down when its lease ends by its own clock, which is before any
+	// voter may elect another leader.
 	if r.now-r.lease.quorumTick >= r.leaseTicks() {
 		r.becomeFollower(r.term, 0)
 		return
@@ -191,8 +193,8 @@
 	return index, r.term, nil
 }
 
-// Flush sends what was proposed since the last call to the followers, so that
-// proposals which came together travel in one message.
+// Flush sends the proposals made since the last call to the followers. Proposals that
+// arrive together thus travel in one message.
 func (r *Raft) Flush() {
 	if r.role == Leader {
 		r.broadcastAppend()
@@ -222,19 +224,20 @@
 	r.electionDeadline = r.now + int64(r.cfg.ElectionTicks+r.cfg.Rand.Intn(r.cfg.ElectionTicks))
 }
 
-// send queues a message that may leave before the disk is synced.
+// send queues a message that may be sent before the disk is synced.
 func (r *Raft) send(m *pb.RaftMessage) {
 	m.From = r.cfg.ID
 	m.Term = r.term
-	r.early = append(r.early, m)
+	r.messagesBeforeSync = append(r.messagesBeforeSync, m)
 }
 
-// sendSynced queues a message that may leave only after what Ready returned
-// with it is synced, since it promises what the disk must not forget.
-func (r *Raft) sendSynced(m *pb.RaftMessage) {
+// sendAfterSync queues a message that may be sent only after the state that Ready
+// returned with it is synced, because the message promises something that must survive
+// a crash.
+func (r *Raft) sendAfterSync(m *pb.RaftMessage) {
 	m.From = r.cfg.ID
 	if m.Term == 0 {
 		m.Term = r.term
 	}
-	r.synced = append(r.synced, m)
+	r.messagesAfterSync = append(r.messagesAfterSync, m)
 }
--- a/internal/raft/rapid_test.go
+++ b/internal/raft/rapid_test.go
@@ -10,22 +10,22 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// TestMain fixes the seed and the bounds of the stateful run.
+// TestMain fixes the seed and the limits of the stateful test.
 func TestMain(m *testing.M) {
 	testutil.RunRapid(m, map[string]string{"rapid.seed": "20261202", "rapid.checks": "120", "rapid.steps": "300", "rapid.nofailfile": "true", "rapid.shrinktime": "5s"})
 }
 
-// faults draws the actions of the stateful run against one simulated group.
+// faults draws the actions of the stateful test against one simulated group.
 type faults struct {
-	s     *sim
-	n     int
-	next  uint64
-	dead  map[uint64]bool
-	fresh uint64
+	s         *sim
+	n         int
+	nextID    uint64
+	lostDisk  map[uint64]bool
+	disksLost uint64
 }
 
 func (f *faults) node(t *rapid.T) *simNode {
-	nodes := f.s.sorted()
+	nodes := f.s.sortedNodes()
 	return nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "replica")]
 }
 
@@ -42,7 +42,7 @@
 		"propose": func(t *rapid.T) {
 			for range rapid.IntRange(1, 5).Draw(t, "count") {
 				f.n++
-				for _, n := range s.sorted() {
+				for _, n := range s.sortedNodes() {
 					if n.up && !n.frozen {
 						s.propose(n, fmt.Sprintf("command %d", f.n))
 					}
@@ -52,19 +52,19 @@
 		},
 		"network": func(t *rapid.T) {
 			s.drop = rapid.SampledFrom([]int{0, 0, 50, 300}).Draw(t, "drop")
-			s.dup = rapid.SampledFrom([]int{0, 200}).Draw(t, "dup")
-			s.delay = rapid.SampledFrom([]int64{unit / 10, unit, 6 * unit}).Draw(t, "delay")
+			s.duplicate = rapid.SampledFrom([]int{0, 200}).Draw(t, "dup")
+			s.delay = rapid.SampledFrom([]int64{unitsPerTick / 10, unitsPerTick, 6 * unitsPerTick}).Draw(t, "delay")
 		},
-		"cutOneWay": func(t *rapid.T) { s.cut[[2]uint64{f.node(t).id, f.node(t).id}] = true },
+		"cutOneWay": func(t *rapid.T) { s.blocked[[2]uint64{f.node(t).id, f.node(t).id}] = true },
 		"isolate":   func(t *rapid.T) { s.isolate(f.node(t).id, true) },
-		"heal":      func(*rapid.T) { clear(s.cut) },
+		"heal":      func(*rapid.T) { clear(s.blocked) },
 		"recover":   func(*rapid.T) { f.recover(); s.run(2 * simElection) },
 		"crash": func(t *rapid.T) {
 			f.node(t).crash = rapid.SampledFrom([]crashPoint{beforeSync, afterSync}).Draw(t, "point")
 		},
 		"restart": func(t *rapid.T) {
-			for _, n := range s.sorted() {
-				if !f.dead[n.id] && !n.up {
+			for _, n := range s.sortedNodes() {
+				if !f.lostDisk[n.id] && !n.up {
 					s.start(n)
 				}
 			}
@@ -72,7 +72,7 @@
 		"freeze": func(t *rapid.T) { f.node(t).frozen = true },
 		"wake":   func(t *rapid.T) { f.node(t).frozen = false },
 		"rate": func(t *rapid.T) {
-			if n := f.node(t); !n.up && !f.dead[n.id] {
+			if n := f.node(t); !n.up && !f.lostDisk[n.id] {
 				n.rate = rapid.Int64Range(900, 1100).Draw(t, "permille")
 			}
 		},
@@ -90,56 +90,56 @@
 		"loseDisk": f.loseDisk,
 		"repair": func(*rapid.T) {
 			for range 6 {
-				s.repair(f.dead)
+				s.repair(f.lostDisk)
 				s.run(3)
 			}
 		},
 	}
 }
 
-// loseDisk destroys a replica's disk for good, if the leader reports the group
-// as repaired. A new replica under a new id starts in its place.
+// loseDisk destroys a replica's disk if the leader reports the group as repaired. A new
+// replica under a new ID starts in its place.
 func (f *faults) loseDisk(t *rapid.T) {
 	n := f.node(t)
-	if f.dead[n.id] || !f.s.repaired() {
+	if f.lostDisk[n.id] || !f.s.repaired() {
 		return
 	}
 	f.s.stop(n)
-	f.dead[n.id] = true
-	f.fresh++
-	f.s.add(f.next, &pb.Members{})
-	f.next++
-	// The leader can't know of a loss before the replica misses heartbeats.
+	f.lostDisk[n.id] = true
+	f.disksLost++
+	f.s.add(f.nextID, &pb.Members{})
+	f.nextID++
+	// The leader can't detect the loss before the replica misses heartbeats.
 	f.s.run(simElection)
 }
 
-// TestMixedFaults runs the core under drawn faults. In every state: committed
-// entries are neither lost nor reverted and applied in one order, a term has one
-// leader, and no replica would answer a read without all that is committed. At
-// the end, with the faults gone, the group commits again.
+// TestMixedFaults runs the state machine under randomly drawn faults. In every state,
+// committed entries are neither lost nor reverted and are applied in one order, a term
+// has at most one leader, and no replica would answer a read without everything
+// committed. At the end, with the faults removed, the group commits again.
 func TestMixedFaults(t *testing.T) {
 	commits, elections, losses := 0, 0, uint64(0)
 	rapid.Check(t, func(t *rapid.T) {
-		f := &faults{s: newSim(rapid.Int64().Draw(t, "seed"), 1, 2, 3), next: 4, dead: map[uint64]bool{}}
+		f := &faults{s: newSim(rapid.Int64().Draw(t, "seed"), 1, 2, 3), nextID: 4, lostDisk: map[uint64]bool{}}
 		t.Repeat(f.actions())
 		f.finish(t)
 		commits += len(f.s.committed)
 		elections += len(f.s.leaders)
-		losses += f.fresh
+		losses += f.disksLost
 	})
 	t.Logf("%d entries committed, %d leaders elected, %d disks lost", commits, elections, losses)
 	if commits == 0 || elections == 0 || losses == 0 {
-		t.Fatal("the run brought about too little")
+		t.Fatal("the run must commit entries, elect leaders and lose disks")
 	}
 }
 
-// recover ends all faults but lost disks.
+// recover ends all faults except lost disks.
 func (f *faults) recover() {
-	clear(f.s.cut)
-	f.s.drop, f.s.dup, f.s.delay = 0, 0, unit/10
-	for _, n := range f.s.sorted() {
+	clear(f.s.blocked)
+	f.s.drop, f.s.duplicate, f.s.delay = 0, 0, unitsPerTick/10
+	for _, n := range f.s.sortedNodes() {
 		n.frozen, n.crash = false, noCrash
-		if !n.up && !f.dead[n.id] {
+		if !n.up && !f.lostDisk[n.id] {
 			f.s.start(n)
 		}
 	}
@@ -151,13 +151,13 @@
 	s.run(30 * simElection)
 	l := s.leader()
 	if l == nil {
-		t.Fatalf("no leader without faults (%s)", s.violation)
+		t.Fatalf("no leader after all faults ended (%s)", s.violation)
 	}
 	before := len(s.committed)
 	s.propose(l, "last")
 	s.run(simElection)
 	if s.violation != "" || len(s.committed) <= before {
-		t.Fatalf("nothing is committed without faults (%s)", s.violation)
+		t.Fatalf("nothing was committed after all faults ended (%s)", s.violation)
 	}
 	for _, m := range l.r.Members().Members {
 		if n := s.nodes[m.Id]; n.up && n.applied != l.applied {
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -2,48 +2,48 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/pb"
 
-// Ready is what the caller must carry out, in this order: send Early; make
-// Snapshot durable and restore it; append HardState and Entries to the log and
-// sync; send Synced; apply Committed; call Advance. No other call may come
-// between Ready and Advance.
+// Ready is the work that the caller must do, in this order: send MessagesBeforeSync;
+// make Snapshot durable and restore it; append HardState and Entries to the log and
+// sync; send MessagesAfterSync; apply Committed; call Advance. No other method may be
+// called between Ready and Advance.
 type Ready struct {
-	MessagesBeforeSync     []*pb.RaftMessage
-	Snapshot  *pb.Snapshot
-	HardState *pb.HardState // nil: nothing to write
-	// Entries to append. One whose index was written before replaces that entry
-	// and all after it.
+	MessagesBeforeSync []*pb.RaftMessage
+	Snapshot           *pb.Snapshot
+	HardState          *pb.HardState // nil: nothing to write
+	// Entries are to be appended to the log. An entry whose index was written before
+	// replaces that entry and all after it.
 	Entries []*pb.LogEntry
-	// MessagesAfterSync messages go out only once the above is synced. A message of type
-	// SNAPSHOT carries none: the caller puts its newest in.
-	MessagesAfterSync    []*pb.RaftMessage
-	Committed []*pb.LogEntry
+	// MessagesAfterSync may be sent only once the state above is synced. A message of
+	// type SNAPSHOT carries no snapshot: the caller fills in its newest one.
+	MessagesAfterSync []*pb.RaftMessage
+	Committed         []*pb.LogEntry
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there is nothing to do.
 func (rd Ready) Empty() bool {
 	return len(rd.MessagesBeforeSync) == 0 && rd.Snapshot == nil && rd.HardState == nil && len(rd.Entries) == 0 &&
 		len(rd.MessagesAfterSync) == 0 && len(rd.Committed) == 0
 }
 
-// Ready returns what is to be done since the last Advance.
+// Ready returns the work that accumulated since the last Advance.
 func (r *Raft) Ready() Ready {
 	rd := Ready{
-		MessagesBeforeSync:    r.early,
-		MessagesAfterSync:   r.synced,
-		Snapshot: r.received,
-		Entries:  r.log.between(r.log.stable+1, r.log.lastIndex()),
+		MessagesBeforeSync: r.messagesBeforeSync,
+		MessagesAfterSync:  r.messagesAfterSync,
+		Snapshot:           r.receivedSnapshot,
+		Entries:            r.log.between(r.log.stable+1, r.log.lastIndex()),
 	}
-	r.early = nil
-	r.synced = nil
-	// The commit index alone isn't worth a sync: a restarted replica learns it
-	// again from the leader. It is written when something else is.
-	changed := r.saved.Term != r.term || r.saved.Vote != r.vote
+	r.messagesBeforeSync = nil
+	r.messagesAfterSync = nil
+	// The commit index alone doesn't justify a sync: a restarted replica gets it from
+	// the leader again. It is written together with other changes.
+	changed := r.savedHardState.Term != r.term || r.savedHardState.Vote != r.vote
 	if changed || len(rd.Entries) > 0 || rd.Snapshot != nil {
 		rd.HardState = &pb.HardState{Term: r.term, Vote: r.vote, Commit: r.log.commit}
 	}
 	if changed {
-		// Appends of a term that the disk could still forget would let the same
-		// term begin twice with different entries.
+		// If appends were sent before their term is synced, a crash could make the
+		// replica lead the same term again with different entries.
 		rd.MessagesAfterSync = append(rd.MessagesBeforeSync, rd.MessagesAfterSync...)
 		rd.MessagesBeforeSync = nil
 	}
@@ -53,11 +53,11 @@
 	return rd
 }
 
-// Advance says that rd was carried out.
+// Advance records that rd was carried out.
 func (r *Raft) Advance(rd Ready) {
-	r.received = nil
+	r.receivedSnapshot = nil
 	if rd.HardState != nil {
-		r.saved = rd.HardState
+		r.savedHardState = rd.HardState
 	}
 	if n := len(rd.Committed); n > 0 {
 		r.log.applied = rd.Committed[n-1].Index
@@ -71,7 +71,7 @@
 	}
 }
 
-// Compact forgets the entries up to index, which a durable snapshot holds.
+// Compact discards the entries up to index, which a durable snapshot covers.
 func (r *Raft) Compact(index uint64) {
 	r.log.compact(index)
 	r.members.compact(r.log.snapIndex)
@@ -95,23 +95,24 @@
 	Member *pb.Member
 	Match  uint64
 	Active bool
-	// Repaired is true for a voter that answered lately and holds everything
-	// committed, its membership included.
+	// Repaired is set for a voter that answered recently and holds everything
+	// committed, including the entry of its own membership.
 	Repaired bool
 }
 
-// IsLeader tells whether this replica is the leader of its term.
+// IsLeader reports whether this replica is the leader of its term.
 func (r *Raft) IsLeader() bool { return r.role == Leader }
 
-// Status returns the replica's present view.
+// Status returns the replica's current view.
 func (r *Raft) Status() Status {
 	st := Status{
 		ID: r.cfg.ID, Role: r.role, Term: r.term, Leader: r.leader,
 		Commit: r.log.commit, LastIndex: r.log.lastIndex(), TermStart: r.termStart,
 	}
-	// While a membership change isn't committed, voters may still count by the
-	// one before. If replicas were lost now on the word "repaired", the rest could
-	// lack a majority of the older membership and never elect a leader.
+	// While a membership change is uncommitted, some voters may still use the previous
+	// membership. If an operator removed replicas because the group is reported as
+	// repaired, the remaining ones could lack a majority of that previous membership
+	// and never elect a leader.
 	settled := r.members.index() <= r.log.commit
 	for _, m := range r.members.current().list {
 		ms := MemberStatus{Member: m}
@@ -125,7 +126,8 @@
 	return st
 }
 
-// TermAt returns the term of the entry at index, false if it's compacted or not there.
+// TermAt returns the term of the entry at index, or false if the entry is compacted or
+// does not exist.
 func (r *Raft) TermAt(index uint64) (uint64, bool) { return r.log.term(index) }
 
 // Now returns the replica's clock in ticks.
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -6,33 +6,33 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// progressState says how the leader sends to a follower.
+// progressState determines how the leader sends to a follower.
 type progressState int
 
 const (
-	probing     progressState = iota // one message at a time, to find where the logs meet
+	probing     progressState = iota // one message at a time, to find the last matching entry
 	replicating                      // pipelined
-	installing                       // a snapshot is on its way
+	installing                       // a snapshot is being sent
 )
 
-// snapshotElections is how many election timeouts a snapshot may take to be
-// answered before it is sent again.
-const snapshotElections = 30
+// snapshotResendElections is the number of minimum election timeouts (ElectionTicks)
+// after which an unanswered snapshot is sent again.
+const snapshotResendElections = 30
 
 // progress is the leader's view of one follower.
 type progress struct {
-	state    progressState
-	match    uint64 // last index known to be synced there
-	next     uint64 // next index to send
-	inflight []uint64
-	waiting  bool // probing or installing: a message is out
-	sentTick int64
-	ackRound uint64
-	echo     uint64 // stamp of its last heartbeat answer
-	heard    int64  // tick of its last answer; 0: none
+	state         progressState
+	match         uint64 // last index known to be synced on the follower
+	next          uint64 // next index to send
+	inflight      []uint64
+	awaitingReply bool // probing or installing: a message is unanswered
+	sentTick      int64
+	ackRound      uint64
+	lastStamp     uint64 // stamp of its last heartbeat reply
+	lastReplyTick int64  // tick of its last reply; 0: none
 }
 
-func (r *Raft) others() []uint64 {
+func (r *Raft) otherMembers() []uint64 {
 	var ids []uint64
 	for id := range r.progress {
 		if id != r.cfg.ID {
@@ -45,7 +45,7 @@
 
 func (r *Raft) broadcastHeartbeat() {
 	r.lease.startRound(r.now)
-	for _, id := range r.others() {
+	for _, id := range r.otherMembers() {
 		p := r.progress[id]
 		m := &pb.RaftMessage{
 			Type: pb.RaftType_RAFT_TYPE_HEARTBEAT, To: id,
@@ -53,7 +53,7 @@
 		}
 		if r.now < r.LeaseUntil() {
 			m.LogIndex = r.log.commit
-			m.Hint = p.echo
+			m.Hint = p.lastStamp
 		}
 		r.send(m)
 	}
@@ -61,15 +61,15 @@
 }
 
 func (r *Raft) broadcastAppend() {
-	for _, id := range r.others() {
+	for _, id := range r.otherMembers() {
 		r.sendAppends(id)
 	}
 }
 
-// sendAppends sends what the follower may get now.
+// sendAppends sends as many entries as the follower's flow control allows.
 func (r *Raft) sendAppends(id uint64) {
 	p := r.progress[id]
-	for p.next <= r.log.lastIndex() && !p.waiting && len(p.inflight) < r.cfg.MaxInflight {
+	for p.next <= r.log.lastIndex() && !p.awaitingReply && len(p.inflight) < r.cfg.MaxInflight {
 		r.sendAppend(id, p)
 	}
 }
@@ -79,7 +79,7 @@
 	prevTerm, ok := r.log.term(p.next - 1)
 	if !ok {
 		p.state = installing
-		p.waiting = true
+		p.awaitingReply = true
 		r.send(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_SNAPSHOT, To: id})
 		return
 	}
@@ -89,7 +89,7 @@
 		Commit: r.log.commit, Entries: entries,
 	})
 	if p.state != replicating {
-		p.waiting = true
+		p.awaitingReply = true
 		return
 	}
 	if len(entries) > 0 {
@@ -103,14 +103,14 @@
 	reply := &pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_APPEND_REPLY, To: m.From}
 	if m.LogIndex < r.log.commit {
 		reply.LogIndex = r.log.commit
-		r.sendSynced(reply)
+		r.sendAfterSync(reply)
 		return
 	}
 	if t, ok := r.log.term(m.LogIndex); !ok || t != m.LogTerm {
 		reply.Reject = true
 		reply.LogIndex = m.LogIndex
 		reply.Hint = r.log.conflictHint(m.LogIndex)
-		r.sendSynced(reply)
+		r.sendAfterSync(reply)
 		return
 	}
 	last := m.LogIndex
@@ -125,10 +125,10 @@
 	}
 	r.commitTo(min(m.Commit, last))
 	reply.LogIndex = last
-	r.sendSynced(reply)
+	r.sendAfterSync(reply)
 }
 
-// replaceFrom drops the log from the first of entries on and appends them.
+// replaceFrom truncates the log at the first of entries and appends them.
 func (r *Raft) replaceFrom(entries []*pb.LogEntry) {
 	first := entries[0].Index
 	if first <= r.log.lastIndex() {
@@ -138,14 +138,14 @@
 	for _, e := range entries {
 		r.log.append(e)
 	}
-	r.takeMembers(entries)
+	r.adoptMemberships(entries)
 }
 
 func (r *Raft) handleHeartbeat(m *pb.RaftMessage) {
 	r.commitTo(min(m.Commit, r.log.lastIndex()))
-	r.takeConfirmation(m)
-	r.sendSynced(&pb.RaftMessage{
-		Type: pb.RaftType_RAFT_TYPE_HEARTBEAT_REPLY, To: m.From, Context: m.Context, Hint: r.epoch + uint64(r.now),
+	r.observeConfirmation(m)
+	r.sendAfterSync(&pb.RaftMessage{
+		Type: pb.RaftType_RAFT_TYPE_HEARTBEAT_REPLY, To: m.From, Context: m.Context, Hint: r.stampBase + uint64(r.now),
 	})
 }
 
@@ -158,10 +158,10 @@
 	if s.Index > r.log.commit {
 		r.log.restore(s)
 		r.members = newMemberHistory(State{Snapshot: s})
-		r.received = s
+		r.receivedSnapshot = s
 		reply.LogIndex = s.Index
 	}
-	r.sendSynced(reply)
+	r.sendAfterSync(reply)
 }
 
 func (r *Raft) commitTo(index uint64) {
@@ -173,9 +173,9 @@
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.heard = r.now
+	p.lastReplyTick = r.now
 	if m.Reject {
-		r.rejected(p, m)
+		r.handleReject(p, m)
 		r.sendAppends(m.From)
 		return
 	}
@@ -185,7 +185,7 @@
 	p.match = m.LogIndex
 	if p.state != replicating {
 		p.state = replicating
-		p.waiting = false
+		p.awaitingReply = false
 		p.inflight = nil
 		p.next = p.match + 1
 	}
@@ -199,31 +199,32 @@
 	}
 }
 
-func (r *Raft) rejected(p *progress, m *pb.RaftMessage) {
+func (r *Raft) handleReject(p *progress, m *pb.RaftMessage) {
 	if m.LogIndex <= p.match || p.state == installing {
-		return // late answer
+		return // late reply
 	}
 	if p.state == probing && m.LogIndex != p.next-1 {
-		return // late answer
+		return // late reply
 	}
 	p.probeFrom(max(p.match, min(m.Hint, m.LogIndex-1)) + 1)
 }
 
-// probeFrom starts over at index next.
+// probeFrom restarts probing at index next.
 func (p *progress) probeFrom(next uint64) {
 	p.state = probing
-	p.waiting = false
+	p.awaitingReply = false
 	p.inflight = nil
 	p.next = next
 }
 
-// retry starts over after a message that got no answer: from where the logs are known to
-// meet, or, as long as that is not known, from where it was looked for last. last is the
-// leader's last index; of a new member nothing was looked for yet, and it begins there.
+// retry restarts probing after a message remained unanswered: after the last index
+// known to match, or, if none is known yet, at the index last probed. last is the
+// leader's last index; a new member has not been probed yet, and probing starts there.
 //
-// A new leader knows of no match. Were it to start over from there, from the first entry, it
-// would find that compacted and send a snapshot to a follower that may lack one entry. If
-// that is lost too, nothing is committed until the long wait for a snapshot has passed.
+// A new leader knows no matching index. If it restarted at the first entry, it would
+// find that compacted and send a snapshot to a follower that may lack a single entry;
+// if that snapshot were lost too, nothing would be committed until the long snapshot
+// timeout (snapshotResendElections) expired.
 func (p *progress) retry(last uint64) {
 	next := min(p.next, last)
 	if p.state == replicating {
@@ -237,13 +238,13 @@
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.heard = r.now
+	p.lastReplyTick = r.now
 	p.ackRound = max(p.ackRound, m.Context)
-	p.echo = m.Hint
+	p.lastStamp = m.Hint
 	r.observeQuorum()
-	// A lost append message would leave the follower behind for good: nothing
-	// asks for it again. It shows as an answering follower whose match stands
-	// still with a message out.
+	// Nothing asks for a lost append message again, so it would leave the follower
+	// behind for good. The loss shows as a follower that replies to heartbeats, lags
+	// behind and was last sent entries more than resendTicks ago.
 	stalled := p.match < r.log.lastIndex() && r.now-p.sentTick >= r.resendTicks(p)
 	if stalled {
 		p.retry(r.log.lastIndex())
@@ -251,15 +252,15 @@
 	r.sendAppends(m.From)
 }
 
-// resendTicks is how long an unanswered message is waited for.
+// resendTicks returns how long to wait for a reply before sending again.
 func (r *Raft) resendTicks(p *progress) int64 {
 	if p.state == installing {
-		return int64(snapshotElections * r.cfg.ElectionTicks)
+		return int64(snapshotResendElections * r.cfg.ElectionTicks)
 	}
 	return int64(max(2, r.cfg.ElectionTicks/2))
 }
 
-// maybeCommit commits what a majority of voters holds.
+// maybeCommit commits what a majority of voters hold.
 func (r *Raft) maybeCommit() {
 	index := r.members.current().quorumValue(func(id uint64) uint64 { return r.progress[id].match })
 	if index <= r.log.commit {
@@ -277,7 +278,8 @@
 	}
 }
 
-// holdsCommitted tells whether a member answered lately and holds everything committed.
+// holdsCommitted reports whether a member answered recently and holds everything
+// committed.
 func (r *Raft) holdsCommitted(id uint64) bool {
 	p := r.progress[id]
 	if r.role != Leader || p == nil || r.log.commit < r.termStart {
@@ -287,5 +289,5 @@
 }
 
 func (r *Raft) active(p *progress) bool {
-	return p.heard > 0 && r.now-p.heard < int64(r.cfg.ElectionTicks)
+	return p.lastReplyTick > 0 && r.now-p.lastReplyTick < int64(r.cfg.ElectionTicks)
 }
--- a/internal/raft/scenario_test.go
+++ b/internal/raft/scenario_test.go
@@ -9,8 +9,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// group starts three replicas and waits for their leader.
-func group(t *testing.T, seed int64) (*sim, *simNode) {
+// startGroup starts three replicas and waits for their leader.
+func startGroup(t *testing.T, seed int64) (*sim, *simNode) {
 	t.Helper()
 	s := newSim(seed, 1, 2, 3)
 	s.run(5 * simElection)
@@ -21,8 +21,8 @@
 	return s, l
 }
 
-// commitSome commits entries and fails the test if they aren't.
-func commitSome(t *testing.T, s *sim, count int) {
+// commitEntries commits entries and fails the test if they aren't committed.
+func commitEntries(t *testing.T, s *sim, count int) {
 	t.Helper()
 	before := len(s.committed)
 	for i := range count {
@@ -36,19 +36,19 @@
 	}
 }
 
-// Symptom: for a while two replicas believe that they lead.
-// Sequence: the leader is cut off, both ways or one way; the others elect another.
-// Cause: the old leader steps down later than the others' promise ends, by a slow clock or a lenient count.
+// A leader cut off from the others, in both directions or in one, must step down before
+// they may elect another, even if its clock is slow and theirs are fast. Otherwise two
+// replicas consider themselves leader for a while.
 func TestIsolatedLeaderStepsDownFirst(t *testing.T) {
 	for seed := range int64(400) {
-		s, l := group(t, seed)
+		s, l := startGroup(t, seed)
 		for _, n := range s.nodes {
-			n.started, n.rate = s.now-n.r.now*unit*1000/1100-1, 1100
+			n.started, n.rate = s.now-n.r.now*unitsPerTick*1000/1100-1, 1100
 		}
-		l.started, l.rate = s.now-l.r.now*unit*1000/900-1, 900
+		l.started, l.rate = s.now-l.r.now*unitsPerTick*1000/900-1, 900
 		for other := range s.nodes {
-			s.cut[[2]uint64{other, l.id}] = true        // it hears nobody
-			s.cut[[2]uint64{l.id, other}] = seed%2 == 0 // and, in every other run, isn't heard
+			s.blocked[[2]uint64{other, l.id}] = true        // it receives nothing
+			s.blocked[[2]uint64{l.id, other}] = seed%2 == 0 // and, for every other seed, its messages are lost too
 		}
 		leading := func() (n int) {
 			for _, node := range s.nodes {
@@ -59,7 +59,7 @@
 			return n
 		}
 		for range 100 * simElection {
-			s.now += slice
+			s.now += stepUnits
 			s.step()
 			if leading() > 1 || s.violation != "" {
 				t.Fatalf("seed %d: %d leaders (%s)", seed, leading(), s.violation)
@@ -71,56 +71,56 @@
 	}
 }
 
-// Symptom: a read gives a value that was overwritten minutes ago.
-// Sequence: the leader's process is frozen; another is elected and commits; the old one wakes and is asked at once.
-// Cause: its count of ticks stood still with it, so the lease looks valid.
-func TestFrozenLeaderHasNoLeaseWhenItWakes(t *testing.T) {
-	s, l := group(t, 1)
+// While the leader's process is suspended, its tick count stands still and its lease
+// looks valid, though another leader was elected and committed. A read right after it
+// resumes must not return a value that was overwritten minutes ago.
+func TestFrozenLeaderHasNoLeaseAfterResume(t *testing.T) {
+	s, l := startGroup(t, 1)
 	l.frozen = true
 	s.run(10 * simElection)
-	commitSome(t, s, 1)
+	commitEntries(t, s, 1)
 	if l.r.Now() >= l.r.LeaseUntil() {
-		t.Fatal("the frozen replica's own ticks should still be within the lease")
+		t.Fatal("the frozen replica's own tick count should still be within the lease")
 	}
-	if s.leased(l) {
-		t.Fatal("it would answer a read when it wakes")
+	if s.hasLease(l) {
+		t.Fatal("it would answer a read when it resumes")
 	}
 	l.frozen = false
 	s.step()
 	if l.r.role == Leader {
-		t.Fatal("it still leads after it woke")
+		t.Fatal("it still leads after it resumed")
 	}
-	commitSome(t, s, 1)
+	commitEntries(t, s, 1)
 }
 
-// Symptom: a group without any fault commits nothing and answers no read for half a minute;
-// its leader is heard and holds no lease.
-// Sequence: replicas have compacted their logs; the leader is lost; the first messages with
-// entries of the new leader get lost, and what it sends after them.
-// Cause: for want of an answer it began anew from the first entry, which it no longer has:
-// it waited for a snapshot that its follower never got, and that nobody needed.
+// If the first appends of a new leader are lost after the replicas compacted their
+// logs, the leader must not restart at the first entry, which it no longer has. It
+// would wait for the reply to a snapshot that its follower never got and didn't need. A
+// group without any fault then committed nothing and answered no read for half a
+// minute, while its leader sent heartbeats but held no lease.
 func TestLostFirstAppendNeedsNoSnapshot(t *testing.T) {
-	s, old := group(t, 1)
-	commitSome(t, s, 30)
+	s, old := startGroup(t, 1)
+	commitEntries(t, s, 30)
 	for _, n := range s.nodes {
 		s.compact(n)
 	}
 	s.stop(old)
-	s.lost = map[pb.RaftType]bool{pb.RaftType_RAFT_TYPE_APPEND: true, pb.RaftType_RAFT_TYPE_SNAPSHOT: true}
+	s.droppedTypes = map[pb.RaftType]bool{pb.RaftType_RAFT_TYPE_APPEND: true, pb.RaftType_RAFT_TYPE_SNAPSHOT: true}
 	s.run(5 * simElection)
-	s.lost = nil
+	s.droppedTypes = nil
 	s.run(2 * simElection)
 	l := s.leader()
 	if l == nil {
-		t.Fatal("no leader with a lease, though no message is lost any more")
+		t.Fatal("no leader with a lease although messages are no longer lost")
 	}
 	if l == old {
-		t.Fatal("the replica that is down leads")
+		t.Fatal("the stopped replica is the leader")
 	}
-	commitSome(t, s, 1)
+	commitEntries(t, s, 1)
 }
 
-// replace has a new replica take the place of a lost one, up to complete steps.
+// replace stops a replica for good and starts a new one in its place. Calls to repair
+// complete the replacement.
 func replace(s *sim, lost, fresh uint64) map[uint64]bool {
 	s.stop(s.nodes[lost])
 	s.add(fresh, nil)
@@ -128,15 +128,15 @@
 	return map[uint64]bool{lost: true}
 }
 
-// Symptom: committed entries are gone after a second host is lost.
-// Sequence: a host is lost with its disk, replaced, the repair is reported complete, and at once another is lost.
-// Cause: the new replica counted as repaired before it held everything committed.
+// A host is lost with its disk and replaced, and at once after the repair is reported
+// as complete another host is lost. If the new replica counted as repaired before it
+// held everything committed, committed entries would be lost.
 func TestSecondLossAfterRepairLosesNothing(t *testing.T) {
 	for seed := range int64(20) {
-		s, l := group(t, seed)
-		commitSome(t, s, 30)
-		s.compact(l) // the new replica needs a snapshot and entries
-		commitSome(t, s, 5)
+		s, l := startGroup(t, seed)
+		commitEntries(t, s, 30)
+		s.compact(l) // the new replica needs both a snapshot and entries
+		commitEntries(t, s, 5)
 		lost := l.id%3 + 1
 		dead := replace(s, lost, 4)
 		for range 100 {
@@ -155,8 +155,8 @@
 		acknowledged := len(s.committed)
 		s.stop(second)
 		s.run(10 * simElection)
-		commitSome(t, s, 3)
-		for _, n := range s.sorted() {
+		commitEntries(t, s, 3)
+		for _, n := range s.sortedNodes() {
 			if n.up && n.applied < uint64(acknowledged) {
 				t.Fatalf("seed %d: replica %d has %d of %d entries", seed, n.id, n.applied, acknowledged)
 			}
@@ -164,14 +164,14 @@
 	}
 }
 
-// Symptom: an operator takes a second host away, on the report that the first is made good.
-// Sequence: the new replica is added, but the connection to it breaks off before it holds everything.
-// Cause: adding it counted as the repair.
+// A new replica that was added, but whose connection broke before it held everything,
+// must not count as repaired: an operator who relies on the report may take a second
+// host away.
 func TestIncompleteRepairIsNotReported(t *testing.T) {
-	s, l := group(t, 3)
-	commitSome(t, s, 10)
+	s, l := startGroup(t, 3)
+	commitEntries(t, s, 10)
 	dead := replace(s, l.id%3+1, 4)
-	s.cut[[2]uint64{l.id, 4}] = true
+	s.blocked[[2]uint64{l.id, 4}] = true
 	for range 20 {
 		s.repair(dead)
 		s.run(1)
@@ -180,25 +180,25 @@
 		}
 	}
 	if m := l.r.members.current().find(4); m == nil || !m.Learner {
-		t.Fatalf("the replica that holds nothing is %v", m)
+		t.Fatalf("the replica that holds nothing must still be a learner, got %v", m)
 	}
-	clear(s.cut)
+	clear(s.blocked)
 	for range 30 {
 		s.repair(dead)
 		s.run(1)
 	}
 	if !s.repaired() || s.violation != "" {
-		t.Fatalf("not repaired once it's heard again (%s)", s.violation)
+		t.Fatalf("not repaired after its connection was restored (%s)", s.violation)
 	}
 	s.isolate(4, true)
 	s.run(2 * simElection)
 	if s.repaired() {
-		t.Fatal("a replica that is silent again counts as repaired")
+		t.Fatal("an unreachable replica counts as repaired")
 	}
 }
 
-// BenchmarkElection measures the time from the loss of a leader to the next
-// one's first commit, and the bytes of heartbeats.
+// BenchmarkElection measures the time from the loss of a leader to the next one's first
+// commit, and the size of a heartbeat in bytes.
 func BenchmarkElection(b *testing.B) {
 	total, elections := int64(0), 0
 	for i := range b.N {
@@ -210,10 +210,10 @@
 		}
 		s.stop(l)
 		from := s.now
-		for s.now += slice; s.leader() == nil && s.now < from+1000*unit; s.now += slice {
+		for s.now += stepUnits; s.leader() == nil && s.now < from+1000*unitsPerTick; s.now += stepUnits {
 			s.step()
 		}
-		total += (s.now - from) / unit
+		total += (s.now - from) / unitsPerTick
 		elections++
 	}
 	b.ReportMetric(float64(total)/float64(max(elections, 1)), "ticks/election")
@@ -222,13 +222,13 @@
 }
 
 func TestTransferTakesNoElectionTimeout(t *testing.T) {
-	s, l := group(t, 1)
-	commitSome(t, s, 3)
-	if !l.r.Transfer() || s.leased(l) {
-		t.Fatal("the leader didn't give up its lease")
+	s, l := startGroup(t, 1)
+	commitEntries(t, s, 3)
+	if !l.r.Transfer() || s.hasLease(l) {
+		t.Fatal("the leader didn't transfer leadership and give up its lease")
 	}
 	s.process(l)
-	s.stop(l) // so the third replica's vote is needed
+	s.stop(l) // so that the third replica's vote is needed
 	s.run(simElection / 2)
 	if now := s.leader(); now == nil || now == l || s.violation != "" {
 		t.Fatalf("no new leader within half an election timeout (%s)", s.violation)
--- a/internal/raft/sim_test.go
+++ b/internal/raft/sim_test.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	simElection = 10
-	unit        = 1000 // simulated time units in one tick at rate 1
-	slice       = 100  // the simulation's step
+	simElection  = 10
+	unitsPerTick = 1000 // simulated time units per tick of a clock with rate 1000
+	stepUnits    = 100  // time units per step of the simulation
 )
 
-// crashPoint is where in carrying out a Ready a replica stops.
+// crashPoint is where a replica crashes while it carries out a Ready.
 type crashPoint int
 
 const (
@@ -25,40 +25,40 @@
 	afterSync
 )
 
-// simNode is one replica with its disk. What the disk holds outlasts a crash.
+// simNode is one replica and its disk. The content of the disk survives a crash.
 type simNode struct {
 	id      uint64
 	r       *Raft
 	disk    State
-	rate    int64 // of its clock, in permille
+	rate    int64 // clock rate in permille
 	started int64
 	up      bool
 	frozen  bool
-	held    []*pb.RaftMessage // arrived while frozen
+	inbox   []*pb.RaftMessage // messages not processed yet; they accumulate while frozen
 	crash   crashPoint
 	applied uint64
 }
 
-// ticks is the replica's true clock, which runs on while it is frozen.
-func (n *simNode) ticks(now int64) int64 { return (now - n.started) * n.rate / (unit * 1000) }
+// ticks returns the replica's true clock, which keeps running while it is frozen.
+func (n *simNode) ticks(now int64) int64 { return (now - n.started) * n.rate / (unitsPerTick * 1000) }
 
-type flight struct {
+type delivery struct {
 	at int64
 	m  *pb.RaftMessage
 }
 
-// sim is a group in virtual time. After every step it checks what must always
-// hold and keeps the first violation.
+// sim simulates a group in virtual time. After every step it checks the invariants and
+// keeps the first violation.
 type sim struct {
-	rnd       *rand.Rand
-	now       int64
-	nodes     map[uint64]*simNode
-	flights   []flight
-	cut       map[[2]uint64]bool
-	drop, dup int   // permille
-	delay     int64 // most, in time units
-	// lost are the types of messages that get lost, all of them.
-	lost map[pb.RaftType]bool
+	rnd             *rand.Rand
+	now             int64
+	nodes           map[uint64]*simNode
+	inTransit       []delivery
+	blocked         map[[2]uint64]bool
+	drop, duplicate int   // permille
+	delay           int64 // maximum delay in time units
+	// droppedTypes are the types of messages that are always lost.
+	droppedTypes map[pb.RaftType]bool
 
 	leaders   map[uint64]uint64 // term -> leader
 	committed []*pb.LogEntry    // committed[i] has index i+1
@@ -68,8 +68,8 @@
 
 func newSim(seed int64, ids ...uint64) *sim {
 	s := &sim{
-		rnd: rand.New(rand.NewSource(seed)), nodes: map[uint64]*simNode{}, cut: map[[2]uint64]bool{},
-		leaders: map[uint64]uint64{}, delay: unit / 2,
+		rnd: rand.New(rand.NewSource(seed)), nodes: map[uint64]*simNode{}, blocked: map[[2]uint64]bool{},
+		leaders: map[uint64]uint64{}, delay: unitsPerTick / 2,
 	}
 	for _, id := range ids {
 		s.add(id, members(ids...))
@@ -90,25 +90,25 @@
 		MaxBatchBytes: 64, MaxInflight: 4,
 	}, n.disk)
 	if err != nil {
-		s.fail("replica %d doesn't start: %v", n.id, err)
+		s.fail("replica %d failed to start: %v", n.id, err)
 		return
 	}
-	n.r, n.up, n.frozen, n.held, n.crash, n.started = r, true, false, nil, noCrash, s.now
+	n.r, n.up, n.frozen, n.inbox, n.crash, n.started = r, true, false, nil, noCrash, s.now
 	n.applied = 0
 	if n.disk.Snapshot != nil {
 		n.applied = n.disk.Snapshot.Index
 	}
 }
 
-func (s *sim) stop(n *simNode) { n.up, n.held = false, nil }
+func (s *sim) stop(n *simNode) { n.up, n.inbox = false, nil }
 
 func (s *sim) fail(format string, args ...any) {
 	if s.violation == "" {
-		s.violation = fmt.Sprintf("t=%d: ", s.now/unit) + fmt.Sprintf(format, args...)
+		s.violation = fmt.Sprintf("t=%d: ", s.now/unitsPerTick) + fmt.Sprintf(format, args...)
 	}
 }
 
-func (s *sim) sorted() []*simNode {
+func (s *sim) sortedNodes() []*simNode {
 	return slices.SortedFunc(maps.Values(s.nodes), func(a, b *simNode) int { return cmp.Compare(a.id, b.id) })
 }
 
@@ -117,51 +117,51 @@
 		if m.Type == pb.RaftType_RAFT_TYPE_SNAPSHOT {
 			m.Snapshot = n.disk.Snapshot
 		}
-		if s.lost[m.Type] || s.cut[[2]uint64{m.From, m.To}] || s.rnd.Intn(1000) < s.drop {
+		if s.droppedTypes[m.Type] || s.blocked[[2]uint64{m.From, m.To}] || s.rnd.Intn(1000) < s.drop {
 			continue
 		}
-		s.flights = append(s.flights, flight{s.now + s.rnd.Int63n(s.delay+1), m})
-		if s.rnd.Intn(1000) < s.dup {
-			s.flights = append(s.flights, flight{s.now + s.rnd.Int63n(4*s.delay+1), m})
+		s.inTransit = append(s.inTransit, delivery{s.now + s.rnd.Int63n(s.delay+1), m})
+		if s.rnd.Intn(1000) < s.duplicate {
+			s.inTransit = append(s.inTransit, delivery{s.now + s.rnd.Int63n(4*s.delay+1), m})
 		}
 	}
 }
 
-// run lets time pass, in ticks.
+// run advances time by a number of ticks.
 func (s *sim) run(ticks int) {
-	for end := s.now + int64(ticks)*unit; s.now < end && s.violation == ""; {
-		s.now += slice
+	for end := s.now + int64(ticks)*unitsPerTick; s.now < end && s.violation == ""; {
+		s.now += stepUnits
 		s.step()
 	}
 }
 
 func (s *sim) step() {
-	flights := s.flights
-	s.flights = nil
+	flights := s.inTransit
+	s.inTransit = nil
 	for _, f := range flights {
 		switch n := s.nodes[f.m.To]; {
 		case f.at > s.now:
-			s.flights = append(s.flights, f)
+			s.inTransit = append(s.inTransit, f)
 		case n != nil && n.up:
-			n.held = append(n.held, f.m)
+			n.inbox = append(n.inbox, f.m)
 		}
 	}
-	for _, n := range s.sorted() {
+	for _, n := range s.sortedNodes() {
 		if n.up && !n.frozen {
-			s.turn(n)
+			s.runNode(n)
 		}
 	}
-	s.check()
+	s.checkInvariants()
 }
 
-func (s *sim) turn(n *simNode) {
+func (s *sim) runNode(n *simNode) {
 	for n.r.Now() < n.ticks(s.now) {
 		n.r.Tick()
 	}
-	for _, m := range n.held {
+	for _, m := range n.inbox {
 		n.r.Step(m)
 	}
-	n.held = nil
+	n.inbox = nil
 	s.process(n)
 }
 
@@ -205,7 +205,7 @@
 func (s *sim) apply(n *simNode, entries []*pb.LogEntry) {
 	for _, e := range entries {
 		if e.Index != n.applied+1 {
-			s.fail("replica %d applies %d after %d", n.id, e.Index, n.applied)
+			s.fail("replica %d applies entry %d after entry %d", n.id, e.Index, n.applied)
 		}
 		n.applied = e.Index
 		if e.Index == uint64(len(s.committed))+1 {
@@ -218,7 +218,7 @@
 	}
 }
 
-// compact has a replica take a snapshot of what it applied.
+// compact has a replica take a snapshot of the entries it applied.
 func (s *sim) compact(n *simNode) {
 	term, ok := n.r.TermAt(n.applied)
 	if !ok || n.applied == 0 {
@@ -238,13 +238,13 @@
 	return entries[:n]
 }
 
-func (s *sim) check() {
+func (s *sim) checkInvariants() {
 	for _, n := range s.nodes {
 		if n.r != nil {
 			s.maxCommit = max(s.maxCommit, n.r.Status().Commit)
 		}
 	}
-	for _, n := range s.sorted() {
+	for _, n := range s.sortedNodes() {
 		st := n.r.Status()
 		if !n.up || st.Role != Leader {
 			continue
@@ -253,22 +253,22 @@
 			s.fail("term %d has two leaders, %d and %d", st.Term, other, n.id)
 		}
 		s.leaders[st.Term] = n.id
-		if s.leased(n) && st.Commit < s.maxCommit {
+		if s.hasLease(n) && st.Commit < s.maxCommit {
 			s.fail("replica %d of term %d would answer a read at %d, but %d is committed", n.id, st.Term, st.Commit, s.maxCommit)
 		}
 	}
 }
 
-// leased tells whether the replica would answer a read at this moment. It may
-// be frozen: it is asked as if it woke up now.
-func (s *sim) leased(n *simNode) bool {
+// hasLease reports whether the replica would answer a read at this moment. A frozen
+// replica is treated as if it resumed now.
+func (s *sim) hasLease(n *simNode) bool {
 	return n.up && n.ticks(s.now) < n.r.LeaseUntil()
 }
 
-// leader returns the leader with a lease, nil if there is none.
+// leader returns the leader with a lease, or nil if there is none.
 func (s *sim) leader() *simNode {
-	for _, n := range s.sorted() {
-		if n.up && !n.frozen && s.leased(n) {
+	for _, n := range s.sortedNodes() {
+		if n.up && !n.frozen && s.hasLease(n) {
 			return n
 		}
 	}
@@ -282,18 +282,18 @@
 	return err == nil
 }
 
-// isolate cuts or heals all links of a replica.
+// isolate blocks or restores all links of a replica.
 func (s *sim) isolate(id uint64, on bool) {
 	for other := range s.nodes {
-		s.cut[[2]uint64{id, other}] = on
-		s.cut[[2]uint64{other, id}] = on
+		s.blocked[[2]uint64{id, other}] = on
+		s.blocked[[2]uint64{other, id}] = on
 	}
 }
 
-// wholeGroup is the number of voters that a repair restores.
-const wholeGroup = 3
+// groupSize is the number of voters that a repair restores.
+const groupSize = 3
 
-// repair takes the next step to replace dead replicas by learners under new ids.
+// repair takes the next step in replacing dead replicas with learners under new IDs.
 func (s *sim) repair(dead map[uint64]bool) {
 	l := s.leader()
 	if l == nil {
@@ -311,8 +311,8 @@
 			break
 		}
 	}
-	for _, n := range s.sorted() {
-		if n.up && set.find(n.id) == nil && len(set.list) < wholeGroup {
+	for _, n := range s.sortedNodes() {
+		if n.up && set.find(n.id) == nil && len(set.list) < groupSize {
 			next.Members = append(next.Members, &pb.Member{Id: n.id, Learner: true})
 			break
 		}
@@ -322,13 +322,13 @@
 	s.process(l)
 }
 
-// repaired tells whether the leader reports a whole group.
+// repaired reports whether the leader reports a full group of repaired members.
 func (s *sim) repaired() bool {
 	l := s.leader()
 	if l == nil {
 		return false
 	}
 	members := l.r.Status().Members
-	return len(members) >= wholeGroup &&
+	return len(members) >= groupSize &&
 		!slices.ContainsFunc(members, func(m MemberStatus) bool { return !m.Repaired })
 }
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -2,35 +2,36 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/pb"
 
-// Step takes a message from another replica.
+// Step processes a message from another replica.
 func (r *Raft) Step(m *pb.RaftMessage) {
 	if m.To != r.cfg.ID || m.From == r.cfg.ID {
 		return
 	}
-	r.heard[m.From] = r.now
-	if m.Term > r.term && !r.admitHigherTerm(m) {
+	r.lastContact[m.From] = r.now
+	if m.Term > r.term && !r.acceptHigherTerm(m) {
 		return
 	}
 	if m.Term < r.term {
-		r.answerLowerTerm(m)
+		r.replyLowerTerm(m)
 		return
 	}
 	r.dispatch(m)
 }
 
-// HeardFromQuorum tells whether this voter has heard a majority of the voters, itself included,
-// within so many ticks, so that they may elect a leader if they have none. The start counts
-// as having heard all.
+// HeardFromQuorum reports whether this replica is a voter that received a message from
+// a majority of the voters, itself included, within the given number of ticks. If so,
+// they can elect a leader if there is none. All members count as heard from at the
+// start.
 func (r *Raft) HeardFromQuorum(within int64) bool {
 	members := r.members.current()
-	return members.voter(r.cfg.ID) && members.quorum(func(id uint64) bool {
-		return id == r.cfg.ID || r.now-r.heard[id] <= within
+	return members.isVoter(r.cfg.ID) && members.quorum(func(id uint64) bool {
+		return id == r.cfg.ID || r.now-r.lastContact[id] <= within
 	})
 }
 
-// admitHigherTerm takes over a higher term where the message gives reason to.
-// It returns false if the message is to be ignored.
-func (r *Raft) admitHigherTerm(m *pb.RaftMessage) bool {
+// acceptHigherTerm adopts the higher term of m where the type of message calls for it.
+// It returns false if m must be ignored.
+func (r *Raft) acceptHigherTerm(m *pb.RaftMessage) bool {
 	switch m.Type {
 	case pb.RaftType_RAFT_TYPE_PRE_VOTE:
 		return true
@@ -39,7 +40,7 @@
 			return true
 		}
 	case pb.RaftType_RAFT_TYPE_VOTE:
-		if r.promised() && !fromTransfer(m) {
+		if r.refusesCandidates() && !isTransferVote(m) {
 			return false
 		}
 	}
@@ -47,13 +48,14 @@
 	return true
 }
 
-// answerLowerTerm tells a leader or candidate of an old term that it's over.
-func (r *Raft) answerLowerTerm(m *pb.RaftMessage) {
+// replyLowerTerm notifies a leader or pre-candidate of an older term of the current
+// term.
+func (r *Raft) replyLowerTerm(m *pb.RaftMessage) {
 	switch m.Type {
 	case pb.RaftType_RAFT_TYPE_APPEND, pb.RaftType_RAFT_TYPE_HEARTBEAT, pb.RaftType_RAFT_TYPE_SNAPSHOT:
-		r.sendSynced(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_APPEND_REPLY, To: m.From, Reject: true})
+		r.sendAfterSync(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_APPEND_REPLY, To: m.From, Reject: true})
 	case pb.RaftType_RAFT_TYPE_PRE_VOTE:
-		r.sendSynced(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_PRE_VOTE_REPLY, To: m.From, Reject: true})
+		r.sendAfterSync(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_PRE_VOTE_REPLY, To: m.From, Reject: true})
 	}
 }
 
@@ -85,11 +87,11 @@
 	}
 }
 
-// followLeader notes that the leader of this term was heard.
+// followLeader records contact with the leader of this term.
 func (r *Raft) followLeader(m *pb.RaftMessage) {
 	r.role = Follower
 	r.leader = m.From
 	r.votes = nil
-	r.heardLeader = r.now
+	r.lastLeaderContact = r.now
 	r.resetElectionTimer()
 }
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -2,20 +2,20 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/pb"
 
-// transferMark in the context of a vote request says that the leader of the term
-// before gave up its lease for this candidate (thesis, section 3.10). Voters then
-// needn't keep the promise they gave that leader.
-const transferMark = 1
+// transferContext, as the context of a vote request, marks that the leader of the
+// previous term gave up its lease for this candidate (thesis, section 3.10). Voters
+// then need not keep their promise to that leader.
+const transferContext = 1
 
-// Transfer has the leader hand over to the voter that holds most of its log, so
-// that a planned stop doesn't cost an election timeout. The leader first steps
-// down, which ends its lease for good in this term. It returns false if this
-// replica doesn't lead or no voter answered lately.
+// Transfer hands leadership over to the most up-to-date voter, so that a planned stop
+// doesn't cost an election timeout. The leader first steps down, which ends its lease
+// for the rest of the term. Transfer returns false if this replica is not the leader or
+// no voter answered recently.
 func (r *Raft) Transfer() bool {
 	var best uint64
-	for _, id := range r.others() {
+	for _, id := range r.otherMembers() {
 		p := r.progress[id]
-		if !r.members.current().voter(id) || !r.active(p) {
+		if !r.members.current().isVoter(id) || !r.active(p) {
 			continue
 		}
 		if best == 0 || p.match > r.progress[best].match {
@@ -26,21 +26,21 @@
 		return false
 	}
 	r.becomeFollower(r.term, 0)
-	r.sendSynced(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_TIMEOUT_NOW, To: best})
+	r.sendAfterSync(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_TIMEOUT_NOW, To: best})
 	return true
 }
 
-// handleTimeoutNow campaigns at once. The message counts only in the term whose
-// leader sent it; a late one finds a later term and is dropped by Step.
+// handleTimeoutNow campaigns at once. The message is valid only in the term of the
+// leader that sent it; a late one has a lower term and is dropped by Step.
 func (r *Raft) handleTimeoutNow() {
-	if r.role == Leader || !r.members.current().voter(r.cfg.ID) {
+	if r.role == Leader || !r.members.current().isVoter(r.cfg.ID) {
 		return
 	}
-	r.transferred = true
+	r.campaignByTransfer = true
 	r.campaign()
-	r.transferred = false
+	r.campaignByTransfer = false
 }
 
-// fromTransfer tells whether a vote request comes of a transfer, which frees voters
-// from their promise.
-func fromTransfer(m *pb.RaftMessage) bool { return m.Context == transferMark }
+// isTransferVote reports whether a vote request results from a leadership transfer,
+// which releases voters from their promise.
+func isTransferVote(m *pb.RaftMessage) bool { return m.Context == transferContext }
