--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -25,9 +25,9 @@
 // they decide what is forgotten. A zero field takes the default.
 type Options struct {
 	Ledger ledger.Options
-	// Operations is how many operators' operations are remembered with their whole
+	// MaxOperations is how many operators' operations are remembered with their whole
 	// answer; default 16,384.
-	Operations int
+	MaxOperations int
 }
 
 // State is the replicated state.
@@ -45,7 +45,7 @@
 
 // New makes an empty state.
 func New(o Options) *State {
-	defaults.Set(&o.Operations, defaultOperations)
+	defaults.Set(&o.MaxOperations, defaultOperations)
 	return &State{
 		options:    o,
 		settings:   settings.New(),
@@ -53,7 +53,7 @@
 		claims:     claims.New(),
 		fence:      fence.New(),
 		routes:     routes.NewState(),
-		operations: newOperations(o.Operations),
+		operations: newOperations(o.MaxOperations),
 	}
 }
 
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -167,7 +167,7 @@
 // Cause: the only memory of operations was the bounded one.
 func TestTopUpIsKnownForGood(t *testing.T) {
 	d := newDriver(t)
-	d.state = New(Options{Operations: 4})
+	d.state = New(Options{MaxOperations: 4})
 	d.must("op-create", create("b", 1000))
 	for i := range 20 {
 		d.must(fmt.Sprint("op", i), topUp("b", 1))
