--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -1,10 +1,10 @@
-// Package apply is the control group's whole replicated state: settings, ledger,
-// claims, fencing numbers and hosts. It is a pure state machine: records of the log
-// go in by index, answers come out, and equal logs make equal states, answers and
-// snapshots. It reads no clock; time is the records' own.
+// Package apply implements the control group's whole replicated state: settings,
+// ledger, claims, fencing numbers and hosts. It is a pure state machine: log records go
+// in by index, answers come out, and equal logs yield equal states, answers and
+// snapshots. It reads no clock; time comes from the records.
 //
-// A State is not safe for concurrent use; the replica that owns it locks. The
-// settings.View it hands out is immutable and may be shared.
+// A State is not safe for concurrent use; the replica that owns it locks it. The
+// settings.View it returns is immutable and may be shared.
 package apply
 
 import (
@@ -21,12 +21,12 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// Options bound the state's memory. Every replica of a group must use the same, as
-// they decide what is forgotten. A zero field takes the default.
+// Options bound the memory of the state. Every replica of a group must use the same
+// values, because they determine what is forgotten. A zero field takes the default.
 type Options struct {
 	Ledger ledger.Options
-	// MaxOperations is how many operators' operations are remembered with their whole
-	// answer; default 16,384.
+	// MaxOperations is the number of operators' operations that are remembered with
+	// their full answer; default 16,384.
 	MaxOperations int
 }
 
@@ -43,7 +43,7 @@
 	operations *operations
 }
 
-// New makes an empty state.
+// New returns an empty state.
 func New(o Options) *State {
 	defaults.Set(&o.MaxOperations, defaultOperations)
 	return &State{
@@ -57,39 +57,39 @@
 	}
 }
 
-// Applied is the index of the last record applied.
+// Applied returns the index of the last record applied.
 func (s *State) Applied() uint64 { return s.applied }
 
-// Now is the applied time in Unix milliseconds.
+// Now returns the applied time in Unix milliseconds.
 func (s *State) Now() int64 { return s.now }
 
-// View returns the present settings tree.
+// View returns the current settings tree.
 func (s *State) View() *settings.View { return s.settings.View() }
 
 // Counters returns the ledger's totals of unusual bills.
 func (s *State) Counters() ledger.Counters { return s.ledger.Counters() }
 
-// Apply applies the log's record at index and returns its answer. An index that
-// does not rise panics: the replica would have counted a record twice.
+// Apply applies the log record at index and returns its answer. It panics if index does
+// not increase, because a record would be counted twice.
 func (s *State) Apply(index uint64, cmd *pb.Command) *pb.CommandResult {
 	if index <= s.applied {
 		panic(fmt.Sprintf("apply: record %d after record %d", index, s.applied))
 	}
 	s.applied = index
 	s.now = max(s.now, cmd.GetTimeMs())
-	if !remembered(cmd) {
-		return s.run(index, cmd)
+	if !remembersAnswer(cmd) {
+		return s.execute(index, cmd)
 	}
 	if first, ok := s.operations.answer(cmd); ok {
 		return first
 	}
-	result := s.run(index, cmd)
+	result := s.execute(index, cmd)
 	s.operations.remember(cmd, result)
 	return result
 }
 
-// run applies the body and turns a refusal into the result's error.
-func (s *State) run(index uint64, cmd *pb.Command) *pb.CommandResult {
+// execute applies the body of cmd and turns a rejection into the result's error.
+func (s *State) execute(index uint64, cmd *pb.Command) *pb.CommandResult {
 	result := &pb.CommandResult{Index: index}
 	r := ledger.Record{Index: index, Now: s.now, OpID: cmd.GetOpId(), Actor: cmd.GetActor()}
 	if err := s.dispatch(r, cmd, result); err != nil {
@@ -120,7 +120,7 @@
 		s.fence.NewTerm(body.NewTerm.GetTerm())
 		return nil
 	}
-	return errkind.New(errkind.BadRequest, "a record without a known body")
+	return errkind.New(errkind.BadRequest, "the record has no known body")
 }
 
 func (s *State) applyHost(r ledger.Record, cmd *pb.Command, out *pb.CommandResult) error {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// setBudget puts the answer to a change of funds into out and passes a refusal on.
+// setBudget stores the answer to a change of funds in out and returns err unchanged.
 func setBudget(out *pb.CommandResult, b *pb.Budget, resend bool, err error) error {
 	if err == nil {
 		out.Resend = resend
@@ -183,8 +183,8 @@
 	var err error
 	switch body := cmd.Body.(type) {
 	case *pb.Command_Claim:
-		// A claim of a dead incarnation may come late out of the network; were it to win,
-		// nobody would run the request and nobody else could.
+		// A claim of a dead incarnation may arrive late. If it won, nobody would
+		// execute the request and no other host could claim it.
 		if err := s.ledger.Live(body.Claim.GetHolder()); err != nil {
 			return err
 		}
@@ -212,8 +212,8 @@
 	return nil
 }
 
-// applyRoutes replaces the routing table and funds the budgets of its accounts. The two
-// are one record, so that no host serves under a table whose budgets it can't draw on.
+// applyRoutes replaces the routing table and funds the budgets of its accounts. Both
+// are one record, so that no host serves under a table whose budgets it cannot draw on.
 func (s *State) applyRoutes(r ledger.Record, c *pb.ReplaceRoutes, out *pb.CommandResult) error {
 	replaced, err := s.routes.Replace(c)
 	if err != nil {
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -11,14 +11,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// driver feeds a State the records of a log and keeps the log.
+// driver applies records to a State and keeps them as a log.
 type driver struct {
-	t      testing.TB
-	state  *State
-	index  uint64
-	log    []*pb.Command
-	now    int64
-	forget bool // keep no log
+	t          testing.TB
+	state      *State
+	index      uint64
+	log        []*pb.Command
+	now        int64
+	discardLog bool // keep no log
 }
 
 func newDriver(t *testing.T) *driver {
@@ -33,7 +33,7 @@
 		b.TimeMs = d.now
 	}
 	d.index++
-	if !d.forget {
+	if !d.discardLog {
 		d.log = append(d.log, cmd)
 	}
 	return d.state.Apply(d.index, cmd)
@@ -43,13 +43,14 @@
 	d.t.Helper()
 	r := d.do(opID, cmd)
 	if r.Error != nil {
-		d.t.Fatalf("refused: %v", r.Error)
+		d.t.Fatalf("rejected: %v", r.Error)
 	}
 	return r
 }
 
-// refuses checks that a command is refused with a kind. what names the command.
-func (d *driver) refuses(kind errkind.Kind, what, opID string, cmd *pb.Command) {
+// rejects checks that a command is rejected with an error of the given kind. what
+// describes the command.
+func (d *driver) rejects(kind errkind.Kind, what, opID string, cmd *pb.Command) {
 	d.t.Helper()
 	if got := d.do(opID, cmd); got.Error.GetKind() != string(kind) {
 		d.t.Errorf("%s got %v", what, got)
@@ -79,7 +80,7 @@
 	return &pb.Command{Body: &pb.Command_Acquire{Acquire: a}}
 }
 
-// settle makes a batch; do gives its bills the time of the record.
+// settle returns a batch of bills; do stamps them with the time of the record.
 func settle(h *pb.Holder, seq uint64, bills ...*pb.Bill) *pb.Command {
 	return &pb.Command{Body: &pb.Command_Settle{Settle: &pb.Settle{Holder: h, Seq: seq, Bills: bills}}}
 }
@@ -98,8 +99,8 @@
 	return &pb.Command{Body: &pb.Command_PlaceOrder{PlaceOrder: o}}
 }
 
-// play runs a log that touches every part of the state.
-func play(d *driver) *pb.Holder {
+// applySampleLog applies a log that touches every part of the state.
+func applySampleLog(d *driver) *pb.Holder {
 	h := d.must("", register("h1", "boot-1")).GetRegisterHost().Holder
 	other := d.must("", register("h2", "boot-1")).GetRegisterHost().Holder
 	d.must("op-create", create("b", 1000))
@@ -118,20 +119,20 @@
 	return h
 }
 
-func TestPathThroughTheState(t *testing.T) {
+func TestApplyAllPartsOfState(t *testing.T) {
 	d := newDriver(t)
-	h := play(d)
+	h := applySampleLog(d)
 	if b := d.budget(); b.Funded != 1500 || b.Billed != 70 || b.Bills != 41 || len(b.Granted) != 2 {
 		t.Errorf("budget is %v", b)
 	}
-	d.refuses(errkind.StaleFence, "an order of an older term", "", order("10.0.0.1:1", 2))
+	d.rejects(errkind.StaleFence, "an order of an older term", "", order("10.0.0.1:1", 2))
 	bill := d.state.Query(&pb.Query{Body: &pb.Query_Identity{Identity: &pb.IdentityQuery{Identity: "school/1"}}}).Bill
 	if bill.GetTokens() != 30 || bill.GetRequestId() != "r1" {
 		t.Errorf("bill of school/1 is %v", bill)
 	}
 	d.must("", register("h1", "boot-2"))
 	for _, late := range []*pb.Command{acquire(h, 2, 1, 1), claim(h, "school/3", "r3")} {
-		d.refuses(errkind.StaleFence, "a dead incarnation", "", late)
+		d.rejects(errkind.StaleFence, "a dead incarnation", "", late)
 	}
 	placed := d.state.Query(&pb.Query{Body: &pb.Query_Placement{Placement: &pb.PlacementQuery{}}}).Placements
 	if len(placed) != 1 || placed[0].Fence != 12 {
@@ -139,12 +140,12 @@
 	}
 }
 
-// Symptom: an operator's top-up is funded twice.
-// Sequence: the top-up commits, its answer is lost, the operator resends it at another host.
-// Cause: the operation id was not remembered, or not across a snapshot.
+// A top-up commits, its answer is lost, and the operator resends it at another host. If
+// the operation ID were not remembered, also across a snapshot, it would be funded
+// twice.
 func TestResentTopUpFundsOnce(t *testing.T) {
 	d := newDriver(t)
-	play(d)
+	applySampleLog(d)
 	first := d.must("op-late", topUp("b", 70)).GetBudget()
 	d.must("op-after", topUp("b", 1))
 	restoreInto(t, d)
@@ -155,17 +156,16 @@
 	if got := d.do("op-team", setConfig("/teams/x", `{"priority":"batch"}`, 1)); got.GetSetConfig().GetRevision() != 1 || !got.Resend {
 		t.Errorf("a resend with another value got %v", got)
 	}
-	d.refuses(errkind.KeyConflict, "another change under the same id", "op-team", setConfig("/teams/y", `{}`, 0))
-	d.refuses(errkind.KeyConflict, "another top-up under the same id", "op-late", topUp("b", 71))
+	d.rejects(errkind.KeyConflict, "another change under the same id", "op-team", setConfig("/teams/y", `{}`, 0))
+	d.rejects(errkind.KeyConflict, "another top-up under the same id", "op-late", topUp("b", 71))
 	if funded := d.budget().Funded; funded != 1571 {
 		t.Errorf("funded %d, want 1571", funded)
 	}
 }
 
-// Symptom: a top-up resent weeks later is funded again.
-// Sequence: the top-up commits; as many operations follow as whole answers are kept for; it is resent.
-// Cause: the only memory of operations was the bounded one.
-func TestTopUpIsKnownForGood(t *testing.T) {
+// A top-up that is resent after as many operations as are remembered with a full answer
+// must not be funded again: accepted top-ups are remembered without a limit.
+func TestTopUpIsRememberedPermanently(t *testing.T) {
 	d := newDriver(t)
 	d.state = New(Options{MaxOperations: 4})
 	d.must("op-create", create("b", 1000))
@@ -177,17 +177,17 @@
 	}
 }
 
-// Symptom: hosts never come to serve, or serve under another tree than the replicas hold.
-// Sequence: a host starts from the whole tree as read at "/" and follows the changes
-// as they were sent: with spaces, a slash at the end, null for a deletion.
-// Cause: the whole tree or a change has another form for hosts than for replicas.
-func TestHostFollowsWhatWasSent(t *testing.T) {
+// A host starts from the whole tree as read at "/" and applies the changes as they were
+// sent, with spaces, a trailing slash, or null for a deletion. If the whole tree or a
+// change had another form for hosts than for replicas, hosts would never start serving
+// or would serve under another tree than the replicas hold.
+func TestHostViewMatchesReplicaView(t *testing.T) {
 	d := newDriver(t)
-	play(d)
+	applySampleLog(d)
 	whole := d.state.Query(&pb.Query{Body: &pb.Query_Config{Config: &pb.ConfigQuery{Path: "/"}}})
 	host, err := settings.ViewFromSnapshot(whole.ValueJson)
 	if err != nil || host.Revision() != whole.Revision {
-		t.Fatalf("from the tree at revision %d: %v", whole.Revision, err)
+		t.Fatalf("view from the tree at revision %d: %v", whole.Revision, err)
 	}
 	for i, c := range []struct{ path, value string }{
 		{"/teams/x/retry/", ` { "share" : 0.5 } `}, {"/teams/x/priority", " null "}, {"/accounts/school", "null"}, {"/teams/x", "null"},
@@ -204,19 +204,18 @@
 		}
 		want, _, err := d.state.View().Value("/")
 		if got, _, err2 := host.Value("/"); err != nil || err2 != nil || !bytes.Equal(got, want) {
-			t.Fatalf("%s = %s: host has %s, replica %s", c.path, c.value, got, want)
+			t.Fatalf("%s = %s: the host has %s, the replica %s", c.path, c.value, got, want)
 		}
 	}
 	if _, err := settings.ViewFromSnapshot([]byte(`{"teams":{}}`)); err == nil {
-		t.Error("a tree without versions was taken for a snapshot")
+		t.Error("a tree without versions was accepted as a snapshot")
 	}
 }
 
-// Symptom: an operator is told that a top-up was refused, yet it is funded.
-// Sequence: the top-up comes before its budget exists and is refused; the budget is
-// made; a delayed copy of the top-up arrives.
-// Cause: only accepted operations were remembered.
-func TestResentRefusalStaysARefusal(t *testing.T) {
+// A top-up is rejected because its budget does not exist; then the budget is created
+// and a delayed copy of the top-up arrives. Unless rejections are remembered too, it
+// would be funded although the operator was told that it was rejected.
+func TestResentRejectedOperationStaysRejected(t *testing.T) {
 	d := newDriver(t)
 	first := d.do("op-top", topUp("b", 70))
 	d.must("op-create", create("b", 1000))
@@ -227,14 +226,14 @@
 	}
 }
 
-// restoreInto replaces the driver's state by one restored from its snapshot.
+// restoreInto replaces the driver's state with one restored from its snapshot.
 func restoreInto(t *testing.T, d *driver) {
 	t.Helper()
 	data := snapshotOf(t, d.state)
 	d.state = New(Options{})
 	testutil.NoError(t, d.state.Restore(data))
 	if again := snapshotOf(t, d.state); !bytes.Equal(data, again) {
-		t.Fatalf("a restored state has another snapshot:\n%.2000s\n%.2000s", data, again)
+		t.Fatalf("the restored state has a different snapshot:\n%.2000s\n%.2000s", data, again)
 	}
 }
 
@@ -245,12 +244,12 @@
 	return data
 }
 
-// Symptom: replicas answer differently after the same log.
-// Sequence: two replicas apply one log, a third joins by snapshot half way.
-// Cause: map order, a clock or state that is missing from the snapshot.
+// Two replicas that apply the same log, and a third that joins by snapshot at any point
+// of it, must reach equal states. Map order, a clock, or state missing from the
+// snapshot would make their answers differ.
 func TestEqualLogsMakeEqualSnapshots(t *testing.T) {
 	d := newDriver(t)
-	play(d)
+	applySampleLog(d)
 	d.must("", register("h1", "boot-2"))
 	d.must("op-more", topUp("b", 5))
 	want := snapshotOf(t, d.state)
@@ -263,18 +262,17 @@
 			replica.state.Apply(uint64(i+1), cmd)
 		}
 		if got := snapshotOf(t, replica.state); !bytes.Equal(got, want) {
-			t.Fatalf("snapshot at %d makes another state:\n%.2000s\n%.2000s", half, got, want)
+			t.Fatalf("a snapshot at %d leads to a different state:\n%.2000s\n%.2000s", half, got, want)
 		}
 	}
 }
 
-// Symptom: a snapshot holds half of a later record, or encoding it races with the log.
-// Sequence: the state is captured; every kind of record is applied; the copy is encoded.
-// Cause: the copy shares memory with the state.
+// The copy made by Capture must not share memory with the state, or records applied
+// before it is encoded would end up partly in the snapshot and race with the encoding.
 func TestCaptureIsACopy(t *testing.T) {
 	d := newDriver(t)
-	play(d)
-	for i := range 10 { // more boots than are remembered
+	applySampleLog(d)
+	for i := range 10 { // more boot IDs than the ledger remembers
 		d.must("", register("h1", fmt.Sprint("boot-a", i)))
 	}
 	want := snapshotOf(t, d.state)
@@ -287,23 +285,23 @@
 	d.must("", settle(&pb.Holder{Host: "h2", Incarnation: 2}, 41, &pb.Bill{Budget: "b", Identity: "late", Tokens: 1}))
 	d.must("op-late", setConfig("/teams/x/copies", `2`, 1))
 	if got, err := encode(); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("the copy changed (%v)", err)
+		t.Errorf("the captured copy changed (%v)", err)
 	}
 }
 
-// Symptom: what was remembered is forgotten early, or a record counts twice.
-// Sequence: a new leader's clock is behind the old one's; a record is applied again.
-// Cause: applied time or the index went back.
-func TestTimeAndIndexNeverGoBack(t *testing.T) {
+// The applied time must not go back when a new leader's clock is behind the old one's,
+// or remembered operations and bills would be forgotten early. An index must not
+// repeat, or a record would count twice.
+func TestTimeAndIndexNeverDecrease(t *testing.T) {
 	d := newDriver(t)
-	play(d)
+	applySampleLog(d)
 	want := d.state.Now()
 	d.now = 10
 	d.must("", &pb.Command{Body: &pb.Command_NewTerm{NewTerm: &pb.NewTerm{Term: 9}}})
 	if got := d.state.Now(); got != want {
 		t.Errorf("applied time went from %d to %d", want, got)
 	}
-	d.refuses(errkind.StaleFence, "an order of the term before", "", order("10.0.0.1:1", 8))
+	d.rejects(errkind.StaleFence, "an order of the previous term", "", order("10.0.0.1:1", 8))
 	defer func() {
 		if recover() == nil {
 			t.Error("a record was applied twice")
@@ -312,9 +310,9 @@
 	d.state.Apply(d.state.Applied(), &pb.Command{})
 }
 
-func TestDamagedSnapshotIsRefused(t *testing.T) {
+func TestDamagedSnapshotIsRejected(t *testing.T) {
 	d := newDriver(t)
-	play(d)
+	applySampleLog(d)
 	before := snapshotOf(t, d.state)
 	overspent := bytes.Replace(before, []byte(`"funded":1500,"billed":70,"bills"`), []byte(`"funded":150,"billed":70,"bills"`), 1)
 	if bytes.Equal(before, overspent) {
@@ -326,30 +324,28 @@
 		}
 	}
 	if !bytes.Equal(before, snapshotOf(t, d.state)) {
-		t.Error("a refused snapshot changed the state")
+		t.Error("a rejected snapshot changed the state")
 	}
 }
 
-// Symptom: an operator whose change has just taken effect is told that an earlier request had
-// made it, and looks for one that never was.
-// Sequence: a host proposes the change; the leader changes while it is committed, and the host,
-// which got no answer, proposes it again under the operation id.
-// Cause: the operation id alone told the first send from later ones, and the host's own second
-// try has the same.
-func TestOwnSecondTryIsNoResend(t *testing.T) {
+// A host that gets no answer because the leader changed proposes the same change again
+// within the same call. If the operation ID alone identified resends, the operator
+// would be told that an earlier request had made the change, and would look for a
+// request that never was made.
+func TestRetryWithinOneCallIsNoResend(t *testing.T) {
 	d := newDriver(t)
-	of := func(call string) *pb.Command {
+	topUpOf := func(call string) *pb.Command {
 		cmd := topUp("b", 70)
 		cmd.CallId = call
 		return cmd
 	}
 	d.must("op", create("b", 1000))
-	d.must("payment", of("first call"))
+	d.must("payment", topUpOf("first call"))
 	for name, c := range map[string]struct {
 		call   string
 		resend bool
-	}{"the same call": {"first call", false}, "another call": {"second call", true}, "no call named": {"", true}} {
-		got := d.must("payment", of(c.call))
+	}{"the same call": {"first call", false}, "another call": {"second call", true}, "no call ID": {"", true}} {
+		got := d.must("payment", topUpOf(c.call))
 		if got.Resend != c.resend || got.GetBudget().Funded != 1070 {
 			t.Errorf("%s: resend %v, funded %d", name, got.Resend, got.GetBudget().Funded)
 		}
@@ -357,7 +353,7 @@
 	restored := New(Options{})
 	testutil.NoError(t, restored.Restore(snapshotOf(t, d.state)))
 	d.state = restored
-	if d.must("payment", of("first call")).Resend || !d.must("payment", of("second call")).Resend {
-		t.Error("a snapshot does not keep whose call it was")
+	if d.must("payment", topUpOf("first call")).Resend || !d.must("payment", topUpOf("second call")).Resend {
+		t.Error("the snapshot does not keep the call that made the operation")
 	}
 }
--- a/internal/apply/bench_test.go
+++ b/internal/apply/bench_test.go
@@ -12,9 +12,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// newFeeder makes a driver that keeps no log.
+// newFeeder returns a driver that keeps no log.
 func newFeeder(b *testing.B) *driver {
-	return &driver{t: b, state: New(Options{}), now: 1_700_000_000_000, forget: true}
+	return &driver{t: b, state: New(Options{}), now: 1_700_000_000_000, discardLog: true}
 }
 
 func (f *driver) holders(n int) []*pb.Holder {
@@ -45,8 +45,8 @@
 	return m.HeapAlloc
 }
 
-// perThing reports the heap and snapshot bytes that each of n things adds.
-func perThing(b *testing.B, n int, setUp func(f *driver), add func(f *driver, i int)) {
+// measurePerItem reports the heap and snapshot bytes that each of n items adds.
+func measurePerItem(b *testing.B, n int, setUp func(f *driver), add func(f *driver, i int)) {
 	for b.Loop() {
 		f := newFeeder(b)
 		setUp(f)
@@ -60,8 +60,8 @@
 	}
 }
 
-// BenchmarkMemory gives the slopes of docs/CAPACITY.md. Budgets, accounts and teams
-// are counted with the operation that made each.
+// BenchmarkMemory measures the memory per item that docs/CAPACITY.md lists. Budgets,
+// accounts and teams are counted together with the operation that created each.
 func BenchmarkMemory(b *testing.B) {
 	var hosts []*pb.Holder
 	nothing := func(*driver) {}
@@ -103,11 +103,11 @@
 		}},
 		{"operation", defaultOperations, budget, func(f *driver, i int) { f.must(fmt.Sprintf("%036d", i), topUp("b", 1)) }},
 	} {
-		b.Run(thing.name, func(b *testing.B) { perThing(b, thing.n, thing.setUp, thing.add) })
+		b.Run(thing.name, func(b *testing.B) { measurePerItem(b, thing.n, thing.setUp, thing.add) })
 	}
 }
 
-// BenchmarkSettle gives the time to apply one bill, by bills per batch.
+// BenchmarkSettle measures the time to apply one bill, by bills per batch.
 func BenchmarkSettle(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -126,7 +126,8 @@
 	}
 }
 
-// BenchmarkAcquire gives the time to apply one Acquire of a budget that 1,400 hosts hold.
+// BenchmarkAcquire measures the time to apply one Acquire of a budget that 1,400 hosts
+// hold.
 func BenchmarkAcquire(b *testing.B) {
 	f := newFeeder(b)
 	f.must("make-b", create("b", 1<<62))
@@ -138,7 +139,8 @@
 	}
 }
 
-// BenchmarkSetConfig gives the time of one change in a tree of 930 accounts and teams.
+// BenchmarkSetConfig measures the time of one change in a tree of 930 accounts and
+// teams.
 func BenchmarkSetConfig(b *testing.B) {
 	f := newFeeder(b)
 	for i := range 930 {
@@ -153,8 +155,8 @@
 	}
 }
 
-// BenchmarkSnapshot gives the time of a snapshot of 11,000 budgets, each held by 20
-// of 1,400 hosts, with a million identities; capture is the part that holds up the log.
+// BenchmarkSnapshot measures a snapshot of 11,000 budgets, each held by 20 of 1,400
+// hosts, with a million identities; capture-ms is the part that blocks the log.
 func BenchmarkSnapshot(b *testing.B) {
 	d := newFeeder(b)
 	hosts := d.holders(1400)
--- a/internal/apply/operations.go
+++ b/internal/apply/operations.go
@@ -12,13 +12,13 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// defaultOperations is how many operators' operations are remembered with their
-// whole answer, refusals too: more than two days of the target's 6,100 changes a
-// day. Beyond that, accepted changes of funds stay known for good in the ledger and
-// changes of settings for longer in package settings.
+// defaultOperations is the number of operators' operations, rejections included, that
+// are remembered with their full answer: more than two days at the target of 6,100
+// changes a day. After that, accepted changes of funds are remembered permanently in
+// the ledger, and changes of settings are remembered for longer in package settings.
 const defaultOperations = 16_384
 
-// operations remembers answers by operation id, oldest forgotten first.
+// operations remembers answers by operation ID and evicts the oldest first.
 type operations struct {
 	max     int
 	answers map[window.Key]firstAnswer
@@ -28,7 +28,7 @@
 // firstAnswer is the first answer to an operation.
 type firstAnswer struct {
 	fingerprint uint64
-	// call is the operator's call that got it; empty: not known.
+	// call identifies the operator's call that received the answer; empty if unknown.
 	call   string
 	result []byte // a CommandResult
 }
@@ -37,10 +37,11 @@
 	return &operations{max: limit, answers: make(map[window.Key]firstAnswer)}
 }
 
-// remembered tells whether a command's answers are kept by operation id: those of
-// operators, and orders to backend servers. The commands of hosts carry sequence
-// numbers of their own, and a refusal of theirs may be followed by a success.
-func remembered(cmd *pb.Command) bool {
+// remembersAnswer reports whether answers to a command are remembered by operation ID:
+// those to operators' commands, and those to orders for backend servers. The commands
+// of hosts carry sequence numbers of their own, and after a rejection the same command
+// may succeed.
+func remembersAnswer(cmd *pb.Command) bool {
 	if cmd.GetOpId() == "" {
 		return false
 	}
@@ -51,8 +52,8 @@
 	return false
 }
 
-// answer returns the first answer to a resend, or a refusal when the id was used
-// for something else.
+// answer returns the first answer to a resent operation, or an error if the ID was used
+// for another operation. ok is false if the ID is unknown.
 func (o *operations) answer(cmd *pb.Command) (*pb.CommandResult, bool) {
 	r, ok := o.answers[window.KeyOf(cmd.OpId)]
 	if !ok {
@@ -60,14 +61,15 @@
 	}
 	result := new(pb.CommandResult)
 	if err := proto.Unmarshal(r.result, result); err != nil {
-		panic(errors.Wrap(err, "apply: a remembered answer"))
+		panic(errors.Wrap(err, "apply: decode a remembered answer"))
 	}
 	if r.fingerprint != fingerprint(cmd) {
 		e := errkind.New(errkind.KeyConflict, "operation id %q was used for another operation", cmd.OpId)
 		return &pb.CommandResult{Index: result.Index, Error: wire.EncodeError(e)}, true
 	}
-	// A host whose first try went unanswered commits the command once more for the same call.
-	// Were that a resend, the operator would be told of an earlier request that never was.
+	// A host whose first attempt was not answered proposes the command again within the
+	// same call. If that counted as a resend, the operator would be told of an earlier
+	// request that was never made.
 	result.Resend = r.call == "" || r.call != cmd.GetCallId()
 	return result, true
 }
@@ -85,7 +87,7 @@
 	}
 }
 
-// fingerprint hashes what a command asks for, without who and when. Of a change of
+// fingerprint hashes the body of a command, without actor and time. Of a change of
 // settings only the path counts, as in package settings.
 func fingerprint(cmd *pb.Command) uint64 {
 	asked := &pb.Command{Body: cmd.Body}
@@ -96,11 +98,12 @@
 	return binary.BigEndian.Uint64(key[:])
 }
 
-// encode is the wire form; the schema has no maps, so it is the same everywhere.
+// encode returns the wire form of m. The schema has no maps, so equal messages encode
+// equally on all replicas.
 func encode(m proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		panic(errors.Wrap(err, "apply: encoding"))
+		panic(errors.Wrap(err, "apply: encode message"))
 	}
 	return data
 }
@@ -124,7 +127,7 @@
 func (o *operations) restore(images []operationImage) error {
 	for _, im := range images {
 		if len(im.Key) != window.KeySize {
-			return errors.Errorf("apply: snapshot: the key of an operation has %d bytes instead of %d", len(im.Key), window.KeySize)
+			return errors.Errorf("apply: snapshot: the key of an operation has %d bytes, want %d", len(im.Key), window.KeySize)
 		}
 		o.put(window.Key(im.Key), firstAnswer{fingerprint: im.Fingerprint, call: im.Call, result: im.Result})
 	}
--- a/internal/apply/query.go
+++ b/internal/apply/query.go
@@ -6,8 +6,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// Query answers a read. The replica makes sure that it may (lease) and fills in
-// the group's status.
+// Query answers a read. The replica checks before that it may read (holds a lease), and
+// fills in the group's status.
 func (s *State) Query(q *pb.Query) *pb.QueryResult {
 	out := &pb.QueryResult{Revision: s.View().Revision()}
 	if err := s.query(q, out); err != nil {
@@ -37,9 +37,9 @@
 	case *pb.Query_Routes:
 		out.Routes = s.routes.Routes()
 	case *pb.Query_Members:
-		// The replica answers this one from its consensus.
+		// The replica answers this query from its consensus state.
 	default:
-		err = errkind.New(errkind.BadRequest, "a query without a known body")
+		err = errkind.New(errkind.BadRequest, "the query has no known body")
 	}
 	return err
 }
--- a/internal/apply/snapshot.go
+++ b/internal/apply/snapshot.go
@@ -12,10 +12,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// snapshotFormat is raised when a snapshot can no longer be read by older code.
+// snapshotFormat is incremented when older code can no longer read a snapshot.
 const snapshotFormat = 1
 
-// image is the whole state in a fixed order.
+// image holds the whole state in a fixed order.
 type image struct {
 	Format     int              `json:"format"`
 	Applied    uint64           `json:"applied"`
@@ -37,9 +37,9 @@
 	return encode()
 }
 
-// Capture copies the state and returns a function that encodes the copy. Encoding
-// takes most of the time; the function may run beside later calls of Apply, so that
-// a large snapshot doesn't hold up the log.
+// Capture copies the state and returns a function that encodes the copy. Encoding takes
+// most of the time; the function may run concurrently with later calls of Apply, so
+// that a large snapshot does not block the log.
 func (s *State) Capture() (encode func() ([]byte, error), err error) {
 	tree, err := s.settings.Image()
 	if err != nil {
@@ -57,14 +57,15 @@
 	}, nil
 }
 
-// Restore replaces the state by a snapshot's. On an error the state is unchanged.
+// Restore replaces the state with that of a snapshot. On an error the state is
+// unchanged.
 func (s *State) Restore(data []byte) error {
 	var im image
 	if err := json.Unmarshal(data, &im); err != nil {
 		return errors.Wrap(err, "apply: decode snapshot")
 	}
 	if im.Format != snapshotFormat {
-		return errors.Errorf("apply: snapshot of format %d, this program reads %d", im.Format, snapshotFormat)
+		return errors.Errorf("apply: snapshot has format %d, this program reads format %d", im.Format, snapshotFormat)
 	}
 	fresh := New(s.options)
 	fresh.applied, fresh.now = im.Applied, im.Now
