--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -241,7 +241,7 @@
 func (r *Replica) ID() uint64 { return r.view.Load().id }
 
 // Standing is the replica's part in the group as it knows it itself.
-func (r *Replica) Standing() Standing { return r.view.Load().standing }
+func (r *Replica) Standing() MembershipState { return r.view.Load().standing }
 
 // Joining tells whether the replica isn't a voter of a group: it waits to be added, or is a learner.
 func (r *Replica) Joining() bool {
--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -2,23 +2,23 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/pb"
 
-// Standing is a replica's part in the control group.
-type Standing string
+// MembershipState is a replica's part in the control group.
+type MembershipState string
 
 // The standings.
 const (
 	// StandingForming: a new disk asks the other replicas of the bootstrap list whether
 	// it may take part.
-	StandingForming Standing = "forming"
+	StandingForming MembershipState = "forming"
 	// StandingOutside: not a member. The replica waits to be added, or was removed.
-	StandingOutside Standing = "outside"
+	StandingOutside MembershipState = "outside"
 	// StandingLearner: a member without a vote.
-	StandingLearner Standing = "learner"
+	StandingLearner MembershipState = "learner"
 	// StandingVoter: a member with a vote.
-	StandingVoter Standing = "voter"
+	StandingVoter MembershipState = "voter"
 )
 
-func memberStanding(m *pb.Member) Standing {
+func memberStanding(m *pb.Member) MembershipState {
 	if m.GetLearner() {
 		return StandingLearner
 	}
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -11,7 +11,7 @@
 // other goroutines.
 type view struct {
 	id        uint64
-	standing  Standing
+	standing  MembershipState
 	role      raft.Role
 	leader    uint64
 	address   string // leader's
