--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -7,9 +7,9 @@
 
 // The standings.
 const (
-	// StandingForming: a new disk asks the other replicas of the bootstrap list whether
+	// MembershipForming: a new disk asks the other replicas of the bootstrap list whether
 	// it may take part.
-	StandingForming MembershipState = "forming"
+	MembershipForming MembershipState = "forming"
 	// StandingOutside: not a member. The replica waits to be added, or was removed.
 	StandingOutside MembershipState = "outside"
 	// StandingLearner: a member without a vote.
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -55,7 +55,7 @@
 		}
 	}
 	if r.formation != nil {
-		v.standing = StandingForming
+		v.standing = MembershipForming
 	}
 	return v
 }
