--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -10,8 +10,8 @@
 	// MembershipForming: a new disk asks the other replicas of the bootstrap list whether
 	// it may take part.
 	MembershipForming MembershipState = "forming"
-	// StandingOutside: not a member. The replica waits to be added, or was removed.
-	StandingOutside MembershipState = "outside"
+	// MembershipNone: not a member. The replica waits to be added, or was removed.
+	MembershipNone MembershipState = "outside"
 	// StandingLearner: a member without a vote.
 	StandingLearner MembershipState = "learner"
 	// StandingVoter: a member with a vote.
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -43,7 +43,7 @@
 	v := &view{
 		id: st.ID, role: st.Role, leader: st.Leader, term: st.Term, commit: st.Commit,
 		leaseEnd: r.core.LeaseUntil(), members: st.Members, logBytes: r.wal.Bytes(), snapIndex: r.snapIndex,
-		standing: StandingOutside, confirm: r.core.Confirmed(),
+		standing: MembershipNone, confirm: r.core.Confirmed(),
 		hears: r.formation == nil && r.core.HeardFromQuorum(int64(quorumTimeouts*r.cfg.ElectionTicks)),
 	}
 	for _, m := range st.Members {
