--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -246,7 +246,7 @@
 // Joining tells whether the replica isn't a voter of a group: it waits to be added, or is a learner.
 func (r *Replica) Joining() bool {
 	s := r.Standing()
-	return s == MembershipNone || s == StandingLearner
+	return s == MembershipNone || s == MembershipLearner
 }
 
 // Done is closed when the replica has stopped, by Close or by a fault of its disk.
--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -12,15 +12,15 @@
 	MembershipForming MembershipState = "forming"
 	// MembershipNone: not a member. The replica waits to be added, or was removed.
 	MembershipNone MembershipState = "outside"
-	// StandingLearner: a member without a vote.
-	StandingLearner MembershipState = "learner"
+	// MembershipLearner: a member without a vote.
+	MembershipLearner MembershipState = "learner"
 	// StandingVoter: a member with a vote.
 	StandingVoter MembershipState = "voter"
 )
 
 func memberStanding(m *pb.Member) MembershipState {
 	if m.GetLearner() {
-		return StandingLearner
+		return MembershipLearner
 	}
 	return StandingVoter
 }
