--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -14,13 +14,13 @@
 	MembershipNone MembershipState = "outside"
 	// MembershipLearner: a member without a vote.
 	MembershipLearner MembershipState = "learner"
-	// StandingVoter: a member with a vote.
-	StandingVoter MembershipState = "voter"
+	// MembershipVoter: a member with a vote.
+	MembershipVoter MembershipState = "voter"
 )
 
 func memberStanding(m *pb.Member) MembershipState {
 	if m.GetLearner() {
 		return MembershipLearner
 	}
-	return StandingVoter
+	return MembershipVoter
 }
