--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -132,7 +132,7 @@
 		return err
 	}
 	r.beginReplay()
-	r.log.Info().Uint64("replica", id.ID).Str("standing", string(r.Standing())).Uint64("applied", r.applied).
+	r.log.Info().Uint64("replica", id.ID).Str("standing", string(r.Membership())).Uint64("applied", r.applied).
 		Uint64("commit", r.core.Status().Commit).Int64("log_bytes", r.wal.Bytes()).Str("event", "replica-opened").Send()
 	return nil
 }
@@ -240,12 +240,12 @@
 // then before the replica has taken part.
 func (r *Replica) ID() uint64 { return r.view.Load().id }
 
-// Standing is the replica's part in the group as it knows it itself.
-func (r *Replica) Standing() MembershipState { return r.view.Load().standing }
+// Membership is the replica's part in the group as it knows it itself.
+func (r *Replica) Membership() MembershipState { return r.view.Load().standing }
 
 // Joining tells whether the replica isn't a voter of a group: it waits to be added, or is a learner.
 func (r *Replica) Joining() bool {
-	s := r.Standing()
+	s := r.Membership()
 	return s == MembershipNone || s == MembershipLearner
 }
 
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -53,7 +53,7 @@
 		return nil
 	}
 	return func() adminapi.LocalReplica {
-		return adminapi.LocalReplica{ID: d.replica.ID(), Standing: string(d.replica.Standing())}
+		return adminapi.LocalReplica{ID: d.replica.ID(), Standing: string(d.replica.Membership())}
 	}
 }
 
