--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -14,28 +14,28 @@
 	"github.com/bluebellsail/bluebellsail/internal/wal"
 )
 
-// counter is a Transport that hands messages over at once and counts them.
-type counter struct {
+// countingTransport is a Transport that delivers messages at once and counts them.
+type countingTransport struct {
 	to    map[string]*atomic.Pointer[Replica]
 	from  string
 	bytes *atomic.Int64
 	count *atomic.Int64
 }
 
-func (c counter) Send(m *pb.RaftMessage, address string) {
+func (c countingTransport) Send(m *pb.RaftMessage, address string) {
 	c.bytes.Add(int64(proto.Size(m)))
 	c.count.Add(1)
 	if r := c.to[address].Load(); r != nil {
 		r.receive(m, c.from)
 	}
 }
-func (counter) Reset(string) {}
-func (counter) Close()       {}
+func (countingTransport) Reset(string) {}
+func (countingTransport) Close()       {}
 
 // benchGroup starts three replicas on the machine's disk.
-func benchGroup(b *testing.B) (replicas []*Replica, leader *Replica, c counter) {
+func benchGroup(b *testing.B) (replicas []*Replica, leader *Replica, c countingTransport) {
 	b.Helper()
-	c = counter{to: map[string]*atomic.Pointer[Replica]{}, bytes: &atomic.Int64{}, count: &atomic.Int64{}}
+	c = countingTransport{to: map[string]*atomic.Pointer[Replica]{}, bytes: &atomic.Int64{}, count: &atomic.Int64{}}
 	members := members("host0", "host1", "host2")
 	for _, m := range members {
 		c.to[m.Address] = &atomic.Pointer[Replica]{}
@@ -63,7 +63,7 @@
 	return replicas, leader, c
 }
 
-// BenchmarkPropose measures committed proposals with a number of proposers at once.
+// BenchmarkPropose measures committed proposals with a number of concurrent proposers.
 func BenchmarkPropose(b *testing.B) {
 	for _, proposers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint(proposers), func(b *testing.B) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// BenchmarkIdle measures what a group without work sends.
+// BenchmarkIdle measures the traffic of an idle group.
 func BenchmarkIdle(b *testing.B) {
 	_, _, c := benchGroup(b)
 	bytes, count := c.bytes.Load(), c.count.Load()
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -17,17 +17,17 @@
 	"github.com/bluebellsail/bluebellsail/internal/wal/memfs"
 )
 
-// cluster is a group on a faulty network in memory, for use in a synctest bubble.
+// cluster is a group on a faulty in-memory network, for use in a synctest bubble.
 type cluster struct {
-	t     *testing.T
-	hosts []*host
-	edit  func(*Config)
-
-	mu   sync.Mutex
-	rnd  *rand.Rand
-	cut  map[[2]string]bool
-	drop int           // permille
-	slow time.Duration // what each message takes at least
+	t         *testing.T
+	hosts     []*host
+	configure func(*Config)
+
+	mu       sync.Mutex
+	rnd      *rand.Rand
+	blocked  map[[2]string]bool
+	drop     int           // permille
+	minDelay time.Duration // minimum delay of each message
 }
 
 type host struct {
@@ -39,7 +39,7 @@
 
 func newCluster(t *testing.T, n int, edit func(*Config)) *cluster {
 	t.Helper()
-	c := &cluster{t: t, edit: edit, rnd: rand.New(rand.NewSource(1)), cut: map[[2]string]bool{}}
+	c := &cluster{t: t, configure: edit, rnd: rand.New(rand.NewSource(1)), blocked: map[[2]string]bool{}}
 	for i := range n {
 		c.hosts = append(c.hosts, &host{address: fmt.Sprint("host", i), fs: memfs.New()})
 	}
@@ -54,12 +54,12 @@
 	return c
 }
 
-// inCluster runs a test with three replicas in a synctest bubble.
-func inCluster(t *testing.T, edit func(*Config), test func(t *testing.T, c *cluster)) {
+// withCluster runs a test with three replicas in a synctest bubble.
+func withCluster(t *testing.T, edit func(*Config), test func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) { test(t, newCluster(t, 3, edit)) })
 }
 
-// members is a bootstrap list of hosts at the addresses.
+// members returns a bootstrap list of hosts at the addresses.
 func members(addresses ...string) []Member {
 	var out []Member
 	for i, address := range addresses {
@@ -68,8 +68,8 @@
 	return out
 }
 
-// start opens a host's replica on its disk. c.hosts isn't locked: tests start
-// hosts from one goroutine, and messages carry addresses.
+// start opens a host's replica on its disk. c.hosts isn't locked: tests start hosts
+// from one goroutine, and messages carry addresses.
 func (c *cluster) start(h *host) {
 	c.t.Helper()
 	sm := newRegisters()
@@ -88,8 +88,8 @@
 		TickInterval: 50 * time.Millisecond, StateMachine: sm, Transport: link{c, h.address},
 		FS: h.fs, Logger: zerolog.Nop(), Seed: c.seed(), Members: members("host0", "host1", "host2"),
 	}
-	if c.edit != nil {
-		c.edit(&cfg)
+	if c.configure != nil {
+		c.configure(&cfg)
 	}
 	return cfg
 }
@@ -102,7 +102,7 @@
 
 // crash stops a host at once; bytes that weren't synced are lost.
 func (c *cluster) crash(h *host) {
-	h.r.abrupt.Store(true)
+	h.r.skipHandOver.Store(true)
 	h.fs.Crash(rand.New(rand.NewSource(c.seed())))
 	_ = h.r.Close()
 }
@@ -113,15 +113,15 @@
 	}
 }
 
-func (c *cluster) isolate(h *host, on bool) { c.cutOff(h, on, on) }
+func (c *cluster) isolate(h *host, on bool) { c.blockLinks(h, on, on) }
 
-// cutOff loses, or no longer loses, what the host sends and what is sent to it.
-func (c *cluster) cutOff(h *host, from, to bool) {
+// blockLinks drops, or stops dropping, the messages from the host and those to it.
+func (c *cluster) blockLinks(h *host, from, to bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, o := range c.hosts {
-		c.cut[[2]string{h.address, o.address}] = from
-		c.cut[[2]string{o.address, h.address}] = to
+		c.blocked[[2]string{h.address, o.address}] = from
+		c.blocked[[2]string{o.address, h.address}] = to
 	}
 }
 
@@ -134,10 +134,10 @@
 func (l link) Send(m *pb.RaftMessage, address string) {
 	l.c.mu.Lock()
 	defer l.c.mu.Unlock()
-	if l.c.cut[[2]string{l.from, address}] || l.c.rnd.Intn(1000) < l.c.drop {
+	if l.c.blocked[[2]string{l.from, address}] || l.c.rnd.Intn(1000) < l.c.drop {
 		return
 	}
-	delay := l.c.slow + time.Millisecond + time.Duration(l.c.rnd.Intn(3000))*time.Microsecond
+	delay := l.c.minDelay + time.Millisecond + time.Duration(l.c.rnd.Intn(3000))*time.Microsecond
 	time.AfterFunc(delay, func() {
 		l.c.mu.Lock()
 		var to *Replica
@@ -153,7 +153,7 @@
 func (l link) Reset(string) {}
 func (l link) Close()       {}
 
-// leader waits for a leader that can read, and returns its host.
+// leader waits for a leader that answers reads, and returns its host.
 func (c *cluster) leader() *host {
 	c.t.Helper()
 	for range 1000 {
@@ -180,7 +180,8 @@
 	return nil
 }
 
-// set writes a register through whichever replica leads; nil once it's acknowledged.
+// set writes a register through the current leader; it returns nil once the write is
+// acknowledged.
 func (c *cluster) set(opID, path, value string, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -214,8 +215,8 @@
 	}
 }
 
-// registers is a small state machine: SetConfig writes a register, ConfigQuery
-// reads one, "/" reads all. An op id is applied once.
+// registers is a small state machine: SetConfig writes a register, ConfigQuery reads
+// one, or all at "/". Each operation ID is applied once.
 type registers struct {
 	mu    sync.Mutex
 	State registerState
@@ -225,7 +226,7 @@
 type registerState struct {
 	Revision uint64
 	Values   map[string]string
-	Done     map[string]uint64 // op id -> revision
+	Done     map[string]uint64 // operation ID -> revision
 	Order    []string
 }
 
@@ -278,14 +279,14 @@
 	return json.Unmarshal(data, &s.State)
 }
 
-// order returns the op ids applied so far.
+// order returns the operation IDs applied so far, in order.
 func (s *registers) order() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.State.Order...)
 }
 
-// times returns the stamps of the commands applied so far.
+// times returns the timestamps of the commands applied so far.
 func (s *registers) times() []int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -13,7 +13,7 @@
 )
 
 // StateMachine is the replicated state. Query must not change it: queries run
-// beside each other, but never beside another method.
+// concurrently with each other, but never with another method.
 type StateMachine interface {
 	Apply(index uint64, cmd *pb.Command) *pb.CommandResult
 	Query(q *pb.Query) *pb.QueryResult
@@ -22,56 +22,59 @@
 }
 
 // Transport carries messages to other replicas. Send never blocks; it may drop,
-// repeat and reorder messages.
+// duplicate and reorder messages.
 type Transport interface {
 	Send(m *pb.RaftMessage, address string)
-	// Reset gives up the connection to address, which seems silent; the next
-	// Send makes a new one.
+	// Reset closes the connection to address, which seems unresponsive; the next Send
+	// opens a new one.
 	Reset(address string)
 	Close()
 }
 
-// Member of the bootstrap list.
+// Member is a replica of the bootstrap list.
 type Member struct {
-	// ID of the replica; 0: derived from the fleet's name and Host.
+	// ID identifies the replica; 0: derived from the fleet's name and Host.
 	ID uint64
-	// Address of its Control service.
+	// Address is the address of its Control service.
 	Address string
 	Host    string
 }
 
-// Config of one replica.
+// Config configures one replica.
 type Config struct {
-	// Fleet names the fleet; it goes into derived replica ids.
+	// Fleet is the name of the fleet, from which replica IDs are derived.
 	Fleet string
 	// Host is this host's name.
 	Host string
-	// ReplicaAddress is where the other replicas reach this one.
+	// ReplicaAddress is the address at which the other replicas reach this one.
 	ReplicaAddress string
-	// DataDir is the folder for identity, log and snapshots.
+	// DataDir is the directory for identity, log and snapshots.
 	DataDir string
-	// Members is the bootstrap list, the same on all replicas. It is used at the
-	// first start only.
+	// Members is the bootstrap list, the same on all replicas. It is used only at the
+	// first start.
 	Members []Member
-	// Join starts an empty disk as a new replica that waits to be added.
+	// Join makes a replica with an empty disk start as a new replica that waits to be
+	// added.
 	Join bool
 
 	// TickInterval is the length of a consensus tick; default 50ms.
 	TickInterval time.Duration
-	// ElectionTicks, HeartbeatTicks and DriftPercent: see raft.Config; defaults 20, 2, 20.
+	// ElectionTicks, HeartbeatTicks and DriftPercent: see raft.Config; defaults 20, 2,
+	// 20.
 	ElectionTicks  int
 	HeartbeatTicks int
 	DriftPercent   int
 
-	// SnapshotEntries is the number of applied entries after which a snapshot is
-	// taken; default 10000.
+	// SnapshotEntries is the number of applied entries after which a snapshot is taken;
+	// default 10000.
 	SnapshotEntries uint64
-	// SnapshotBytes is how many bytes of entries are applied at least before the next snapshot
-	// is taken; default 256 KiB, which takes a host with a tenth of a processor half a second
-	// to apply anew, if they are routing tables of 150 routes.
+	// SnapshotBytes is the minimum number of bytes of entries applied before the next
+	// snapshot is taken; default 256 KiB. If these are routing tables of 150 routes, a
+	// host with a tenth of a processor takes half a second to apply them after a
+	// restart.
 	SnapshotBytes int64
-	// LogBytes caps the log on disk; default 256 MiB. At half of it a snapshot is
-	// forced; at the cap proposals are refused.
+	// LogBytes caps the log on disk; default 256 MiB. At half of the cap a snapshot is
+	// forced; at the cap proposals are rejected.
 	LogBytes int64
 	// SegmentBytes is the size of a log segment; default 4 MiB.
 	SegmentBytes int64
@@ -80,14 +83,14 @@
 	Transport    Transport
 	Logger       zerolog.Logger
 
-	// FS holds the files; default the machine's.
+	// FS is the file system; default the operating system's.
 	FS wal.FS
-	// Now is the clock of leases and ticks; default time.Now. It must carry a
+	// Now is the clock for leases and ticks; default time.Now. It must include a
 	// monotonic reading.
 	Now func() time.Time
-	// Wall is the clock for the stamps of commands; default time.Now.
+	// Wall is the clock for the timestamps of commands; default time.Now.
 	Wall func() time.Time
-	// Seed of the randomness; 0: drawn from the clock.
+	// Seed seeds the randomness; 0: taken from the clock.
 	Seed int64
 }
 
@@ -117,15 +120,15 @@
 		return errors.New("control: a replica needs a state machine and a transport")
 	}
 	if c.DataDir == "" || c.ReplicaAddress == "" {
-		return errors.New("control: a replica needs a data folder and an address")
+		return errors.New("control: a replica needs a data directory and an address")
 	}
 	if !c.Join && c.ownMember() == nil {
-		return errors.Errorf("control: %s isn't in the bootstrap list; start it with join to add it", c.ReplicaAddress)
+		return errors.Errorf("control: %s is not in the bootstrap list; start the replica with join to add it to an existing group", c.ReplicaAddress)
 	}
 	return nil
 }
 
-// ownMember is this replica's row of the bootstrap list.
+// ownMember returns this replica's member of the bootstrap list, or nil.
 func (c *Config) ownMember() *pb.Member {
 	for _, m := range c.bootstrapMembers() {
 		if m.Address == c.ReplicaAddress {
@@ -135,7 +138,7 @@
 	return nil
 }
 
-// bootstrapMembers is the bootstrap list with derived ids.
+// bootstrapMembers returns the bootstrap list with derived IDs filled in.
 func (c *Config) bootstrapMembers() []*pb.Member {
 	var out []*pb.Member
 	for _, m := range c.Members {
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,50 +1,51 @@
-// Package control runs one replica of a control group: it binds the pure
-// consensus of package raft to the disk (wal, snapshot), the clock, the network
-// and a replicated state machine, and serves the gRPC service Control.
+// Package control runs one replica of a control group: it binds the pure consensus of
+// package raft to the disk (wal, snapshot), the clock, the network and a replicated
+// state machine, and serves the gRPC service Control.
 //
-// # One loop
+// # Event loop
 //
-// One goroutine owns the consensus state. Each turn it brings the consensus
-// clock up to the time that really passed, takes the messages and proposals
-// that have come in, writes everything with one sync, sends, and applies. What
-// comes in during a sync waits and goes into the next one together (group
-// commit).
+// One goroutine owns the consensus state. Each iteration advances the consensus clock
+// to the current time, takes the messages and proposals that arrived, writes everything
+// with one sync, sends, and applies. Input that arrives during a sync is written
+// together with the next one (group commit).
 //
 // # Reads
 //
-// Only a leader with a lease answers reads. The lease is compared with the
-// monotonic clock at the moment of the read, not with ticks fed to the
-// consensus, so that a process that was frozen and woken finds it expired.
+// Only a leader with a lease answers reads. The lease is compared with the monotonic
+// clock at the moment of the read, not with the ticks passed to the consensus, so that
+// a process that was suspended finds its lease expired when it resumes.
 //
-// The monotonic clock must run on while the process or the machine is stopped.
-// A virtual machine that is paused without its clock being set forward on resume
-// breaks this; such hosts must not carry a replica.
+// The monotonic clock must keep running while the process or the machine is suspended.
+// A virtual machine that is paused and whose clock is not set forward on resume breaks
+// this; such hosts must not run a replica.
 //
 // # Identity and lost disks
 //
-// A replica's id stands for what its disk has promised: votes given, entries
-// acknowledged. A replica that lost its disk has forgotten these promises. If it
-// voted under its old id, a leader could be elected that lacks committed
-// entries. The rule:
-//
-//   - The first start on an empty disk writes an identity file with a random
-//     nonce, the mark of this disk.
-//   - A replica of the bootstrap list with a new disk takes no part in
-//     consensus. It asks every other replica of the list, and each answers with
-//     its own nonce and, if it takes part already, with the nonce that it
-//     recorded for the asker.
-//   - Once all have answered, and none with another nonce than the asker's, the
-//     asker records all nonces, syncs them and takes part. So the first
-//     formation of a group needs all replicas of the list to be up, once.
-//   - A different nonce means that the group was formed with another disk under
-//     this id: the disk was lost. The replica gives up that id for good, draws a
-//     new random one, and waits to be added as a learner. It is promoted once it
-//     holds everything committed, and the old id is removed.
-//
-// Why this is safe: a replica takes part only after it recorded the nonces of
-// all others. Any quorum that committed something holds, besides the lost disk,
-// a replica that takes part, and it recorded the lost disk's nonce; since an
-// empty disk waits for the answers of all, it hears that one.
-//
-// A replica started with Config.Join has a random id from the start and only waits.
+// A replica's ID stands for what its disk has promised: votes granted, entries
+// acknowledged. A replica that lost its disk no longer knows these promises. If it
+// voted under its old ID, a leader that lacks committed entries could be elected. The
+// rule:
+//
+//   - The first start on an empty disk writes an identity file with a random nonce,
+//     which identifies this disk.
+//   - A replica of the bootstrap list with a new disk does not participate in
+//     consensus. It asks every other replica of the list, and each answers with its
+//     own nonce and, if it already participates, with the nonce that it recorded for
+//     the asking replica.
+//   - Once all have answered, and none with a nonce other than the asking replica's,
+//     that replica records all nonces, syncs them and participates. The first
+//     formation of a group therefore needs all replicas of the list to be up at one
+//     time.
+//   - A different nonce means that the group was formed with another disk under this
+//     ID: the disk was lost. The replica abandons that ID permanently, draws a new
+//     random one, and waits to be added as a learner. It is promoted once it holds
+//     everything committed, and the old ID is removed.
+//
+// Why this is safe: a replica participates only after it recorded the nonces of all
+// others. Any quorum that committed something contains, besides the lost disk, a
+// participating replica that recorded the lost disk's nonce. Since a replica with an
+// empty disk waits for the answers of all, it receives that replica's answer.
+//
+// A replica started with Config.Join has a random ID from the start and only waits to
+// be added.
 package control
--- a/internal/control/formation.go
+++ b/internal/control/formation.go
@@ -5,32 +5,34 @@
 	"github.com/bluebellsail/bluebellsail/internal/wal"
 )
 
-// formationState is how far a replica of the bootstrap list has come.
+// formationState is the progress of a replica of the bootstrap list in forming the
+// group.
 type formationState int
 
 const (
 	formationAsking formationState = iota
-	formationDone                  // may take part
-	formationLost                  // the group was formed with another disk under this id
+	formationDone                  // may participate
+	formationLost                  // the group was formed with another disk under this ID
 )
 
-// formation decides whether a new disk may take part under its bootstrap id. It
-// is pure: answers in, state out. See the package comment for the rule.
+// formation decides whether a replica with a new disk may participate under its
+// bootstrap ID. It is pure: it receives answers and computes a state. See the package
+// comment for the rule.
 type formation struct {
-	self    *identity
-	answers map[uint64]uint64 // nonces of those who answered, by id
-	lost    bool
+	self   *identity
+	nonces map[uint64]uint64 // nonces of the replicas that answered, by ID
+	lost   bool
 }
 
 func newFormation(self *identity) *formation {
-	return &formation{self: self, answers: map[uint64]uint64{}}
+	return &formation{self: self, nonces: map[uint64]uint64{}}
 }
 
-// unanswered returns the replicas still to be asked.
+// unanswered returns the replicas that have not answered yet.
 func (f *formation) unanswered() []*pb.Member {
 	var out []*pb.Member
 	for _, m := range f.self.Members {
-		if _, ok := f.answers[m.Id]; !ok && m.Id != f.self.ID {
+		if _, ok := f.nonces[m.Id]; !ok && m.Id != f.self.ID {
 			out = append(out, m)
 		}
 	}
@@ -47,29 +49,29 @@
 	return formationDone
 }
 
-// ask makes the question to one replica.
-func (f *formation) ask(to uint64) *pb.RaftMessage {
+// request returns the formation request to one replica.
+func (f *formation) request(to uint64) *pb.RaftMessage {
 	return &pb.RaftMessage{
 		Type: pb.RaftType_RAFT_TYPE_FORMATION_ASK, From: f.self.ID, To: to, Context: f.self.Nonce,
 	}
 }
 
-// answer takes a reply.
-func (f *formation) answer(m *pb.RaftMessage) {
+// handleReply records a formation answer.
+func (f *formation) handleReply(m *pb.RaftMessage) {
 	if m.Hint != f.self.Nonce {
-		return // meant for another disk under this id
+		return // meant for another disk under this ID
 	}
 	if m.Reject {
 		f.lost = true
 		return
 	}
-	f.answers[m.From] = m.Context
+	f.nonces[m.From] = m.Context
 }
 
-// answerFormation answers another replica's question. Context is the own nonce,
-// Hint repeats the asker's, Reject says that the asker's disk isn't the one this
-// replica took part with.
-func answerFormation(self *identity, m *pb.RaftMessage) *pb.RaftMessage {
+// formationReply returns the answer to another replica's formation request. Context is
+// this replica's nonce, Hint repeats the asking replica's, and Reject means that the
+// group was formed with another disk under that replica's ID.
+func formationReply(self *identity, m *pb.RaftMessage) *pb.RaftMessage {
 	reply := &pb.RaftMessage{
 		Type: pb.RaftType_RAFT_TYPE_FORMATION_ANSWER, From: self.ID, To: m.From,
 		Context: self.Nonce, Hint: m.Context,
@@ -80,30 +82,30 @@
 	return reply
 }
 
-// formationTurn asks the other replicas of the bootstrap list until it is clear
-// whether this disk may take part.
-func (r *Replica) formationTurn() error {
+// runFormation asks the other replicas of the bootstrap list until it is known whether
+// this disk may participate.
+func (r *Replica) runFormation() error {
 	switch r.formation.state() {
 	case formationDone:
-		return r.takePart()
+		return r.finishFormation()
 	case formationLost:
-		return r.giveUpID()
+		return r.abandonID()
 	}
 	now := r.cfg.Now().UnixNano() / int64(r.cfg.TickInterval)
-	if now-r.askedTick < int64(r.cfg.HeartbeatTicks) {
+	if now-r.lastFormationRequest < int64(r.cfg.HeartbeatTicks) {
 		return nil
 	}
-	r.askedTick = now
+	r.lastFormationRequest = now
 	for _, m := range r.formation.unanswered() {
-		r.send(r.formation.ask(m.Id))
+		r.send(r.formation.request(m.Id))
 	}
 	return nil
 }
 
-// takePart records the others' disks and starts consensus.
-func (r *Replica) takePart() error {
-	r.id.Nonces = r.formation.answers
-	hard, err := r.firstRecord()
+// finishFormation records the nonces of the other replicas' disks and starts consensus.
+func (r *Replica) finishFormation() error {
+	r.id.Nonces = r.formation.nonces
+	hard, err := r.writeFirstRecord()
 	if err != nil {
 		return err
 	}
@@ -112,15 +114,15 @@
 	return r.startCore(wal.Contents{Hard: hard})
 }
 
-// giveUpID gives up an id that another disk has voted under.
-func (r *Replica) giveUpID() error {
+// abandonID replaces an ID under which another disk has voted.
+func (r *Replica) abandonID() error {
 	old := r.id.ID
-	r.id = afterLostDisk()
+	r.id = identityAfterLostDisk()
 	if err := saveIdentity(r.cfg.FS, r.cfg.DataDir, r.id); err != nil {
 		return err
 	}
 	r.formation = nil
-	hard, err := r.firstRecord()
+	hard, err := r.writeFirstRecord()
 	if err != nil {
 		return err
 	}
@@ -128,9 +130,10 @@
 	return r.startCore(wal.Contents{Hard: hard})
 }
 
-// firstRecord gives the log its first record, then marks the identity as formed.
-// In this order a formed identity beside an empty log proves that the log was lost.
-func (r *Replica) firstRecord() (*pb.HardState, error) {
+// writeFirstRecord writes the first record of the log, then marks the identity as
+// formed. In this order, a formed identity beside an empty log proves that the log was
+// lost.
+func (r *Replica) writeFirstRecord() (*pb.HardState, error) {
 	hard := &pb.HardState{}
 	if err := r.wal.Append(hard, nil); err != nil {
 		return nil, err
--- a/internal/control/identity.go
+++ b/internal/control/identity.go
@@ -16,24 +16,26 @@
 
 const identityFile = "replica.json"
 
-// identity is what a replica's disk says of itself. See the package comment.
+// identity is the content of the identity file on a replica's disk. See the package
+// comment.
 type identity struct {
 	ID uint64 `json:"id"`
-	// Nonce marks this disk.
+	// Nonce identifies this disk.
 	Nonce uint64 `json:"nonce"`
-	// Joined is true for a replica that is added as a learner rather than by the
+	// Joined is set for a replica that is added as a learner rather than by the
 	// bootstrap list.
 	Joined bool `json:"joined"`
-	// Formed is true once the replica takes part in consensus.
+	// Formed is set once the replica participates in consensus.
 	Formed bool `json:"formed"`
 	// Members is the bootstrap list at the first start; later changes of the
-	// settings don't change the membership from which the log starts.
+	// configuration don't change the membership from which the log starts.
 	Members []*pb.Member `json:"members,omitempty"`
-	// Nonces of the other replicas' disks at the formation, by id.
+	// Nonces are the nonces of the other replicas' disks at the formation, by replica
+	// ID.
 	Nonces map[uint64]uint64 `json:"nonces,omitempty"`
 }
 
-// baseMembers is the membership before the first log entry.
+// baseMembers returns the membership before the first log entry.
 func (id *identity) baseMembers() *pb.Members {
 	if id.Joined {
 		return &pb.Members{}
@@ -41,9 +43,9 @@
 	return &pb.Members{Members: id.Members}
 }
 
-// randomID draws an id or nonce; never 0. It doesn't use the replica's seeded
-// source: with a seed that stays the same over restarts, a new disk would draw the
-// nonce of the lost one, pass for it, and vote under its id.
+// randomID draws an ID or nonce, never 0. It doesn't use the replica's seeded source:
+// with the same seed after a restart, a new disk would draw the nonce of the lost one,
+// be taken for it, and vote under its ID.
 func randomID() uint64 {
 	for {
 		var b [8]byte
@@ -54,11 +56,11 @@
 	}
 }
 
-// loadIdentity reads the identity file; nil if there is none.
+// loadIdentity reads the identity file; it returns nil if there is none.
 func loadIdentity(fs wal.FS, dir string) (*identity, error) {
 	names, err := fs.List(dir)
 	if err != nil {
-		return nil, errors.Wrap(err, "control: list data folder")
+		return nil, errors.Wrap(err, "control: list data directory")
 	}
 	for _, name := range names {
 		if name == identityFile {
@@ -77,7 +79,7 @@
 	return id, errors.Wrapf(err, "control: %s is damaged; this replica's disk must be replaced", path)
 }
 
-// checksumDigits is the length of the checksum in hex that ends the file.
+// checksumDigits is the number of hex digits of the checksum at the end of the file.
 const checksumDigits = 8
 
 func encodeIdentity(id *identity) ([]byte, error) {
@@ -88,18 +90,18 @@
 func decodeIdentity(data []byte) (*identity, error) {
 	end := len(data) - checksumDigits - 1
 	if end < 0 {
-		return nil, errors.New("too short")
+		return nil, errors.New("the identity file is too short")
 	}
-	// A digit of the id or a nonce that went bad would otherwise read as another
-	// identity.
+	// Without the checksum, a corrupted digit of the ID or a nonce would be read as
+	// another identity.
 	if sum := fmt.Sprintf("\n%0*x", checksumDigits, crc32.ChecksumIEEE(data[:end])); sum != string(data[end:]) {
-		return nil, errors.New("wrong checksum")
+		return nil, errors.New("the checksum does not match")
 	}
 	var id identity
 	return &id, json.Unmarshal(data[:end], &id)
 }
 
-// saveIdentity makes the identity durable: whole or not at all.
+// saveIdentity makes the identity durable atomically.
 func saveIdentity(fs wal.FS, dir string, id *identity) error {
 	data, err := encodeIdentity(id)
 	if err != nil {
@@ -113,10 +115,10 @@
 	if err := fs.Rename(temporary, path); err != nil {
 		return errors.Wrap(err, "control: rename identity")
 	}
-	return errors.Wrap(fs.SyncDir(dir), "control: sync data folder")
+	return errors.Wrap(fs.SyncDir(dir), "control: sync data directory")
 }
 
-// newIdentity is the identity of an empty disk.
+// newIdentity returns the identity for an empty disk.
 func newIdentity(cfg *Config) *identity {
 	id := &identity{Nonce: randomID()}
 	own := cfg.ownMember()
@@ -130,7 +132,7 @@
 	return id
 }
 
-// afterLostDisk is the identity that takes the place of one whose disk was lost.
-func afterLostDisk() *identity {
+// identityAfterLostDisk returns the identity that replaces the one of a lost disk.
+func identityAfterLostDisk() *identity {
 	return &identity{ID: randomID(), Nonce: randomID(), Joined: true}
 }
--- a/internal/control/inbound.go
+++ b/internal/control/inbound.go
@@ -2,9 +2,9 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/pb"
 
-// receive takes a message from another replica. It never blocks; when too many
-// wait, the message is dropped. address is the sender's, which a replica that
-// isn't a member yet needs for its answers; empty if not known.
+// receive queues a message from another replica. It never blocks; when too many
+// messages are queued, the message is dropped. address is the sender's address, or
+// empty if unknown; replies to a replica that isn't a member yet are sent there.
 func (r *Replica) receive(m *pb.RaftMessage, address string) {
 	r.inMu.Lock()
 	if address != "" && (len(r.addresses) < maxInbox || r.addresses[m.From] != "") {
--- a/internal/control/leading.go
+++ b/internal/control/leading.go
@@ -6,30 +6,30 @@
 	"github.com/bluebellsail/bluebellsail/internal/raft"
 )
 
-// leadership is a term that this replica leads.
+// leadership is a term in which this replica leads.
 type leadership struct {
 	term  uint64
 	since time.Time
 }
 
-// noteLeadership keeps when this replica began to lead its present term. Only the
-// loop calls it.
-func (r *Replica) noteLeadership(v *view) {
+// updateLeadership records when this replica became the leader of its current term.
+// Only the loop calls it.
+func (r *Replica) updateLeadership(v *view) {
 	if v.role != raft.Leader {
-		r.leads.Store(nil)
+		r.leadership.Store(nil)
 		return
 	}
-	if l := r.leads.Load(); l == nil || l.term != v.term {
-		r.leads.Store(&leadership{term: v.term, since: r.cfg.Now()})
+	if l := r.leadership.Load(); l == nil || l.term != v.term {
+		r.leadership.Store(&leadership{term: v.term, since: r.cfg.Now()})
 	}
 }
 
-// Leading returns the term that this replica leads and when that began by its own
-// clock; ok is false without a valid lease. An isolated leader loses the lease before
-// another can be elected.
+// Leading returns the term in which this replica leads and when that began by its own
+// clock. ok is false without a valid lease. An isolated leader loses its lease before
+// another replica can be elected.
 func (r *Replica) Leading() (term uint64, since time.Time, ok bool) {
-	l, v := r.leads.Load(), r.view.Load()
-	if l == nil || l.term != v.term || !r.leased(v) {
+	l, v := r.leadership.Load(), r.view.Load()
+	if l == nil || l.term != v.term || !r.hasLease(v) {
 		return 0, time.Time{}, false
 	}
 	return l.term, l.since, true
--- a/internal/control/linear_test.go
+++ b/internal/control/linear_test.go
@@ -23,7 +23,7 @@
 	value string
 }
 
-// registerModel is one register for each key.
+// registerModel models one register per key.
 var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -47,7 +47,7 @@
 	},
 }
 
-// history records operations with their times.
+// history records operations with their start and end times.
 type history struct {
 	mu    sync.Mutex
 	start time.Time
@@ -66,7 +66,7 @@
 	}
 }
 
-// client writes and reads at random replicas, so that stale leaders get asked too.
+// client writes and reads at random replicas, so that stale leaders are asked too.
 func (h *history) client(c *cluster, id int, rnd *rand.Rand, until time.Time) {
 	for n := 0; time.Now().Before(until); n++ {
 		in := registerInput{write: rnd.Intn(2) == 0, key: fmt.Sprint("/k", rnd.Intn(2)), value: fmt.Sprint(id, "-", n)}
@@ -92,14 +92,14 @@
 	switch {
 	case err == nil:
 		h.add(id, in, call, time.Now(), nil)
-	case errors.As(err, &nl): // surely not done
-	default: // may be done at any later time
+	case errors.As(err, &nl): // certainly not done
+	default: // may take effect at any later time
 		h.add(id, in, call, h.start.Add(24*time.Hour), nil)
 	}
 }
 
-// disturb brings about one fault after another.
-func disturb(c *cluster, rnd *rand.Rand, until time.Time) {
+// injectFaults causes one fault after another.
+func injectFaults(c *cluster, rnd *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		h := c.hosts[rnd.Intn(len(c.hosts))]
 		if rnd.Intn(2) == 0 {
@@ -111,8 +111,8 @@
 			c.isolate(h, true)
 			time.Sleep(length)
 			c.isolate(h, false)
-		case 1: // it hears nobody, but is heard
-			c.cutOff(h, false, true)
+		case 1: // it receives nothing, but its messages arrive
+			c.blockLinks(h, false, true)
 			time.Sleep(length)
 			c.isolate(h, false)
 		case 2: // its disk hangs, and with it the loop
@@ -136,18 +136,18 @@
 	}
 }
 
-// TestLinearizable checks histories of concurrent clients under cuts, hanging
-// disks, crashes and lost messages.
+// TestLinearizable checks histories of concurrent clients under partitions, hanging
+// disks, crashes and message loss.
 func TestLinearizable(t *testing.T) {
 	for seed := range int64(4) {
-		inCluster(t, func(cfg *Config) { cfg.SnapshotEntries = 40 }, func(t *testing.T, c *cluster) {
+		withCluster(t, func(cfg *Config) { cfg.SnapshotEntries = 40 }, func(t *testing.T, c *cluster) {
 			h := &history{start: time.Now()}
 			until := h.start.Add(duration)
 			var wg sync.WaitGroup
 			for id := range clients {
 				wg.Go(func() { h.client(c, id, rand.New(rand.NewSource(seed*100+int64(id))), until) })
 			}
-			disturb(c, rand.New(rand.NewSource(seed)), until)
+			injectFaults(c, rand.New(rand.NewSource(seed)), until)
 			wg.Wait()
 			result := porcupine.CheckOperations(registerModel, h.ops)
 			t.Logf("seed %d: %d operations, %d of them reads", seed, len(h.ops), h.reads)
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -28,7 +28,7 @@
 			tick.Reset(r.untilTick())
 		case <-r.wake:
 		}
-		if err := r.turn(); err != nil {
+		if err := r.runIteration(); err != nil {
 			r.log.Error().Err(err).Str("event", "replica-stopped").Send()
 			r.shutDown(err)
 			return
@@ -36,26 +36,27 @@
 	}
 }
 
-// untilTick is the time until the consensus clock's next tick.
+// untilTick returns the time until the next tick of the consensus clock.
 //
-// What goes wrong with a ticker of its own phase: a round of heartbeats counts from the tick
-// that it is due at and leaves up to a tick later, which the lease has less for its answers,
-// 50 ms of 250 in routed fleets. A group whose answers take 130 ms kept no leader.
+// A ticker with a phase of its own would send a heartbeat round up to one tick after it
+// is due, and that delay is lost to the answers within the lease: 50 ms of 250 ms in
+// fleets that serve by a routing table. A group whose answers take 130 ms kept no
+// leader.
 func (r *Replica) untilTick() time.Duration {
 	return r.cfg.TickInterval - r.cfg.Now().Sub(r.start)%r.cfg.TickInterval
 }
 
-// handOver has a leader that stops pass its leadership on, and goes on until it
-// hears the next leader or handOverTicks have passed.
+// handOver transfers the leadership of a stopping leader, and keeps the loop running
+// until the next leader is known or handOverTicks have passed.
 func (r *Replica) handOver() {
-	if r.abrupt.Load() || r.formation != nil || !r.core.Transfer() {
+	if r.skipHandOver.Load() || r.formation != nil || !r.core.Transfer() {
 		return
 	}
 	ticker := time.NewTicker(r.cfg.TickInterval)
 	defer ticker.Stop()
 	until := r.core.Now() + handOverTicks
 	for r.core.Now() < until && r.core.Status().Leader == 0 {
-		if err := r.turn(); err != nil {
+		if err := r.runIteration(); err != nil {
 			return
 		}
 		select {
@@ -65,7 +66,7 @@
 	}
 }
 
-// shutDown ends what waits on the loop.
+// shutDown ends everything that waits for the loop.
 func (r *Replica) shutDown(err error) {
 	r.err = err
 	r.view.Store(&view{id: r.id.ID})
@@ -84,41 +85,41 @@
 	_ = r.wal.Close()
 }
 
-// turn does everything that is due.
-func (r *Replica) turn() error {
-	r.taken = 0
+// runIteration does everything that is due.
+func (r *Replica) runIteration() error {
+	r.reservedLogBytes = 0
 	if r.formation == nil {
-		// Time comes first. A process that was frozen must know how long, before
-		// it takes a message that waited as fresh or acts as a leader.
-		r.catchUp()
+		// Advance the clock first. A process that was suspended must know for how long
+		// before it treats a queued message as fresh or acts as a leader.
+		r.advanceClock()
 	}
-	messages, proposals := r.takeInput()
+	messages, proposals := r.drainInput()
 	for _, m := range messages {
 		if err := r.step(m); err != nil {
 			return err
 		}
 	}
 	if r.formation != nil {
-		return r.formationTurn()
+		return r.runFormation()
 	}
 	r.propose(proposals)
 	r.core.Flush()
 	if err := r.process(); err != nil {
 		return err
 	}
-	r.resetSilent()
+	r.resetUnresponsive()
 	return r.maybeSnapshot()
 }
 
-// catchUp feeds the ticks that have passed.
-func (r *Replica) catchUp() {
+// advanceClock passes the elapsed ticks to the consensus.
+func (r *Replica) advanceClock() {
 	now := r.ticksNow()
 	for r.core.Now() < now {
 		r.core.Tick()
 	}
 }
 
-func (r *Replica) takeInput() ([]*pb.RaftMessage, []*proposal) {
+func (r *Replica) drainInput() ([]*pb.RaftMessage, []*proposal) {
 	r.inMu.Lock()
 	defer r.inMu.Unlock()
 	messages, proposals := r.inbox, r.proposals
@@ -126,25 +127,25 @@
 	return messages, proposals
 }
 
-// step hands a message to where it belongs.
+// step passes a message to the formation or to the consensus.
 func (r *Replica) step(m *pb.RaftMessage) error {
 	if m.To != r.id.ID {
 		return nil // for a former replica at this address
 	}
 	switch m.Type {
 	case pb.RaftType_RAFT_TYPE_FORMATION_ASK:
-		r.send(answerFormation(r.id, m))
+		r.send(formationReply(r.id, m))
 		return nil
 	case pb.RaftType_RAFT_TYPE_FORMATION_ANSWER:
 		if r.formation != nil {
-			r.formation.answer(m)
+			r.formation.handleReply(m)
 		}
 		return nil
 	}
 	if r.formation != nil {
-		return nil // takes no part yet
+		return nil // does not participate yet
 	}
-	if m.Type == pb.RaftType_RAFT_TYPE_APPEND && !r.roomFor(int64(proto.Size(m))+entryOverhead) {
+	if m.Type == pb.RaftType_RAFT_TYPE_APPEND && !r.reserveLogSpace(int64(proto.Size(m))+entryOverhead) {
 		r.log.Warn().Int64("log_bytes", r.wal.Bytes()).Str("event", "append-dropped-log-full").Send()
 		return nil // not acknowledged; the leader sends it again
 	}
@@ -152,12 +153,13 @@
 	return nil
 }
 
-// process carries out what the consensus asks for until nothing is left.
+// process carries out what the consensus returns until nothing is left.
 func (r *Replica) process() error {
 	for {
 		rd := r.core.Ready()
-		// The lease is withdrawn from readers before any message goes out: a vote
-		// or answer of this replica may let another lead at once.
+		// The new state is published to readers before any message is sent, so that
+		// they no longer see an ended lease: a vote or answer of this replica may let
+		// another replica lead at once.
 		r.publish()
 		if rd.Empty() {
 			return nil
@@ -174,7 +176,7 @@
 		cut := n < len(rd.Committed)
 		rd.Committed = rd.Committed[:n]
 		r.core.Advance(rd)
-		r.noteApplied(cut)
+		r.updateReplay(cut)
 		if cut {
 			r.wakeLoop()
 			return nil
@@ -197,33 +199,34 @@
 	r.metrics.Syncs.Add(1)
 	began := time.Now()
 	err := r.wal.Append(rd.HardState, rd.Entries)
-	if took := time.Since(began); took >= slowSync {
+	if took := time.Since(began); took >= slowSyncThreshold {
 		r.log.Warn().Str("event", "disk-slow").Dur("took", took).Int("entries", len(rd.Entries)).Send()
 	}
 	return err
 }
 
-// slowSync is from when on a write to the log is told, a fifth of an election timeout of 500 ms.
-// A leader sends nothing while it writes; one that writes for longer than its lease loses it.
-//
-// What goes wrong without the line: leaders change again and again in a group without a fault,
-// hosts are refused tokens meanwhile, and nothing tells that the disk is the cause.
-const slowSync = 100 * time.Millisecond
+// slowSyncThreshold is the duration from which a write to the log is logged as slow, a
+// fifth of an election timeout of 500 ms. A leader sends nothing while it writes, and
+// loses its lease when a write takes longer than the lease. Without the log line,
+// leaders change again and again in a group without a fault and hosts are denied tokens
+// meanwhile, and nothing shows that the disk is the cause.
+const slowSyncThreshold = 100 * time.Millisecond
 
-// applySlice bounds how long one turn applies entries: two fifths of the default tick, so that
-// ticks are counted and messages answered while much is applied.
+// maxApplyTime bounds how long one iteration applies entries: two fifths of the default
+// tick, so that ticks are counted and messages answered while many entries are applied.
 //
-// What goes wrong without it: a replica that starts applies all that its log holds as
-// committed. On a host with a tenth of a processor that was 5 s for 270 routing tables, in
-// which it counted no tick, voted for nobody and answered nobody. As all replicas of a group
-// that lost power did so, the group had no leader until the last table was applied.
-const applySlice = 20 * time.Millisecond
+// Without the bound, a starting replica applies all committed entries of its log at
+// once. On a host with a tenth of a processor that took 5 s for 270 routing tables, in
+// which it counted no tick, granted no vote and sent no answer. As all replicas of a
+// group that lost power did the same, the group had no leader until the last table was
+// applied.
+const maxApplyTime = 20 * time.Millisecond
 
-// apply applies entries until applySlice has passed, and returns how many.
+// apply applies entries until maxApplyTime has passed, and returns the number applied.
 func (r *Replica) apply(entries []*pb.LogEntry) (n int, err error) {
 	began := r.cfg.Now()
 	for i, e := range entries {
-		if i > 0 && r.cfg.Now().Sub(began) >= applySlice {
+		if i > 0 && r.cfg.Now().Sub(began) >= maxApplyTime {
 			return i, nil
 		}
 		res, err := r.applyOne(e)
@@ -236,7 +239,7 @@
 		}
 		delete(r.pending, e.Index)
 		if p.term != e.Term {
-			// Another leader's entry took this index: the proposal is lost for good.
+			// Another leader's entry has this index: the proposal can no longer be committed.
 			p.finish(nil, errOutcomeUnknown("leadership was lost"))
 			continue
 		}
@@ -249,7 +252,7 @@
 	r.stateMu.Lock()
 	defer r.stateMu.Unlock()
 	defer r.setApplied(e.Index)
-	r.unsaved += int64(len(e.Data)) + entryCost
+	r.bytesSinceSnapshot += int64(len(e.Data)) + entryApplyCost
 	if e.Type != pb.EntryType_ENTRY_TYPE_COMMAND {
 		return &pb.CommandResult{Index: e.Index}, nil
 	}
@@ -259,11 +262,11 @@
 	}
 	r.lastTime = max(r.lastTime, cmd.TimeMs)
 	res := r.cfg.StateMachine.Apply(e.Index, &cmd)
-	r.hub.observe(&cmd, res)
+	r.changes.record(&cmd, res)
 	return res, nil
 }
 
-// setApplied needs stateMu.
+// setApplied requires that stateMu is held.
 func (r *Replica) setApplied(index uint64) {
 	r.applied = index
 	close(r.appliedCh)
@@ -285,7 +288,8 @@
 	}
 }
 
-// addressOf finds a replica's address: the membership's, or where it was last heard from.
+// addressOf returns a replica's address: that of the membership, or the last known
+// sender address.
 func (r *Replica) addressOf(id uint64) string {
 	for _, m := range r.core.Members().Members {
 		if m.Id == id {
@@ -302,19 +306,19 @@
 	return r.addresses[id]
 }
 
-// resetSilent has the leader give up connections to members that don't answer.
-// A connection that something in between has forgotten stays silent for good,
-// while a new one would work.
-func (r *Replica) resetSilent() {
+// resetUnresponsive resets the leader's connections to members that don't answer. A
+// connection whose state a middlebox has lost stays unresponsive for good, while a new
+// one would work.
+func (r *Replica) resetUnresponsive() {
 	if r.role != raft.Leader {
 		return
 	}
 	now := r.core.Now()
 	for _, m := range r.core.Status().Members {
-		if m.Active || now-r.resetTick[m.Member.Id] < int64(r.cfg.ElectionTicks) {
+		if m.Active || now-r.lastConnReset[m.Member.Id] < int64(r.cfg.ElectionTicks) {
 			continue
 		}
-		r.resetTick[m.Member.Id] = now
+		r.lastConnReset[m.Member.Id] = now
 		r.cfg.Transport.Reset(m.Member.Address)
 	}
 }
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -18,8 +18,8 @@
 	VerbRemove     = "remove"
 )
 
-// ChangeMembers changes the group's membership by one member and returns once
-// the change is committed. To repeat a change that is in force already is no error.
+// ChangeMembers changes the group's membership by one member and returns once the
+// change is committed. Repeating a change that is already in effect is not an error.
 func (r *Replica) ChangeMembers(ctx context.Context, req *pb.ChangeMembersRequest) (*pb.GroupStatus, error) {
 	edit, err := memberEdit(req)
 	if err != nil {
@@ -32,11 +32,12 @@
 	return r.Status(), nil
 }
 
-// memberEdit turns a request into a function from the old to the new membership.
+// memberEdit returns the function from the old to the new membership that a request
+// describes.
 func memberEdit(req *pb.ChangeMembersRequest) (func(*pb.Members) *pb.Members, error) {
 	m := req.GetMember()
 	if m.GetId() == 0 {
-		return nil, errkind.New(errkind.BadRequest, "a membership change needs the replica's id")
+		return nil, errkind.New(errkind.BadRequest, "a membership change needs the replica's ID")
 	}
 	switch req.Verb {
 	case VerbAddLearner:
@@ -49,7 +50,7 @@
 	case VerbRemove:
 		return func(old *pb.Members) *pb.Members { return remove(old, m.Id) }, nil
 	}
-	return nil, errkind.New(errkind.BadRequest, "%q isn't a membership change", req.Verb)
+	return nil, errkind.New(errkind.BadRequest, "%q is not a membership change verb", req.Verb)
 }
 
 func addLearner(old *pb.Members, m *pb.Member) *pb.Members {
@@ -89,7 +90,7 @@
 		p.finish(&pb.CommandResult{}, nil)
 		return nil
 	}
-	if !r.roomFor(int64(proto.Size(next)) + entryOverhead) {
+	if !r.reserveLogSpace(int64(proto.Size(next)) + entryOverhead) {
 		return errLogFull(r.wal.Bytes(), r.cfg.LogBytes)
 	}
 	index, term, err := r.core.ProposeMembers(next)
@@ -101,7 +102,7 @@
 	case err != nil:
 		return errkind.New(errkind.Overloaded, "%v", err).After(r.cfg.TickInterval * 10)
 	}
-	r.await(p, index, term)
+	r.addPending(p, index, term)
 	return nil
 }
 
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -2,19 +2,19 @@
 
 import "expvar"
 
-// metrics counts what a replica did since its start.
+// metrics counts events of a replica since its start.
 type metrics struct {
-	Elected          expvar.Int // terms that this replica led
+	Elected          expvar.Int // terms in which this replica led
 	Proposals        expvar.Int // commands appended as the leader
-	ProposalsUnknown expvar.Int // ended with an unknown outcome
-	ReadsRefused     expvar.Int // for want of leadership or lease
-	Syncs            expvar.Int // of the log
-	Snapshots        expvar.Int // taken of its own state
-	Installed        expvar.Int // snapshots taken over from a leader
-	MessagesDropped  expvar.Int // from other replicas, as too many waited
+	ProposalsUnknown expvar.Int // proposals that ended with an unknown outcome
+	ReadsRefused     expvar.Int // reads rejected without leadership or lease
+	Syncs            expvar.Int // syncs of the log
+	Snapshots        expvar.Int // snapshots taken of its own state
+	Installed        expvar.Int // snapshots installed from a leader
+	MessagesDropped  expvar.Int // messages from other replicas dropped because the inbox was full
 }
 
-// Vars gives the replica's counters and present state for publication.
+// Vars returns the replica's counters and current state for publication.
 func (r *Replica) Vars() expvar.Var {
 	m := new(expvar.Map).Init()
 	for name, v := range map[string]expvar.Var{
@@ -29,7 +29,7 @@
 	return m
 }
 
-// replicaState is the present state as it is published.
+// replicaState is the current state as it is published.
 type replicaState struct {
 	Replica  uint64 `json:"replica"`
 	Leader   uint64 `json:"leader"`
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -10,31 +10,31 @@
 	"github.com/bluebellsail/bluebellsail/internal/raft"
 )
 
-// maxProposals bounds the proposals that wait for the loop.
+// maxProposals bounds the proposals queued for the loop.
 const maxProposals = 8192
 
-// entryOverhead bounds what the log adds to a command's bytes, in bytes.
+// entryOverhead is an upper bound on the bytes that the log adds to a command.
 const entryOverhead = 64
 
-// proposal is a command, or a membership, on its way into the log.
+// proposal is a command or a membership change to be appended to the log.
 type proposal struct {
 	cmd     *pb.Command
-	members func(*pb.Members) *pb.Members // set: a membership change
+	members func(*pb.Members) *pb.Members // non-nil for a membership change
 	term    uint64
 	done    chan struct{}
 	res     *pb.CommandResult
 	err     error
 }
 
-// finish ends the wait of the proposer. Only the loop calls it, once.
+// finish delivers the outcome to the proposer. Only the loop calls it, once.
 func (p *proposal) finish(res *pb.CommandResult, err error) {
 	p.res, p.err = res, err
 	close(p.done)
 }
 
-// Propose commits a command and returns the state machine's result. A
-// *NotLeaderError says that nothing was done; an errkind.NoQuorum that the
-// command may still be committed.
+// Propose commits a command and returns the state machine's result. A *NotLeaderError
+// means that nothing was done; an error of kind errkind.NoQuorum means that the command
+// may still be committed.
 func (r *Replica) Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	return r.submit(ctx, &proposal{cmd: cmd, done: make(chan struct{})})
 }
@@ -51,7 +51,7 @@
 	case <-p.done:
 		return p.res, p.err
 	case <-ctx.Done():
-		return nil, errOutcomeUnknown("the control group didn't commit in time")
+		return nil, errOutcomeUnknown("the control group did not commit before the deadline")
 	}
 }
 
@@ -62,7 +62,7 @@
 		return &NotLeaderError{}
 	}
 	if len(r.proposals) >= maxProposals {
-		return errkind.New(errkind.Overloaded, "%d proposals wait for the control group's log", maxProposals)
+		return errkind.New(errkind.Overloaded, "%d proposals are already queued for the control group's log", maxProposals)
 	}
 	r.proposals = append(r.proposals, p)
 	return nil
@@ -89,9 +89,9 @@
 	}
 	data, err := proto.Marshal(stamped)
 	if err != nil {
-		return errkind.New(errkind.BadRequest, "the command can't be encoded: %v", err)
+		return errkind.New(errkind.BadRequest, "encode the command: %v", err)
 	}
-	if !r.roomFor(int64(len(data)) + entryOverhead) {
+	if !r.reserveLogSpace(int64(len(data)) + entryOverhead) {
 		return errLogFull(r.wal.Bytes(), r.cfg.LogBytes)
 	}
 	index, term, err := r.core.Propose(data)
@@ -99,12 +99,12 @@
 		return r.currentView().notLeader()
 	}
 	r.metrics.Proposals.Add(1)
-	r.await(p, index, term)
+	r.addPending(p, index, term)
 	return nil
 }
 
-// await notes that a proposal stands in the log.
-func (r *Replica) await(p *proposal, index, term uint64) {
+// addPending registers a proposal that was appended to the log.
+func (r *Replica) addPending(p *proposal, index, term uint64) {
 	if old := r.pending[index]; old != nil {
 		old.finish(nil, errOutcomeUnknown("leadership was lost"))
 	}
@@ -112,7 +112,8 @@
 	r.pending[index] = p
 }
 
-// failPending ends proposals whose outcome this replica can no longer learn.
+// failPending ends the pending proposals, whose outcome this replica can no longer
+// learn.
 func (r *Replica) failPending(why string) {
 	for index, p := range r.pending {
 		delete(r.pending, index)
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -8,11 +8,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/raft"
 )
 
-// Read answers a query from the leader's state, linearizably: the answer holds
-// every command whose proposer was answered before the call. Without a lease it
-// is refused.
+// Read answers a query from the leader's state, linearizably: the answer reflects every
+// command whose proposer was answered before the call. Without a lease the read is
+// rejected.
 func (r *Replica) Read(ctx context.Context, q *pb.Query) (*pb.QueryResult, error) {
-	if err := r.readPoint(ctx); err != nil {
+	if err := r.waitReadable(ctx); err != nil {
 		r.metrics.ReadsRefused.Add(1)
 		return nil, err
 	}
@@ -22,14 +22,14 @@
 	return r.query(q), nil
 }
 
-// readPoint returns once the state holds everything committed at some moment
-// during the call at which this replica surely led.
-func (r *Replica) readPoint(ctx context.Context) error {
+// waitReadable returns once the state contains everything committed at some moment
+// during the call at which this replica certainly led.
+func (r *Replica) waitReadable(ctx context.Context) error {
 	v := r.view.Load()
 	if v.role != raft.Leader {
 		return v.notLeader()
 	}
-	if !r.leased(v) {
+	if !r.hasLease(v) {
 		return errNoLease()
 	}
 	return r.waitApplied(ctx, v.commit)
@@ -46,29 +46,29 @@
 		select {
 		case <-ch:
 		case <-ctx.Done():
-			return errkind.New(errkind.NoQuorum, "the state wasn't up to date in time").WithRan(errkind.RanNo)
+			return errkind.New(errkind.NoQuorum, "the replica did not apply all committed entries before the deadline").WithRan(errkind.RanNo)
 		case <-r.stopped:
 			return &NotLeaderError{}
 		}
 	}
 }
 
-// query asks this replica's state, however old.
+// query answers from this replica's state, however old it is.
 func (r *Replica) query(q *pb.Query) *pb.QueryResult {
 	r.stateMu.RLock()
 	defer r.stateMu.RUnlock()
 	return r.cfg.StateMachine.Query(q)
 }
 
-// Routes is the routing table that this replica has applied, and whether a leader with a
-// lease said lately that nothing newer was committed. While the replica has much to apply, as
-// after a start, it is the empty one.
+// Routes returns the routing table that this replica has applied, and whether a leader
+// with a lease recently confirmed that nothing newer was committed. While the replica
+// has many entries to apply, as after a start, it returns an empty table.
 //
-// What goes wrong without the latter: hosts that started together with the replicas fetched
-// the tables that these were passing by, decoded hundreds of them, and served under ones that
-// had been replaced a minute before.
+// Otherwise hosts that started together with the replicas would fetch the intermediate
+// tables of the replay: they decoded hundreds of them and served under tables that had
+// been replaced a minute before.
 func (r *Replica) Routes() (table *pb.Routes, confirmed bool) {
-	if r.behind.Load() {
+	if r.lagging.Load() {
 		return &pb.Routes{}, false
 	}
 	confirmed = r.confirmed()
--- a/internal/control/replay_test.go
+++ b/internal/control/replay_test.go
@@ -9,7 +9,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// slowRegisters take a while for each command, as a small host takes for a large one.
+// slowRegisters takes a fixed time to apply each command, as a small host does for a
+// large one.
 type slowRegisters struct {
 	*registers
 	each time.Duration
@@ -22,7 +23,7 @@
 	return s.registers.Apply(index, cmd)
 }
 
-// Query answers for a routing table of the registers' revision, too.
+// Query also answers routing table queries, with a table of the registers' revision.
 func (s slowRegisters) Query(q *pb.Query) *pb.QueryResult {
 	res := s.registers.Query(q)
 	if q.GetRoutes() != nil {
@@ -31,7 +32,7 @@
 	return res
 }
 
-// slowApply has all replicas of a cluster take so long for each command.
+// slowApply makes all replicas of a cluster take the given time to apply each command.
 func slowApply(each time.Duration) func(*Config) {
 	return func(cfg *Config) {
 		cfg.StateMachine = slowRegisters{cfg.StateMachine.(*registers), each}
@@ -39,45 +40,42 @@
 }
 
 const (
-	replayed = 400
-	// applyTime makes a replay of replayed commands take 8 s.
+	replayedCommands = 400
+	// applyTime makes a replay of replayedCommands commands take 8 s.
 	applyTime = 20 * time.Millisecond
 )
 
-// Symptom: after the control hosts of a fleet had started again, all at once, hosts refused
-// routes that had been confirmed 4 s and more before, as unknown.
-// Sequence: the log has hundreds of routing tables; all replicas are killed and start again.
-// For 5 s each puts one old table in force after the other; the group has no leader, so that
-// no newer table reaches anybody. The first leader is elected when the last table is applied.
-// Cause: a replica applied all that its log holds in one go, on the goroutine that counts the
-// ticks and answers the votes. Logs of control hosts proved it: no line of an election between
-// the start and the end of the replay, loops that stood still, an election 0.2 s after.
-func TestReplayDoesNotHoldUpAnElection(t *testing.T) {
-	inCluster(t, slowApply(applyTime), func(t *testing.T, c *cluster) {
-		c.mustSet(replayed, 0)
+// A replica must not apply all committed entries of its log in one go on the goroutine
+// that counts ticks and answers vote requests. When all replicas of a fleet with
+// hundreds of routing tables were killed and restarted, each applied old tables for 5
+// s. The group had no leader until the last table was applied (an election 0.2 s
+// later), so no newer table reached any host, and hosts rejected as unknown routes that
+// had been confirmed 4 s or more before.
+func TestReplayDoesNotDelayElection(t *testing.T) {
+	withCluster(t, slowApply(applyTime), func(t *testing.T, c *cluster) {
+		c.mustSet(replayedCommands, 0)
 		c.crashAll()
 		for _, h := range c.hosts {
 			c.start(h)
 		}
 		time.Sleep(3 * time.Second) // an election takes 1 to 2 s, and another one if votes are split
 		for _, h := range c.hosts {
-			// The view alone: a reader of the state would wait for a command to be applied, and
-			// hold up the bubble's clock, by which that takes its time.
+			// Read only the view: a reader of the state would wait for a command to be
+			// applied and hold up the bubble's clock, on which applying takes its time.
 			if h.r.view.Load().leader == 0 {
-				t.Errorf("%s knows no leader, with %d commands applied", h.address, len(h.sm.order()))
+				t.Errorf("%s knows no leader after applying %d commands", h.address, len(h.sm.order()))
 			}
 		}
 	})
 }
 
-// Symptom: as above; in the record of a day, gateways that had started with the rest of the
-// fleet served under tables that were long out of date.
-// Sequence: a replica in the midst of its replay is asked for its routing table.
-// Cause: it hands out the table that it happens to have reached, though its own disk tells
-// that newer ones were committed.
-func TestReplayingReplicaOffersNoTable(t *testing.T) {
+// A replica that is still replaying its log must not return the table that it happens
+// to have reached, because its own disk records that newer ones were committed.
+// Gateways that started with the rest of the fleet served under tables that were long
+// out of date.
+func TestReplayingReplicaReturnsNoTable(t *testing.T) {
 	c := newCluster(t, 3, slowApply(time.Millisecond))
-	c.mustSet(replayed, 0)
+	c.mustSet(replayedCommands, 0)
 	c.crashAll()
 	for _, h := range c.hosts {
 		c.start(h)
@@ -87,29 +85,29 @@
 		for _, h := range c.hosts {
 			table, _ := h.r.Routes()
 			switch revision := table.GetRevision(); {
-			case revision == replayed:
+			case revision == replayedCommands:
 				newest++
-			case revision != 0 && revision < replayed-1: // the last change may not be known as committed yet
-				t.Fatalf("%s offers revision %d of %d", h.address, revision, replayed)
+			case revision != 0 && revision < replayedCommands-1: // the last change may not be known as committed yet
+				t.Fatalf("%s returned revision %d of %d", h.address, revision, replayedCommands)
 			}
 		}
 	}
 }
 
-// Symptom: a control host takes the longer to start the longer the fleet has run.
-// Sequence: an operator sends a table of some kilobytes every 100 ms; a replica starts again.
-// Cause: snapshots came by the number of entries alone, every 10,000, which is a day's worth;
-// what an entry costs to apply goes by its size.
+// Snapshots by number of entries alone, one per 10,000, are a day's worth of routing
+// tables: with a table of some kilobytes every 100 ms, a control host took the longer
+// to start the longer the fleet had run. The cost of applying an entry depends on its
+// size, so the size must bound the replay.
 func TestReplayIsBoundedBySize(t *testing.T) {
 	const changes, size = 1500, 8 << 10
-	inCluster(t, nil, func(t *testing.T, c *cluster) {
+	withCluster(t, nil, func(t *testing.T, c *cluster) {
 		for i := range changes {
 			value := bytes.Repeat([]byte{'x'}, size)
 			if err := c.set(fmt.Sprint("op", i), fmt.Sprint("/", i%10), string(value), 10*time.Second); err != nil {
 				t.Fatal(err)
 			}
 		}
-		time.Sleep(time.Second) // the last snapshot ends
+		time.Sleep(time.Second) // until the last snapshot is finished
 		c.crashAll()
 		for _, h := range c.hosts {
 			c.start(h)
@@ -118,23 +116,23 @@
 		time.Sleep(time.Second)
 		for _, h := range c.hosts {
 			if bytes := len(h.sm.times()) * size; bytes > 2<<20 {
-				t.Errorf("%s applied %d KiB anew", h.address, bytes>>10)
+				t.Errorf("%s replayed %d KiB", h.address, bytes>>10)
 			}
 		}
 	})
 }
 
-// A replica says that it hears a quorum until it has heard too few others for a while: at the
-// start, and in one of two parts of its group. With it hosts tell a group that has no leader
-// yet from one that can't have any.
-func TestReplicaTellsWhetherItHearsAQuorum(t *testing.T) {
-	inCluster(t, nil, func(t *testing.T, c *cluster) {
+// A replica reports contact with a quorum until it has received messages from too few
+// others for a while: at the start, and in the majority part of a partitioned group.
+// Hosts use it to tell a group that has no leader yet from one that cannot elect any.
+func TestReplicaReportsContactWithQuorum(t *testing.T) {
+	withCluster(t, nil, func(t *testing.T, c *cluster) {
 		c.mustSet(1, 0)
 		c.crashAll()
 		for _, h := range c.hosts {
 			c.start(h)
 			if !h.r.HearsQuorum() {
-				t.Errorf("%s denies it at the start", h.address)
+				t.Errorf("%s reports no quorum at the start", h.address)
 			}
 		}
 		c.leader()
@@ -143,31 +141,28 @@
 		time.Sleep(10 * time.Second)
 		for _, h := range c.hosts {
 			if h.r.HearsQuorum() == (h == alone) {
-				t.Errorf("%s, one of two parts: hears a quorum: %v", h.address, h.r.HearsQuorum())
+				t.Errorf("%s in a partitioned group: contact with a quorum: %v", h.address, h.r.HearsQuorum())
 			}
 		}
 		c.isolate(alone, false)
 		time.Sleep(5 * time.Second)
 		if !alone.r.HearsQuorum() {
-			t.Errorf("%s denies it after the partition", alone.address)
+			t.Errorf("%s reports no quorum after the partition ended", alone.address)
 		}
 	})
 }
 
-// Symptom: the control group of a fleet without a fault changes its leader every second or two
-// while tables change often. Each time it commits and confirms nothing for 0.3 s.
-// Sequence: hosts with a share of a processor stand still for 50 to 100 ms at a time; a round of
-// heartbeats takes longer than what the lease leaves beside the pause between two rounds.
-// Cause: routed fleets were set to an election timeout of 6 ticks of 50 ms. The lease, after
-// which a leader must give up lest two lead, lasts 4 of them then, and rounds begin every 2:
-// an answer after 100 ms came too late. Logs of hosts that stood still before each "leader-lost"
-// of a leader showed it.
+// With an election timeout of 6 ticks of 50 ms, as fleets that serve by a routing table
+// had, the lease lasts 4 ticks and heartbeat rounds begin every 2, so an answer after
+// 100 ms came too late. Hosts with a share of a processor stand still for 50 to 100 ms
+// at a time: the group changed its leader every second or two without any fault, and
+// each time committed and confirmed nothing for 0.3 s.
 func TestSlowAnswersCostNoLeadership(t *testing.T) {
 	routed := func(cfg *Config) { cfg.ElectionTicks = routedElectionTicks }
-	inCluster(t, routed, func(t *testing.T, c *cluster) {
+	withCluster(t, routed, func(t *testing.T, c *cluster) {
 		c.leader()
 		c.mu.Lock()
-		c.slow = 65 * time.Millisecond // 130 ms for both ways
+		c.minDelay = 65 * time.Millisecond // 130 ms for a round trip
 		c.mu.Unlock()
 		c.mustSet(1, 0)
 		term := c.hosts[0].r.Status().Term
@@ -179,5 +174,6 @@
 	})
 }
 
-// routedElectionTicks is what deploy/ sets for fleets that serve by a routing table.
+// routedElectionTicks is the election timeout that deploy/ sets for fleets that serve
+// by a routing table.
 const routedElectionTicks = 8
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -17,7 +17,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/wal"
 )
 
-// maxInbox bounds the messages that wait for the loop; more are dropped, which
+// maxInbox bounds the messages queued for the loop; further ones are dropped, which
 // consensus tolerates.
 const maxInbox = 4096
 
@@ -29,34 +29,34 @@
 	start time.Time
 
 	// Owned by the loop.
-	rnd       *rand.Rand
-	id        *identity
-	formation *formation
-	core      *raft.Raft
-	wal       *wal.Log
-	snapshots *snapshot.Store
-	snapIndex uint64
-	snapBytes int64                // size of the newest snapshot
-	unsaved   int64                // what was applied since the newest snapshot, in bytes; see entryCost
-	job       *snapshotJob         // under way; nil: none
-	taken     int64                // bytes of the log's room that this turn's entries take
-	pending   map[uint64]*proposal // by log index
-	lastTime  int64                // newest time stamped or applied, Unix milliseconds
-	askedTick int64                // when the formation last asked
-	resetTick map[uint64]int64     // when the connection to a member was last given up
-	role      raft.Role            // as last published
-	leader    uint64               // as last published; 0: none known
-	// leaderless is since when no leader is known, by cfg.Now.
-	leaderless time.Time
-	replay     *replay // of what the disk holds; nil once it is applied
-	// behind: the state is older than what this replica knows to be committed, by more than
-	// one turn applies.
-	behind atomic.Bool
+	rnd                  *rand.Rand
+	id                   *identity
+	formation            *formation
+	core                 *raft.Raft
+	wal                  *wal.Log
+	snapshots            *snapshot.Store
+	snapIndex            uint64
+	snapBytes            int64                // size of the newest snapshot
+	bytesSinceSnapshot   int64                // bytes applied since the newest snapshot, see entryApplyCost
+	job                  *snapshotJob         // the snapshot being written; nil: none
+	reservedLogBytes     int64                // bytes of the log reserved for this iteration's entries
+	pending              map[uint64]*proposal // by log index
+	lastTime             int64                // newest time stamped or applied, Unix milliseconds
+	lastFormationRequest int64                // when formation requests were last sent
+	lastConnReset        map[uint64]int64     // when the connection to each member was last reset
+	role                 raft.Role            // as last published
+	leader               uint64               // as last published; 0: none known
+	// leaderlessSince is the time, by cfg.Now, since which no leader is known.
+	leaderlessSince time.Time
+	replay          *replay // replay of the log on disk; nil once it is done
+	// lagging is set while the state is older than what this replica knows to be
+	// committed, by more than one iteration applies.
+	lagging atomic.Bool
 
 	metrics metrics
 
-	view  atomic.Pointer[view]
-	leads atomic.Pointer[leadership] // nil unless this replica leads
+	view       atomic.Pointer[view]
+	leadership atomic.Pointer[leadership] // nil unless this replica leads
 
 	inMu      sync.Mutex
 	inbox     []*pb.RaftMessage
@@ -66,18 +66,18 @@
 
 	stateMu   sync.RWMutex // guards cfg.StateMachine and applied
 	applied   uint64
-	appliedCh chan struct{} // closed at each advance of applied
-	hub       *hub
+	appliedCh chan struct{} // closed when applied advances
+	changes   *changeBuffer
 
-	wake    chan struct{}
-	stop    chan struct{}
-	stopped chan struct{}
-	once    sync.Once
-	abrupt  atomic.Bool // stop without handing over, as a crash would
-	err     error       // why the loop stopped; read after stopped is closed
+	wake         chan struct{}
+	stop         chan struct{}
+	stopped      chan struct{}
+	once         sync.Once
+	skipHandOver atomic.Bool // stop without leadership transfer, as a crash would
+	err          error       // why the loop stopped; read only after stopped is closed
 }
 
-// Open starts a replica on its data folder.
+// Open starts a replica on its data directory.
 func Open(cfg Config) (*Replica, error) {
 	cfg.setDefaults()
 	if err := cfg.check(); err != nil {
@@ -85,7 +85,7 @@
 	}
 	r := &Replica{
 		cfg: cfg, log: cfg.Logger, start: cfg.Now(), rnd: rand.New(rand.NewSource(cfg.Seed)),
-		addresses: map[uint64]string{}, appliedCh: make(chan struct{}), hub: newHub(),
+		addresses: map[uint64]string{}, appliedCh: make(chan struct{}), changes: newHub(),
 		wake: make(chan struct{}, 1), stop: make(chan struct{}), stopped: make(chan struct{}),
 	}
 	if err := r.openDisk(); err != nil {
@@ -99,7 +99,7 @@
 func (r *Replica) openDisk() error {
 	fs := r.cfg.FS
 	if err := fs.MkdirAll(r.cfg.DataDir); err != nil {
-		return errors.Wrap(err, "control: make data folder")
+		return errors.Wrap(err, "control: create data directory")
 	}
 	id, err := loadIdentity(fs, r.cfg.DataDir)
 	if err != nil {
@@ -117,7 +117,7 @@
 	}
 	r.id = id
 	if id.Joined && !id.Formed {
-		if contents.Hard, err = r.firstRecord(); err != nil {
+		if contents.Hard, err = r.writeFirstRecord(); err != nil {
 			return err
 		}
 	}
@@ -131,14 +131,14 @@
 	if err := r.startCore(contents); err != nil {
 		return err
 	}
-	r.beginReplay()
+	r.startReplay()
 	r.log.Info().Uint64("replica", id.ID).Str("standing", string(r.Membership())).Uint64("applied", r.applied).
 		Uint64("commit", r.core.Status().Commit).Int64("log_bytes", r.wal.Bytes()).Str("event", "replica-opened").Send()
 	return nil
 }
 
-// openLog opens the log beside the identity id, nil for a new disk, and returns
-// what it holds.
+// openLog opens the log and returns its contents. id is the identity on the same disk,
+// nil for a new disk.
 func (r *Replica) openLog(id *identity) (wal.Contents, error) {
 	log, contents, err := wal.Open(r.cfg.FS, filepath.Join(r.cfg.DataDir, "log"), wal.Options{
 		SegmentBytes: r.cfg.SegmentBytes, MaxBytes: r.cfg.LogBytes,
@@ -156,19 +156,19 @@
 	return contents, nil
 }
 
-// checkDisk refuses a disk of which a part is missing: it would have forgotten
-// promises while it keeps its id.
+// checkDisk rejects a disk of which a part is missing: the replica would keep its ID
+// but no longer know its promises.
 func checkDisk(id *identity, c wal.Contents) error {
 	if id == nil && (c.Hard != nil || len(c.Entries) > 0) {
 		return errors.New("control: the log has records but the identity file is missing; this replica's disk must be replaced")
 	}
 	if id != nil && id.Formed && c.Hard == nil {
-		return errors.New("control: the identity says that this replica took part, but the log is empty; this replica's disk must be replaced")
+		return errors.New("control: by its identity file this replica participated in consensus, but the log is empty; this replica's disk must be replaced")
 	}
 	return nil
 }
 
-// startCore makes the consensus state from what the disk holds.
+// startCore creates the consensus state from the contents of the disk.
 func (r *Replica) startCore(c wal.Contents) error {
 	first := uint64(0)
 	if len(c.Entries) > 0 {
@@ -185,34 +185,34 @@
 	}
 	r.core, err = raft.New(raft.Config{
 		ID: r.id.ID, ElectionTicks: r.cfg.ElectionTicks, HeartbeatTicks: r.cfg.HeartbeatTicks,
-		DriftPercent: r.cfg.DriftPercent, Rand: r.rnd, FirstEntry: r.newTerm,
+		DriftPercent: r.cfg.DriftPercent, Rand: r.rnd, FirstEntry: r.newTermEntry,
 	}, raft.State{Hard: c.Hard, Snapshot: snap, Entries: c.Entries, Members: r.id.baseMembers()})
 	if err != nil {
 		return err
 	}
 	r.pending = map[uint64]*proposal{}
-	r.resetTick = map[uint64]int64{}
+	r.lastConnReset = map[uint64]int64{}
 	r.start = r.cfg.Now()
-	r.leaderless = r.start
+	r.leaderlessSince = r.start
 	r.publish()
 	return nil
 }
 
-// restore replaces the state machine's state by a snapshot.
+// restore replaces the state machine's state with that of a snapshot.
 func (r *Replica) restore(s *pb.Snapshot) error {
 	r.stateMu.Lock()
 	defer r.stateMu.Unlock()
 	if err := r.cfg.StateMachine.Restore(s.Data); err != nil {
 		return errors.Wrap(err, "control: restore snapshot")
 	}
-	r.snapIndex, r.snapBytes, r.unsaved = s.Index, int64(len(s.Data)), 0
+	r.snapIndex, r.snapBytes, r.bytesSinceSnapshot = s.Index, int64(len(s.Data)), 0
 	r.setApplied(s.Index)
-	r.hub.reset()
+	r.changes.reset()
 	return nil
 }
 
-// newTerm is the first command of a leader's term.
-func (r *Replica) newTerm(term uint64) []byte {
+// newTermEntry returns the first command of a leader's term.
+func (r *Replica) newTermEntry(term uint64) []byte {
 	cmd := &pb.Command{
 		Actor: r.cfg.Host, TimeMs: r.stampTime(),
 		Body: &pb.Command_NewTerm{NewTerm: &pb.NewTerm{Term: term, Leader: r.id.ID}},
@@ -224,35 +224,37 @@
 	return data
 }
 
-// stampTime returns the wall time in Unix milliseconds, never less than what was
+// stampTime returns the wall clock in Unix milliseconds, but never less than a time
 // stamped or applied before.
 func (r *Replica) stampTime() int64 {
 	r.lastTime = max(r.lastTime, r.cfg.Wall().UnixMilli())
 	return r.lastTime
 }
 
-// ticksNow is the time since the start, in ticks.
+// ticksNow returns the time since the start, in ticks.
 func (r *Replica) ticksNow() int64 {
 	return int64(r.cfg.Now().Sub(r.start) / r.cfg.TickInterval)
 }
 
-// ID is the replica's id. It changes only when a lost disk is found out, and
-// then before the replica has taken part.
+// ID returns the replica's ID. It changes only when a lost disk is detected, and then
+// before the replica has participated.
 func (r *Replica) ID() uint64 { return r.view.Load().id }
 
-// Membership is the replica's part in the group as it knows it itself.
-func (r *Replica) Membership() MembershipState { return r.view.Load().standing }
+// Membership returns the replica's membership in the group as far as the replica itself
+// knows.
+func (r *Replica) Membership() MembershipState { return r.view.Load().membership }
 
-// Joining tells whether the replica isn't a voter of a group: it waits to be added, or is a learner.
+// Joining reports whether the replica waits to be added to a group, or is a learner.
 func (r *Replica) Joining() bool {
 	s := r.Membership()
 	return s == MembershipNone || s == MembershipLearner
 }
 
-// Done is closed when the replica has stopped, by Close or by a fault of its disk.
+// Done returns a channel that is closed when the replica has stopped, by Close or by a
+// disk fault.
 func (r *Replica) Done() <-chan struct{} { return r.stopped }
 
-// Err says why the replica stopped; nil after Close or while it runs.
+// Err returns why the replica stopped; nil after Close or while it runs.
 func (r *Replica) Err() error {
 	select {
 	case <-r.stopped:
@@ -262,14 +264,15 @@
 	}
 }
 
-// Close stops the replica; a leader hands over first. Proposals under way end with an unknown outcome.
+// Close stops the replica; a leader first transfers its leadership. Pending proposals
+// end with an unknown outcome.
 func (r *Replica) Close() error {
 	r.once.Do(func() { close(r.stop) })
 	<-r.stopped
 	return r.err
 }
 
-// wakeLoop lets the loop take its next turn now.
+// wakeLoop makes the loop start its next iteration now.
 func (r *Replica) wakeLoop() {
 	select {
 	case r.wake <- struct{}{}:
--- a/internal/control/replica_test.go
+++ b/internal/control/replica_test.go
@@ -17,11 +17,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/wal/memfs"
 )
 
-// Symptom: a read gives a value that was overwritten minutes ago.
-// Sequence: the leader hangs on its disk; another is elected and commits; the old one is asked.
-// Cause: its lease is counted in ticks of a loop that stands still.
-func TestHangingLeaderAnswersNoStaleRead(t *testing.T) {
-	inCluster(t, nil, func(t *testing.T, c *cluster) {
+// A leader whose loop hangs on its disk must not answer reads after another leader was
+// elected and committed: a lease measured in ticks of the hanging loop would look
+// valid, and a read would return a value that was overwritten minutes ago.
+func TestHangingLeaderRejectsReads(t *testing.T) {
+	withCluster(t, nil, func(t *testing.T, c *cluster) {
 		old := c.leader()
 		c.mustSet(1, 0)
 		release := make(chan struct{})
@@ -47,11 +47,12 @@
 	})
 }
 
-// Symptom: two leaders with different entries at one index; committed changes are gone.
-// Sequence: a host loses its disk and starts again with its settings unchanged; of the two others, one is down.
-// Cause: it votes under its old id, although it forgot what it had acknowledged.
+// A host that lost its disk starts again with unchanged settings while one of the two
+// others is down. If it voted under its old ID, although it no longer knows what it
+// acknowledged, two leaders could hold different entries at one index and committed
+// changes would be lost.
 func TestLostDiskDoesNotVote(t *testing.T) {
-	inCluster(t, nil, func(t *testing.T, c *cluster) {
+	withCluster(t, nil, func(t *testing.T, c *cluster) {
 		c.leader()
 		c.mustSet(5, 0)
 		lost, down, up := c.hosts[0], c.hosts[1], c.hosts[2]
@@ -62,21 +63,21 @@
 		c.start(lost)
 		time.Sleep(20 * time.Second)
 		if st := up.r.Status(); st.Leader != 0 {
-			t.Fatalf("%d leads with the vote of a lost disk", st.Leader)
+			t.Fatalf("replica %d leads with the vote of a lost disk", st.Leader)
 		}
 		if lost.r.ID() == oldID || !lost.r.Joining() {
-			t.Fatal("the lost disk still has its old id")
+			t.Fatal("the replica with the lost disk still has its old ID")
 		}
 		id := lost.r.ID()
 		c.crash(lost)
 		c.start(lost)
 		if lost.r.ID() != id {
-			t.Fatal("the new id isn't kept")
+			t.Fatal("the new ID was not kept over a restart")
 		}
 		c.start(down)
 		c.mustSet(5, 5)
 		repairMember(t, c, oldID, &pb.Member{Id: id, Address: lost.address, Host: lost.address})
-		c.crash(c.hosts[1]) // a second host, right after the repair
+		c.crash(c.hosts[1]) // a second host crashes right after the repair
 		c.mustSet(5, 10)
 		time.Sleep(time.Second)
 		if got := len(lost.sm.order()); got != 15 {
@@ -85,7 +86,8 @@
 	})
 }
 
-// repairMember replaces the member old and returns once the leader reports the group as repaired.
+// repairMember replaces the member old and returns once the leader reports the group as
+// repaired.
 func repairMember(t *testing.T, c *cluster, old uint64, fresh *pb.Member) {
 	t.Helper()
 	steps := []*pb.ChangeMembersRequest{
@@ -120,11 +122,10 @@
 	t.Fatal("never repaired")
 }
 
-// Symptom: the same loss, noticed when only an empty host is there to ask.
-// Sequence: two of three hosts lose their disks while the third is down.
-// Cause: the empty ones take each other's word and form a new group.
+// Two of three hosts lose their disks while the third is down. The two empty replicas
+// must not form a new group on each other's answers alone.
 func TestEmptyDisksWaitForAll(t *testing.T) {
-	inCluster(t, nil, func(t *testing.T, c *cluster) {
+	withCluster(t, nil, func(t *testing.T, c *cluster) {
 		c.leader()
 		c.mustSet(1, 0)
 		c.crashAll()
@@ -134,23 +135,22 @@
 		time.Sleep(30 * time.Second)
 		for _, h := range c.hosts[:2] {
 			if st := h.r.Status(); st.Leader != 0 || st.Term != 0 {
-				t.Fatalf("an empty disk took part: %v", st)
+				t.Fatalf("a replica with an empty disk participated: %v", st)
 			}
 		}
 	})
 }
 
-// Symptom: a replica votes although it forgot what it promised.
-// Sequence: a part of its data folder is damaged or gone; it restarts.
-// Cause: it starts with what is left.
-func TestDamagedDiskRefuses(t *testing.T) {
-	inCluster(t, nil, func(t *testing.T, c *cluster) {
+// A replica with a damaged or incomplete data directory must not start with what is
+// left: it would vote without knowing what it promised.
+func TestDamagedDiskIsRejected(t *testing.T) {
+	withCluster(t, nil, func(t *testing.T, c *cluster) {
 		c.leader()
 		c.mustSet(3, 0)
 		c.crashAll()
 		h := c.hosts[0]
-		// refuses tells whether the host doesn't start, for the reason given.
-		refuses := func(reason string) {
+		// rejects checks that the host fails to start for the given reason.
+		rejects := func(reason string) {
 			t.Helper()
 			r, err := Open(c.config(h, newRegisters()))
 			if err == nil {
@@ -164,28 +164,28 @@
 		whole, _ := h.fs.ReadFile(file)
 		for i := range whole {
 			h.fs.Overwrite(file, i, whole[i]^1)
-			refuses("damaged")
+			rejects("damaged")
 			h.fs.Overwrite(file, i, whole[i])
 		}
 		names, _ := h.fs.List("/data/log")
 		for _, name := range names {
 			_ = h.fs.Rename("/data/log/"+name, "/kept/"+name)
 		}
-		refuses("the log is empty")
+		rejects("the log is empty")
 		for _, name := range names {
 			_ = h.fs.Remove("/data/log/" + name)
 			_ = h.fs.Rename("/kept/"+name, "/data/log/"+name)
 		}
 		_ = h.fs.Remove(file)
-		refuses("the identity file is missing")
+		rejects("the identity file is missing")
 	})
 }
 
-// Symptom: settings are back to an older state after the processes restarted.
-// Sequence: hundreds of changes, snapshots and log removals in between, all hosts crash and restart.
-// Cause: the snapshot and the log don't meet, or a change counted before it was synced.
+// After hundreds of changes with snapshots and log truncations in between, all hosts
+// crash and restart. If the snapshot and the log did not meet, or a change counted
+// before it was synced, the settings would revert to an older state.
 func TestRestartAfterHundredsOfChanges(t *testing.T) {
-	inCluster(t, func(cfg *Config) { cfg.SnapshotEntries, cfg.SegmentBytes = 50, 2000 }, func(t *testing.T, c *cluster) {
+	withCluster(t, func(cfg *Config) { cfg.SnapshotEntries, cfg.SegmentBytes = 50, 2000 }, func(t *testing.T, c *cluster) {
 		for round := range 3 {
 			c.leader()
 			c.mustSet(120, round*120)
@@ -206,17 +206,16 @@
 				t.Fatalf("%s has %d changes", h.address, len(order))
 			}
 			if st := h.r.Status(); st.SnapshotIndex < 250 {
-				t.Fatalf("no late snapshot: %v", st)
+				t.Fatalf("no recent snapshot: %v", st)
 			}
 		}
 	})
 }
 
-// Symptom: an acknowledged change is gone after a power cut.
-// Sequence: the leader's change reaches two followers whose disks hang; then the power fails.
-// Cause: a follower acknowledged before its sync.
-func TestNothingIsAcknowledgedBeforeTheSync(t *testing.T) {
-	inCluster(t, nil, func(t *testing.T, c *cluster) {
+// A follower must not acknowledge an entry before it is synced: if the power fails
+// while the disks of both followers hang, an acknowledged change would be lost.
+func TestNothingIsAcknowledgedBeforeSync(t *testing.T) {
+	withCluster(t, nil, func(t *testing.T, c *cluster) {
 		l := c.leader()
 		release := make(chan struct{})
 		for _, h := range c.hosts {
@@ -232,10 +231,9 @@
 	})
 }
 
-// Symptom: a statement lists a bill before the top-up that paid for it.
-// Sequence: the leader's wall clock is set back.
-// Cause: commands carry the clock as it is.
-func TestStampedTimeNeverGoesBack(t *testing.T) {
+// The leader's wall clock may be set back, but the timestamps of commands must not go
+// back, or a statement lists a bill before the top-up that paid for it.
+func TestTimestampsNeverDecrease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		base := time.Now()
 		var back time.Duration
@@ -248,13 +246,13 @@
 		back = time.Hour
 		c.mustSet(1, 1)
 		if got := l.sm.times(); len(got) < 2 || got[len(got)-1] < got[len(got)-2] {
-			t.Fatalf("stamps %v", got)
+			t.Fatalf("timestamps %v", got)
 		}
 	})
 }
 
 func TestGroupCommit(t *testing.T) {
-	inCluster(t, nil, func(t *testing.T, c *cluster) {
+	withCluster(t, nil, func(t *testing.T, c *cluster) {
 		l := c.leader()
 		l.fs.SetOnSync(func(string) error { time.Sleep(5 * time.Millisecond); return nil })
 		before := l.fs.Syncs()
@@ -268,19 +266,19 @@
 		}
 		wg.Wait()
 		if n := l.fs.Syncs() - before; n > 10 {
-			t.Fatalf("%d syncs for 200 proposals made at once", n)
+			t.Fatalf("%d syncs for 200 concurrent proposals", n)
 		}
 	})
 }
 
-// Symptom: the disk fills up, or the replica stops and can't start again.
-// Sequence: nothing can be committed for a while, and proposals keep coming.
-// Cause: the log grows without bound, for a snapshot can't replace what isn't committed.
+// While nothing can be committed, no snapshot can replace the log, and proposals keep
+// arriving. Without a cap the log would fill the disk, or the replica would stop and
+// fail to start again.
 func TestLogCap(t *testing.T) {
-	inCluster(t, func(cfg *Config) { cfg.LogBytes, cfg.SegmentBytes = 64<<10, 8<<10 }, func(t *testing.T, c *cluster) {
+	withCluster(t, func(cfg *Config) { cfg.LogBytes, cfg.SegmentBytes = 64<<10, 8<<10 }, func(t *testing.T, c *cluster) {
 		l := c.leader()
 		c.isolate(l, true)
-		l.fs.SetOnSync(func(string) error { time.Sleep(time.Millisecond); return nil }) // proposals gather
+		l.fs.SetOnSync(func(string) error { time.Sleep(time.Millisecond); return nil }) // so that proposals accumulate
 		big := strings.Repeat("x", 10<<10)
 		results := make(chan error, 20)
 		for i := range 20 {
@@ -296,10 +294,10 @@
 			}
 		}
 		if full < 10 || l.r.Status().LogBytes > 64<<10 {
-			t.Fatalf("%d of 20 refused, log has %d bytes", full, l.r.Status().LogBytes)
+			t.Fatalf("%d of 20 rejected, log has %d bytes", full, l.r.Status().LogBytes)
 		}
 		c.isolate(l, false)
-		for i := range 100 { // many times the cap: snapshots make room
+		for i := range 100 { // many times the cap: snapshots free space
 			testutil.NoError(t, c.set(fmt.Sprint("later", i), "/big", big, 10*time.Second))
 		}
 		for _, h := range c.hosts {
@@ -310,16 +308,16 @@
 	})
 }
 
-// Symptom: a host starts serving under settings from before a cut, or goes back to older ones.
-// Sequence: a watched replica is cut off while changes are made, and comes back.
-// Cause: it calls its old revision confirmed, or sends it again.
+// A watched replica is cut off while changes are made, and comes back. It must neither
+// confirm its old revision nor send it again, or a host starts serving under settings
+// from before the partition or returns to older ones.
 func TestWatchOrderAndConfirmation(t *testing.T) {
-	inCluster(t, nil, func(t *testing.T, c *cluster) {
+	withCluster(t, nil, func(t *testing.T, c *cluster) {
 		c.leader()
 		c.mustSet(3, 0)
 		f := c.follower()
 		sub := f.r.Subscribe(0)
-		// await reads events until one of the revision is or isn't confirmed.
+		// await reads events until one has the revision and the confirmed value.
 		await := func(revision uint64, confirmed bool) {
 			t.Helper()
 			last := uint64(0)
@@ -339,20 +337,20 @@
 					t.Fatalf("revision %d", e.Revision)
 				}
 			}
-			t.Fatalf("revision %d never came with confirmed=%v", revision, confirmed)
+			t.Fatalf("no event with revision %d and confirmed=%v", revision, confirmed)
 		}
 		await(3, true)
 		behind := *f.r.view.Load()
-		behind.confirm.Index = 1000
+		behind.confirmation.Index = 1000
 		f.r.view.Store(&behind)
 		if f.r.confirmed() {
-			t.Fatal("confirms what it hasn't applied")
+			t.Fatal("the replica confirms changes that it has not applied")
 		}
 		c.isolate(f, true)
 		c.mustSet(5, 3)
 		await(3, false)
 		if sub.r.confirmed() {
-			t.Fatal("a replica that is cut off confirms its revision")
+			t.Fatal("an isolated replica confirms its revision")
 		}
 		c.isolate(f, false)
 		await(8, true)
@@ -363,7 +361,7 @@
 	})
 }
 
-// slowSnapshots takes its time to encode a snapshot.
+// slowSnapshots takes 5 s to encode a snapshot.
 type slowSnapshots struct{ *registers }
 
 func (s slowSnapshots) Capture() (func() ([]byte, error), error) {
@@ -374,9 +372,9 @@
 	}, nil
 }
 
-// Symptom: every ten thousand changes the group is without a leader for seconds.
-// Sequence: the leader takes a snapshot of a large state, which takes longer than its lease.
-// Cause: the loop waits for it.
+// A leader that takes a snapshot of a large state for longer than its lease must not
+// wait for it in the loop, or the group is without a leader for seconds every ten
+// thousand changes.
 func TestSlowSnapshotCostsNoLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, func(cfg *Config) {
@@ -396,8 +394,8 @@
 	})
 }
 
-func TestClosedLeaderHandsOver(t *testing.T) {
-	inCluster(t, nil, func(t *testing.T, c *cluster) {
+func TestClosedLeaderTransfersLeadership(t *testing.T) {
+	withCluster(t, nil, func(t *testing.T, c *cluster) {
 		old := c.leader()
 		c.mustSet(1, 0)
 		start := time.Now()
@@ -408,21 +406,21 @@
 	})
 }
 
-// Symptom: a group without a fault changes leaders again and again, and nothing says why.
-// Sequence: the leader's disk takes longer than its lease for a write.
-// Cause: a leader sends nothing while it writes; the log had no line for it.
-func TestSlowDiskIsTold(t *testing.T) {
+// A leader sends nothing while it writes, so a write that takes longer than the lease
+// costs its leadership. The log must report the slow disk, or nothing shows why the
+// leader changes.
+func TestSlowDiskIsLogged(t *testing.T) {
 	var lines testutil.Lines
-	inCluster(t, func(cfg *Config) { cfg.Logger = zerolog.New(&lines) }, func(t *testing.T, c *cluster) {
+	withCluster(t, func(cfg *Config) { cfg.Logger = zerolog.New(&lines) }, func(t *testing.T, c *cluster) {
 		l := c.leader()
 		c.mustSet(1, 0)
 		if strings.Contains(lines.String(), `"event":"disk-slow"`) {
-			t.Error("a disk that writes at once is called slow")
+			t.Error("a fast disk is reported as slow")
 		}
-		l.fs.SetOnSync(func(string) error { time.Sleep(2 * slowSync); return nil })
+		l.fs.SetOnSync(func(string) error { time.Sleep(2 * slowSyncThreshold); return nil })
 		c.mustSet(1, 1)
 		if !strings.Contains(lines.String(), `"event":"disk-slow"`) {
-			t.Error("nothing tells of the slow disk")
+			t.Error("the slow disk is not reported")
 		}
 	})
 }
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -12,8 +12,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// LeaderAddressKey is the trailer in which a replica that isn't the leader names
-// the leader's address.
+// LeaderAddressKey is the trailer in which a replica that is not the leader sends the
+// leader's address.
 const LeaderAddressKey = "bluebellsail-leader-address"
 
 // service implements pb.ControlServer for one replica.
@@ -22,14 +22,14 @@
 	r *Replica
 }
 
-// NewService makes the gRPC service of a replica.
+// NewService returns the gRPC service of a replica.
 func NewService(r *Replica) pb.ControlServer { return &service{r: r} }
 
-// Propose commits a command. A reply with neither result nor error says that
-// this replica isn't the leader and did nothing.
+// Propose commits a command. A reply with neither result nor error means that this
+// replica is not the leader and did nothing.
 func (s *service) Propose(ctx context.Context, req *pb.ProposeRequest) (*pb.ProposeReply, error) {
 	if req.Command == nil {
-		return nil, errors.New("control: a proposal without a command")
+		return nil, errors.New("control: the proposal has no command")
 	}
 	res, err := s.r.Propose(ctx, req.Command)
 	if nl := asNotLeader(err); nl != nil {
@@ -38,7 +38,8 @@
 	return &pb.ProposeReply{Result: res, Error: wire.EncodeError(err)}, nil
 }
 
-// Read answers a query at the leader; elsewhere the trailer names the leader.
+// Read answers a query at the leader; on other replicas the trailer holds the leader's
+// address.
 func (s *service) Read(ctx context.Context, q *pb.Query) (*pb.QueryResult, error) {
 	res, err := s.r.Read(ctx, q)
 	if err != nil {
@@ -47,7 +48,8 @@
 	return res, nil
 }
 
-// ChangeMembers changes the membership at the leader; elsewhere the trailer names the leader.
+// ChangeMembers changes the membership at the leader; on other replicas the trailer
+// holds the leader's address.
 func (s *service) ChangeMembers(ctx context.Context, req *pb.ChangeMembersRequest) (*pb.ChangeMembersReply, error) {
 	st, err := s.r.ChangeMembers(ctx, req)
 	if err != nil {
@@ -56,7 +58,7 @@
 	return &pb.ChangeMembersReply{Group: st}, nil
 }
 
-// Watch streams the settings of this replica.
+// Watch streams this replica's settings.
 func (s *service) Watch(req *pb.WatchRequest, out grpc.ServerStreamingServer[pb.WatchEvent]) error {
 	sub := s.r.Subscribe(req.FromRevision)
 	for {
@@ -70,7 +72,7 @@
 	}
 }
 
-// Raft takes the messages of one peer.
+// Raft receives the messages of one peer.
 func (s *service) Raft(in grpc.ClientStreamingServer[pb.RaftMessage, pb.RaftAck]) error {
 	address := ""
 	if md, ok := metadata.FromIncomingContext(in.Context()); ok && len(md.Get(addressKey)) > 0 {
@@ -88,7 +90,8 @@
 	}
 }
 
-// refusal turns err into its wire form and names the leader, if that is the reason.
+// refusal returns the wire form of err. If err is a NotLeaderError, it also sends the
+// leader's address in the trailer.
 func (s *service) refusal(ctx context.Context, err error) *pb.Error {
 	nl := asNotLeader(err)
 	if nl == nil {
--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -2,13 +2,13 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/pb"
 
-// MembershipState is a replica's part in the control group.
+// MembershipState is a replica's membership in the control group.
 type MembershipState string
 
-// The standings.
+// The membership states.
 const (
-	// MembershipForming: a new disk asks the other replicas of the bootstrap list whether
-	// it may take part.
+	// MembershipForming: a replica with a new disk asks the other replicas of the
+	// bootstrap list whether it may participate.
 	MembershipForming MembershipState = "forming"
 	// MembershipNone: not a member. The replica waits to be added, or was removed.
 	MembershipNone MembershipState = "outside"
@@ -18,7 +18,7 @@
 	MembershipVoter MembershipState = "voter"
 )
 
-func memberStanding(m *pb.Member) MembershipState {
+func membershipOf(m *pb.Member) MembershipState {
 	if m.GetLearner() {
 		return MembershipLearner
 	}
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -13,51 +13,52 @@
 )
 
 const (
-	// peerQueue bounds the messages that wait for one peer; more are dropped.
+	// peerQueue bounds the messages queued for one peer; further ones are dropped.
 	peerQueue = 1024
-	// streamLife is how long one stream is used. At its end the peer must
-	// acknowledge it, which shows that the connection still carries both ways.
-	streamLife = 2 * time.Second
-	// streamAck is how long the acknowledgement may take.
-	streamAck = time.Second
-	// snapshotAck is how long a snapshot may take until it's acknowledged.
-	snapshotAck = time.Minute
-	// redialPause after a connection failed.
-	redialPause = 100 * time.Millisecond
+	// streamLifetime is how long one stream is used. At its end the peer must
+	// acknowledge it, which shows that the connection still works in both directions.
+	streamLifetime = 2 * time.Second
+	// streamAckTimeout is how long the acknowledgment may take.
+	streamAckTimeout = time.Second
+	// snapshotAckTimeout is how long a snapshot may take to be sent and acknowledged.
+	snapshotAckTimeout = time.Minute
+	// redialDelay is the pause after a connection failed.
+	redialDelay = 100 * time.Millisecond
 	// MaxMessageBytes bounds one gRPC message; a snapshot is one message.
 	MaxMessageBytes = 256 << 20
 )
 
-// addressKey is the metadata that carries the sender's replica address.
+// addressKey is the metadata key that carries the sender's replica address.
 const addressKey = "bluebellsail-replica-address"
 
-// GRPCTransport implements Transport: one client stream for each peer address.
+// GRPCTransport implements Transport with one client stream per peer address and one
+// for snapshots.
 type GRPCTransport struct {
-	self string
-	opts []grpc.DialOption
-	log  zerolog.Logger
-	life time.Duration // streamLife, less in tests
-	ack  time.Duration // streamAck
+	self       string
+	opts       []grpc.DialOption
+	log        zerolog.Logger
+	lifetime   time.Duration // streamLifetime, shorter in tests
+	ackTimeout time.Duration // streamAck
 
 	mu     sync.Mutex
 	peers  map[peerKey]*peer
 	closed bool
 }
 
-// peerKey names one queue. Snapshots have a queue, connection and deadline of
-// their own: on the common stream a large one would hold up the heartbeats behind
-// it, and the stream's short life would cut it off each time.
+// peerKey identifies one queue. Snapshots have their own queue, connection and
+// deadline: on the shared stream a large one would delay the heartbeats behind it, and
+// the stream's short lifetime would cut it off each time.
 type peerKey struct {
 	address string
 	bulk    bool
 }
 
-// NewGRPCTransport makes a transport for the replica at address self. opts must
-// hold the transport credentials.
+// NewGRPCTransport returns a transport for the replica at address self. opts must
+// contain the transport credentials.
 func NewGRPCTransport(self string, log zerolog.Logger, opts ...grpc.DialOption) *GRPCTransport {
 	opts = append(opts, grpc.WithDefaultCallOptions(
 		grpc.MaxCallSendMsgSize(MaxMessageBytes), grpc.MaxCallRecvMsgSize(MaxMessageBytes)))
-	return &GRPCTransport{self: self, opts: opts, log: log, life: streamLife, ack: streamAck, peers: map[peerKey]*peer{}}
+	return &GRPCTransport{self: self, opts: opts, log: log, lifetime: streamLifetime, ackTimeout: streamAckTimeout, peers: map[peerKey]*peer{}}
 }
 
 // Send implements Transport.
@@ -76,7 +77,7 @@
 	}
 	select {
 	case p.queue <- m:
-	default: // consensus sends again
+	default: // dropped: consensus sends it again
 	}
 }
 
@@ -103,31 +104,31 @@
 
 // peer sends to one address.
 type peer struct {
-	t       *GRPCTransport
-	address string
-	life    time.Duration
-	ack     time.Duration
-	queue   chan *pb.RaftMessage
-	ctx     context.Context
-	cancel  context.CancelFunc
-	done    chan struct{}
+	t          *GRPCTransport
+	address    string
+	lifetime   time.Duration
+	ackTimeout time.Duration
+	queue      chan *pb.RaftMessage
+	ctx        context.Context
+	cancel     context.CancelFunc
+	done       chan struct{}
 
 	mu     sync.Mutex
 	stream context.CancelFunc
 }
 
 func newPeer(t *GRPCTransport, key peerKey) *peer {
-	p := &peer{t: t, address: key.address, life: t.life, ack: t.ack, done: make(chan struct{})}
+	p := &peer{t: t, address: key.address, lifetime: t.lifetime, ackTimeout: t.ackTimeout, done: make(chan struct{})}
 	size := peerQueue
 	if key.bulk {
-		size, p.life, p.ack = 1, 0, snapshotAck
+		size, p.lifetime, p.ackTimeout = 1, 0, snapshotAckTimeout
 	}
 	p.queue = make(chan *pb.RaftMessage, size)
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
-// cancelStream ends the stream under way, and with it the connection.
+// cancelStream cancels the open stream, and with it the connection.
 func (p *peer) cancelStream() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,25 +145,25 @@
 			p.t.log.Error().Err(err).Str("peer", p.address).Str("event", "peer-address-unusable").Send()
 			return
 		}
-		err = p.useConn(pb.NewControlClient(conn))
+		err = p.serveConn(pb.NewControlClient(conn))
 		_ = conn.Close()
 		if p.ctx.Err() != nil {
 			return
 		}
 		p.t.log.Debug().Err(err).Str("peer", p.address).Str("event", "peer-connection-replaced").Send()
 		select {
-		case <-time.After(redialPause):
+		case <-time.After(redialDelay):
 		case <-p.ctx.Done():
 		}
 	}
 }
 
-// useConn sends over one connection until it fails.
-func (p *peer) useConn(c pb.ControlClient) error {
+// serveConn sends over one connection until it fails.
+func (p *peer) serveConn(c pb.ControlClient) error {
 	for {
 		select {
 		case m := <-p.queue:
-			if err := p.useStream(c, m); err != nil {
+			if err := p.sendStream(c, m); err != nil {
 				return err
 			}
 		case <-p.ctx.Done():
@@ -171,10 +172,10 @@
 	}
 }
 
-// useStream sends over one stream for its life. Send may block on a silent
+// sendStream sends over one stream for its lifetime. Send may block on an unresponsive
 // connection; the stream's deadline ends that.
-func (p *peer) useStream(c pb.ControlClient, first *pb.RaftMessage) error {
-	ctx, cancel := context.WithTimeout(p.ctx, p.life+p.ack)
+func (p *peer) sendStream(c pb.ControlClient, first *pb.RaftMessage) error {
+	ctx, cancel := context.WithTimeout(p.ctx, p.lifetime+p.ackTimeout)
 	defer cancel()
 	p.mu.Lock()
 	p.stream = cancel
@@ -184,18 +185,18 @@
 	if err != nil {
 		return err
 	}
-	if err := p.pump(ctx, s, first); err != nil {
+	if err := p.sendMessages(ctx, s, first); err != nil {
 		return err
 	}
 	_, err = s.CloseAndRecv()
 	return err
 }
 
-func (p *peer) pump(ctx context.Context, s grpc.ClientStreamingClient[pb.RaftMessage, pb.RaftAck], first *pb.RaftMessage) error {
+func (p *peer) sendMessages(ctx context.Context, s grpc.ClientStreamingClient[pb.RaftMessage, pb.RaftAck], first *pb.RaftMessage) error {
 	if err := s.Send(first); err != nil {
 		return err
 	}
-	end := time.NewTimer(p.life)
+	end := time.NewTimer(p.lifetime)
 	defer end.Stop()
 	for {
 		select {
--- a/internal/control/transport_test.go
+++ b/internal/control/transport_test.go
@@ -19,14 +19,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/wal/memfs"
 )
 
-// middlebox forwards TCP connections, and forgets those open when told: their
-// bytes vanish, and neither end is told.
+// middlebox forwards TCP connections. dropConnections makes it silently discard the
+// bytes of the open ones, without notifying either end.
 type middlebox struct {
 	mu    sync.Mutex
 	conns []*atomic.Bool
 }
 
-func (b *middlebox) forget() int {
+func (b *middlebox) dropConnections() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, silent := range b.conns {
@@ -75,8 +75,8 @@
 
 type sink struct {
 	pb.UnimplementedControlServer
-	got   chan uint64
-	whole chan bool // a snapshot's stream ended as it should
+	receivedTerms    chan uint64
+	snapshotComplete chan bool // whether a snapshot's stream ended with EOF
 }
 
 func (s *sink) Raft(in grpc.ClientStreamingServer[pb.RaftMessage, pb.RaftAck]) error {
@@ -91,29 +91,29 @@
 		if m.Type == pb.RaftType_RAFT_TYPE_SNAPSHOT {
 			time.Sleep(500 * time.Millisecond) // a slow disk
 			_, err := in.Recv()
-			s.whole <- err == io.EOF
+			s.snapshotComplete <- err == io.EOF
 		}
 		select {
-		case s.got <- m.Term:
+		case s.receivedTerms <- m.Term:
 		default:
 		}
 	}
 }
 
-// Symptom: a replica is out of its group for good, though its host answers new connections.
-// Sequence: something between two hosts forgets their open connection; writes go on succeeding.
-// Cause: nothing on the connection asks for an answer.
+// A middlebox may lose the state of an open connection: writes keep succeeding, but
+// nothing arrives. Unless the transport asks for an acknowledgment, the replica is cut
+// off from its group for good, although its host accepts new connections.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	target := testutil.Listen(t)
 	front := testutil.Listen(t)
-	s := &sink{got: make(chan uint64, 1), whole: make(chan bool, 10)}
+	s := &sink{receivedTerms: make(chan uint64, 1), snapshotComplete: make(chan bool, 10)}
 	serveOn(t, target, s)
 	box := &middlebox{}
 	go box.serve(front, target.Addr().String())
 	defer front.Close()
 
 	tr := NewGRPCTransport("self", zerolog.Nop(), insecureDial)
-	tr.life, tr.ack = 50*time.Millisecond, 100*time.Millisecond
+	tr.lifetime, tr.ackTimeout = 50*time.Millisecond, 100*time.Millisecond
 	defer tr.Close()
 	// deliver sends until a message of the term arrives.
 	deliver := func(term uint64) {
@@ -121,28 +121,28 @@
 		for range 2000 {
 			tr.Send(&pb.RaftMessage{Term: term}, front.Addr().String())
 			select {
-			case got := <-s.got:
+			case got := <-s.receivedTerms:
 				if got == term {
 					return
 				}
 			case <-time.After(5 * time.Millisecond):
 			}
 		}
-		t.Fatalf("no message of term %d arrives", term)
+		t.Fatalf("no message of term %d arrived", term)
 	}
-	// A snapshot that takes longer than a stream's life arrives whole.
+	// A snapshot that takes longer than a stream's lifetime must arrive complete.
 	tr.Send(&pb.RaftMessage{Type: pb.RaftType_RAFT_TYPE_SNAPSHOT}, front.Addr().String())
 	deliver(1)
-	if !<-s.whole {
+	if !<-s.snapshotComplete {
 		t.Fatal("the snapshot's stream was cut off")
 	}
-	if box.forget() == 0 {
+	if box.dropConnections() == 0 {
 		t.Fatal("no connection went through the middlebox")
 	}
 	deliver(2)
 }
 
-// startLoopback starts n replicas that talk gRPC on loopback.
+// startLoopback starts n replicas that communicate by gRPC on loopback.
 func startLoopback(t *testing.T, n int) ([]*Replica, []*registers) {
 	t.Helper()
 	var listeners []net.Listener
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -8,24 +8,24 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// hubChanges is how many changes are kept for watchers; one that is further
-// behind gets the whole tree.
-const hubChanges = 1024
+// maxBufferedChanges is the number of changes kept for watchers; a watcher that is
+// further behind receives the whole tree.
+const maxBufferedChanges = 1024
 
-// contactInterval is how often a watcher hears from a replica at least.
-const contactInterval = time.Second
+// keepaliveInterval is the maximum time between two events to a watcher.
+const keepaliveInterval = time.Second
 
-// hub keeps the latest changes of the settings, in revision order.
-type hub struct {
+// changeBuffer keeps the latest changes of the settings, in revision order.
+type changeBuffer struct {
 	mu      sync.Mutex
 	changes []*pb.ConfigChange
 	updated chan struct{} // closed at each change
 }
 
-func newHub() *hub { return &hub{updated: make(chan struct{})} }
+func newHub() *changeBuffer { return &changeBuffer{updated: make(chan struct{})} }
 
-// observe takes over an applied command if it changed the settings.
-func (h *hub) observe(cmd *pb.Command, res *pb.CommandResult) {
+// record adds the change made by an applied command, if it changed the settings.
+func (h *changeBuffer) record(cmd *pb.Command, res *pb.CommandResult) {
 	set := cmd.GetSetConfig()
 	done := res.GetSetConfig()
 	if set == nil || done == nil || res.Error != nil || res.Resend {
@@ -37,27 +37,28 @@
 		Revision: done.Revision, Version: done.Version, Path: set.Path, ValueJson: set.ValueJson,
 		Delete: set.Delete, OpId: cmd.OpId, Actor: cmd.Actor, TimeMs: cmd.TimeMs,
 	})
-	if len(h.changes) > hubChanges {
-		h.changes = append([]*pb.ConfigChange(nil), h.changes[len(h.changes)-hubChanges:]...)
+	if len(h.changes) > maxBufferedChanges {
+		h.changes = append([]*pb.ConfigChange(nil), h.changes[len(h.changes)-maxBufferedChanges:]...)
 	}
 	h.broadcast()
 }
 
-// reset forgets the changes: the state was replaced as a whole.
-func (h *hub) reset() {
+// reset discards the changes because the state was replaced as a whole.
+func (h *changeBuffer) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.changes = nil
 	h.broadcast()
 }
 
-func (h *hub) broadcast() {
+func (h *changeBuffer) broadcast() {
 	close(h.updated)
 	h.updated = make(chan struct{})
 }
 
-// after returns the changes that follow revision; false if some aren't kept.
-func (h *hub) after(revision uint64) ([]*pb.ConfigChange, bool) {
+// since returns the changes after revision, or false if some of them are no longer
+// kept.
+func (h *changeBuffer) since(revision uint64) ([]*pb.ConfigChange, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.changes) == 0 || h.changes[0].Revision > revision+1 {
@@ -71,47 +72,48 @@
 	return nil, true
 }
 
-func (h *hub) wait() <-chan struct{} {
+func (h *changeBuffer) updates() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.updated
 }
 
-// Subscription follows the settings of one replica. It is pulled, so a slow
-// watcher holds nothing up. It isn't safe for concurrent use.
+// Subscription follows the settings of one replica. The watcher pulls, so a slow one
+// blocks nothing. It is not safe for concurrent use.
 type Subscription struct {
 	r        *Replica
 	revision uint64
 	started  bool
 }
 
-// Subscribe follows the settings from a revision that the watcher holds, 0 if none.
+// Subscribe returns a subscription that starts after revision from, which the watcher
+// holds; 0 if it holds none.
 func (r *Replica) Subscribe(from uint64) *Subscription {
 	return &Subscription{r: r, revision: from, started: from > 0}
 }
 
-// Revision up to which the subscription has delivered.
+// Revision returns the revision up to which the subscription has delivered.
 func (s *Subscription) Revision() uint64 { return s.revision }
 
-// Next waits for changes after those delivered and returns them, or the whole
-// tree if they aren't kept. It never goes back to an older revision. After
-// contactInterval without changes it returns an event without any, which tells
-// the watcher that the replica is there and whether the revision is confirmed.
+// Next waits for changes after those delivered and returns them, or the whole tree if
+// the changes are no longer kept. It never returns to an older revision. After
+// keepaliveInterval without changes it returns an event without any, which shows the
+// watcher that the replica is reachable and whether the revision is confirmed.
 func (s *Subscription) Next(ctx context.Context) (*pb.WatchEvent, error) {
-	timer := time.NewTimer(contactInterval)
+	timer := time.NewTimer(keepaliveInterval)
 	defer timer.Stop()
 	for {
-		updated := s.r.hub.wait()
+		updated := s.r.changes.updates()
 		if e := s.poll(s.r.confirmed()); e != nil {
 			return e, nil
 		}
 		select {
 		case <-updated:
 		case <-timer.C:
-			if e := s.contact(); e != nil {
+			if e := s.keepalive(); e != nil {
 				return e, nil
 			}
-			timer.Reset(contactInterval)
+			timer.Reset(keepaliveInterval)
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-s.r.stopped:
@@ -120,8 +122,8 @@
 	}
 }
 
-// contact returns an event even if nothing is new; nil before the first tree.
-func (s *Subscription) contact() *pb.WatchEvent {
+// keepalive returns an event even if there are no changes; nil before the first tree.
+func (s *Subscription) keepalive() *pb.WatchEvent {
 	confirmed := s.r.confirmed()
 	if e := s.poll(confirmed); e != nil || !s.started {
 		return e
@@ -129,10 +131,11 @@
 	return &pb.WatchEvent{Revision: s.revision, Confirmed: confirmed}
 }
 
-// poll returns what is new, nil if nothing is. confirmed was learnt before, so
-// whatever it covers is in the state by now.
+// poll returns an event with the changes not delivered yet, or nil. The caller
+// determines confirmed before the call, so the state already contains everything it
+// covers.
 func (s *Subscription) poll(confirmed bool) *pb.WatchEvent {
-	if changes, ok := s.r.hub.after(s.revision); ok && s.started {
+	if changes, ok := s.r.changes.since(s.revision); ok && s.started {
 		if len(changes) == 0 {
 			return nil
 		}
@@ -148,21 +151,21 @@
 	return &pb.WatchEvent{Revision: tree.Revision, SnapshotJson: tree.ValueJson, Confirmed: confirmed}
 }
 
-// rootPath of the settings tree.
+// rootPath is the path of the whole settings tree.
 const rootPath = "/"
 
-// confirmed tells whether this replica's state, as it is after the call, holds
-// everything that was committed at some moment of the last two election
-// timeouts: it leads under a lease, or a leader with a lease told it how much
-// that was, and it has applied as much.
+// confirmed reports whether this replica's state, as it is after the call, contains
+// everything that was committed at some moment within the last two election timeouts:
+// the replica leads under a lease, or a leader with a lease sent it a commit index, and
+// it has applied up to that index.
 func (r *Replica) confirmed() bool {
 	v := r.view.Load()
 	index := v.commit
-	if !r.leased(v) {
-		if !v.confirm.Valid || r.ticksNow()-v.confirm.Tick > 2*int64(r.cfg.ElectionTicks) {
+	if !r.hasLease(v) {
+		if !v.confirmation.Valid || r.ticksNow()-v.confirmation.Tick > 2*int64(r.cfg.ElectionTicks) {
 			return false
 		}
-		index = v.confirm.Index
+		index = v.confirmation.Index
 	}
 	r.stateMu.RLock()
 	defer r.stateMu.RUnlock()
