--- a/internal/controller/routes/controller.go
+++ b/internal/controller/routes/controller.go
@@ -300,12 +300,12 @@
 	// Routes is the routing table that this replica has applied, and whether a quorum
 	// confirmed lately that nothing newer was committed.
 	Routes() (table *pb.Routes, confirmed bool)
-	// HearsQuorum tells whether a leader may be elected among the replicas that this one hears.
-	HearsQuorum() bool
+	// HeardFromQuorum tells whether a leader may be elected among the replicas that this one hears.
+	HeardFromQuorum() bool
 }
 
 // FromReplica answers another host from a replica.
 func FromReplica(r Replica, req *pb.FetchRoutesRequest) *pb.FetchRoutesReply {
 	held, confirmed := r.Routes()
-	return &pb.FetchRoutesReply{Routes: wanted(req, held), Confirmed: confirmed, WithoutQuorum: !r.HearsQuorum()}
+	return &pb.FetchRoutesReply{Routes: wanted(req, held), Confirmed: confirmed, WithoutQuorum: !r.HeardFromQuorum()}
 }
