--- a/internal/control/replay_test.go
+++ b/internal/control/replay_test.go
@@ -131,7 +131,7 @@
 		c.crashAll()
 		for _, h := range c.hosts {
 			c.start(h)
-			if !h.r.HearsQuorum() {
+			if !h.r.HeardFromQuorum() {
 				t.Errorf("%s reports no quorum at the start", h.address)
 			}
 		}
@@ -140,13 +140,13 @@
 		c.isolate(alone, true)
 		time.Sleep(10 * time.Second)
 		for _, h := range c.hosts {
-			if h.r.HearsQuorum() == (h == alone) {
-				t.Errorf("%s in a partitioned group: contact with a quorum: %v", h.address, h.r.HearsQuorum())
+			if h.r.HeardFromQuorum() == (h == alone) {
+				t.Errorf("%s in a partitioned group: contact with a quorum: %v", h.address, h.r.HeardFromQuorum())
 			}
 		}
 		c.isolate(alone, false)
 		time.Sleep(5 * time.Second)
-		if !alone.r.HearsQuorum() {
+		if !alone.r.HeardFromQuorum() {
 			t.Errorf("%s reports no quorum after the partition ended", alone.address)
 		}
 	})
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -34,10 +34,10 @@
 // leader, each voter requests votes every one to two of them.
 const quorumContactTimeouts = 4
 
-// HearsQuorum reports whether this replica is a voter that recently received messages
+// HeardFromQuorum reports whether this replica is a voter that recently received messages
 // from a majority of the voters, itself included, so that they can elect a leader if
 // there is none.
-func (r *Replica) HearsQuorum() bool { return r.view.Load().heardFromQuorum }
+func (r *Replica) HeardFromQuorum() bool { return r.view.Load().heardFromQuorum }
 
 // currentView builds the view of the current state. Only the loop calls it.
 func (r *Replica) currentView() *view {
--- a/internal/controlclient/attempt.go
+++ b/internal/controlclient/attempt.go
@@ -15,78 +15,78 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// answer is what one attempt at one replica gave. Exactly one of these holds:
+// attemptResult is what one attempt at one replica gave. Exactly one of these holds:
 // notLeader, broken != nil, or value and refusal as the replica gave them.
-type answer[T any] struct {
+type attemptResult[T any] struct {
 	value   T
 	refusal *pb.Error
 	// notLeader: the replica did nothing; hint is the leader's address if it knows it.
 	notLeader bool
-	hint      string
-	// broken: no answer came; the request may have been carried out unless it is unsent.
-	broken error
-	// unsent: the broken attempt never got a stream on a connection, so that no replica can
+	leaderHint      string
+	// err: no answer came; the request may have been carried out unless it is unsent.
+	err error
+	// notSent: the broken attempt never got a stream on a connection, so that no replica can
 	// have heard of the request.
-	unsent bool
+	notSent bool
 }
 
 // fromLocal turns what the replica in this process returned into an answer.
-func fromLocal[T any](value T, err error) answer[T] {
+func fromLocal[T any](value T, err error) attemptResult[T] {
 	var nl *control.NotLeaderError
 	if errors.As(err, &nl) {
-		return answer[T]{notLeader: true, hint: nl.Address}
+		return attemptResult[T]{notLeader: true, leaderHint: nl.Address}
 	}
-	return answer[T]{value: value, refusal: wire.EncodeError(err)}
+	return attemptResult[T]{value: value, refusal: wire.EncodeError(err)}
 }
 
 // fromRemote asks a replica in another process. ask passes the options on to its call;
 // they have a replica that isn't the leader name the leader in the trailer, and tell
 // whether the call got a stream: only then does gRPC name the peer.
-func fromRemote[T any](c *Client, target string, ask func(pb.ControlClient, ...grpc.CallOption) answer[T]) answer[T] {
+func fromRemote[T any](c *Client, target string, ask func(pb.ControlClient, ...grpc.CallOption) attemptResult[T]) attemptResult[T] {
 	svc, err := c.service(target)
 	if err != nil {
-		return answer[T]{broken: err, unsent: true}
+		return attemptResult[T]{err: err, notSent: true}
 	}
 	var trailer metadata.MD
 	var reached peer.Peer
 	a := ask(svc, grpc.Trailer(&trailer), grpc.Peer(&reached))
-	if hint, ok := leaderHint(trailer); ok && a.broken == nil {
-		return answer[T]{notLeader: true, hint: hint}
+	if hint, ok := leaderHint(trailer); ok && a.err == nil {
+		return attemptResult[T]{notLeader: true, leaderHint: hint}
 	}
-	a.unsent = a.broken != nil && reached.Addr == nil
+	a.notSent = a.err != nil && reached.Addr == nil
 	return a
 }
 
-func (c *Client) proposeAt(ctx context.Context, target string, cmd *pb.Command) answer[*pb.CommandResult] {
+func (c *Client) proposeAt(ctx context.Context, target string, cmd *pb.Command) attemptResult[*pb.CommandResult] {
 	if target == localTarget {
 		return fromLocal(c.local.Propose(ctx, cmd))
 	}
-	return fromRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) answer[*pb.CommandResult] {
+	return fromRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.CommandResult] {
 		reply, err := svc.Propose(ctx, &pb.ProposeRequest{Command: cmd}, opts...)
 		if err == nil && reply.Result == nil && reply.Error == nil {
-			return answer[*pb.CommandResult]{notLeader: true, hint: reply.LeaderAddress}
+			return attemptResult[*pb.CommandResult]{notLeader: true, leaderHint: reply.LeaderAddress}
 		}
-		return answer[*pb.CommandResult]{value: reply.GetResult(), refusal: reply.GetError(), broken: err}
+		return attemptResult[*pb.CommandResult]{value: reply.GetResult(), refusal: reply.GetError(), err: err}
 	})
 }
 
-func (c *Client) readAt(ctx context.Context, target string, q *pb.Query) answer[*pb.QueryResult] {
+func (c *Client) readAt(ctx context.Context, target string, q *pb.Query) attemptResult[*pb.QueryResult] {
 	if target == localTarget {
 		return fromLocal(c.local.Read(ctx, q))
 	}
-	return fromRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) answer[*pb.QueryResult] {
+	return fromRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.QueryResult] {
 		res, err := svc.Read(ctx, q, opts...)
-		return answer[*pb.QueryResult]{value: res, refusal: res.GetError(), broken: err}
+		return attemptResult[*pb.QueryResult]{value: res, refusal: res.GetError(), err: err}
 	})
 }
 
-func (c *Client) changeMembersAt(ctx context.Context, target string, req *pb.ChangeMembersRequest) answer[*pb.GroupStatus] {
+func (c *Client) changeMembersAt(ctx context.Context, target string, req *pb.ChangeMembersRequest) attemptResult[*pb.GroupStatus] {
 	if target == localTarget {
 		return fromLocal(c.local.ChangeMembers(ctx, req))
 	}
-	return fromRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) answer[*pb.GroupStatus] {
+	return fromRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.GroupStatus] {
 		reply, err := svc.ChangeMembers(ctx, req, opts...)
-		return answer[*pb.GroupStatus]{value: reply.GetGroup(), refusal: reply.GetError(), broken: err}
+		return attemptResult[*pb.GroupStatus]{value: reply.GetGroup(), refusal: reply.GetError(), err: err}
 	})
 }
 
--- a/internal/controlclient/calls.go
+++ b/internal/controlclient/calls.go
@@ -35,7 +35,7 @@
 // ProposeFresh is Propose of a command that says something of the moment at which it is sent:
 // each attempt sends the one that make returns then. All of them must mean the same change.
 func (c *Client) ProposeFresh(ctx context.Context, make func() *pb.Command) (*pb.CommandResult, error) {
-	res, err := call(ctx, c, func(ctx context.Context, target string) answer[*pb.CommandResult] {
+	res, err := call(ctx, c, func(ctx context.Context, target string) attemptResult[*pb.CommandResult] {
 		return c.proposeAt(ctx, target, make())
 	})
 	if err != nil {
@@ -55,7 +55,7 @@
 
 // Read answers a query linearizably, from the leader.
 func (c *Client) Read(ctx context.Context, q *pb.Query) (*pb.QueryResult, error) {
-	res, err := call(ctx, c, func(ctx context.Context, target string) answer[*pb.QueryResult] {
+	res, err := call(ctx, c, func(ctx context.Context, target string) attemptResult[*pb.QueryResult] {
 		return c.readAt(ctx, target, q)
 	})
 	if errkind.Is(err, errkind.NoQuorum) {
@@ -66,13 +66,13 @@
 
 // ChangeMembers changes the group's membership by one member.
 func (c *Client) ChangeMembers(ctx context.Context, req *pb.ChangeMembersRequest) (*pb.GroupStatus, error) {
-	return call(ctx, c, func(ctx context.Context, target string) answer[*pb.GroupStatus] {
+	return call(ctx, c, func(ctx context.Context, target string) attemptResult[*pb.GroupStatus] {
 		return c.changeMembersAt(ctx, target, req)
 	})
 }
 
 // call makes attempts until one is answered or ctx ends.
-func call[T any](ctx context.Context, c *Client, at func(context.Context, string) answer[T]) (T, error) {
+func call[T any](ctx context.Context, c *Client, at func(context.Context, string) attemptResult[T]) (T, error) {
 	unknown := false // an attempt may have been carried out without our knowing
 	for ctx.Err() == nil {
 		probe, ok := c.gate.enter(ctx)
@@ -90,10 +90,10 @@
 }
 
 // followHints asks the most likely leader, and on its word the one that it names.
-func followHints[T any](ctx context.Context, c *Client, at func(context.Context, string) answer[T], unknown *bool) (T, error) {
+func followHints[T any](ctx context.Context, c *Client, at func(context.Context, string) attemptResult[T], unknown *bool) (T, error) {
 	for range maxHops {
 		a := attempt(ctx, c, at)
-		if !a.notLeader || a.hint == "" {
+		if !a.notLeader || a.leaderHint == "" {
 			return a.outcome(unknown)
 		}
 	}
@@ -103,12 +103,12 @@
 
 // outcome returns the value, a refusal that ends the call, or errTryAgain. It sets
 // unknown if the attempt may have been carried out.
-func (a answer[T]) outcome(unknown *bool) (T, error) {
+func (a attemptResult[T]) outcome(unknown *bool) (T, error) {
 	var zero T
 	switch {
-	case a.notLeader || a.unsent:
+	case a.notLeader || a.notSent:
 		return zero, errTryAgain
-	case a.broken != nil || a.refusal.GetKind() == string(errkind.NoQuorum):
+	case a.err != nil || a.refusal.GetKind() == string(errkind.NoQuorum):
 		*unknown = true
 		return zero, errTryAgain
 	case a.refusal != nil && *unknown && overloaded(a.refusal):
@@ -121,20 +121,20 @@
 }
 
 // attempt asks the most likely leader once and remembers what it learnt.
-func attempt[T any](ctx context.Context, c *Client, at func(context.Context, string) answer[T]) answer[T] {
+func attempt[T any](ctx context.Context, c *Client, at func(context.Context, string) attemptResult[T]) attemptResult[T] {
 	target := c.pick()
 	if target == "" {
-		return answer[T]{notLeader: true}
+		return attemptResult[T]{notLeader: true}
 	}
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	a := at(ctx, target)
 	switch {
 	case a.notLeader:
-		c.noteLeader(a.hint)
-	case a.broken != nil:
+		c.noteLeader(a.leaderHint)
+	case a.err != nil:
 		c.noteLeader("")
-		if suspect(a.broken) {
+		if suspect(a.err) {
 			c.drop(target)
 		}
 	case a.refusal.GetKind() == string(errkind.NoQuorum):
