--- a/internal/control/standing.go
+++ b/internal/control/standing.go
@@ -2,25 +2,25 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/pb"
 
-// Standing is a replica's part in the control group.
-type Standing string
+// MembershipState is a replica's membership in the control group.
+type MembershipState string
 
-// The standings.
+// The membership states.
 const (
-	// StandingForming: a new disk asks the other replicas of the bootstrap list whether
-	// it may take part.
-	StandingForming Standing = "forming"
-	// StandingOutside: not a member. The replica waits to be added, or was removed.
-	StandingOutside Standing = "outside"
-	// StandingLearner: a member without a vote.
-	StandingLearner Standing = "learner"
-	// StandingVoter: a member with a vote.
-	StandingVoter Standing = "voter"
+	// MembershipForming: a replica with a new disk asks the other replicas of the
+	// bootstrap list whether it may participate.
+	MembershipForming MembershipState = "forming"
+	// MembershipNone: not a member. The replica waits to be added, or was removed.
+	MembershipNone MembershipState = "outside"
+	// MembershipLearner: a member without a vote.
+	MembershipLearner MembershipState = "learner"
+	// MembershipVoter: a member with a vote.
+	MembershipVoter MembershipState = "voter"
 )
 
-func memberStanding(m *pb.Member) Standing {
+func membershipOf(m *pb.Member) MembershipState {
 	if m.GetLearner() {
-		return StandingLearner
+		return MembershipLearner
 	}
-	return StandingVoter
+	return MembershipVoter
 }
--- a/internal/controller/routes/controller.go
+++ b/internal/controller/routes/controller.go
@@ -300,12 +300,12 @@
 	// Routes returns the routing table that this replica has applied, and whether a quorum
 	// confirmed recently that no newer one was committed.
 	Routes() (table *pb.Routes, confirmed bool)
-	// HearsQuorum reports whether this replica is in contact with enough others to elect a leader.
-	HearsQuorum() bool
+	// HeardFromQuorum reports whether this replica is in contact with enough others to elect a leader.
+	HeardFromQuorum() bool
 }
 
 // FromReplica answers another host's request with the table of a replica.
 func FromReplica(r Replica, req *pb.FetchRoutesRequest) *pb.FetchRoutesReply {
 	held, confirmed := r.Routes()
-	return &pb.FetchRoutesReply{Routes: replyRoutes(req, held), Confirmed: confirmed, WithoutQuorum: !r.HearsQuorum()}
+	return &pb.FetchRoutesReply{Routes: replyRoutes(req, held), Confirmed: confirmed, WithoutQuorum: !r.HeardFromQuorum()}
 }
