--- a/internal/grant/acquire.go
+++ b/internal/grant/acquire.go
@@ -59,7 +59,7 @@
 // Counted from its first send: one lost answer is made good by a resend before anybody is
 // refused, and in a long cut nobody waits.
 func (b *budget) ledgerSilent(now time.Time, cfg Config) bool {
-	return now.Sub(b.acquire.first) >= cfg.LedgerWait
+	return now.Sub(b.acquire.first) >= cfg.LedgerTimeout
 }
 
 // giveUpOnLedger lets the new waiters look to the peers, and meanwhile sends the
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -83,9 +83,9 @@
 	// ResendMax; defaults 200ms and 5s.
 	ResendAfter time.Duration
 	ResendMax   time.Duration
-	// LedgerWait is how long waiting requests wait for an unanswered acquire before the
+	// LedgerTimeout is how long waiting requests wait for an unanswered acquire before the
 	// ledger counts as out of reach; default 250ms.
-	LedgerWait time.Duration
+	LedgerTimeout time.Duration
 	// ProbeWait is how long a request waits for the ledger when it was out of reach for
 	// others before; default 50ms.
 	ProbeWait time.Duration
@@ -103,7 +103,7 @@
 	defaults.Set(&c.BatchWait, 50*time.Millisecond)
 	defaults.Set(&c.ResendAfter, 200*time.Millisecond)
 	defaults.Set(&c.ResendMax, 5*time.Second)
-	defaults.Set(&c.LedgerWait, 250*time.Millisecond)
+	defaults.Set(&c.LedgerTimeout, 250*time.Millisecond)
 	defaults.Set(&c.ProbeWait, 50*time.Millisecond)
 	defaults.Set(&c.ContactEvery, 500*time.Millisecond)
 	defaults.Set(&c.AskFanout, 3)
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -139,7 +139,7 @@
 func (h *Holder) newAsk(now time.Time, b *budget, peer string, tokens uint64, out *Output) string {
 	h.transfers.lastAsk++
 	id := fmt.Sprintf("%s%d", h.askPrefix(), h.transfers.lastAsk)
-	wait := 2 * h.cfg.LedgerWait
+	wait := 2 * h.cfg.LedgerTimeout
 	h.transfers.open[id] = &openAsk{peer: peer, budget: b.name, tokens: tokens, since: now, wait: wait, next: now.Add(wait)}
 	out.Asks = append(out.Asks, Ask{Peer: peer, Request: &pb.AskTokensRequest{
 		From: h.self, Budget: b.name, Tokens: tokens, Id: id,
