--- a/internal/grant/acquire.go
+++ b/internal/grant/acquire.go
@@ -71,12 +71,12 @@
 	if !b.untried() {
 		return
 	}
-	if now.Sub(b.acquire.last) >= h.cfg.ProbeWait {
+	if now.Sub(b.acquire.last) >= h.cfg.ProbeTimeout {
 		h.sendAgain(now, &b.acquire, out)
 	}
 	for _, w := range b.waiters {
 		if !w.tried {
-			w.tried, w.why, w.notBefore = true, errkind.BudgetUnreachable, now.Add(h.cfg.ProbeWait)
+			w.tried, w.why, w.notBefore = true, errkind.BudgetUnreachable, now.Add(h.cfg.ProbeTimeout)
 		}
 	}
 }
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -86,9 +86,9 @@
 	// LedgerTimeout is how long waiting requests wait for an unanswered acquire before the
 	// ledger counts as out of reach; default 250ms.
 	LedgerTimeout time.Duration
-	// ProbeWait is how long a request waits for the ledger when it was out of reach for
+	// ProbeTimeout is how long a request waits for the ledger when it was out of reach for
 	// others before; default 50ms.
-	ProbeWait time.Duration
+	ProbeTimeout time.Duration
 	// ContactEvery is how long a holder with a reserve goes without a settlement batch;
 	// default 500ms.
 	ContactEvery time.Duration
@@ -104,7 +104,7 @@
 	defaults.Set(&c.ResendAfter, 200*time.Millisecond)
 	defaults.Set(&c.ResendMax, 5*time.Second)
 	defaults.Set(&c.LedgerTimeout, 250*time.Millisecond)
-	defaults.Set(&c.ProbeWait, 50*time.Millisecond)
+	defaults.Set(&c.ProbeTimeout, 50*time.Millisecond)
 	defaults.Set(&c.ContactEvery, 500*time.Millisecond)
 	defaults.Set(&c.AskFanout, 3)
 	return c
