--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -60,7 +60,7 @@
 func gatewayHolder(d *Daemon) grant.Config {
 	return grant.Config{
 		BatchWait:    d.cfg.Timing.SettleEvery.Std(),
-		ContactEvery: contactEvery,
+		ContactInterval: contactEvery,
 		// A batch that a partition held up is sent again soon after it has ended: until two
 		// are answered, the loss of this host would cost what it held in reserve.
 		ResendMax: 400 * time.Millisecond,
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -89,9 +89,9 @@
 	// ProbeTimeout is how long a request waits for the ledger when it was out of reach for
 	// others before; default 50ms.
 	ProbeTimeout time.Duration
-	// ContactEvery is how long a holder with a reserve goes without a settlement batch;
+	// ContactInterval is how long a holder with a reserve goes without a settlement batch;
 	// default 500ms.
-	ContactEvery time.Duration
+	ContactInterval time.Duration
 	// AskFanout is the number of peers asked at a time; default 3.
 	AskFanout int
 	// Wall is the time of day that batches are marked with; nil: that of the present time.
@@ -105,7 +105,7 @@
 	defaults.Set(&c.ResendMax, 5*time.Second)
 	defaults.Set(&c.LedgerTimeout, 250*time.Millisecond)
 	defaults.Set(&c.ProbeTimeout, 50*time.Millisecond)
-	defaults.Set(&c.ContactEvery, 500*time.Millisecond)
+	defaults.Set(&c.ContactInterval, 500*time.Millisecond)
 	defaults.Set(&c.AskFanout, 3)
 	return c
 }
--- a/internal/grant/outofcontact.go
+++ b/internal/grant/outofcontact.go
@@ -147,7 +147,7 @@
 // was some time ago: the ledger counts the time from there if this holder is lost, and
 // counts the more of its reserve as spent.
 func (h *Holder) keepContact(now time.Time) {
-	if h.settlement.busy() || h.withoutContact(now) < h.cfg.ContactEvery {
+	if h.settlement.busy() || h.withoutContact(now) < h.cfg.ContactInterval {
 		return
 	}
 	for _, b := range h.budgets {
--- a/internal/grant/outofcontact_test.go
+++ b/internal/grant/outofcontact_test.go
@@ -23,7 +23,7 @@
 // holding is a holder with open tokens and a reserve of one budget, in contact at start. The
 // reserve opens within span.
 func holding(start time.Time, open, kept uint64) *Holder {
-	h := New(&pb.Holder{Host: "a", Incarnation: 1}, Config{ContactEvery: 300 * time.Millisecond}, rand.New(rand.NewSource(1)))
+	h := New(&pb.Holder{Host: "a", Incarnation: 1}, Config{ContactInterval: 300 * time.Millisecond}, rand.New(rand.NewSource(1)))
 	h.Contact(start)
 	out := h.Reserve(start, "first", budgetName, 10, reservePolicy)
 	h.AcquireAnswered(start, budgetName, out.Acquires[0].GetSeq(), &pb.AcquireResult{Amount: open + 10, Reserve: kept, Funded: 10_000, Free: 5_000})
--- a/internal/grant/settle.go
+++ b/internal/grant/settle.go
@@ -193,7 +193,7 @@
 // What goes wrong otherwise: all hosts are lost right after a partition, and the ledger counts
 // the whole of it as time in which they spent their reserves.
 func (h *Holder) confirm(now time.Time) {
-	if h.withoutContact(now) > 2*h.cfg.ContactEvery {
+	if h.withoutContact(now) > 2*h.cfg.ContactInterval {
 		h.settlement.touch(now)
 		h.settlement.since = now.Add(-h.cfg.BatchWait)
 	}
