--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -64,7 +64,7 @@
 		// A batch that a partition held up is sent again soon after it has ended: until two
 		// are answered, the loss of this host would cost what it held in reserve.
 		ResendMax: 400 * time.Millisecond,
-		Wall:      d.env.Wall,
+		WallClock:      d.env.Wall,
 	}
 }
 
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -94,8 +94,8 @@
 	ContactInterval time.Duration
 	// AskFanout is the number of peers asked at a time; default 3.
 	AskFanout int
-	// Wall is the time of day that batches are marked with; nil: that of the present time.
-	Wall func() time.Time
+	// WallClock is the time of day that batches are marked with; nil: that of the present time.
+	WallClock func() time.Time
 }
 
 func (c Config) withDefaults() Config {
--- a/internal/grant/settle.go
+++ b/internal/grant/settle.go
@@ -113,10 +113,10 @@
 
 // wall is the time of day.
 func (h *Holder) wall(now time.Time) time.Time {
-	if h.cfg.Wall == nil {
+	if h.cfg.WallClock == nil {
 		return now
 	}
-	return h.cfg.Wall()
+	return h.cfg.WallClock()
 }
 
 // markSent notes what the ledger will take off and add with the batch.
