--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -76,7 +76,7 @@
 	// A large reserve costs no more than a small one: it opens by its rate, above the demand
 	// that is known, for callers come in bursts.
 	Reserve:         30 * time.Second,
-	OpeningPermille: 1300,
+	ReserveRatePermille: 1300,
 	Window:          4 * time.Second,
 	IdleReturn:      30 * time.Second,
 	MinHistory:      2 * time.Second,
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -33,9 +33,9 @@
 	// Reserve is how much of its recent demand the host holds beyond that for a time
 	// without contact to the ledger; see package reserve. 0: none.
 	Reserve time.Duration
-	// OpeningPermille is the rate at which the reserve may be spent without contact, in
+	// ReserveRatePermille is the rate at which the reserve may be spent without contact, in
 	// thousandths of the rate of demand.
-	OpeningPermille uint32
+	ReserveRatePermille uint32
 	// IdleReturn is how long a budget may go unused before its free tokens go back.
 	IdleReturn time.Duration
 	// Transfers lets the host ask peers when the ledger can't serve it.
--- a/internal/grant/outofcontact.go
+++ b/internal/grant/outofcontact.go
@@ -95,7 +95,7 @@
 // rateWanted is the rate at which the reserve should open, in tokens a second.
 func (h *Holder) rateWanted(now time.Time, b *budget) uint64 {
 	const whole = 1000
-	return b.demand.tokens(now, b.policy, time.Second) * uint64(b.policy.OpeningPermille) / whole
+	return b.demand.tokens(now, b.policy, time.Second) * uint64(b.policy.ReserveRatePermille) / whole
 }
 
 // reserveWanted is how much is missing of the reserve that the policy asks for.
--- a/internal/grant/outofcontact_test.go
+++ b/internal/grant/outofcontact_test.go
@@ -12,7 +12,7 @@
 
 // reservePolicy holds 10 s of demand in reserve, and 2 s open.
 var reservePolicy = Policy{
-	Horizon: 2 * time.Second, Reserve: 10 * time.Second, OpeningPermille: 1000, IdleReturn: time.Minute, MinHistory: time.Second,
+	Horizon: 2 * time.Second, Reserve: 10 * time.Second, ReserveRatePermille: 1000, IdleReturn: time.Minute, MinHistory: time.Second,
 }
 
 // span is how long the reserve of holding takes to open.
--- a/internal/ledger/reserve_test.go
+++ b/internal/ledger/reserve_test.go
@@ -30,7 +30,7 @@
 	Horizon: 2 * time.Second, Reserve: 10 * time.Second, IdleReturn: time.Minute, Transfers: true,
 	MinHistory: 100 * time.Millisecond, AtRiskPermille: 900,
 	// The reserve opens fast, and at another rate with every few requests.
-	Window: 500 * time.Millisecond, OpeningPermille: 6000,
+	Window: 500 * time.Millisecond, ReserveRatePermille: 6000,
 }
 
 // message is on its way between a holder and the ledger, or between two holders.
