--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -134,8 +134,8 @@
 	Request string
 	// Err is nil if the tokens are reserved.
 	Err *errkind.Error
-	// Opens is when the reserve will cover the refused request; 0: not known.
-	Opens time.Duration
+	// ReserveUsableIn is when the reserve will cover the refused request; 0: not known.
+	ReserveUsableIn time.Duration
 }
 
 func (o *Output) grant(request string) {
@@ -165,8 +165,8 @@
 	switch {
 	case d.Err == nil:
 		return nil
-	case d.Opens > 0:
-		return &NotOpenYet{Refusal: d.Err, In: d.Opens}
+	case d.ReserveUsableIn > 0:
+		return &NotOpenYet{Refusal: d.Err, In: d.ReserveUsableIn}
 	}
 	return d.Err
 }
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -239,7 +239,7 @@
 			kept = append(kept, w)
 			continue
 		}
-		out.Decisions = append(out.Decisions, Decision{Request: w.request, Err: h.refusal(now, w, b), Opens: h.opensIn(now, w, b)})
+		out.Decisions = append(out.Decisions, Decision{Request: w.request, Err: h.refusal(now, w, b), ReserveUsableIn: h.opensIn(now, w, b)})
 	}
 	clear(b.waiters[len(kept):])
 	b.waiters = kept
