--- a/internal/controller/budgets/await.go
+++ b/internal/controller/budgets/await.go
@@ -32,7 +32,7 @@
 
 // asClosed returns nil if the refusal is another one.
 func asClosed(h owners.Host, refusal error) *closed {
-	var answer *grant.NotOpenYet
+	var answer *grant.ReserveNotUsableError
 	if !errors.As(refusal, &answer) {
 		return nil
 	}
@@ -90,7 +90,7 @@
 // encodeRefusal is the answer to a reservation; nil: it was made.
 func encodeRefusal(err error) *pb.ReserveTokensReply {
 	reply := &pb.ReserveTokensReply{Error: wire.EncodeError(err)}
-	var later *grant.NotOpenYet
+	var later *grant.ReserveNotUsableError
 	if errors.As(err, &later) {
 		reply.OpensMs = later.In.Milliseconds()
 	}
@@ -103,5 +103,5 @@
 	if err == nil || reply.GetOpensMs() <= 0 {
 		return err
 	}
-	return &grant.NotOpenYet{Refusal: errkind.From(err), In: time.Duration(reply.GetOpensMs()) * time.Millisecond}
+	return &grant.ReserveNotUsableError{Refusal: errkind.From(err), In: time.Duration(reply.GetOpensMs()) * time.Millisecond}
 }
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -146,8 +146,8 @@
 	o.Decisions = append(o.Decisions, Decision{Request: request, Err: err})
 }
 
-// NotOpenYet refuses a request that the reserve will cover soon.
-type NotOpenYet struct {
+// ReserveNotUsableError refuses a request that the reserve will cover soon.
+type ReserveNotUsableError struct {
 	// Refusal is for a caller that does not wait.
 	Refusal *errkind.Error
 	// In is when the reserve will have opened far enough, if nobody else takes of it.
@@ -155,10 +155,10 @@
 }
 
 // Error implements error.
-func (e *NotOpenYet) Error() string { return e.Refusal.Error() }
+func (e *ReserveNotUsableError) Error() string { return e.Refusal.Error() }
 
 // Unwrap gives errors.As the refusal.
-func (e *NotOpenYet) Unwrap() error { return e.Refusal }
+func (e *ReserveNotUsableError) Unwrap() error { return e.Refusal }
 
 // Refusal is the error of a decision; nil if the tokens are reserved.
 func (d Decision) Refusal() error {
@@ -166,7 +166,7 @@
 	case d.Err == nil:
 		return nil
 	case d.ReserveUsableIn > 0:
-		return &NotOpenYet{Refusal: d.Err, In: d.ReserveUsableIn}
+		return &ReserveNotUsableError{Refusal: d.Err, In: d.ReserveUsableIn}
 	}
 	return d.Err
 }
