--- a/internal/controller/budgets/await.go
+++ b/internal/controller/budgets/await.go
@@ -36,7 +36,7 @@
 	if !errors.As(refusal, &answer) {
 		return nil
 	}
-	return &closed{host: h, opens: time.Now().Add(answer.In), refusal: answer.Refusal}
+	return &closed{host: h, opens: time.Now().Add(answer.UsableIn), refusal: answer.Refusal}
 }
 
 // awaitReserve asks the host again when its reserve should cover the request, as long as
@@ -92,7 +92,7 @@
 	reply := &pb.ReserveTokensReply{Error: wire.EncodeError(err)}
 	var later *grant.ReserveNotUsableError
 	if errors.As(err, &later) {
-		reply.OpensMs = later.In.Milliseconds()
+		reply.OpensMs = later.UsableIn.Milliseconds()
 	}
 	return reply
 }
@@ -103,5 +103,5 @@
 	if err == nil || reply.GetOpensMs() <= 0 {
 		return err
 	}
-	return &grant.ReserveNotUsableError{Refusal: errkind.From(err), In: time.Duration(reply.GetOpensMs()) * time.Millisecond}
+	return &grant.ReserveNotUsableError{Refusal: errkind.From(err), UsableIn: time.Duration(reply.GetOpensMs()) * time.Millisecond}
 }
--- a/internal/controller/budgets/budgets_test.go
+++ b/internal/controller/budgets/budgets_test.go
@@ -47,7 +47,7 @@
 		return errkind.New(p.refuse, "refused")
 	}
 	if in := time.Until(p.opens); in > 0 {
-		return &grant.ReserveNotUsableError{Refusal: errkind.New(errkind.BudgetUnreachable, "in reserve").After(time.Second), In: in}
+		return &grant.ReserveNotUsableError{Refusal: errkind.New(errkind.BudgetUnreachable, "in reserve").After(time.Second), UsableIn: in}
 	}
 	if p.free < tokens {
 		return errkind.New(errkind.BudgetExhausted, "%d of %d", p.free, tokens)
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -150,8 +150,8 @@
 type ReserveNotUsableError struct {
 	// Refusal is for a caller that does not wait.
 	Refusal *errkind.Error
-	// In is when the reserve will have opened far enough, if nobody else takes of it.
-	In time.Duration
+	// UsableIn is when the reserve will have opened far enough, if nobody else takes of it.
+	UsableIn time.Duration
 }
 
 // Error implements error.
@@ -166,7 +166,7 @@
 	case d.Err == nil:
 		return nil
 	case d.ReserveUsableIn > 0:
-		return &ReserveNotUsableError{Refusal: d.Err, In: d.ReserveUsableIn}
+		return &ReserveNotUsableError{Refusal: d.Err, UsableIn: d.ReserveUsableIn}
 	}
 	return d.Err
 }
