--- a/internal/grant/acquire.go
+++ b/internal/grant/acquire.go
@@ -9,9 +9,9 @@
 
 // When refused requests may come back.
 const (
-	// RetryExhausted: a budget without tokens needs a top-up or the end of requests
+	// RetryAfterExhausted: a budget without tokens needs a top-up or the end of requests
 	// whose worst case is set aside.
-	RetryExhausted = 5 * time.Second
+	RetryAfterExhausted = 5 * time.Second
 	// RetryUnreachable and MaxRetryUnreachable bound when a caller may come back whose
 	// tokens are out of reach: a partition that has lasted for a time lasts as long again, as
 	// far as anybody knows.
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -264,7 +264,7 @@
 		again := min(max(h.withoutContact(now), RetryUnreachable), MaxRetryUnreachable)
 		return errkind.New(w.why, "budget %s: %s; the ledger is out of reach", b.name, held).After(again)
 	}
-	return errkind.New(w.why, "budget %s: %s; none left to grant", b.name, held).After(RetryExhausted)
+	return errkind.New(w.why, "budget %s: %s; none left to grant", b.name, held).After(RetryAfterExhausted)
 }
 
 // resendAsks asks again for the outcome of asks without an answer. A repeated ask asks
