--- a/internal/controller/budgets/await.go
+++ b/internal/controller/budgets/await.go
@@ -56,7 +56,7 @@
 	}
 	if errors.Is(refusal, errUnanswered) {
 		refusal = errkind.New(errkind.BudgetUnreachable, "host %s, which holds budget %s, gives no answer", host.Name, budget).
-			After(grant.RetryUnreachable)
+			After(grant.RetryAfterUnreachable)
 	}
 	return host.Name, refusal
 }
--- a/internal/grant/acquire.go
+++ b/internal/grant/acquire.go
@@ -12,10 +12,10 @@
 	// RetryAfterExhausted: a budget without tokens needs a top-up or the end of requests
 	// whose worst case is set aside.
 	RetryAfterExhausted = 5 * time.Second
-	// RetryUnreachable and MaxRetryUnreachable bound when a caller may come back whose
+	// RetryAfterUnreachable and MaxRetryUnreachable bound when a caller may come back whose
 	// tokens are out of reach: a partition that has lasted for a time lasts as long again, as
 	// far as anybody knows.
-	RetryUnreachable    = time.Second
+	RetryAfterUnreachable    = time.Second
 	MaxRetryUnreachable = 3 * time.Second
 )
 
