--- a/internal/grant/acquire.go
+++ b/internal/grant/acquire.go
@@ -16,7 +16,7 @@
 	// tokens are out of reach: a partition that has lasted for a time lasts as long again, as
 	// far as anybody knows.
 	RetryAfterUnreachable    = time.Second
-	MaxRetryUnreachable = 3 * time.Second
+	MaxRetryAfterUnreachable = 3 * time.Second
 )
 
 // acquire is the one outstanding request for tokens of a budget. All waiters share it.
--- a/internal/grant/outofcontact_test.go
+++ b/internal/grant/outofcontact_test.go
@@ -180,7 +180,7 @@
 	start := time.Unix(1000, 0)
 	h := holding(start, 0, 0)
 	for without, want := range map[time.Duration]time.Duration{
-		200 * time.Millisecond: RetryAfterUnreachable, 2 * time.Second: 2 * time.Second, time.Minute: MaxRetryUnreachable,
+		200 * time.Millisecond: RetryAfterUnreachable, 2 * time.Second: 2 * time.Second, time.Minute: MaxRetryAfterUnreachable,
 	} {
 		w := &waiter{tokens: 10, why: errkind.BudgetUnreachable}
 		if got := h.refusal(start.Add(without), w, h.budgets[budgetName]).RetryAfter; got != want {
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -261,7 +261,7 @@
 	held := fmt.Sprintf("%d tokens needed, %d free here, %d in reserve, %v without contact, %d free at the ledger then",
 		w.tokens, b.free, b.out.reserve, h.withoutContact(now).Round(time.Millisecond), b.level)
 	if w.why == errkind.BudgetUnreachable {
-		again := min(max(h.withoutContact(now), RetryAfterUnreachable), MaxRetryUnreachable)
+		again := min(max(h.withoutContact(now), RetryAfterUnreachable), MaxRetryAfterUnreachable)
 		return errkind.New(w.why, "budget %s: %s; the ledger is out of reach", b.name, held).After(again)
 	}
 	return errkind.New(w.why, "budget %s: %s; none left to grant", b.name, held).After(RetryAfterExhausted)
