--- a/internal/controller/grants/port.go
+++ b/internal/controller/grants/port.go
@@ -108,7 +108,7 @@
 func (m *Manager) Contact(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.holder.Contact(at)
+	m.holder.RecordContact(at)
 }
 
 // ReturnFree gives all free tokens of a budget back to the ledger.
--- a/internal/grant/outofcontact.go
+++ b/internal/grant/outofcontact.go
@@ -59,10 +59,10 @@
 	r.untold += tokens
 }
 
-// Contact tells that the ledger's answer to a message of this holder was received, which
+// RecordContact tells that the ledger's answer to a message of this holder was received, which
 // shows that it was in reach at some moment after the message was sent. Call it once,
 // with the answer to the registration; answers to batches are noted by SettleAnswered.
-func (h *Holder) Contact(now time.Time) {
+func (h *Holder) RecordContact(now time.Time) {
 	h.contact = now
 	for _, b := range h.budgets {
 		b.out.taken = 0
--- a/internal/grant/outofcontact_test.go
+++ b/internal/grant/outofcontact_test.go
@@ -24,7 +24,7 @@
 // reserve opens within span.
 func holding(start time.Time, open, kept uint64) *Holder {
 	h := New(&pb.Holder{Host: "a", Incarnation: 1}, Config{ContactInterval: 300 * time.Millisecond}, rand.New(rand.NewSource(1)))
-	h.Contact(start)
+	h.RecordContact(start)
 	out := h.Reserve(start, "first", budgetName, 10, reservePolicy)
 	h.AcquireAnswered(start, budgetName, out.Acquires[0].GetSeq(), &pb.AcquireResult{Amount: open + 10, Reserve: kept, Funded: 10_000, Free: 5_000})
 	opening := &h.budgets[budgetName].out
@@ -77,7 +77,7 @@
 	h := holding(start, 0, 1000)
 	whole := start.Add(reserve.Hold + span)
 	h.Reserve(whole, "a", budgetName, 400, reservePolicy)
-	h.Contact(whole)
+	h.RecordContact(whole)
 	if ok, err := granted(h.Reserve(whole.Add(reserve.Hold), "b", budgetName, 100, reservePolicy), "b"); ok && err == nil {
 		t.Error("spent from the reserve right after a contact")
 	}
--- a/internal/grant/settle.go
+++ b/internal/grant/settle.go
@@ -159,7 +159,7 @@
 	done := s.batch
 	s.batch = nil
 	h.confirm(now)
-	h.Contact(now)
+	h.RecordContact(now)
 	h.settleBills(done, r.GetDuplicates())
 	for _, spend := range done.GetSpends() {
 		b := h.budget(spend.GetBudget())
--- a/internal/ledger/reserve_test.go
+++ b/internal/ledger/reserve_test.go
@@ -109,7 +109,7 @@
 	f.checkFormer(host)
 	r := &run{number: registered.Holder.Incarnation, asked: map[string]uint64{}}
 	r.holder = grant.New(registered.Holder, grant.Config{WallClock: func() time.Time { return f.wall(host) }}, rand.New(rand.NewSource(int64(f.boots))))
-	r.holder.Contact(f.clock(host))
+	r.holder.RecordContact(f.clock(host))
 	r.holder.SetPeers(f.others(host))
 	f.runs[host], f.former[host] = r, r
 }
