--- a/internal/grant/holder_test.go
+++ b/internal/grant/holder_test.go
@@ -434,7 +434,7 @@
 	if got := h.Levels()[0]; got.Held() != 10 {
 		t.Errorf("got %+v, want the 10 of the ledger only", got)
 	}
-	if _, state := h.TransferAsked(now, &pb.AskTokensRequest{From: dead, Budget: "x", Tokens: 5, Id: "b/1/1"}); state != GiveNothing {
+	if _, state := h.TransferAsked(now, &pb.AskTokensRequest{From: dead, Budget: "x", Tokens: 5, Id: "b/1/1"}); state != NoTransfer {
 		t.Errorf("gave to a dead incarnation: %v", state)
 	}
 }
--- a/internal/grant/policy_test.go
+++ b/internal/grant/policy_test.go
@@ -118,7 +118,7 @@
 	}
 	h.GiveUndone(now, ask.GetId())
 	h.GiveReady(ask.GetId())
-	if got, state := h.TransferAsked(now, ask); state != GiveNothing || got != nil || h.Levels()[0].Free != 100 {
+	if got, state := h.TransferAsked(now, ask); state != NoTransfer || got != nil || h.Levels()[0].Free != 100 {
 		t.Errorf("after the undo: %v, %v, %+v", got, state, h.Levels())
 	}
 }
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -291,8 +291,8 @@
 
 // States of an ask at the giver.
 const (
-	// GiveNothing: answer without a transfer.
-	GiveNothing GiveState = iota
+	// NoTransfer: answer without a transfer.
+	NoTransfer GiveState = iota
 	// GiveNew: the tokens are deducted; copy the transfer to peers, then call GiveReady
 	// and answer, or GiveUndone and answer without.
 	GiveNew
@@ -307,7 +307,7 @@
 // of two short hosts one gets enough.
 func (h *Holder) TransferAsked(now time.Time, req *pb.AskTokensRequest) (*pb.Transfer, GiveState) {
 	if h.isFenced(req.GetFrom()) {
-		return nil, GiveNothing
+		return nil, NoTransfer
 	}
 	if g, ok := h.transfers.given[req.GetId()]; ok {
 		return g.state()
@@ -316,7 +316,7 @@
 	t := &pb.Transfer{Id: req.GetId(), Budget: req.GetBudget(), From: h.self, To: req.GetFrom(), Tokens: tokens}
 	h.transfers.given[req.GetId()] = &given{transfer: t, at: now, ready: tokens == 0}
 	if tokens == 0 {
-		return nil, GiveNothing
+		return nil, NoTransfer
 	}
 	h.budgets[req.GetBudget()].free -= tokens
 	return t, GiveNew
@@ -331,7 +331,7 @@
 
 func (g *given) state() (*pb.Transfer, GiveState) {
 	if g.transfer.GetTokens() == 0 {
-		return nil, GiveNothing
+		return nil, NoTransfer
 	}
 	if !g.ready {
 		return g.transfer, GivePending
