--- a/internal/grant/holder_test.go
+++ b/internal/grant/holder_test.go
@@ -142,10 +142,10 @@
 	giver := w.holders[a.Peer]
 	t, state := giver.TransferAsked(w.now, a.Request)
 	id := a.Request.GetId()
-	if state == GiveNew && !w.copies {
+	if state == NewTransfer && !w.copies {
 		w.carry(a.Peer, giver.GiveUndone(w.now, id))
 		t = nil
-	} else if state == GiveNew {
+	} else if state == NewTransfer {
 		giver.GiveReady(id)
 	}
 	w.send(func() { w.carry(host, w.holders[host].AskAnswered(w.now, id, t)) }, w.askLost(host, a))
--- a/internal/grant/policy_test.go
+++ b/internal/grant/policy_test.go
@@ -113,7 +113,7 @@
 	h.AcquireAnswered(now, "x", 1, &pb.AcquireResult{Amount: 100})
 	h.Release(now, "r1")
 	ask := &pb.AskTokensRequest{From: &pb.Holder{Host: "a", Incarnation: 1}, Budget: "x", Tokens: 40, Id: "a/1/1"}
-	if got, state := h.TransferAsked(now, ask); state != GiveNew || got.GetTokens() != 40 || h.Levels()[0].Free != 60 {
+	if got, state := h.TransferAsked(now, ask); state != NewTransfer || got.GetTokens() != 40 || h.Levels()[0].Free != 60 {
 		t.Fatalf("got %v, %v, %+v", got, state, h.Levels())
 	}
 	h.GiveUndone(now, ask.GetId())
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -293,9 +293,9 @@
 const (
 	// NoTransfer: answer without a transfer.
 	NoTransfer GiveState = iota
-	// GiveNew: the tokens are deducted; copy the transfer to peers, then call GiveReady
+	// NewTransfer: the tokens are deducted; copy the transfer to peers, then call GiveReady
 	// and answer, or GiveUndone and answer without.
-	GiveNew
+	NewTransfer
 	// GiveKnown: answer with the transfer.
 	GiveKnown
 	// GivePending: its copies are not yet in place; copy again, or let the asker come back.
@@ -319,7 +319,7 @@
 		return nil, NoTransfer
 	}
 	h.budgets[req.GetBudget()].free -= tokens
-	return t, GiveNew
+	return t, NewTransfer
 }
 
 func (g *given) window() time.Duration {
--- a/internal/measure/budgets/transfers.go
+++ b/internal/measure/budgets/transfers.go
@@ -27,7 +27,7 @@
 func (w *demand) give(asker, giver int, req *pb.AskTokensRequest) {
 	h := w.holders[giver]
 	t, state := h.TransferAsked(w.s.virtual(), req)
-	if state != grant.GiveNew {
+	if state != grant.NewTransfer {
 		w.answer(asker, giver, req, t)
 		return
 	}
