--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -296,8 +296,8 @@
 	// NewTransfer: the tokens are deducted; copy the transfer to peers, then call GiveReady
 	// and answer, or GiveUndone and answer without.
 	NewTransfer
-	// GiveKnown: answer with the transfer.
-	GiveKnown
+	// ReadyTransfer: answer with the transfer.
+	ReadyTransfer
 	// GivePending: its copies are not yet in place; copy again, or let the asker come back.
 	GivePending
 )
@@ -336,7 +336,7 @@
 	if !g.ready {
 		return g.transfer, GivePending
 	}
-	return g.transfer, GiveKnown
+	return g.transfer, ReadyTransfer
 }
 
 func (h *Holder) spare(req *pb.AskTokensRequest) uint64 {
