--- a/internal/controller/grants/calls.go
+++ b/internal/controller/grants/calls.go
@@ -176,7 +176,7 @@
 	defer m.distrust()
 	t, state := m.holder.TransferAsked(time.Now(), req)
 	_, busy := m.giving[req.GetId()]
-	copying = state == grant.NewTransfer || state == grant.GivePending
+	copying = state == grant.NewTransfer || state == grant.PendingTransfer
 	if copying && !busy && !m.closed {
 		m.giving[req.GetId()] = struct{}{}
 	}
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -298,8 +298,8 @@
 	NewTransfer
 	// ReadyTransfer: answer with the transfer.
 	ReadyTransfer
-	// GivePending: its copies are not yet in place; copy again, or let the asker come back.
-	GivePending
+	// PendingTransfer: its copies are not yet in place; copy again, or let the asker come back.
+	PendingTransfer
 )
 
 // TransferAsked is the giver's side: it deducts tokens before anyone else may have them.
@@ -334,7 +334,7 @@
 		return nil, NoTransfer
 	}
 	if !g.ready {
-		return g.transfer, GivePending
+		return g.transfer, PendingTransfer
 	}
 	return g.transfer, ReadyTransfer
 }
