--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -286,13 +286,13 @@
 	}
 }
 
-// GiveState says what the giver's runtime must do with an ask.
-type GiveState int
+// TransferState says what the giver's runtime must do with an ask.
+type TransferState int
 
 // States of an ask at the giver.
 const (
 	// NoTransfer: answer without a transfer.
-	NoTransfer GiveState = iota
+	NoTransfer TransferState = iota
 	// NewTransfer: the tokens are deducted; copy the transfer to peers, then call GiveReady
 	// and answer, or GiveUndone and answer without.
 	NewTransfer
@@ -305,7 +305,7 @@
 // TransferAsked is the giver's side: it deducts tokens before anyone else may have them.
 // A holder with waiters of its own gives only to a host whose name comes first, so that
 // of two short hosts one gets enough.
-func (h *Holder) TransferAsked(now time.Time, req *pb.AskTokensRequest) (*pb.Transfer, GiveState) {
+func (h *Holder) TransferAsked(now time.Time, req *pb.AskTokensRequest) (*pb.Transfer, TransferState) {
 	if h.isFenced(req.GetFrom()) {
 		return nil, NoTransfer
 	}
@@ -329,7 +329,7 @@
 	return givenWindow
 }
 
-func (g *given) state() (*pb.Transfer, GiveState) {
+func (g *given) state() (*pb.Transfer, TransferState) {
 	if g.transfer.GetTokens() == 0 {
 		return nil, NoTransfer
 	}
