--- a/internal/controller/grants/calls.go
+++ b/internal/controller/grants/calls.go
@@ -174,7 +174,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	defer m.distrust()
-	t, state := m.holder.TransferAsked(time.Now(), req)
+	t, state := m.holder.HandleAsk(time.Now(), req)
 	_, busy := m.giving[req.GetId()]
 	copying = state == grant.NewTransfer || state == grant.PendingTransfer
 	if copying && !busy && !m.closed {
--- a/internal/grant/holder_test.go
+++ b/internal/grant/holder_test.go
@@ -140,7 +140,7 @@
 
 func (w *world) ask(host string, a Ask) {
 	giver := w.holders[a.Peer]
-	t, state := giver.TransferAsked(w.now, a.Request)
+	t, state := giver.HandleAsk(w.now, a.Request)
 	id := a.Request.GetId()
 	if state == NewTransfer && !w.copies {
 		w.carry(a.Peer, giver.GiveUndone(w.now, id))
@@ -434,7 +434,7 @@
 	if got := h.Levels()[0]; got.Held() != 10 {
 		t.Errorf("got %+v, want the 10 of the ledger only", got)
 	}
-	if _, state := h.TransferAsked(now, &pb.AskTokensRequest{From: dead, Budget: "x", Tokens: 5, Id: "b/1/1"}); state != NoTransfer {
+	if _, state := h.HandleAsk(now, &pb.AskTokensRequest{From: dead, Budget: "x", Tokens: 5, Id: "b/1/1"}); state != NoTransfer {
 		t.Errorf("gave to a dead incarnation: %v", state)
 	}
 }
--- a/internal/grant/policy_test.go
+++ b/internal/grant/policy_test.go
@@ -84,7 +84,7 @@
 	h.Release(now, "r1")
 	ask := func(id string) uint64 {
 		a := &pb.AskTokensRequest{From: &pb.Holder{Host: "a", Incarnation: 1}, Budget: "x", Tokens: 100, Id: id}
-		got, _ := h.TransferAsked(now, a)
+		got, _ := h.HandleAsk(now, a)
 		return got.GetTokens()
 	}
 	if got := ask("a/1/1"); got != 10 {
@@ -113,12 +113,12 @@
 	h.AcquireAnswered(now, "x", 1, &pb.AcquireResult{Amount: 100})
 	h.Release(now, "r1")
 	ask := &pb.AskTokensRequest{From: &pb.Holder{Host: "a", Incarnation: 1}, Budget: "x", Tokens: 40, Id: "a/1/1"}
-	if got, state := h.TransferAsked(now, ask); state != NewTransfer || got.GetTokens() != 40 || h.Levels()[0].Free != 60 {
+	if got, state := h.HandleAsk(now, ask); state != NewTransfer || got.GetTokens() != 40 || h.Levels()[0].Free != 60 {
 		t.Fatalf("got %v, %v, %+v", got, state, h.Levels())
 	}
 	h.GiveUndone(now, ask.GetId())
 	h.GiveReady(ask.GetId())
-	if got, state := h.TransferAsked(now, ask); state != NoTransfer || got != nil || h.Levels()[0].Free != 100 {
+	if got, state := h.HandleAsk(now, ask); state != NoTransfer || got != nil || h.Levels()[0].Free != 100 {
 		t.Errorf("after the undo: %v, %v, %+v", got, state, h.Levels())
 	}
 }
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -302,10 +302,10 @@
 	PendingTransfer
 )
 
-// TransferAsked is the giver's side: it deducts tokens before anyone else may have them.
+// HandleAsk is the giver's side: it deducts tokens before anyone else may have them.
 // A holder with waiters of its own gives only to a host whose name comes first, so that
 // of two short hosts one gets enough.
-func (h *Holder) TransferAsked(now time.Time, req *pb.AskTokensRequest) (*pb.Transfer, TransferState) {
+func (h *Holder) HandleAsk(now time.Time, req *pb.AskTokensRequest) (*pb.Transfer, TransferState) {
 	if h.isFenced(req.GetFrom()) {
 		return nil, NoTransfer
 	}
--- a/internal/ledger/reserve_test.go
+++ b/internal/ledger/reserve_test.go
@@ -200,7 +200,7 @@
 	if giver == nil {
 		return
 	}
-	t, state := giver.holder.TransferAsked(f.clock(ask.Peer), ask.Request)
+	t, state := giver.holder.HandleAsk(f.clock(ask.Peer), ask.Request)
 	if state == grant.NewTransfer || state == grant.PendingTransfer {
 		giver.holder.GiveReady(ask.Request.Id)
 	}
--- a/internal/measure/budgets/transfers.go
+++ b/internal/measure/budgets/transfers.go
@@ -26,7 +26,7 @@
 // give is the peer's side: deduct, copy to a third host, answer.
 func (w *demand) give(asker, giver int, req *pb.AskTokensRequest) {
 	h := w.holders[giver]
-	t, state := h.TransferAsked(w.s.virtual(), req)
+	t, state := h.HandleAsk(w.s.virtual(), req)
 	if state != grant.NewTransfer {
 		w.answer(asker, giver, req, t)
 		return
