--- a/internal/controller/grants/calls.go
+++ b/internal/controller/grants/calls.go
@@ -217,7 +217,7 @@
 	if m.closed {
 		return
 	}
-	for _, t := range m.holder.PendingGives() {
+	for _, t := range m.holder.PendingTransfers() {
 		if _, busy := m.giving[t.GetId()]; busy {
 			continue
 		}
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -364,8 +364,8 @@
 // sub is x - y, 0 if y is greater.
 func sub(x, y uint64) uint64 { return x - min(x, y) }
 
-// PendingGives are the transfers deducted here whose copies are not yet in place.
-func (h *Holder) PendingGives() []*pb.Transfer {
+// PendingTransfers are the transfers deducted here whose copies are not yet in place.
+func (h *Holder) PendingTransfers() []*pb.Transfer {
 	var pending []*pb.Transfer
 	for _, id := range slices.Sorted(maps.Keys(h.transfers.given)) {
 		if g := h.transfers.given[id]; !g.ready {
