--- a/internal/controller/grants/calls.go
+++ b/internal/controller/grants/calls.go
@@ -194,7 +194,7 @@
 	copyErr := m.cfg.Recorder.CopyTransfer(ctx, t)
 	if copyErr == nil {
 		m.mu.Lock()
-		m.holder.GiveReady(t.GetId())
+		m.holder.MarkTransferReady(t.GetId())
 		m.mu.Unlock()
 		m.noteTransfer("transfer-given", t, nil)
 		return &pb.AskTokensReply{Transfer: t}
--- a/internal/grant/holder_test.go
+++ b/internal/grant/holder_test.go
@@ -146,7 +146,7 @@
 		w.carry(a.Peer, giver.GiveUndone(w.now, id))
 		t = nil
 	} else if state == NewTransfer {
-		giver.GiveReady(id)
+		giver.MarkTransferReady(id)
 	}
 	w.send(func() { w.carry(host, w.holders[host].AskAnswered(w.now, id, t)) }, w.askLost(host, a))
 }
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -375,8 +375,8 @@
 	return pending
 }
 
-// GiveReady tells that the copies of a new transfer are in place.
-func (h *Holder) GiveReady(id string) {
+// MarkTransferReady tells that the copies of a new transfer are in place.
+func (h *Holder) MarkTransferReady(id string) {
 	if g, ok := h.transfers.given[id]; ok {
 		g.ready = true
 	}
--- a/internal/ledger/reserve_test.go
+++ b/internal/ledger/reserve_test.go
@@ -202,7 +202,7 @@
 	}
 	t, state := giver.holder.HandleAsk(f.clock(ask.Peer), ask.Request)
 	if state == grant.NewTransfer || state == grant.PendingTransfer {
-		giver.holder.GiveReady(ask.Request.Id)
+		giver.holder.MarkTransferReady(ask.Request.Id)
 	}
 	f.reply(false, from, asker, func() grant.Output { return asker.holder.AskAnswered(f.clock(from), ask.Request.Id, t) })
 }
--- a/internal/measure/budgets/transfers.go
+++ b/internal/measure/budgets/transfers.go
@@ -45,7 +45,7 @@
 	w.s.inTransit[account] += t.GetTokens()
 	w.s.count(2, 2*proto.Size(t))
 	w.s.after(trip, func() {
-		h.GiveReady(req.GetId())
+		h.MarkTransferReady(req.GetId())
 		w.answer(asker, giver, req, t)
 	})
 }
