--- a/internal/controller/grants/grants.go
+++ b/internal/controller/grants/grants.go
@@ -241,7 +241,7 @@
 func (m *Manager) GiveSettled(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.holder.GiveSettled(time.Now(), id)
+	m.holder.MarkTransferSettled(time.Now(), id)
 }
 
 // step feeds one input to the holder and carries out its output.
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -382,10 +382,10 @@
 	}
 }
 
-// GiveSettled forgets a given transfer: its receiver told that the ledger knows it. For a
+// MarkTransferSettled forgets a given transfer: its receiver told that the ledger knows it. For a
 // while its id is still answered with nothing, so that a first ask that comes late doesn't
 // move tokens again.
-func (h *Holder) GiveSettled(now time.Time, id string) {
+func (h *Holder) MarkTransferSettled(now time.Time, id string) {
 	if g, ok := h.transfers.given[id]; ok && g.ready {
 		g.transfer = &pb.Transfer{Id: id}
 		g.at = now
