--- a/internal/controller/grants/calls.go
+++ b/internal/controller/grants/calls.go
@@ -205,7 +205,7 @@
 		m.noteTransfer("transfer-stuck", t, err)
 		return &pb.AskTokensReply{Error: wire.EncodeError(grant.RefuseReason())}
 	}
-	m.step(func(now time.Time) grant.Output { return m.holder.GiveUndone(now, t.GetId()) })
+	m.step(func(now time.Time) grant.Output { return m.holder.UndoTransfer(now, t.GetId()) })
 	m.noteTransfer("transfer-undone", t, copyErr)
 	return &pb.AskTokensReply{}
 }
--- a/internal/grant/holder_test.go
+++ b/internal/grant/holder_test.go
@@ -143,7 +143,7 @@
 	t, state := giver.HandleAsk(w.now, a.Request)
 	id := a.Request.GetId()
 	if state == NewTransfer && !w.copies {
-		w.carry(a.Peer, giver.GiveUndone(w.now, id))
+		w.carry(a.Peer, giver.UndoTransfer(w.now, id))
 		t = nil
 	} else if state == NewTransfer {
 		giver.MarkTransferReady(id)
--- a/internal/grant/policy_test.go
+++ b/internal/grant/policy_test.go
@@ -116,7 +116,7 @@
 	if got, state := h.HandleAsk(now, ask); state != NewTransfer || got.GetTokens() != 40 || h.Levels()[0].Free != 60 {
 		t.Fatalf("got %v, %v, %+v", got, state, h.Levels())
 	}
-	h.GiveUndone(now, ask.GetId())
+	h.UndoTransfer(now, ask.GetId())
 	h.MarkTransferReady(ask.GetId())
 	if got, state := h.HandleAsk(now, ask); state != NoTransfer || got != nil || h.Levels()[0].Free != 100 {
 		t.Errorf("after the undo: %v, %v, %+v", got, state, h.Levels())
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -392,9 +392,9 @@
 	}
 }
 
-// GiveUndone takes a transfer back that was never answered and never will be: from now
+// UndoTransfer takes a transfer back that was never answered and never will be: from now
 // on its id is answered with nothing.
-func (h *Holder) GiveUndone(now time.Time, id string) Output {
+func (h *Holder) UndoTransfer(now time.Time, id string) Output {
 	var out Output
 	g, ok := h.transfers.given[id]
 	if !ok || g.ready {
--- a/internal/measure/budgets/transfers.go
+++ b/internal/measure/budgets/transfers.go
@@ -33,7 +33,7 @@
 	}
 	third := w.third(asker, giver)
 	if third < 0 && w.set.NeedThird {
-		w.step(giver, func(h *grant.Holder, now time.Time) grant.Output { return h.GiveUndone(now, req.GetId()) })
+		w.step(giver, func(h *grant.Holder, now time.Time) grant.Output { return h.UndoTransfer(now, req.GetId()) })
 		w.answer(asker, giver, req, nil)
 		return
 	}
