--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -430,7 +430,7 @@
 	return dead
 }
 
-// RefuseReason is the refusal that an AskTokensReply carries while copies are under way.
-func RefuseReason() *errkind.Error {
+// ErrCopying is the refusal that an AskTokensReply carries while copies are under way.
+func ErrCopying() *errkind.Error {
 	return errkind.New(errkind.InProgress, "the transfer is being copied").After(RetryAfterUnreachable)
 }
