--- a/internal/grant/outofcontact_test.go
+++ b/internal/grant/outofcontact_test.go
@@ -56,11 +56,11 @@
 func TestReserveIsForTimesWithoutContact(t *testing.T) {
 	start := time.Unix(1000, 0)
 	h := holding(start, 0, 1000)
-	if ok, _ := granted(h.Reserve(start.Add(reserve.Hold), "a", budgetName, 100, reservePolicy), "a"); ok {
+	if ok, _ := granted(h.Reserve(start.Add(reserve.HoldPeriod), "a", budgetName, 100, reservePolicy), "a"); ok {
 		t.Error("the reserve was spent before the time that it is held back")
 	}
 	h = holding(start, 0, 1000)
-	half := start.Add(reserve.Hold + span/2)
+	half := start.Add(reserve.HoldPeriod + span/2)
 	if ok, err := granted(h.Reserve(half, "a", budgetName, 500, reservePolicy), "a"); !ok || err != nil {
 		t.Errorf("half of the reserve after half of the span: %t %v", ok, err)
 	}
@@ -75,10 +75,10 @@
 func TestContactLocksTheReserveAgain(t *testing.T) {
 	start := time.Unix(1000, 0)
 	h := holding(start, 0, 1000)
-	whole := start.Add(reserve.Hold + span)
+	whole := start.Add(reserve.HoldPeriod + span)
 	h.Reserve(whole, "a", budgetName, 400, reservePolicy)
 	h.RecordContact(whole)
-	if ok, err := granted(h.Reserve(whole.Add(reserve.Hold), "b", budgetName, 100, reservePolicy), "b"); ok && err == nil {
+	if ok, err := granted(h.Reserve(whole.Add(reserve.HoldPeriod), "b", budgetName, 100, reservePolicy), "b"); ok && err == nil {
 		t.Error("spent from the reserve right after a contact")
 	}
 }
@@ -226,7 +226,7 @@
 		h := holding(start, 0, 1000)
 		out := &h.budgets[budgetName].out
 		out.rate, out.asked = c.known, c.asked
-		if got := out.usable(reserve.Hold + time.Second); got != c.want {
+		if got := out.usable(reserve.HoldPeriod + time.Second); got != c.want {
 			t.Errorf("%s: %d tokens a second after the time that the reserve is held back, want %d", name, got, c.want)
 		}
 	}
@@ -282,7 +282,7 @@
 	start := time.Unix(1000, 0)
 	h := holding(start, 0, 1000) // 200 tokens a second
 	b := h.budgets[budgetName]
-	at := start.Add(reserve.Hold - time.Second)
+	at := start.Add(reserve.HoldPeriod - time.Second)
 	for tokens, want := range map[uint64]time.Duration{100: 1500 * time.Millisecond, 1000: 6 * time.Second, 1001: 0} {
 		got := h.opensIn(at, &waiter{tokens: tokens, why: errkind.BudgetUnreachable}, b)
 		if max(got-want, want-got) > 10*time.Millisecond {
--- a/internal/grant/reserve/reserve.go
+++ b/internal/grant/reserve/reserve.go
@@ -34,9 +34,9 @@
 )
 
 const (
-	// Hold is the time without contact in which nothing of the reserve may be spent. An
+	// HoldPeriod is the time without contact in which nothing of the reserve may be spent. An
 	// election of a leader, or a restart of the whole fleet, takes less.
-	Hold = 2500 * time.Millisecond
+	HoldPeriod = 2500 * time.Millisecond
 	// Margin is what the ledger adds to its own count of time.
 	Margin = time.Second
 	// unit keeps the arithmetic in whole numbers, the same on every machine.
@@ -46,7 +46,7 @@
 // Usable is how much of a reserve that opens at rate, in tokens a second, may be spent after
 // the time without contact.
 func Usable(tokens, rate uint64, without time.Duration) uint64 {
-	after := without - Hold
+	after := without - HoldPeriod
 	if after <= 0 {
 		return 0
 	}
@@ -67,7 +67,7 @@
 	if seconds > longest.Seconds() {
 		return longest
 	}
-	return Hold + time.Duration(seconds*float64(time.Second)) + unit
+	return HoldPeriod + time.Duration(seconds*float64(time.Second)) + unit
 }
 
 // PerhapsSpent is how much of a reserve the ledger must count as spent when its holder is
--- a/internal/grant/reserve/reserve_test.go
+++ b/internal/grant/reserve/reserve_test.go
@@ -13,11 +13,11 @@
 		without      time.Duration
 		want         uint64
 	}{
-		{1000, 200, Hold, 0},
-		{1000, 200, Hold + 500*time.Millisecond, 100},
-		{1000, 200, Hold + time.Minute, 1000},
-		{1000, 0, Hold + time.Minute, 0},
-		{1 << 63, 1 << 62, Hold + time.Hour, 1 << 63},
+		{1000, 200, HoldPeriod, 0},
+		{1000, 200, HoldPeriod + 500*time.Millisecond, 100},
+		{1000, 200, HoldPeriod + time.Minute, 1000},
+		{1000, 0, HoldPeriod + time.Minute, 0},
+		{1 << 63, 1 << 62, HoldPeriod + time.Hour, 1 << 63},
 	} {
 		if got := Usable(c.tokens, c.rate, c.without); got != c.want {
 			t.Errorf("%d tokens at %d a second, %v without contact: %d, want %d", c.tokens, c.rate, c.without, got, c.want)
--- a/internal/ledger/reserve_test.go
+++ b/internal/ledger/reserve_test.go
@@ -483,7 +483,7 @@
 		return got
 	}
 	first := acquire(1, 1, 1000, 200)
-	cut := (reserve.Hold + 4*time.Second).Milliseconds()
+	cut := (reserve.HoldPeriod + 4*time.Second).Milliseconds()
 	last := acquire(cut, 2, 0, 1)
 	spent := reserve.Usable(first.Reserve, 200, time.Duration(cut)*time.Millisecond)
 	next, err := s.RegisterHost(at(cut+1), &pb.RegisterHost{Host: "a", BootId: "two"})
@@ -561,7 +561,7 @@
 	if err != nil || held.Reserve == 0 {
 		t.Fatalf("acquired %v, %v", held, err)
 	}
-	heldUp := reserve.Hold + 5*time.Second // the whole reserve is open
+	heldUp := reserve.HoldPeriod + 5*time.Second // the whole reserve is open
 	if _, _, err := s.Settle(at(300), &pb.Settle{Holder: registered.Holder, Seq: 1}); err != nil {
 		t.Fatal(err)
 	}
