--- a/internal/grant/outofcontact.go
+++ b/internal/grant/outofcontact.go
@@ -46,7 +46,7 @@
 	if r.reserve < tokens || r.opens() == 0 {
 		return 0, false
 	}
-	return max(reserve.OpensAfter(r.taken+tokens, r.opens())-without, minOpensIn), true
+	return max(reserve.UsableAfter(r.taken+tokens, r.opens())-without, minOpensIn), true
 }
 
 // minOpensIn keeps those who wait for a reserve from asking all the time.
--- a/internal/grant/reserve/reserve.go
+++ b/internal/grant/reserve/reserve.go
@@ -59,9 +59,9 @@
 	return min(tokens, opened)
 }
 
-// OpensAfter is the time without contact after which so many tokens of a reserve may be spent.
+// UsableAfter is the time without contact after which so many tokens of a reserve may be spent.
 // rate must not be 0.
-func OpensAfter(tokens, rate uint64) time.Duration {
+func UsableAfter(tokens, rate uint64) time.Duration {
 	const longest = 24 * time.Hour
 	seconds := float64(tokens) / float64(rate)
 	if seconds > longest.Seconds() {
--- a/internal/grant/reserve/reserve_test.go
+++ b/internal/grant/reserve/reserve_test.go
@@ -32,7 +32,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		tokens := rapid.Uint64Range(0, 1<<40).Draw(t, "tokens")
 		rate := rapid.Uint64Range(1, 1<<30).Draw(t, "rate")
-		after := OpensAfter(tokens, rate)
+		after := UsableAfter(tokens, rate)
 		if after < 24*time.Hour && Usable(tokens, rate, after) < tokens-min(tokens, rate/1000) {
 			t.Fatalf("after %v only %d are usable", after, Usable(tokens, rate, after))
 		}
