--- a/internal/grant/reserve/reserve.go
+++ b/internal/grant/reserve/reserve.go
@@ -70,10 +70,10 @@
 	return HoldPeriod + time.Duration(seconds*float64(time.Second)) + unit
 }
 
-// PerhapsSpent is how much of a reserve the ledger must count as spent when its holder is
+// CountedAsSpent is how much of a reserve the ledger must count as spent when its holder is
 // lost after the time without contact, as the ledger counts it. Of a reserve whose rate is not
 // known, 0, all counts.
-func PerhapsSpent(tokens, rate uint64, without time.Duration) uint64 {
+func CountedAsSpent(tokens, rate uint64, without time.Duration) uint64 {
 	if rate == 0 {
 		return tokens
 	}
--- a/internal/grant/reserve/reserve_test.go
+++ b/internal/grant/reserve/reserve_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("%d tokens at %d a second, %v without contact: %d, want %d", c.tokens, c.rate, c.without, got, c.want)
 		}
 	}
-	if got := PerhapsSpent(1000, 0, 0); got != 1000 {
+	if got := CountedAsSpent(1000, 0, 0); got != 1000 {
 		t.Errorf("of a reserve without a known rate %d of 1000 count as spent", got)
 	}
 }
--- a/internal/ledger/reserve_test.go
+++ b/internal/ledger/reserve_test.go
@@ -454,7 +454,7 @@
 		holder := time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "holder"))
 		more := time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "more"))
 		rate := rapid.Uint64().Draw(t, "rate")
-		if usable, counted := reserve.Usable(tokens, rate, holder), reserve.PerhapsSpent(tokens, rate, holder+more-reserve.Margin); more >= 0 && usable > counted {
+		if usable, counted := reserve.Usable(tokens, rate, holder), reserve.CountedAsSpent(tokens, rate, holder+more-reserve.Margin); more >= 0 && usable > counted {
 			t.Fatalf("%d usable, %d counted", usable, counted)
 		}
 	})
