--- a/internal/controller/budgets/owner.go
+++ b/internal/controller/budgets/owner.go
@@ -11,7 +11,7 @@
 
 // localID names another host's request among this host's reservations. Requests of this
 // host have ids without a run.
-func localID(k book.Key) string { return k.Run + "/" + k.Request }
+func localID(k book.Key) string { return k.Incarnation + "/" + k.Request }
 
 // HandleReserve sets tokens aside for a request of another host.
 func (d *Desk) HandleReserve(ctx context.Context, req *pb.ReserveTokensRequest) *pb.ReserveTokensReply {
@@ -23,7 +23,7 @@
 	if local == nil {
 		return errkind.New(errkind.BudgetUnreachable, "host %s is not registered with the control group yet", d.cfg.Self().GetHost()).After(time.Second)
 	}
-	k := book.Key{Run: req.GetRun(), Request: req.GetRequest()}
+	k := book.Key{Incarnation: req.GetRun(), Request: req.GetRequest()}
 	if err := local.Reserve(ctx, req.GetBudget(), localID(k), req.GetTokens()); err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, s := range req.GetSpent() {
-		k := book.Key{Run: req.GetRun(), Request: s.GetRequest()}
+		k := book.Key{Incarnation: req.GetRun(), Request: s.GetRequest()}
 		if d.book.End(now, k) {
 			local.Spend(localID(k), s.GetTokens())
 		}
@@ -59,7 +59,7 @@
 // expire bills the reservations whose hosts have not ended them in time.
 func (d *Desk) expire(expired []book.Expired) {
 	for _, e := range expired {
-		d.cfg.Log.Warn().Str("event", "reservation-expired").Str("run", e.Run).Str("request", e.Request).
+		d.cfg.Log.Warn().Str("event", "reservation-expired").Str("run", e.Incarnation).Str("request", e.Request).
 			Uint64("billed", e.Tokens).Send()
 		d.cfg.Local().Spend(localID(e.Key), e.Tokens)
 	}
--- a/internal/grant/book/book.go
+++ b/internal/grant/book/book.go
@@ -20,7 +20,7 @@
 const rememberEnds = 30 * time.Second
 
 // Key names a request: the run of its host, and its id there.
-type Key struct{ Run, Request string }
+type Key struct{ Incarnation, Request string }
 
 // Book of one owner.
 type Book struct {
--- a/internal/grant/book/book_test.go
+++ b/internal/grant/book/book_test.go
@@ -7,7 +7,7 @@
 
 var (
 	start = time.Unix(1000, 0)
-	key   = Key{Run: "a/1", Request: "r1"}
+	key   = Key{Incarnation: "a/1", Request: "r1"}
 )
 
 const lifetime = 10 * time.Second
