--- a/internal/controller/budgets/run.go
+++ b/internal/controller/budgets/run.go
@@ -77,7 +77,7 @@
 		select {
 		case <-ctx.Done():
 			d.mu.Lock()
-			expired := d.book.All()
+			expired := d.book.RemoveAll()
 			d.mu.Unlock()
 			d.expire(expired)
 			return
--- a/internal/grant/book/book.go
+++ b/internal/grant/book/book.go
@@ -83,8 +83,8 @@
 	return out
 }
 
-// All takes all reservations off the book: their owner stops.
-func (b *Book) All() []Expired {
+// RemoveAll takes all reservations off the book: their owner stops.
+func (b *Book) RemoveAll() []Expired {
 	var out []Expired
 	for k, r := range b.open {
 		out = append(out, Expired{Key: k, Tokens: r.tokens})
--- a/internal/grant/book/book_test.go
+++ b/internal/grant/book/book_test.go
@@ -61,7 +61,7 @@
 func TestAllAtTheEnd(t *testing.T) {
 	b := New()
 	b.Add(start, key, 50, lifetime)
-	if got := b.All(); len(got) != 1 || b.Open() != 0 {
+	if got := b.RemoveAll(); len(got) != 1 || b.Open() != 0 {
 		t.Errorf("got %v, %d are left", got, b.Open())
 	}
 }
