--- a/internal/controller/budgets/run.go
+++ b/internal/controller/budgets/run.go
@@ -89,5 +89,5 @@
 func (d *Desk) idle() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.outbox.Empty() && d.book.Open() == 0
+	return d.outbox.Empty() && d.book.Len() == 0
 }
--- a/internal/grant/book/book.go
+++ b/internal/grant/book/book.go
@@ -93,5 +93,5 @@
 	return out
 }
 
-// Open is the number of reservations.
-func (b *Book) Open() int { return len(b.open) }
+// Len is the number of reservations.
+func (b *Book) Len() int { return len(b.open) }
--- a/internal/grant/book/book_test.go
+++ b/internal/grant/book/book_test.go
@@ -14,10 +14,10 @@
 
 func TestReservationEndsOnce(t *testing.T) {
 	b := New()
-	if !b.Add(start, key, 50, lifetime) || b.Open() != 1 {
+	if !b.Add(start, key, 50, lifetime) || b.Len() != 1 {
 		t.Fatal("not taken")
 	}
-	if !b.End(start, key) || b.End(start, key) || b.Open() != 0 {
+	if !b.End(start, key) || b.End(start, key) || b.Len() != 0 {
 		t.Error("the second end found the reservation again")
 	}
 	if got := b.Expire(start.Add(2 * lifetime)); len(got) != 0 {
@@ -34,7 +34,7 @@
 	if b.End(start, key) {
 		t.Fatal("ended what was not there")
 	}
-	if b.Add(start.Add(time.Second), key, 50, lifetime) || b.Open() != 0 {
+	if b.Add(start.Add(time.Second), key, 50, lifetime) || b.Len() != 0 {
 		t.Error("a reservation was made for an ended request")
 	}
 	b.Expire(start.Add(rememberEnds + time.Second))
@@ -53,7 +53,7 @@
 		t.Fatalf("expired early: %v", got)
 	}
 	got := b.Expire(start.Add(lifetime + 1))
-	if len(got) != 1 || got[0].Key != key || got[0].Tokens != 50 || b.Open() != 0 {
+	if len(got) != 1 || got[0].Key != key || got[0].Tokens != 50 || b.Len() != 0 {
 		t.Errorf("expired %v", got)
 	}
 }
@@ -61,7 +61,7 @@
 func TestAllAtTheEnd(t *testing.T) {
 	b := New()
 	b.Add(start, key, 50, lifetime)
-	if got := b.RemoveAll(); len(got) != 1 || b.Open() != 0 {
-		t.Errorf("got %v, %d are left", got, b.Open())
+	if got := b.RemoveAll(); len(got) != 1 || b.Len() != 0 {
+		t.Errorf("got %v, %d are left", got, b.Len())
 	}
 }
