--- a/internal/grant/fakeledger/fakeledger.go
+++ b/internal/grant/fakeledger/fakeledger.go
@@ -157,8 +157,8 @@
 	}}}
 }
 
-// Settled is the number of the last batch applied of a holder.
-func (l *Ledger) Settled(h *pb.Holder) uint64 { return l.settled[KeyOf(h)] }
+// LastSettled is the number of the last batch applied of a holder.
+func (l *Ledger) LastSettled(h *pb.Holder) uint64 { return l.settled[KeyOf(h)] }
 
 func (l *Ledger) settle(s *pb.Settle) *pb.CommandResult {
 	k := KeyOf(s.GetHolder())
--- a/internal/grant/holder_test.go
+++ b/internal/grant/holder_test.go
@@ -209,7 +209,7 @@
 func (w *world) returning(h *Holder) uint64 {
 	sum := h.settlement.returns["x"]
 	batch := h.settlement.batch
-	if w.ledger.Settled(h.Self()) < batch.GetSeq() {
+	if w.ledger.LastSettled(h.Self()) < batch.GetSeq() {
 		for _, r := range batch.GetReturns() {
 			sum += r.GetTokens()
 		}
