--- a/internal/controller/grants/calls.go
+++ b/internal/controller/grants/calls.go
@@ -160,7 +160,7 @@
 	t, copying, refuse := m.beginGiving(req)
 	switch {
 	case refuse:
-		return &pb.AskTokensReply{Error: wire.EncodeError(grant.ErrCopying())}
+		return &pb.AskTokensReply{Error: wire.EncodeError(grant.CopyInProgress())}
 	case copying:
 		return m.give(t)
 	default:
@@ -203,7 +203,7 @@
 	defer cancelUndo()
 	if err := m.cfg.Recorder.AbandonTransfer(undoCtx, t); err != nil {
 		m.noteTransfer("transfer-stuck", t, err)
-		return &pb.AskTokensReply{Error: wire.EncodeError(grant.ErrCopying())}
+		return &pb.AskTokensReply{Error: wire.EncodeError(grant.CopyInProgress())}
 	}
 	m.step(func(now time.Time) grant.Output { return m.holder.UndoTransfer(now, t.GetId()) })
 	m.noteTransfer("transfer-undone", t, copyErr)
--- a/internal/grant/acquire.go
+++ b/internal/grant/acquire.go
@@ -7,14 +7,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// When refused requests may come back.
+// Times after which the caller of a refused request may retry.
 const (
-	// RetryAfterExhausted: a budget without tokens needs a top-up or the end of requests
-	// whose worst case is set aside.
+	// RetryAfterExhausted applies to a budget without free tokens: it needs a top-up, or the
+	// end of requests that hold reservations.
 	RetryAfterExhausted = 5 * time.Second
-	// RetryAfterUnreachable and MaxRetryUnreachable bound when a caller may come back whose
-	// tokens are out of reach: a partition that has lasted for a time lasts as long again, as
-	// far as anybody knows.
+	// RetryAfterUnreachable and MaxRetryAfterUnreachable bound the retry time while the ledger
+	// is unreachable. The retry time is the duration of the outage so far, as the best
+	// estimate of the time that it will go on.
 	RetryAfterUnreachable    = time.Second
 	MaxRetryAfterUnreachable = 3 * time.Second
 )
@@ -22,32 +22,33 @@
 // acquire is the one outstanding request for tokens of a budget. All waiters share it.
 type acquire struct {
 	msg *pb.Acquire // nil: none outstanding
-	seq uint64      // last number that the ledger answered
-	// first is when it was first sent, last when it was last sent, next when it is sent
-	// again, wait the present backoff.
+	seq uint64      // last sequence number that the ledger answered
+	// first is when the message was first sent, last when it was last sent, next when it is
+	// to be resent, and wait the current backoff.
 	first, last, next time.Time
 	wait              time.Duration
 }
 
-// advance moves a budget's waiters on: grant, ask the ledger, ask the peers, refuse.
+// advance processes a budget's waiters: it grants them tokens, asks the ledger, asks the
+// peers, or refuses them.
 func (h *Holder) advance(now time.Time, b *budget, out *Output) {
-	h.serve(now, b, out)
+	h.grantWaiters(now, b, out)
 	if h.draining {
 		return
 	}
 	h.endRound(now, b, out)
-	h.refuseHelpless(now, b, out)
+	h.refuseUnserved(now, b, out)
 	if len(b.waiters) == 0 {
-		h.fetchAhead(now, b, out)
+		h.prefetch(now, b, out)
 		return
 	}
-	if b.acquire.msg != nil && !b.ledgerSilent(now, h.cfg) {
+	if b.acquire.msg != nil && !b.ledgerTimedOut(now, h.cfg) {
 		return
 	}
 	if b.acquire.msg != nil {
 		h.giveUpOnLedger(now, b, out)
 	}
-	if b.untried() {
+	if b.hasUntried() {
 		h.sendAcquire(now, b, b.shortage(), out)
 	}
 	if b.round == nil {
@@ -55,42 +56,42 @@
 	}
 }
 
-// ledgerSilent tells whether waiters should no longer wait for the outstanding acquire.
-// Counted from its first send: one lost answer is made good by a resend before anybody is
-// refused, and in a long cut nobody waits.
-func (b *budget) ledgerSilent(now time.Time, cfg Config) bool {
+// ledgerTimedOut reports whether waiters should no longer wait for the outstanding acquire.
+// The timeout counts from the first send: a lost answer is compensated by a resend before
+// any request is refused, and during a long outage no request waits.
+func (b *budget) ledgerTimedOut(now time.Time, cfg Config) bool {
 	return now.Sub(b.acquire.first) >= cfg.LedgerTimeout
 }
 
-// giveUpOnLedger lets the new waiters look to the peers, and meanwhile sends the
-// outstanding acquire once more: they are refused only if that isn't answered in time.
+// giveUpOnLedger makes the new waiters ask the peers, and resends the outstanding acquire:
+// the waiters are refused only if it isn't answered within ProbeTimeout.
 //
-// Without this probe the end of a cut would be noticed at the end of a long backoff, and
-// requests refused until then though the ledger has tokens.
+// Without this probe the end of an outage would be noticed only after a long backoff, and
+// requests would be refused until then although the ledger has tokens.
 func (h *Holder) giveUpOnLedger(now time.Time, b *budget, out *Output) {
-	if !b.untried() {
+	if !b.hasUntried() {
 		return
 	}
 	if now.Sub(b.acquire.last) >= h.cfg.ProbeTimeout {
 		h.sendAgain(now, &b.acquire, out)
 	}
 	for _, w := range b.waiters {
-		if !w.tried {
-			w.tried, w.why, w.notBefore = true, errkind.BudgetUnreachable, now.Add(h.cfg.ProbeTimeout)
+		if !w.ledgerTried {
+			w.ledgerTried, w.refusalKind, w.refuseAt = true, errkind.BudgetUnreachable, now.Add(h.cfg.ProbeTimeout)
 		}
 	}
 }
 
-func (b *budget) untried() bool {
+func (b *budget) hasUntried() bool {
 	for _, w := range b.waiters {
-		if !w.tried {
+		if !w.ledgerTried {
 			return true
 		}
 	}
 	return false
 }
 
-// shortage is what is missing to grant every waiter.
+// shortage returns the number of tokens missing to grant every waiter.
 func (b *budget) shortage() uint64 {
 	var sum uint64
 	for _, w := range b.waiters {
@@ -99,19 +100,19 @@
 	return sum - min(sum, b.free)
 }
 
-// sendAcquire asks the ledger for need and, if it has plenty, for the demand of the
-// policy's horizon as well.
+// sendAcquire asks the ledger for need tokens, and for the demand of the policy's horizon
+// as far as the ledger has enough.
 func (h *Holder) sendAcquire(now time.Time, b *budget, need uint64, out *Output) {
 	a := &b.acquire
 	want := need + h.ahead(now, b)
 	unlock := b.unlock(want)
-	b.out.reserve -= unlock
-	b.out.asked = h.rateWanted(now, b)
+	b.reserve.tokens -= unlock
+	b.reserve.requestedRate = h.rateWanted(now, b)
 	a.msg = &pb.Acquire{
 		Holder: h.self, Budget: b.name, Seq: a.seq + 1,
 		Unlock: unlock, Need: need - min(need, unlock), Want: want - unlock,
 		Reserve: h.reserveWanted(now, b), AtRiskPermille: b.policy.AtRiskPermille,
-		Rate: b.out.asked,
+		Rate: b.reserve.requestedRate,
 	}
 	a.first, a.last = now, now
 	a.wait = h.cfg.ResendAfter
@@ -119,60 +120,60 @@
 	out.Acquires = append(out.Acquires, a.msg)
 }
 
-// unlock is how much of the reserve goes to the open part when want is asked for: what the
-// ledger has not enough of.
+// unlock returns how much of the reserve moves to the open part when want tokens are
+// requested: the part of want that exceeds the ledger's free tokens.
 func (b *budget) unlock(want uint64) uint64 {
 	if !b.levelKnown {
 		return 0
 	}
-	return min(want-min(want, b.level), b.out.reserve)
+	return min(want-min(want, b.ledgerFree), b.reserve.tokens)
 }
 
-// ahead is how many tokens the host would hold beyond its present need, as far as the
-// ledger has them. The ledger itself gives less as a budget runs low.
+// ahead returns how many more tokens the host should hold beyond its current need, at most
+// what the ledger has. The ledger itself grants less as a budget runs low.
 func (h *Holder) ahead(now time.Time, b *budget) uint64 {
 	target := b.demand.tokens(now, b.policy, b.policy.Horizon)
 	if b.levelKnown {
-		target = min(target, b.level+b.out.reserve)
+		target = min(target, b.ledgerFree+b.reserve.tokens)
 	}
 	if b.levelKnown && b.policy.OpenPermille > 0 {
 		const whole = 1000
-		target = min(target, b.left/whole*uint64(b.policy.OpenPermille))
+		target = min(target, b.unbilled/whole*uint64(b.policy.OpenPermille))
 	}
 	return target - min(target, b.free)
 }
 
-// fetchBelow has tokens fetched ahead when the part that is missing of the target is more
-// than one in so many of what is free: at two thirds of the target.
-const fetchBelow = 2
+// prefetchDivisor sets when tokens are prefetched: when more is missing of the target than
+// the free tokens divided by prefetchDivisor, that is, below two thirds of the target.
+const prefetchDivisor = 2
 
-// shortPause is how long nothing is fetched ahead after the ledger gave less than was
-// wanted. It keeps a part of what is left of a budget to itself, and what it gives changes
-// with what is billed, a few times a second.
-const shortPause = time.Second
+// prefetchPause is how long nothing is prefetched after the ledger granted less than was
+// wanted. The ledger keeps back a part of a budget's remaining tokens, and the amount that it
+// grants changes with every batch of bills, a few times a second.
+const prefetchPause = time.Second
 
-// fetchAhead asks for tokens before the host runs short, so that requests don't wait
-// for the ledger.
-func (h *Holder) fetchAhead(now time.Time, b *budget, out *Output) {
-	if b.acquire.msg != nil || !b.levelKnown || b.level+b.out.reserve == 0 {
+// prefetch requests tokens before the host runs out, so that requests don't wait for the
+// ledger.
+func (h *Holder) prefetch(now time.Time, b *budget, out *Output) {
+	if b.acquire.msg != nil || !b.levelKnown || b.ledgerFree+b.reserve.tokens == 0 {
 		return
 	}
-	if now.Sub(b.fetched) < h.cfg.ResendAfter || now.Sub(b.short) < shortPause {
+	if now.Sub(b.lastPrefetch) < h.cfg.ResendAfter || now.Sub(b.lastShort) < prefetchPause {
 		return
 	}
-	if b.idle(now) { // else what an idle budget returned would be fetched again at once
+	if b.idle(now) { // otherwise the tokens that an idle budget returned would be fetched again immediately
 		return
 	}
 	missing := h.ahead(now, b)
-	short := missing > b.free/fetchBelow || h.reserveWanted(now, b) > b.out.reserve
-	if short || b.out.reserve > 0 && b.out.stale(h.rateWanted(now, b)) {
-		b.fetched = now
+	short := missing > b.free/prefetchDivisor || h.reserveWanted(now, b) > b.reserve.tokens
+	if short || b.reserve.tokens > 0 && b.reserve.rateStale(h.rateWanted(now, b)) {
+		b.lastPrefetch = now
 		h.sendAcquire(now, b, 1, out)
 	}
 }
 
-// AcquireAnswered takes the ledger's grant. An answer to any but the outstanding
-// number is a duplicate and is dropped: its tokens were counted before.
+// AcquireAnswered processes the ledger's grant. An answer whose sequence number is not the
+// outstanding one is a duplicate and is dropped: its tokens were already counted.
 func (h *Holder) AcquireAnswered(now time.Time, budgetName string, seq uint64, r *pb.AcquireResult) Output {
 	var out Output
 	b, ok := h.outstanding(budgetName, seq)
@@ -180,15 +181,15 @@
 		return out
 	}
 	need, unlocked := b.acquire.msg.GetNeed(), b.acquire.msg.GetUnlock()
-	b.out.rate = b.acquire.msg.GetRate()
+	b.reserve.ledgerRate = b.acquire.msg.GetRate()
 	if r.GetAmount() < b.acquire.msg.GetWant() {
-		b.short = now
+		b.lastShort = now
 	}
 	b.acquire = acquire{seq: seq}
 	b.free += r.GetAmount() + unlocked
-	b.out.reserve += r.GetReserve()
+	b.reserve.tokens += r.GetReserve()
 	b.setLevel(r.GetFree(), r.GetFunded(), r.GetBilled())
-	h.serve(now, b, &out)
+	h.grantWaiters(now, b, &out)
 	if r.GetAmount() < need {
 		b.markExhausted()
 	}
@@ -198,28 +199,28 @@
 
 func (b *budget) markExhausted() {
 	for _, w := range b.waiters {
-		w.tried, w.why, w.notBefore = true, errkind.BudgetExhausted, time.Time{}
+		w.ledgerTried, w.refusalKind, w.refuseAt = true, errkind.BudgetExhausted, time.Time{}
 	}
 }
 
-// AcquireRefused takes the ledger's definite refusal: nothing was granted and the
-// number is free again. All waiters are refused with kind.
+// AcquireRefused processes a definite refusal by the ledger: nothing was granted and the
+// sequence number can be used again. All waiters are refused with kind.
 func (h *Holder) AcquireRefused(now time.Time, budgetName string, seq uint64, kind errkind.Kind, message string) Output {
 	var out Output
 	b, ok := h.outstanding(budgetName, seq)
 	if !ok {
 		return out
 	}
-	b.out.reserve += b.acquire.msg.GetUnlock()
-	b.out.asked = b.out.rate
+	b.reserve.tokens += b.acquire.msg.GetUnlock()
+	b.reserve.requestedRate = b.reserve.ledgerRate
 	b.acquire = acquire{seq: seq - 1}
 	h.refuseAll(b, errkind.New(kind, "budget %s: %s", budgetName, message), &out)
 	return out
 }
 
-// AcquireFailed tells that the outstanding acquire got no answer: no quorum, or none in
-// time. It may still have taken effect, so it is resent the same until it is answered:
-// soon while waiters count on the ledger, then in longer and longer steps.
+// AcquireFailed reports that the outstanding acquire got no answer: there was no quorum, or
+// the call timed out. The acquire may have taken effect, so it is resent unchanged until it
+// is answered: soon while waiters still wait for the ledger, then with increasing backoff.
 func (h *Holder) AcquireFailed(now time.Time, budgetName string, seq uint64) Output {
 	var out Output
 	b, ok := h.outstanding(budgetName, seq)
@@ -227,7 +228,7 @@
 		return out
 	}
 	a := &b.acquire
-	if soon := now.Add(h.cfg.ResendAfter / 4); !b.ledgerSilent(now, h.cfg) && soon.Before(a.next) {
+	if soon := now.Add(h.cfg.ResendAfter / 4); !b.ledgerTimedOut(now, h.cfg) && soon.Before(a.next) {
 		a.next = soon
 	}
 	h.advance(now, b, &out)
@@ -247,7 +248,7 @@
 	if a.msg == nil || now.Before(a.next) {
 		return
 	}
-	if b.ledgerSilent(now, h.cfg) {
+	if b.ledgerTimedOut(now, h.cfg) {
 		a.wait = min(2*a.wait, h.cfg.ResendMax)
 	}
 	h.sendAgain(now, a, out)
--- a/internal/grant/bench_test.go
+++ b/internal/grant/bench_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// command is msg, an Acquire or a Settle, as it is sent and logged.
+// command wraps msg, an Acquire or a Settle, as it is sent and written to the log.
 func command(msg proto.Message) *pb.Command {
 	c := &pb.Command{Actor: benchSelf.Host, TimeMs: 1_800_000_000_000}
 	switch m := msg.(type) {
@@ -34,8 +34,8 @@
 
 var benchSelf = &pb.Holder{Host: "entry-00001", Incarnation: 100_000}
 
-// BenchmarkWire gives the encoded bytes of the commands that hosts send to the ledger.
-func BenchmarkWire(b *testing.B) {
+// BenchmarkCommandSize reports the encoded sizes of the commands that hosts send to the ledger.
+func BenchmarkCommandSize(b *testing.B) {
 	for b.Loop() {
 		a := &pb.Acquire{Holder: benchSelf, Budget: "budget-00001", Seq: 10_000, Need: 2000, Want: 100_000}
 		b.ReportMetric(float64(proto.Size(command(a))), "B/acquire")
@@ -49,68 +49,68 @@
 	}
 }
 
-// benchHost is a host under a steady load, in virtual time, whose ledger answers after a delay.
+// benchHost is a host under a constant load, in virtual time, whose ledger answers after a delay.
 type benchHost struct {
-	now    time.Time
-	holder *Holder
-	ledger *fakeledger.Ledger
-	due    map[time.Time][]func()
-	sent   struct{ acquires, batches, bytes int }
+	now       time.Time
+	holder    *Holder
+	ledger    *fakeledger.Ledger
+	scheduled map[time.Time][]func()
+	sent      struct{ acquires, batches, bytes int }
 }
 
-// benchDelay is a round trip between regions and a commit.
+// benchDelay is the time of a round trip between regions and a commit.
 const benchDelay = 150 * time.Millisecond
 
-func (h *benchHost) after(d time.Duration, do func()) {
-	h.due[h.now.Add(d)] = append(h.due[h.now.Add(d)], do)
+func (h *benchHost) schedule(d time.Duration, do func()) {
+	h.scheduled[h.now.Add(d)] = append(h.scheduled[h.now.Add(d)], do)
 }
 
-func (h *benchHost) carry(out Output) {
+func (h *benchHost) process(out Output) {
 	for _, a := range out.Acquires {
 		h.sent.acquires++
 		h.sent.bytes += proto.Size(command(a))
-		h.after(benchDelay, func() {
-			h.carry(h.holder.AcquireAnswered(h.now, a.GetBudget(), a.GetSeq(), h.ledger.Apply(command(a)).GetAcquire()))
+		h.schedule(benchDelay, func() {
+			h.process(h.holder.AcquireAnswered(h.now, a.GetBudget(), a.GetSeq(), h.ledger.Apply(command(a)).GetAcquire()))
 		})
 	}
 	if s := out.Batch; s != nil {
 		h.sent.batches++
 		h.sent.bytes += proto.Size(command(s))
-		h.after(benchDelay, func() {
+		h.schedule(benchDelay, func() {
 			next, _ := h.holder.SettleAnswered(h.now, s.GetSeq(), h.ledger.Apply(command(s)).GetSettle())
-			h.carry(next)
+			h.process(next)
 		})
 	}
 }
 
 func (h *benchHost) step() {
 	h.now = h.now.Add(10 * time.Millisecond)
-	for _, do := range h.due[h.now] {
+	for _, do := range h.scheduled[h.now] {
 		do()
 	}
-	delete(h.due, h.now)
-	h.carry(h.holder.Tick(h.now))
+	delete(h.scheduled, h.now)
+	h.process(h.holder.Tick(h.now))
 }
 
 func (h *benchHost) request(i int, budget string) {
 	bill := benchBill(i, budget)
-	h.carry(h.holder.Reserve(h.now, bill.GetRequestId(), budget, 2024, PolicyFrom(nil)))
-	h.after(5*time.Second, func() {
+	h.process(h.holder.Reserve(h.now, bill.GetRequestId(), budget, 2024, PolicyFrom(nil)))
+	h.schedule(5*time.Second, func() {
 		out, _ := h.holder.Settle(h.now, bill)
-		h.carry(out)
+		h.process(out)
 	})
 }
 
-// BenchmarkLedgerTraffic gives what one host asks of the ledger at a steady rate of
-// requests, spread over a number of budgets: commands and their bytes per second. A
-// budget funded with nothing shows what refusals cost.
+// BenchmarkLedgerTraffic reports the commands per second, and their bytes, that one host
+// sends to the ledger at a constant rate of requests spread over a number of budgets. A
+// budget without funds shows the cost of refusals.
 func BenchmarkLedgerTraffic(b *testing.B) {
 	for _, load := range []struct{ rate, budgets, funded int }{
 		{1, 1, 1 << 50}, {10, 1, 1 << 50}, {41, 1, 1 << 50}, {41, 30, 1 << 50}, {41, 300, 1 << 50}, {41, 1, 0},
 	} {
 		b.Run(fmt.Sprintf("requests=%d/budgets=%d/funded=%t", load.rate, load.budgets, load.funded > 0), func(b *testing.B) {
 			for b.Loop() {
-				h := &benchHost{now: time.Unix(1000, 0), ledger: fakeledger.New(), due: map[time.Time][]func(){}}
+				h := &benchHost{now: time.Unix(1000, 0), ledger: fakeledger.New(), scheduled: map[time.Time][]func(){}}
 				h.holder = New(benchSelf, Config{}, rand.New(rand.NewSource(1)))
 				for i := range load.budgets {
 					h.ledger.Fund(fmt.Sprint("budget-", i), uint64(load.funded))
@@ -131,7 +131,7 @@
 	}
 }
 
-// BenchmarkHolderMemory gives the heap of one budget known to a holder.
+// BenchmarkHolderMemory reports the heap bytes per budget known to a holder.
 func BenchmarkHolderMemory(b *testing.B) {
 	const budgets = 1000
 	for b.Loop() {
--- a/internal/grant/book/book.go
+++ b/internal/grant/book/book.go
@@ -1,31 +1,31 @@
 // Package book keeps the reservations that the owner of a budget has made for requests
-// that other hosts serve. It is pure: time is passed in, and the caller serialises the
+// that other hosts serve. It is pure: time is passed in, and the caller serializes the
 // calls.
 //
-// A reservation ends when its host says what the request used. Three things can go wrong
-// in between, and none of them may let a token be spent twice:
+// A reservation ends when its host reports what the request used. Three faults can occur
+// before that, and none of them may let a token be spent twice:
 //
-//   - The host is lost. Nobody will say what was used; after the reservation's lifetime,
-//     within which the request has surely ended, all of it counts as spent.
-//   - The message that ends a reservation overtakes the one that asks for it, which was
-//     held up. The reservation would stay until its lifetime ends, for a request that was
-//     given up long ago. So the end is remembered for a while.
-//   - A message comes twice. The second one finds nothing.
+//   - The host dies and never reports what the request used. After the reservation's
+//     lifetime, within which the request has certainly ended, all of it counts as spent.
+//   - The message that ends a reservation overtakes the delayed message that requests it.
+//     The reservation would stay until its lifetime ends, for a request that was given up
+//     long before. So the end is remembered for endRetention.
+//   - A message is received twice. The second one has no effect.
 package book
 
 import "time"
 
-// rememberEnds is how long the end of a reservation that is not known is remembered:
-// longer than a call that asks for one can be held up.
-const rememberEnds = 30 * time.Second
+// endRetention is how long the end of an unknown reservation is remembered: longer than a
+// call that requests a reservation can be delayed.
+const endRetention = 30 * time.Second
 
-// Key names a request: the run of its host, and its id there.
+// Key identifies a request by the incarnation of its host and its id on that host.
 type Key struct{ Incarnation, Request string }
 
-// Book of one owner.
+// Book holds the reservations of one owner.
 type Book struct {
-	open  map[Key]reservation
-	ended map[Key]time.Time
+	open          map[Key]reservation
+	unmatchedEnds map[Key]time.Time
 }
 
 type reservation struct {
@@ -33,40 +33,40 @@
 	until  time.Time
 }
 
-// New makes an empty book.
+// New returns an empty book.
 func New() *Book {
-	return &Book{open: make(map[Key]reservation), ended: make(map[Key]time.Time)}
+	return &Book{open: make(map[Key]reservation), unmatchedEnds: make(map[Key]time.Time)}
 }
 
-// Add notes a reservation that was made. It returns false if the request has ended
-// already: the reservation must be released.
+// Add records a reservation. It returns false if the request has already ended: the
+// reservation must then be released.
 func (b *Book) Add(now time.Time, k Key, tokens uint64, lifetime time.Duration) bool {
-	if _, over := b.ended[k]; over {
+	if _, ended := b.unmatchedEnds[k]; ended {
 		return false
 	}
 	b.open[k] = reservation{tokens: tokens, until: now.Add(lifetime)}
 	return true
 }
 
-// End takes that a request has ended. It returns false if there is no reservation, or
-// none any more.
+// End records that a request has ended. It returns false if the request has no reservation,
+// or no longer has one.
 func (b *Book) End(now time.Time, k Key) bool {
 	_, ok := b.open[k]
 	delete(b.open, k)
 	if !ok {
-		b.ended[k] = now
+		b.unmatchedEnds[k] = now
 	}
 	return ok
 }
 
-// Expired is a reservation whose lifetime has passed.
+// Expired is a reservation that was removed without an end reported by its host.
 type Expired struct {
 	Key
-	// Tokens count as spent.
+	// Tokens is the size of the reservation, all of which counts as spent.
 	Tokens uint64
 }
 
-// Expire takes the reservations off the book whose lifetime has passed.
+// Expire removes and returns the reservations whose lifetime has passed.
 func (b *Book) Expire(now time.Time) []Expired {
 	var out []Expired
 	for k, r := range b.open {
@@ -75,15 +75,15 @@
 			delete(b.open, k)
 		}
 	}
-	for k, at := range b.ended {
-		if now.Sub(at) > rememberEnds {
-			delete(b.ended, k)
+	for k, at := range b.unmatchedEnds {
+		if now.Sub(at) > endRetention {
+			delete(b.unmatchedEnds, k)
 		}
 	}
 	return out
 }
 
-// RemoveAll takes all reservations off the book: their owner stops.
+// RemoveAll removes and returns all reservations, when their owner stops.
 func (b *Book) RemoveAll() []Expired {
 	var out []Expired
 	for k, r := range b.open {
@@ -93,5 +93,5 @@
 	return out
 }
 
-// Len is the number of reservations.
+// Len returns the number of reservations.
 func (b *Book) Len() int { return len(b.open) }
--- a/internal/grant/book/book_test.go
+++ b/internal/grant/book/book_test.go
@@ -15,42 +15,40 @@
 func TestReservationEndsOnce(t *testing.T) {
 	b := New()
 	if !b.Add(start, key, 50, lifetime) || b.Len() != 1 {
-		t.Fatal("not taken")
+		t.Fatal("the reservation was not added")
 	}
 	if !b.End(start, key) || b.End(start, key) || b.Len() != 0 {
-		t.Error("the second end found the reservation again")
+		t.Error("a reservation was not ended exactly once")
 	}
 	if got := b.Expire(start.Add(2 * lifetime)); len(got) != 0 {
-		t.Errorf("expired %v after its end", got)
+		t.Errorf("%v expired after its end", got)
 	}
 }
 
-// Symptom: tokens stay set aside for a request that was given up long ago.
-// Sequence: the call that asks for them is held up; its host gives up and ends the
-// request; then the call arrives.
-// Cause: the end found nothing, and was forgotten.
-func TestEndBeforeItsReservation(t *testing.T) {
+// If the call that requests a reservation is delayed, its host may give up and end the
+// request before the call arrives. Unless that end is remembered, tokens stay reserved for
+// a request that was given up long before.
+func TestEndBeforeAdd(t *testing.T) {
 	b := New()
 	if b.End(start, key) {
-		t.Fatal("ended what was not there")
+		t.Fatal("End reported true for an unknown reservation")
 	}
 	if b.Add(start.Add(time.Second), key, 50, lifetime) || b.Len() != 0 {
-		t.Error("a reservation was made for an ended request")
+		t.Error("Add accepted a reservation for an ended request")
 	}
-	b.Expire(start.Add(rememberEnds + time.Second))
-	if len(b.ended) != 0 {
-		t.Error("ends are remembered for ever")
+	b.Expire(start.Add(endRetention + time.Second))
+	if len(b.unmatchedEnds) != 0 {
+		t.Error("the end was not forgotten after endRetention")
 	}
 }
 
-// Symptom: a budget is overspent by what a lost host's requests used.
-// Sequence: a host is lost with requests under way; what they used is never told.
-// Cause: their tokens became free again.
-func TestLostHostsRequestsCountAsSpent(t *testing.T) {
+// A host that dies with requests in progress never reports what they used. If their tokens
+// became free again, the budget would be overspent by that amount.
+func TestExpiredReservationsCountAsSpent(t *testing.T) {
 	b := New()
 	b.Add(start, key, 50, lifetime)
 	if got := b.Expire(start.Add(lifetime)); len(got) != 0 {
-		t.Fatalf("expired early: %v", got)
+		t.Fatalf("expired before the end of the lifetime: %v", got)
 	}
 	got := b.Expire(start.Add(lifetime + 1))
 	if len(got) != 1 || got[0].Key != key || got[0].Tokens != 50 || b.Len() != 0 {
@@ -58,10 +56,10 @@
 	}
 }
 
-func TestAllAtTheEnd(t *testing.T) {
+func TestRemoveAll(t *testing.T) {
 	b := New()
 	b.Add(start, key, 50, lifetime)
 	if got := b.RemoveAll(); len(got) != 1 || b.Len() != 0 {
-		t.Errorf("got %v, %d are left", got, b.Len())
+		t.Errorf("RemoveAll returned %v and left %d reservations", got, b.Len())
 	}
 }
--- a/internal/grant/cost_bench_test.go
+++ b/internal/grant/cost_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// BenchmarkReserveSettle is one request at a host that holds enough: reserve, settle, and
-// its part of a batch of 256.
+// BenchmarkReserveSettle measures one request on a host that holds enough tokens: reserve,
+// settle, and its part of a batch of 256.
 func BenchmarkReserveSettle(b *testing.B) {
 	now := time.Unix(1, 0)
 	h := New(&pb.Holder{Host: "a", Incarnation: 1}, Config{}, rand.New(rand.NewSource(1)))
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkTickIdleBudgets is one tick of a host with 1000 budgets that have nothing to do.
+// BenchmarkTickIdleBudgets measures one tick of a host with 1000 idle budgets.
 func BenchmarkTickIdleBudgets(b *testing.B) {
 	now := time.Unix(1, 0)
 	h := New(&pb.Holder{Host: "a", Incarnation: 1}, Config{}, rand.New(rand.NewSource(1)))
--- a/internal/grant/demand.go
+++ b/internal/grant/demand.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// rateWindow is the time over which the rate of demand is averaged where the policy does not
-// say; a shorter horizon shortens it. With the whole of a long horizon as the window, a new
-// host would hold too little for hours.
-const rateWindow = 10 * time.Minute
+// maxRateWindow is the longest time over which the rate of demand is averaged if the policy
+// sets no window; a shorter horizon shortens it. If a long horizon were used as the window,
+// a new host would hold too few tokens for hours.
+const maxRateWindow = 10 * time.Minute
 
-// demand averages the tokens asked for, with older ones counting less.
+// demand is an exponentially decaying average of the requested tokens.
 type demand struct {
-	// sum decays; with a steady rate r it settles at r x window.
+	// sum decays over time; at a constant rate r it converges to r x window.
 	sum float64
 	at  time.Time
-	// since is when tokens were first asked for.
+	// since is the time of the first request for tokens.
 	since time.Time
 }
 
-// window is the time over which the rate of demand is averaged.
+// window returns the time over which the rate of demand is averaged.
 func (p Policy) window() time.Duration {
 	if p.Window > 0 {
 		return p.Window
 	}
-	return min(p.Horizon, rateWindow)
+	return min(p.Horizon, maxRateWindow)
 }
 
 func (d *demand) add(now time.Time, tokens uint64, p Policy) {
@@ -35,17 +35,17 @@
 	d.sum += float64(tokens)
 }
 
-// tokens returns the demand that the time ahead will bring at the present rate.
+// tokens returns the demand expected within the period ahead at the current rate.
 func (d *demand) tokens(now time.Time, p Policy, ahead time.Duration) uint64 {
 	if ahead <= 0 || p.window() <= 0 {
 		return 0
 	}
 	d.decay(now, p)
-	return uint64(d.sum / d.seen(now, p) * float64(ahead) / float64(p.window()))
+	return uint64(d.sum / d.windowFraction(now, p) * float64(ahead) / float64(p.window()))
 }
 
-// seen is the part of the decaying window that lies after the first request.
-func (d *demand) seen(now time.Time, p Policy) float64 {
+// windowFraction returns the part of the decaying window that lies after the first request.
+func (d *demand) windowFraction(now time.Time, p Policy) float64 {
 	if p.MinHistory <= 0 || d.since.IsZero() {
 		return 1
 	}
--- a/internal/grant/fakeledger/fakeledger.go
+++ b/internal/grant/fakeledger/fakeledger.go
@@ -1,5 +1,5 @@
-// Package fakeledger is a small ledger in memory for tests and measurements of the
-// entry host's side of budgets. It follows the rules that the schema states for
+// Package fakeledger is a small in-memory ledger for tests and measurements of the
+// entry host's side of budgets. It follows the rules that the protobuf schema states for
 // Acquire, Settle, Transfer and RecoverHolder, and checks its invariant after every
 // change, so that it serves as the oracle of those tests.
 package fakeledger
@@ -20,25 +20,25 @@
 // KeyOf returns h as a map key.
 func KeyOf(h *pb.Holder) Key { return Key{h.GetHost(), h.GetIncarnation()} }
 
-// Grant is what one holder has of a budget.
+// Grant is one holder's grant of a budget.
 type Grant struct {
 	Tokens     uint64
 	AcquireSeq uint64
 	LastAmount uint64
 }
 
-// Budget is one budget of the ledger.
+// Budget is one prepaid budget.
 type Budget struct {
 	Funded, Billed uint64
 	Granted        map[Key]*Grant
 }
 
-// Ledger is the fake. It is not safe for concurrent use.
+// Ledger is the fake ledger. It is not safe for concurrent use.
 type Ledger struct {
 	Budgets map[string]*Budget
 	// Bills holds the tokens billed for each identity.
 	Bills map[string]uint64
-	// Faults lists broken rules: a bill, return or transfer above the grant.
+	// Faults lists violated rules, such as a bill, return or transfer that exceeds the grant.
 	Faults []error
 
 	settled   map[Key]uint64
@@ -47,7 +47,7 @@
 	recovered map[Key]struct{}
 }
 
-// New makes a ledger without budgets.
+// New returns a ledger without budgets.
 func New() *Ledger {
 	return &Ledger{
 		Budgets: make(map[string]*Budget), Bills: make(map[string]uint64),
@@ -56,7 +56,7 @@
 	}
 }
 
-// Fund creates a budget or adds to it.
+// Fund adds tokens to a budget, and creates it if necessary.
 func (l *Ledger) Fund(name string, tokens uint64) {
 	b, ok := l.Budgets[name]
 	if !ok {
@@ -66,13 +66,13 @@
 	b.Funded += tokens
 }
 
-// Free is what can still be granted.
+// Free returns the tokens that can still be granted.
 func (b *Budget) Free() uint64 {
 	used := b.Billed + b.Outstanding()
 	return b.Funded - min(b.Funded, used)
 }
 
-// Outstanding is the sum of all grants.
+// Outstanding returns the sum of all grants.
 func (b *Budget) Outstanding() uint64 {
 	var sum uint64
 	for _, g := range b.Granted {
@@ -97,11 +97,11 @@
 func (l *Ledger) check(name string) {
 	b := l.Budgets[name]
 	if b.Billed+b.Outstanding() > b.Funded {
-		l.fault("budget %s: billed %d + granted %d > funded %d", name, b.Billed, b.Outstanding(), b.Funded)
+		l.fault("budget %s: billed %d + granted %d exceeds funded %d", name, b.Billed, b.Outstanding(), b.Funded)
 	}
 }
 
-// Apply commits one command.
+// Apply applies one command and returns its result.
 func (l *Ledger) Apply(cmd *pb.Command) *pb.CommandResult {
 	switch body := cmd.GetBody().(type) {
 	case *pb.Command_Acquire:
@@ -111,15 +111,16 @@
 	case *pb.Command_RecoverHolder:
 		return l.recover(body.RecoverHolder)
 	}
-	return refusal(errkind.BadRequest, "not a command of the fake ledger")
+	return refusal(errkind.BadRequest, "command not supported by the fake ledger")
 }
 
 func refusal(k errkind.Kind, message string) *pb.CommandResult {
 	return &pb.CommandResult{Error: &pb.Error{Kind: string(k), Message: message}}
 }
 
-// grantSize follows the real ledger: the need if it is there, and up to want within half of
-// what is free divided by the holders that have tokens.
+// grantSize follows the real ledger: it returns the need, or all free tokens if they are
+// fewer, and beyond the need up to want within a share of half of the free tokens divided by
+// the number of holders that have tokens.
 func (b *Budget) grantSize(g *Grant, need, want uint64) uint64 {
 	free := b.Free()
 	if free <= need {
@@ -157,7 +158,7 @@
 	}}}
 }
 
-// LastSettled is the number of the last batch applied of a holder.
+// LastSettled returns the sequence number of the holder's last applied batch.
 func (l *Ledger) LastSettled(h *pb.Holder) uint64 { return l.settled[KeyOf(h)] }
 
 func (l *Ledger) settle(s *pb.Settle) *pb.CommandResult {
@@ -186,7 +187,7 @@
 		l.spend(k, spend)
 	}
 	for _, r := range s.GetReturns() {
-		l.takeBack(k, r.GetBudget(), r.GetTokens())
+		l.returnTokens(k, r.GetBudget(), r.GetTokens())
 	}
 	for name := range seen {
 		b := l.Budgets[name]
@@ -196,15 +197,15 @@
 	return &pb.CommandResult{Body: &pb.CommandResult_Settle{Settle: result}}
 }
 
-// bill takes tokens out of k's grant; false if the identity was billed before.
+// bill deducts a bill from k's grant; it returns false if the identity was already billed.
 func (l *Ledger) bill(k Key, bill *pb.Bill) bool {
-	if _, before := l.Bills[bill.GetIdentity()]; before {
+	if _, known := l.Bills[bill.GetIdentity()]; known {
 		return false
 	}
 	b := l.Budgets[bill.GetBudget()]
 	g := b.grant(k)
 	if bill.GetTokens() > g.Tokens {
-		l.fault("%v bills %d tokens to %s and holds %d", k, bill.GetTokens(), bill.GetBudget(), g.Tokens)
+		l.fault("%v bills %d tokens to %s but holds only %d", k, bill.GetTokens(), bill.GetBudget(), g.Tokens)
 	}
 	l.Bills[bill.GetIdentity()] = bill.GetTokens()
 	g.Tokens -= min(g.Tokens, bill.GetTokens())
@@ -213,59 +214,59 @@
 	return true
 }
 
-// spend takes tokens out of k's grant that are billed without an identity.
+// spend deducts tokens that are billed without an identity from k's grant.
 func (l *Ledger) spend(k Key, p *pb.Spend) {
 	b := l.Budgets[p.GetBudget()]
 	g := b.grant(k)
 	if p.GetTokens() > g.Tokens {
-		l.fault("%v spends %d tokens of %s and holds %d", k, p.GetTokens(), p.GetBudget(), g.Tokens)
+		l.fault("%v spends %d tokens of %s but holds only %d", k, p.GetTokens(), p.GetBudget(), g.Tokens)
 	}
 	g.Tokens -= min(g.Tokens, p.GetTokens())
 	b.Billed += p.GetTokens()
 	l.check(p.GetBudget())
 }
 
-func (l *Ledger) takeBack(k Key, budget string, tokens uint64) {
+func (l *Ledger) returnTokens(k Key, budget string, tokens uint64) {
 	g := l.Budgets[budget].grant(k)
 	if tokens > g.Tokens {
-		l.fault("%v returns %d tokens of %s and holds %d", k, tokens, budget, g.Tokens)
+		l.fault("%v returns %d tokens of %s but holds only %d", k, tokens, budget, g.Tokens)
 	}
 	g.Tokens -= min(g.Tokens, tokens)
 }
 
-// transfer moves granted tokens once per id.
+// transfer moves granted tokens, once per transfer id.
 func (l *Ledger) transfer(t *pb.Transfer) {
-	if _, before := l.transfers[t.GetId()]; before {
+	if _, known := l.transfers[t.GetId()]; known {
 		return
 	}
 	l.transfers[t.GetId()] = struct{}{}
 	b := l.Budgets[t.GetBudget()]
 	from := b.grant(KeyOf(t.GetFrom()))
 	if t.GetTokens() > from.Tokens {
-		l.fault("transfer %s moves %d tokens of %s out of a grant of %d", t.GetId(), t.GetTokens(), t.GetBudget(), from.Tokens)
+		l.fault("transfer %s moves %d tokens of %s but the sender's grant is %d", t.GetId(), t.GetTokens(), t.GetBudget(), from.Tokens)
 		return
 	}
 	from.Tokens -= t.GetTokens()
 	b.grant(KeyOf(t.GetTo())).Tokens += t.GetTokens()
 }
 
-// recover settles and releases a dead holder's grants.
+// recover settles a dead holder's bills and releases the rest of its grants.
 func (l *Ledger) recover(r *pb.RecoverHolder) *pb.CommandResult {
 	k := KeyOf(r.GetDead())
 	result := &pb.RecoverHolderResult{}
-	if _, before := l.recovered[k]; before {
+	if _, known := l.recovered[k]; known {
 		return &pb.CommandResult{Resend: true, Body: &pb.CommandResult_RecoverHolder{RecoverHolder: result}}
 	}
 	for _, t := range r.GetTransfers() {
-		// A giver that was recovered without the transfer has its tokens free again: the
-		// receiver, which was asked then, did not have them.
-		if _, gone := l.recovered[KeyOf(t.GetFrom())]; !gone {
+		// If the sender was recovered without the transfer, its tokens are free again: the
+		// receiver was asked during that recovery and did not have them.
+		if _, recovered := l.recovered[KeyOf(t.GetFrom())]; !recovered {
 			l.transfer(t)
 		}
 	}
 	for _, bill := range r.GetBills() {
-		// The reservation of a request that still waited for tokens when its host died may be
-		// more than the host held; the real ledger bills what there is.
+		// The reservation of a request that was still waiting for tokens when its host died
+		// may exceed what the host held; the real ledger bills only what was held.
 		bill.Tokens = min(bill.GetTokens(), l.Budgets[bill.GetBudget()].grant(k).Tokens)
 		if l.bill(k, bill) {
 			result.Billed += bill.GetTokens()
--- a/internal/grant/fakeledger/fakeledger_test.go
+++ b/internal/grant/fakeledger/fakeledger_test.go
@@ -7,12 +7,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Symptom: tests say that a transfer moves tokens out of an empty grant.
-// Sequence: h1 gives tokens to h2, whose answer is lost; h1 dies and is recovered, and h2,
-// asked for it, has nothing; a third host still keeps a copy of the transfer. Then h2 dies
-// and its recovery brings the copy.
-// Cause: this ledger took the copy for a transfer; the real one leaves it out.
-func TestCopyOfATransferWhoseGiverWasRecovered(t *testing.T) {
+// A third host may keep a copy of a transfer from h1 whose answer to h2 was lost. When h1 is
+// recovered, h2 is asked and does not have the tokens. When h2 is recovered later, the
+// recovery contains the copy. The real ledger ignores it; a fake ledger that applies it
+// reports a transfer out of an empty grant.
+func TestTransferCopyIgnoredAfterSenderRecovered(t *testing.T) {
 	l, real := New(), apply.New(apply.Options{})
 	index := uint64(0)
 	both := func(cmd *pb.Command) {
@@ -49,10 +48,10 @@
 		{Id: "h2/1/1", Budget: "x", From: h1, To: h2, Tokens: 15},
 	}}}})
 	if len(l.Faults) > 0 || l.Budgets["x"].Free() != 100 {
-		t.Errorf("faults %v, %d of 100 free", l.Faults, l.Budgets["x"].Free())
+		t.Errorf("fake ledger: faults %v, %d of 100 tokens free, want no faults and 100", l.Faults, l.Budgets["x"].Free())
 	}
 	r := real.Query(&pb.Query{Body: &pb.Query_Budget{Budget: &pb.BudgetQuery{Name: "x"}}})
 	if got := r.GetBudgets()[0]; got.GetBilled() != 0 || len(got.GetGranted()) != 0 {
-		t.Errorf("the real ledger: %v", got)
+		t.Errorf("real ledger: %v, want nothing billed or granted", got)
 	}
 }
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -1,18 +1,17 @@
-// Package grant is the entry host's side of prepaid budgets: the tokens that one
-// incarnation of a host holds, and what it asks of the ledger and of its peers.
+// Package grant implements the entry host's side of prepaid budgets: the tokens that
+// one incarnation of a host holds, and its requests to the ledger and to its peers.
 //
-// Holder is a pure state machine. Every method takes the present time and an input
+// Holder is a pure state machine. Every method takes the current time and an input
 // and returns an Output with the messages to send and the requests decided. It has
 // no goroutine, no socket and no clock of its own.
 //
 // A holder spends only tokens that the ledger granted to it or that a peer
-// transferred to it. For each budget this sum never changes but by what came in
-// and what went out:
+// transferred to it. For each budget this equation always holds:
 //
-//	free + reserved + unsettled + returning + reserve = granted + received - given - billed - returned
+//	free + reserved + unsettled + returning + reserve = granted + received - sent - billed - returned
 //
-// so a host can't overspend a budget as long as the ledger and the peers don't hand
-// the same token out twice.
+// so a host can't overspend a budget as long as the ledger and the peers don't issue
+// the same token twice.
 package grant
 
 import (
@@ -24,38 +23,43 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Policy says how a host holds tokens of one budget.
+// Policy configures how a host holds tokens of one budget.
 type Policy struct {
-	// Horizon is how much of its recent demand the host holds ahead.
+	// Horizon is the period of demand, at the recent rate, for which the host holds
+	// tokens ahead of need.
 	Horizon time.Duration
-	// Window is the time over which the rate of demand is averaged; 0: Horizon, 10 min at most.
+	// Window is the time over which the rate of demand is averaged; 0 means Horizon, but
+	// at most 10 min.
 	Window time.Duration
-	// Reserve is how much of its recent demand the host holds beyond that for a time
-	// without contact to the ledger; see package reserve. 0: none.
+	// Reserve is the period of demand, at the recent rate, for which the host holds
+	// additional tokens to spend while the ledger is unreachable; see package reserve.
+	// 0 means no reserve.
 	Reserve time.Duration
-	// ReserveRatePermille is the rate at which the reserve may be spent without contact, in
-	// thousandths of the rate of demand.
+	// ReserveRatePermille is the rate at which the reserve may be spent while the ledger
+	// is unreachable, in thousandths of the rate of demand.
 	ReserveRatePermille uint32
-	// IdleReturn is how long a budget may go unused before its free tokens go back.
+	// IdleReturn is how long a budget may go unused before its free tokens are returned to
+	// the ledger.
 	IdleReturn time.Duration
-	// Transfers lets the host ask peers when the ledger can't serve it.
+	// Transfers lets the host ask peers for tokens when the ledger can't grant them.
 	Transfers bool
-	// MinHistory corrects the rate of demand for the time before the first request: the
-	// tokens asked for so far count as those of the time since then, of this long at
-	// least. 0: as those of the whole time over which the rate is averaged, which is too
-	// little for a host that has just started.
+	// MinHistory corrects the rate of demand of a host that has just started: the tokens
+	// requested so far are averaged over the time since the first request, but at least
+	// over MinHistory. 0 averages them over the whole Window, which underestimates the rate
+	// just after a start.
 	MinHistory time.Duration
-	// OpenPermille is the part of what is left of a budget, in thousandths, up to which the
-	// host holds tokens ahead by its Horizon: what counts as spent when it is lost, whenever
-	// that is. 0: no bound.
+	// OpenPermille bounds the open tokens that the host holds ahead of need, in thousandths
+	// of the budget's unbilled tokens. Open tokens count as spent whenever the host dies.
+	// 0 means no bound.
 	OpenPermille uint32
-	// AtRiskPermille is the part of what is left of a budget, in thousandths, that all
-	// hosts together hold ahead of need: it is what may count as spent when all of them
-	// are lost at once. 0: no bound.
+	// AtRiskPermille bounds the tokens that all hosts together hold ahead of need, in
+	// thousandths of the budget's unbilled tokens: they may count as spent when all hosts
+	// die at once. 0 means no bound.
 	AtRiskPermille uint32
 }
 
-// PolicyFrom fills in the defaults of a team's grant settings; g may be nil.
+// PolicyFrom returns the policy for a team's grant settings, with defaults filled in; g
+// may be nil.
 func PolicyFrom(g *settings.Grant) Policy {
 	p := Policy{Horizon: settings.DefaultGrantHorizon, IdleReturn: settings.DefaultIdleReturn, Transfers: true}
 	if g == nil {
@@ -73,28 +77,30 @@
 	return p
 }
 
-// Config bounds a holder's messages. The zero value of a field means its default.
+// Config holds the batch sizes and timeouts of a holder's messages. The zero value of a
+// field means its default.
 type Config struct {
-	// BatchBills is the greatest number of bills in one settlement batch; default 256.
+	// BatchBills is the maximum number of bills in one settlement batch; default 256.
 	BatchBills int
-	// BatchWait is how long the first bill of a batch waits for others; default 50ms.
+	// BatchWait is how long the first bill of a batch waits for more; default 50ms.
 	BatchWait time.Duration
-	// ResendAfter is when an unanswered message is sent again, doubled each time up to
-	// ResendMax; defaults 200ms and 5s.
+	// ResendAfter is the time after which an unanswered message is resent, doubled each
+	// time up to ResendMax; defaults 200ms and 5s.
 	ResendAfter time.Duration
 	ResendMax   time.Duration
-	// LedgerTimeout is how long waiting requests wait for an unanswered acquire before the
-	// ledger counts as out of reach; default 250ms.
+	// LedgerTimeout is how long requests wait for an unanswered acquire before the ledger
+	// counts as unreachable; default 250ms.
 	LedgerTimeout time.Duration
-	// ProbeTimeout is how long a request waits for the ledger when it was out of reach for
-	// others before; default 50ms.
+	// ProbeTimeout is how long a request waits for the ledger if the ledger already counts
+	// as unreachable; default 50ms.
 	ProbeTimeout time.Duration
-	// ContactInterval is how long a holder with a reserve goes without a settlement batch;
-	// default 500ms.
+	// ContactInterval is the maximum time between settlement batches of a holder with a
+	// reserve; default 500ms.
 	ContactInterval time.Duration
-	// AskFanout is the number of peers asked at a time; default 3.
+	// AskFanout is the number of peers asked for tokens concurrently; default 3.
 	AskFanout int
-	// WallClock is the time of day that batches are marked with; nil: that of the present time.
+	// WallClock returns the wall-clock time that batches are stamped with; nil means the
+	// time passed to the method that sends the batch.
 	WallClock func() time.Time
 }
 
@@ -110,31 +116,32 @@
 	return c
 }
 
-// Output is what one step asks its runtime to do.
+// Output lists the messages to send and the decisions that result from one call.
 type Output struct {
-	// Acquires go to the ledger.
+	// Acquires are sent to the ledger.
 	Acquires []*pb.Acquire
-	// Batch goes to the ledger; nil: nothing to settle now.
+	// Batch is sent to the ledger; nil means that there is nothing to settle now.
 	Batch *pb.Settle
-	// Asks go to peers.
+	// Asks are sent to peers.
 	Asks []Ask
-	// Decisions end waiting requests.
+	// Decisions grant or refuse waiting requests.
 	Decisions []Decision
 }
 
-// Ask is a request for tokens to one peer.
+// Ask is a request to one peer for tokens.
 type Ask struct {
-	// Peer is the name of the host asked.
+	// Peer is the name of the host that is asked.
 	Peer    string
 	Request *pb.AskTokensRequest
 }
 
-// Decision ends the wait of one Reserve.
+// Decision is the outcome of one Reserve.
 type Decision struct {
 	Request string
 	// Err is nil if the tokens are reserved.
 	Err *errkind.Error
-	// ReserveUsableIn is when the reserve will cover the refused request; 0: not known.
+	// ReserveUsableIn is the time until the reserve covers the refused request; 0 means
+	// unknown.
 	ReserveUsableIn time.Duration
 }
 
@@ -146,21 +153,22 @@
 	o.Decisions = append(o.Decisions, Decision{Request: request, Err: err})
 }
 
-// ReserveNotUsableError refuses a request that the reserve will cover soon.
+// ReserveNotUsableError refuses a request that the reserve will cover later.
 type ReserveNotUsableError struct {
-	// Refusal is for a caller that does not wait.
+	// Refusal is the answer to a caller that does not wait.
 	Refusal *errkind.Error
-	// UsableIn is when the reserve will have opened far enough, if nobody else takes of it.
+	// UsableIn is the time until enough of the reserve is usable, if no other request
+	// draws from it.
 	UsableIn time.Duration
 }
 
 // Error implements error.
 func (e *ReserveNotUsableError) Error() string { return e.Refusal.Error() }
 
-// Unwrap gives errors.As the refusal.
+// Unwrap returns the refusal, for errors.As.
 func (e *ReserveNotUsableError) Unwrap() error { return e.Refusal }
 
-// Refusal is the error of a decision; nil if the tokens are reserved.
+// Refusal returns the error of a decision; nil if the tokens are reserved.
 func (d Decision) Refusal() error {
 	switch {
 	case d.Err == nil:
@@ -171,17 +179,18 @@
 	return d.Err
 }
 
-// Level is what a holder has of one budget, in tokens.
+// Level lists the tokens that a holder has of one budget.
 type Level struct {
 	Budget string
-	// Free can be reserved at once; Reserved belongs to requests that run; Unsettled is
-	// billed here but not yet acknowledged by the ledger; Returning is on its way back.
+	// Free tokens can be reserved immediately. Reserved tokens belong to running requests.
+	// Unsettled tokens are billed on this host but not yet acknowledged by the ledger.
+	// Returning tokens are being returned to the ledger.
 	Free, Reserved, Unsettled, Returning uint64
-	// Reserve can be spent only without contact to the ledger.
+	// Reserve tokens can be spent only while the ledger is unreachable.
 	Reserve uint64
-	// Waiting is the number of requests that wait for tokens.
+	// Waiting is the number of requests waiting for tokens.
 	Waiting int
 }
 
-// Held is everything the holder answers for.
+// Held returns all tokens that the holder has, whatever their state.
 func (l Level) Held() uint64 { return l.Free + l.Reserved + l.Unsettled + l.Returning + l.Reserve }
--- a/internal/grant/holder.go
+++ b/internal/grant/holder.go
@@ -9,7 +9,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Holder holds the tokens of one incarnation of a host. It is not safe for
+// Holder manages the tokens of one incarnation of a host. It is not safe for
 // concurrent use.
 type Holder struct {
 	self  *pb.Holder
@@ -18,7 +18,7 @@
 	peers []string
 
 	budgets map[string]*budget
-	// names are the keys of budgets in order, so that steps are repeatable.
+	// names are the keys of budgets in sorted order, so that every step is deterministic.
 	names        []string
 	reservations map[string]reservation
 
@@ -26,42 +26,44 @@
 	transfers  transfers
 	fenced     map[holderKey]struct{}
 	draining   bool
-	// contact is when an answer of the ledger to a batch, or to the registration, last came.
-	contact time.Time
+	// lastContact is when the ledger's last answer to a batch, or to the registration, was
+	// received.
+	lastContact time.Time
 }
 
-// reservation is the worst case of one dispatched request.
+// reservation is the maximum token usage of one dispatched request.
 type reservation struct {
 	budget *budget
 	tokens uint64
 }
 
-// waiter is a request that waits for tokens.
+// waiter is a request waiting for tokens.
 type waiter struct {
 	request string
 	tokens  uint64
-	// tried tells that an acquire that covered the waiter was answered short, or that the
-	// ledger is out of reach; the waiter then looks to the peers. why is the refusal to
-	// come if they can't help either.
-	tried bool
-	why   errkind.Kind
-	// asked tells that the present round of asks covers the waiter, helpless that a round
-	// did in vain. It is refused then, but not before notBefore.
-	asked, helpless bool
-	notBefore       time.Time
+	// ledgerTried is true if an acquire that covered the waiter was granted less than it
+	// needed, or the ledger is unreachable; the peers are asked next. refusalKind is the
+	// kind of refusal if the peers can't supply the tokens either.
+	ledgerTried bool
+	refusalKind errkind.Kind
+	// inRound is true if the current round of asks covers the waiter; peersTried is true
+	// if a round that covered it did not supply the tokens. It is refused then, but not
+	// before refuseAt.
+	inRound, peersTried bool
+	refuseAt            time.Time
 }
 
-// budget is the holder's part of one budget.
+// budget is the holder's state of one budget.
 type budget struct {
 	name   string
 	policy Policy
 
 	free, reserved, unsettled, returning uint64
 
-	// received counts tokens of accepted transfers that the ledger doesn't know yet:
-	// those in the outstanding batch and those for the next one. leaving counts the bills
-	// and returns in the outstanding batch.
-	receivedSent, receivedNext, leaving uint64
+	// receivedInBatch and receivedPending count tokens of accepted transfers that the
+	// ledger does not know yet: those in the outstanding batch and those for the next one.
+	// outgoing counts the tokens billed, spent and returned in the outstanding batch.
+	receivedInBatch, receivedPending, outgoing uint64
 
 	waiters []*waiter
 	acquire acquire
@@ -69,17 +71,17 @@
 	demand  demand
 	lastUse time.Time
 
-	// out is the part of the grant for times without contact.
-	out             outOfContact
+	// reserve is the part of the grant that can be spent only while the ledger is unreachable.
+	reserve         reserveState
 	reserveReturned time.Time
 
-	// level is how much the ledger could still grant when it last said so, left what was
-	// not yet billed.
-	level, left uint64
-	levelKnown  bool
-	// fetched is when tokens were last asked for ahead of need, short when the ledger last
-	// gave less than was wanted.
-	fetched, short time.Time
+	// ledgerFree is how much the ledger could still grant according to its last answer;
+	// unbilled is the part of the funds that was not billed by then.
+	ledgerFree, unbilled uint64
+	levelKnown           bool
+	// lastPrefetch is when tokens were last requested ahead of need; lastShort is when the
+	// ledger last granted less than was wanted.
+	lastPrefetch, lastShort time.Time
 }
 
 type holderKey struct {
@@ -91,7 +93,7 @@
 	return holderKey{host: h.GetHost(), incarnation: h.GetIncarnation()}
 }
 
-// New makes a holder without tokens. rng orders the peers that are asked.
+// New returns a holder without tokens. rng shuffles the order in which peers are asked.
 func New(self *pb.Holder, cfg Config, rng *rand.Rand) *Holder {
 	return &Holder{
 		self:         self,
@@ -104,22 +106,22 @@
 	}
 }
 
-// Self is the incarnation that holds the tokens.
+// Self returns the incarnation that holds the tokens.
 func (h *Holder) Self() *pb.Holder { return h.self }
 
 // SetPeers replaces the names of the hosts that can be asked for tokens.
 func (h *Holder) SetPeers(peers []string) { h.peers = peers }
 
-// Reserve sets tokens aside for the worst case of a request, or makes it wait. The
-// decision comes in this or a later Output, always with the same request id.
+// Reserve sets aside the maximum number of tokens that a request can use, or queues the
+// request. The decision is in this or a later Output and carries the same request id.
 func (h *Holder) Reserve(now time.Time, request, budgetName string, tokens uint64, policy Policy) Output {
 	var out Output
 	if h.draining {
-		out.refuse(request, errkind.New(errkind.HostLeaving, "this host returns its grants"))
+		out.refuse(request, errkind.New(errkind.HostLeaving, "this host is leaving and returns its grants"))
 		return out
 	}
 	if _, twice := h.reservations[request]; twice {
-		out.refuse(request, errkind.New(errkind.Internal, "request %s has a reservation already", request))
+		out.refuse(request, errkind.New(errkind.Internal, "request %s already has a reservation", request))
 		return out
 	}
 	b := h.budget(budgetName)
@@ -131,8 +133,8 @@
 	return out
 }
 
-// Cancel ends the wait of a request whose caller gave up. It reports false if the
-// request doesn't wait: it may hold a reservation, which the caller must release.
+// Cancel removes a waiting request whose caller gave up. It reports false if the request
+// isn't waiting: it may hold a reservation, which the caller must release.
 func (h *Holder) Cancel(request, budgetName string) bool {
 	b, ok := h.budgets[budgetName]
 	if !ok {
@@ -146,8 +148,8 @@
 	return true
 }
 
-// Release gives a reservation back whole: the request surely did not run. It reports
-// false if there is none, so that a second release frees nothing.
+// Release frees a whole reservation, for a request that certainly did not run. It reports
+// false if there is no reservation, so that a second release frees nothing.
 func (h *Holder) Release(now time.Time, request string) (Output, bool) {
 	var out Output
 	r, ok := h.reservations[request]
@@ -161,11 +163,11 @@
 	return out, true
 }
 
-// Settle bills a request out of its reservation and frees the rest. It reports false
+// Settle bills a request against its reservation and frees the rest. It reports false
 // if there is no reservation, so that a second settlement bills nothing.
 //
-// A bill above the reservation is cut to it: an engine that ignores its output cap
-// would otherwise spend tokens that the budget may not have.
+// A bill that exceeds the reservation is reduced to it: an engine that ignores its output
+// limit would otherwise spend tokens that the budget may not have.
 func (h *Holder) Settle(now time.Time, bill *pb.Bill) (Output, bool) {
 	var out Output
 	r, ok := h.reservations[bill.GetRequestId()]
@@ -178,15 +180,15 @@
 	r.budget.reserved -= r.tokens
 	r.budget.unsettled += bill.GetTokens()
 	r.budget.free += r.tokens - bill.GetTokens()
-	h.settlement.add(now, bill)
+	h.settlement.addBill(now, bill)
 	h.advance(now, r.budget, &out)
 	h.sendBatch(now, &out)
 	return out, true
 }
 
-// Spend bills tokens out of a request's reservation without an identity and frees the
-// rest. It is for requests that no other holder can bring a second time: the ledger gets
-// only their sum, and remembers nothing of each. It reports false if there is no
+// Spend bills tokens against a request's reservation without an identity and frees the
+// rest. It is for requests that no other holder can bill as well: the ledger receives
+// only their sum and remembers none of them individually. It reports false if there is no
 // reservation.
 func (h *Holder) Spend(now time.Time, request string, tokens uint64) (Output, bool) {
 	var out Output
@@ -200,23 +202,23 @@
 	r.budget.free += r.tokens - tokens
 	if tokens > 0 {
 		r.budget.unsettled += tokens
-		h.settlement.spend(now, r.budget.name, tokens)
+		h.settlement.addSpend(now, r.budget.name, tokens)
 	}
 	h.advance(now, r.budget, &out)
 	h.sendBatch(now, &out)
 	return out, true
 }
 
-// SetPolicies asks anew how each budget is held. A host learns that it is no more the one
-// that should hold a budget when nobody asks it for tokens.
+// SetPolicies updates the policy of each budget. Without it a host that is no longer a
+// budget's owner, and so gets no requests for its tokens, would not learn of that.
 func (h *Holder) SetPolicies(policyFor func(budget string) Policy) {
 	for _, name := range h.names {
 		h.budgets[name].policy = policyFor(name)
 	}
 }
 
-// ReturnFree puts all free tokens of a budget on their way back: its funds were lowered,
-// and the ledger has to know what is left of them.
+// ReturnFree returns all free tokens of a budget to the ledger. It is called when the
+// budget's funds are lowered and the ledger has to find out how many tokens are unspent.
 func (h *Holder) ReturnFree(now time.Time, budgetName string) Output {
 	var out Output
 	b, ok := h.budgets[budgetName]
@@ -228,19 +230,19 @@
 	return out
 }
 
-// Tick resends what was not answered, settles what has waited long enough, looks to
-// the peers for requests whose acquire goes unanswered, and returns idle tokens.
+// Tick resends unanswered messages, sends the settlement batch that is due, asks peers on
+// behalf of requests whose acquire is unanswered, and returns idle tokens.
 func (h *Holder) Tick(now time.Time) Output {
 	var out Output
 	for _, name := range slices.Clone(h.names) {
 		b := h.budgets[name]
 		h.resendAcquire(now, b, &out)
 		h.advance(now, b, &out)
-		h.returnReserve(now, b)
+		h.returnExcessReserve(now, b)
 		h.returnIdle(now, b)
 		h.forget(now, b)
 	}
-	h.keepContact(now)
+	h.refreshContact(now)
 	h.resendAsks(now, &out)
 	h.transfers.prune(now)
 	h.resendBatch(now, &out)
@@ -248,48 +250,49 @@
 	return out
 }
 
-// Flush settles what has waited long enough; a cheap part of Tick.
+// Flush sends the settlement batch if it is due; it is a cheap part of Tick.
 func (h *Holder) Flush(now time.Time) Output {
 	var out Output
 	h.sendBatch(now, &out)
 	return out
 }
 
-// Drain makes the holder refuse new requests and return all free tokens; tokens that
-// become free later go back too. Tick carries it on.
+// Drain makes the holder refuse new requests and return all free tokens. Tokens that
+// become free later are returned by Tick.
 func (h *Holder) Drain(now time.Time) Output {
 	h.draining = true
 	var out Output
 	for _, name := range h.names {
 		b := h.budgets[name]
-		h.refuseAll(b, errkind.New(errkind.HostLeaving, "this host returns its grants"), &out)
+		h.refuseAll(b, errkind.New(errkind.HostLeaving, "this host is leaving and returns its grants"), &out)
 	}
 	tick := h.Tick(now)
 	tick.Decisions = append(out.Decisions, tick.Decisions...)
 	return tick
 }
 
-// Idle tells whether nothing is held, owed or waited for, so that a draining host can exit.
+// Idle reports whether the holder has no tokens, no unsettled messages and no waiting
+// requests, so that a draining host can exit.
 func (h *Holder) Idle() bool {
 	if h.settlement.busy() || len(h.reservations) > 0 || len(h.transfers.open) > 0 {
 		return false
 	}
 	for _, b := range h.budgets {
-		if b.held() > 0 || b.out.reserve > 0 || b.acquire.msg != nil || len(b.waiters) > 0 {
+		if b.held() > 0 || b.reserve.tokens > 0 || b.acquire.msg != nil || len(b.waiters) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Levels lists what is held of each budget, by name.
+// Levels returns the tokens held of each budget, sorted by name.
 func (h *Holder) Levels() []Level {
 	levels := make([]Level, 0, len(h.budgets))
 	for _, name := range h.names {
 		b := h.budgets[name]
 		levels = append(levels, Level{
 			Budget: name, Free: b.free, Reserved: b.reserved,
-			Unsettled: b.unsettled, Returning: b.returning, Reserve: b.out.reserve, Waiting: len(b.waiters),
+			Unsettled: b.unsettled, Returning: b.returning, Reserve: b.reserve.tokens, Waiting: len(b.waiters),
 		})
 	}
 	return levels
@@ -308,8 +311,8 @@
 
 func (b *budget) held() uint64 { return b.free + b.reserved + b.unsettled + b.returning }
 
-// serve grants every waiter that fits, in order of arrival.
-func (h *Holder) serve(now time.Time, b *budget, out *Output) {
+// grantWaiters grants every waiter that the available tokens cover, in order of arrival.
+func (h *Holder) grantWaiters(now time.Time, b *budget, out *Output) {
 	kept := b.waiters[:0]
 	for _, w := range b.waiters {
 		if !h.drawReserve(now, b, w.tokens) {
@@ -333,7 +336,7 @@
 	b.round = nil
 }
 
-// returnIdle puts free tokens that nobody used for a while on their way back.
+// returnIdle returns the free tokens of a budget that is idle or whose holder is draining.
 func (h *Holder) returnIdle(now time.Time, b *budget) {
 	if len(b.waiters) > 0 || !(b.idle(now) || h.draining) {
 		return
@@ -341,26 +344,27 @@
 	h.returnAll(now, b)
 }
 
-// returnAll puts everything that no request has on its way back.
+// returnAll returns all tokens that are not reserved for a request.
 func (h *Holder) returnAll(now time.Time, b *budget) {
-	h.giveReserveBack(now, b, b.out.reserve)
+	h.returnReserveTokens(now, b, b.reserve.tokens)
 	if b.free == 0 {
 		return
 	}
-	h.settlement.giveBack(now, b.name, b.free)
+	h.settlement.addReturn(now, b.name, b.free)
 	b.returning += b.free
 	b.free = 0
 }
 
-// idle tells whether nobody used the budget here for so long that its tokens go back.
+// idle reports whether the budget has not been used on this host for the policy's
+// IdleReturn.
 func (b *budget) idle(now time.Time) bool { return now.Sub(b.lastUse) >= b.policy.IdleReturn }
 
-// forget drops the state of a budget that holds nothing and was long unused. The
-// numbering of acquires must outlive it: the ledger would take a number that starts
-// again for a resend of an old acquire. So only a budget that was never granted any
-// token is dropped.
+// forget drops the state of a budget that holds nothing and has been unused for long. The
+// sequence numbers of acquires must not restart: the ledger would treat a reused number as
+// a resend of an old acquire. So only a budget whose acquires were never answered with a
+// grant is dropped.
 func (h *Holder) forget(now time.Time, b *budget) {
-	unused := b.held() == 0 && b.out.reserve == 0 && len(b.waiters) == 0 && b.round == nil
+	unused := b.held() == 0 && b.reserve.tokens == 0 && len(b.waiters) == 0 && b.round == nil
 	if unused && b.acquire.msg == nil && b.acquire.seq == 0 && now.Sub(b.lastUse) > b.policy.IdleReturn {
 		delete(h.budgets, b.name)
 		i, _ := slices.BinarySearch(h.names, b.name)
--- a/internal/grant/policy_test.go
+++ b/internal/grant/policy_test.go
@@ -8,20 +8,18 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// TestEndOfCutNoticed
-//
-// Symptom: requests refused though the ledger is in reach again and has the tokens.
-// Sequence: an acquire goes unanswered for long; the cut ends; a request comes.
-// Cause: the refusal doesn't wait for one more try, or there is none.
-func TestEndOfCutNoticed(t *testing.T) {
+// TestNewRequestProbesLedgerAfterOutage checks that a request that arrives after a long
+// outage resends the outstanding acquire, and is not refused before that was tried. Otherwise
+// requests are refused although the ledger is reachable again and has the tokens.
+func TestNewRequestProbesLedgerAfterOutage(t *testing.T) {
 	now := time.Unix(1, 0)
 	h := New(&pb.Holder{Host: "a", Incarnation: 1}, Config{}, rand.New(rand.NewSource(1)))
 	h.Reserve(now, "r1", "x", 100, testPolicy)
 	now = now.Add(time.Minute)
 	h.Tick(now)
 	now = now.Add(time.Second)
-	if gone := h.Tick(now); len(gone.Decisions) != 1 || gone.Decisions[0].Err == nil {
-		t.Fatalf("got %+v, want r1 refused", gone)
+	if unanswered := h.Tick(now); len(unanswered.Decisions) != 1 || unanswered.Decisions[0].Err == nil {
+		t.Fatalf("got %+v, want r1 refused", unanswered)
 	}
 	now = now.Add(time.Second)
 	out := h.Reserve(now, "r2", "x", 100, testPolicy)
@@ -35,11 +33,9 @@
 	}
 }
 
-// TestIdleBudgetStaysReturned
-//
-// Symptom: messages to the ledger many times a second for a budget that nobody uses.
-// Sequence: tokens go back after the idle time; the demand of the horizon isn't forgotten.
-// Cause: what was returned is fetched again, and returned again.
+// TestIdleBudgetStaysReturned checks that the tokens of an idle budget are not prefetched
+// again after their return. The demand of the horizon is still remembered then; if it were
+// followed, the holder would fetch and return the tokens many times a second.
 func TestIdleBudgetStaysReturned(t *testing.T) {
 	now := time.Unix(1, 0)
 	policy := Policy{Horizon: time.Hour, IdleReturn: time.Minute, Transfers: true}
@@ -61,18 +57,16 @@
 		}
 	}
 	if got := h.Levels()[0]; acquires > 2 || got.Held() != 0 {
-		t.Errorf("%d acquires, %+v held, want 2 at most and nothing", acquires, got)
+		t.Errorf("%d acquires, %+v held, want at most 2 acquires and nothing held", acquires, got)
 	}
 }
 
-// TestReceivedTokensNotPassedOn
-//
-// Symptom: a holder's batches are refused for as long as a third host is cut off.
-// Sequence: tokens received by a transfer are asked for before, and after, the ledger
-// acknowledged the batch that reports the transfer.
-// Cause: passed on at once, the next receiver's batch may come first and take tokens out of
-// this holder's grant that its own older batches need.
-func TestReceivedTokensNotPassedOn(t *testing.T) {
+// TestReceivedTokensNotForwardedBeforeSettlement checks that tokens received by a transfer
+// are sent to another host only after the ledger acknowledged the batch that reports the
+// transfer. Otherwise the next receiver's batch may be applied first and take tokens out of
+// this holder's grant that its own older batches need; these would then be refused for as
+// long as the third host is cut off.
+func TestReceivedTokensNotForwardedBeforeSettlement(t *testing.T) {
 	now := time.Unix(1, 0)
 	h := New(&pb.Holder{Host: "b", Incarnation: 1}, Config{}, rand.New(rand.NewSource(1)))
 	h.SetPeers([]string{"c"})
@@ -88,24 +82,22 @@
 		return got.GetTokens()
 	}
 	if got := ask("a/1/1"); got != 10 {
-		t.Errorf("gave %d before the ledger knows of the transfer, want the 10 that it granted", got)
+		t.Errorf("sent %d tokens before the ledger knows of the transfer, want the 10 that it granted", got)
 	}
 	now = now.Add(time.Second)
 	batch := h.Tick(now).Batch
 	if got := ask("a/1/2"); got != 0 {
-		t.Errorf("gave %d while the batch is under way, want 0", got)
+		t.Errorf("sent %d tokens while the batch is outstanding, want 0", got)
 	}
 	h.SettleAnswered(now, batch.GetSeq(), &pb.SettleResult{})
 	if got := ask("a/1/3"); got != 90 {
-		t.Errorf("gave %d after the ledger knows of the transfer, want 90", got)
+		t.Errorf("sent %d tokens after the ledger knows of the transfer, want 90", got)
 	}
 }
 
-// TestUndoneTransferStaysUndone
-//
-// Symptom: the same tokens at giver and receiver.
-// Sequence: a transfer is deducted, can't be copied and is undone; its ask comes again.
-// Cause: the repeated ask answered with the transfer that the giver took back.
+// TestUndoneTransferStaysUndone checks that an ask repeated after its transfer could not be
+// copied and was undone is answered without tokens. Otherwise sender and receiver would both
+// hold them.
 func TestUndoneTransferStaysUndone(t *testing.T) {
 	now := time.Unix(1, 0)
 	h := New(&pb.Holder{Host: "b", Incarnation: 1}, Config{}, rand.New(rand.NewSource(1)))
--- a/internal/grant/reserve/reserve_test.go
+++ b/internal/grant/reserve/reserve_test.go
@@ -7,11 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-func TestReserveOpensByItsRate(t *testing.T) {
+func TestUsableGrowsAtRate(t *testing.T) {
 	for _, c := range []struct {
-		tokens, rate uint64
-		without      time.Duration
-		want         uint64
+		tokens, rate   uint64
+		unreachableFor time.Duration
+		want           uint64
 	}{
 		{1000, 200, HoldPeriod, 0},
 		{1000, 200, HoldPeriod + 500*time.Millisecond, 100},
@@ -19,22 +19,22 @@
 		{1000, 0, HoldPeriod + time.Minute, 0},
 		{1 << 63, 1 << 62, HoldPeriod + time.Hour, 1 << 63},
 	} {
-		if got := Usable(c.tokens, c.rate, c.without); got != c.want {
-			t.Errorf("%d tokens at %d a second, %v without contact: %d, want %d", c.tokens, c.rate, c.without, got, c.want)
+		if got := Usable(c.tokens, c.rate, c.unreachableFor); got != c.want {
+			t.Errorf("%d tokens at %d per second, unreachable for %v: %d usable, want %d", c.tokens, c.rate, c.unreachableFor, got, c.want)
 		}
 	}
 	if got := CountedAsSpent(1000, 0, 0); got != 1000 {
-		t.Errorf("of a reserve without a known rate %d of 1000 count as spent", got)
+		t.Errorf("%d of 1000 tokens of a reserve with unknown rate count as spent, want all", got)
 	}
 }
 
-func TestOpensAfterIsWhenItIsUsable(t *testing.T) {
+func TestUsableAfterMatchesUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tokens := rapid.Uint64Range(0, 1<<40).Draw(t, "tokens")
 		rate := rapid.Uint64Range(1, 1<<30).Draw(t, "rate")
 		after := UsableAfter(tokens, rate)
 		if after < 24*time.Hour && Usable(tokens, rate, after) < tokens-min(tokens, rate/1000) {
-			t.Fatalf("after %v only %d are usable", after, Usable(tokens, rate, after))
+			t.Fatalf("after %v only %d tokens are usable", after, Usable(tokens, rate, after))
 		}
 	})
 }
--- a/internal/grant/settle.go
+++ b/internal/grant/settle.go
@@ -9,37 +9,37 @@
 )
 
 // settlement collects bills, returns and accepted transfers and sends them in numbered
-// batches, one at a time. A batch is resent the same until the ledger acknowledges it.
+// batches, one at a time. A batch is resent unchanged until the ledger acknowledges it.
 type settlement struct {
 	bills   []*pb.Bill
 	spends  map[string]*pb.Spend // by budget
 	returns map[string]uint64
-	// reserves are what is returned out of reserves.
-	reserves map[string]uint64
-	accepted []*pb.Transfer
-	pending  bool      // any of the above is there
-	since    time.Time // when the oldest of them was added
-
-	seq      uint64     // last number given
-	batch    *pb.Settle // outstanding; nil: none
+	// reserveReturns are the tokens returned out of reserves, by budget.
+	reserveReturns map[string]uint64
+	accepted       []*pb.Transfer
+	pending        bool      // true if a batch has to be sent
+	since          time.Time // when pending was set
+
+	seq      uint64     // sequence number of the last batch
+	batch    *pb.Settle // the outstanding batch; nil if there is none
 	nextSend time.Time
 	wait     time.Duration
 }
 
-func (s *settlement) touch(now time.Time) {
+func (s *settlement) markPending(now time.Time) {
 	if !s.pending {
 		s.since, s.pending = now, true
 	}
 }
 
-func (s *settlement) add(now time.Time, bill *pb.Bill) {
-	s.touch(now)
+func (s *settlement) addBill(now time.Time, bill *pb.Bill) {
+	s.markPending(now)
 	s.bills = append(s.bills, bill)
 }
 
-// spend adds to the sum of what was spent of a budget without bills of their own.
-func (s *settlement) spend(now time.Time, budgetName string, tokens uint64) {
-	s.touch(now)
+// addSpend adds tokens to the sum spent from a budget without individual bills.
+func (s *settlement) addSpend(now time.Time, budgetName string, tokens uint64) {
+	s.markPending(now)
 	if s.spends == nil {
 		s.spends = make(map[string]*pb.Spend)
 	}
@@ -52,24 +52,24 @@
 	sum.Requests++
 }
 
-func (s *settlement) giveBack(now time.Time, budgetName string, tokens uint64) {
-	s.touch(now)
+func (s *settlement) addReturn(now time.Time, budgetName string, tokens uint64) {
+	s.markPending(now)
 	if s.returns == nil {
 		s.returns = make(map[string]uint64)
 	}
 	s.returns[budgetName] += tokens
 }
 
-func (s *settlement) giveReserveBack(now time.Time, budgetName string, tokens uint64) {
-	s.touch(now)
-	if s.reserves == nil {
-		s.reserves = make(map[string]uint64)
+func (s *settlement) addReserveReturn(now time.Time, budgetName string, tokens uint64) {
+	s.markPending(now)
+	if s.reserveReturns == nil {
+		s.reserveReturns = make(map[string]uint64)
 	}
-	s.reserves[budgetName] += tokens
+	s.reserveReturns[budgetName] += tokens
 }
 
-func (s *settlement) accept(now time.Time, t *pb.Transfer) {
-	s.touch(now)
+func (s *settlement) addTransfer(now time.Time, t *pb.Transfer) {
+	s.markPending(now)
 	s.accepted = append(s.accepted, t)
 }
 
@@ -77,10 +77,11 @@
 	return s.batch != nil || s.pending
 }
 
-// sendBatch starts the next batch if none is outstanding and it is full or old enough.
+// sendBatch sends the next batch if none is outstanding and it is full or due.
 //
-// Every transfer accepted so far goes into the batch: its bills may spend those tokens,
-// and the ledger, which applies transfers first, would else find too little granted.
+// The batch contains every transfer accepted so far: its bills may spend those tokens, and
+// the ledger, which applies transfers first, would otherwise reject the batch because the
+// holder's grant is too small.
 func (h *Holder) sendBatch(now time.Time, out *Output) {
 	s := &h.settlement
 	due := len(s.bills) >= h.cfg.BatchBills || now.Sub(s.since) >= h.cfg.BatchWait || h.draining
@@ -93,17 +94,17 @@
 	for _, name := range slices.Sorted(maps.Keys(s.returns)) {
 		s.batch.Returns = append(s.batch.Returns, &pb.Return{Budget: name, Tokens: s.returns[name]})
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.reserves)) {
-		s.batch.Returns = append(s.batch.Returns, &pb.Return{Budget: name, Tokens: s.reserves[name], Reserve: true})
+	for _, name := range slices.Sorted(maps.Keys(s.reserveReturns)) {
+		s.batch.Returns = append(s.batch.Returns, &pb.Return{Budget: name, Tokens: s.reserveReturns[name], Reserve: true})
 	}
-	h.tellUnlocks(s.batch)
-	s.batch.WallMs = h.wall(now).UnixMilli()
+	h.addUnlocks(s.batch)
+	s.batch.WallMs = h.wallClock(now).UnixMilli()
 	for _, name := range slices.Sorted(maps.Keys(s.spends)) {
 		s.batch.Spends = append(s.batch.Spends, s.spends[name])
 	}
 	h.markSent(s.batch)
 	s.bills = slices.Clone(s.bills[n:])
-	s.spends, s.returns, s.reserves, s.accepted = nil, nil, nil, nil
+	s.spends, s.returns, s.reserveReturns, s.accepted = nil, nil, nil, nil
 	s.pending = len(s.bills) > 0
 	s.since = now
 	s.wait = h.cfg.ResendAfter
@@ -111,29 +112,29 @@
 	out.Batch = s.batch
 }
 
-// wall is the time of day.
-func (h *Holder) wall(now time.Time) time.Time {
+// wallClock returns the wall-clock time.
+func (h *Holder) wallClock(now time.Time) time.Time {
 	if h.cfg.WallClock == nil {
 		return now
 	}
 	return h.cfg.WallClock()
 }
 
-// markSent notes what the ledger will take off and add with the batch.
+// markSent records the tokens that the ledger will deduct and add when it applies the batch.
 func (h *Holder) markSent(batch *pb.Settle) {
 	for _, bill := range batch.GetBills() {
-		h.budget(bill.GetBudget()).leaving += bill.GetTokens()
+		h.budget(bill.GetBudget()).outgoing += bill.GetTokens()
 	}
 	for _, spend := range batch.GetSpends() {
-		h.budget(spend.GetBudget()).leaving += spend.GetTokens()
+		h.budget(spend.GetBudget()).outgoing += spend.GetTokens()
 	}
 	for _, r := range batch.GetReturns() {
-		h.budget(r.GetBudget()).leaving += r.GetTokens()
+		h.budget(r.GetBudget()).outgoing += r.GetTokens()
 	}
 	for _, t := range batch.GetTransfers() {
 		b := h.budget(t.GetBudget())
-		b.receivedNext -= t.GetTokens()
-		b.receivedSent += t.GetTokens()
+		b.receivedPending -= t.GetTokens()
+		b.receivedInBatch += t.GetTokens()
 	}
 }
 
@@ -147,9 +148,9 @@
 	out.Batch = s.batch
 }
 
-// SettleAnswered takes the ledger's acknowledgement of a batch. Bills of identities
-// that were billed before stay with the holder: their tokens are free again. It returns
-// the acknowledged batch, nil for a duplicate answer.
+// SettleAnswered processes the ledger's acknowledgement of a batch. Bills whose identities
+// were already billed are not charged: their tokens are free again. It returns the
+// acknowledged batch; nil for a duplicate answer.
 func (h *Holder) SettleAnswered(now time.Time, seq uint64, r *pb.SettleResult) (Output, *pb.Settle) {
 	var out Output
 	s := &h.settlement
@@ -158,21 +159,21 @@
 	}
 	done := s.batch
 	s.batch = nil
-	h.confirm(now)
+	h.confirmContact(now)
 	h.RecordContact(now)
 	h.settleBills(done, r.GetDuplicates())
 	for _, spend := range done.GetSpends() {
 		b := h.budget(spend.GetBudget())
 		b.unsettled -= spend.GetTokens()
-		b.leaving -= spend.GetTokens()
+		b.outgoing -= spend.GetTokens()
 	}
 	for _, ret := range done.GetReturns() {
 		b := h.budget(ret.GetBudget())
 		b.returning -= ret.GetTokens()
-		b.leaving -= ret.GetTokens()
+		b.outgoing -= ret.GetTokens()
 	}
 	for _, t := range done.GetTransfers() {
-		h.budget(t.GetBudget()).receivedSent -= t.GetTokens()
+		h.budget(t.GetBudget()).receivedInBatch -= t.GetTokens()
 	}
 	for _, l := range r.GetLevels() {
 		h.noteLevel(l)
@@ -187,20 +188,20 @@
 	return out, done
 }
 
-// confirm has the next batch sent at once when the answer to this one ends a time without
-// contact: only the next one shows the ledger that this answer was received.
+// confirmContact makes the next batch due immediately when this answer is the first one after
+// an outage: only the next batch shows the ledger that this answer was received.
 //
-// What goes wrong otherwise: all hosts are lost right after a partition, and the ledger counts
-// the whole of it as time in which they spent their reserves.
-func (h *Holder) confirm(now time.Time) {
-	if h.withoutContact(now) > 2*h.cfg.ContactInterval {
-		h.settlement.touch(now)
+// Otherwise, if all hosts die right after a partition, the ledger counts the whole partition
+// as time in which they spent their reserves.
+func (h *Holder) confirmContact(now time.Time) {
+	if h.sinceContact(now) > 2*h.cfg.ContactInterval {
+		h.settlement.markPending(now)
 		h.settlement.since = now.Add(-h.cfg.BatchWait)
 	}
 }
 
-// settleBills takes acknowledged bills off the books. One identity that stands twice in
-// a batch is listed as a duplicate once for each bill that was not billed.
+// settleBills removes acknowledged bills from the unsettled tokens. An identity that occurs
+// several times in a batch is listed as a duplicate once for each bill that was not charged.
 func (h *Holder) settleBills(batch *pb.Settle, duplicates []string) {
 	again := make(map[string]int, len(duplicates))
 	for _, id := range duplicates {
@@ -209,7 +210,7 @@
 	for _, bill := range slices.Backward(batch.GetBills()) {
 		b := h.budget(bill.GetBudget())
 		b.unsettled -= bill.GetTokens()
-		b.leaving -= bill.GetTokens()
+		b.outgoing -= bill.GetTokens()
 		if again[bill.GetIdentity()] > 0 {
 			again[bill.GetIdentity()]--
 			b.free += bill.GetTokens()
@@ -225,18 +226,18 @@
 	b.setLevel(l.GetFree(), l.GetFunded(), l.GetBilled())
 }
 
-// setLevel takes what the ledger says of a budget.
+// setLevel stores a budget's totals as reported by the ledger.
 func (b *budget) setLevel(free, funded, billed uint64) {
-	b.level, b.left, b.levelKnown = free, funded-min(billed, funded), true
+	b.ledgerFree, b.unbilled, b.levelKnown = free, funded-min(billed, funded), true
 }
 
-// tellUnlocks puts into a batch what was taken out of reserves since the one before.
-func (h *Holder) tellUnlocks(batch *pb.Settle) {
+// addUnlocks adds to a batch the tokens drawn from reserves since the previous batch.
+func (h *Holder) addUnlocks(batch *pb.Settle) {
 	for _, name := range h.names {
 		b := h.budgets[name]
-		if b.out.untold > 0 {
-			batch.Unlocks = append(batch.Unlocks, &pb.Return{Budget: name, Tokens: b.out.untold})
-			b.out.untold = 0
+		if b.reserve.unreported > 0 {
+			batch.Unlocks = append(batch.Unlocks, &pb.Return{Budget: name, Tokens: b.reserve.unreported})
+			b.reserve.unreported = 0
 		}
 	}
 }
--- a/internal/grant/transfer.go
+++ b/internal/grant/transfer.go
@@ -10,37 +10,39 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// How long asks are remembered.
+// Retention of asks and transfers.
 const (
-	// nothingWindow is how long a giver remembers that it gave nothing.
-	nothingWindow = 15 * time.Minute
-	// askWindow is how long the outcome of an unanswered ask is asked for. What the peer
-	// may have given then stays stranded until the peer's incarnation is recovered.
-	askWindow = 24 * time.Hour
-	// givenWindow is how long a giver answers a repeated ask with the same transfer, if
-	// it doesn't learn before that the ledger knows the transfer. It outlasts askWindow:
-	// a transfer forgotten while it is asked for would be stranded.
-	givenWindow = askWindow + time.Hour
-	// pruneEvery spaces the searches for asks that may be forgotten.
-	pruneEvery = time.Minute
+	// emptyRetention is how long a sender remembers that it answered an ask without tokens.
+	emptyRetention = 15 * time.Minute
+	// askRetention is how long an unanswered ask is repeated to learn its outcome. After
+	// that, tokens that the peer may have sent are stranded until the peer's incarnation is
+	// recovered.
+	askRetention = 24 * time.Hour
+	// sentRetention is how long a sender answers a repeated ask with the same transfer,
+	// unless it learns earlier that the ledger knows the transfer. It is longer than
+	// askRetention: a transfer forgotten while its ask is still repeated would be stranded.
+	sentRetention = askRetention + time.Hour
+	// pruneInterval is the time between searches for asks that may be forgotten.
+	pruneInterval = time.Minute
 )
 
-// transfers is what the holder knows of tokens moved between holders.
+// transfers is the holder's state of tokens moved between holders.
 type transfers struct {
-	// given remembers each ask answered as a giver, by id, those answered with nothing too.
-	given map[string]*given
-	// open are this holder's own asks without an answer. Only an open ask can bring
-	// tokens, and its first definite answer closes it, so a doubled answer brings none.
+	// sent holds each ask answered as a sender, by id, including those answered without tokens.
+	sent map[string]*sentTransfer
+	// open holds this holder's own unanswered asks. Only an open ask can add tokens, and its
+	// first definite answer closes it, so a duplicate answer adds none.
 	open map[string]*openAsk
-	// lastAsk numbers this holder's asks.
+	// lastAsk is the number of this holder's last ask.
 	lastAsk uint64
 	pruned  time.Time
 }
 
-type given struct {
+type sentTransfer struct {
 	transfer *pb.Transfer
 	at       time.Time
-	// ready: the copies of the transfer are in place and it may be answered.
+	// ready is true once the copies of the transfer are stored at peers, so that the ask may
+	// be answered with it.
 	ready bool
 }
 
@@ -55,44 +57,45 @@
 
 func newTransfers() transfers {
 	return transfers{
-		given: make(map[string]*given),
-		open:  make(map[string]*openAsk),
+		sent: make(map[string]*sentTransfer),
+		open: make(map[string]*openAsk),
 	}
 }
 
-// prune forgets old asks. It is safe: an ask repeated later gets nothing, and an answer
+// prune forgets old asks. It is safe: an ask repeated later gets no tokens, and an answer
 // to a forgotten ask is dropped.
 func (t *transfers) prune(now time.Time) {
-	if now.Sub(t.pruned) < pruneEvery {
+	if now.Sub(t.pruned) < pruneInterval {
 		return
 	}
 	t.pruned = now
-	for id, g := range t.given {
-		if now.Sub(g.at) > g.window() {
-			delete(t.given, id)
+	for id, g := range t.sent {
+		if now.Sub(g.at) > g.retention() {
+			delete(t.sent, id)
 		}
 	}
 	for id, ask := range t.open {
-		if now.Sub(ask.since) > askWindow {
+		if now.Sub(ask.since) > askRetention {
 			delete(t.open, id)
 		}
 	}
 }
 
-// round is one search among the peers for the shortage of a budget's waiters.
+// round is one attempt to get the tokens missing for a budget's waiters from the peers.
 type round struct {
-	// candidates may still have tokens; a peer that gave less than it was asked is out.
+	// candidates are the peers that may still have tokens; a peer that sent less than it was
+	// asked for is removed.
 	candidates []string
-	// asks without an answer, by id.
+	// asks are the unanswered asks of the round, by id.
 	asks map[string]struct{}
 }
 
-// startRound looks to the peers for the waiters that the ledger couldn't serve.
+// startRound asks the peers on behalf of the waiters that the ledger couldn't serve.
 func (h *Holder) startRound(now time.Time, b *budget, out *Output) {
 	covered := false
 	for _, w := range b.waiters {
-		w.asked = w.tried && !w.helpless
-		covered = covered || w.asked
+		w.inRound = w.ledgerTried && !w.peersTried
+		covered = covered || w.inRound
 	}
 	if !covered {
 		return
@@ -111,10 +114,10 @@
 	return peers
 }
 
-// askPeers asks the next few candidates for equal parts of the shortage.
+// askPeers asks the next AskFanout candidates for equal parts of the shortage.
 func (h *Holder) askPeers(now time.Time, b *budget, out *Output) {
 	n := min(h.cfg.AskFanout, len(b.round.candidates))
-	short := b.askedShortage()
+	short := b.roundShortage()
 	if n == 0 || short == 0 {
 		return
 	}
@@ -125,11 +128,11 @@
 	}
 }
 
-// askedShortage is what the covered waiters miss.
-func (b *budget) askedShortage() uint64 {
+// roundShortage returns the number of tokens missing for the waiters covered by the round.
+func (b *budget) roundShortage() uint64 {
 	var sum uint64
 	for _, w := range b.waiters {
-		if w.asked {
+		if w.inRound {
 			sum += w.tokens
 		}
 	}
@@ -147,16 +150,16 @@
 	return id
 }
 
-// askPrefix makes ids unique over all incarnations.
+// askPrefix returns the prefix that makes ask ids unique across all incarnations.
 func (h *Holder) askPrefix() string {
 	return fmt.Sprintf("%s/%d/", h.self.GetHost(), h.self.GetIncarnation())
 }
 
-// AskAnswered takes a peer's answer to an ask: t, or nil if the peer gave nothing.
+// AskAnswered processes a peer's answer to an ask: t, or nil if the peer sent no tokens.
 //
-// A transfer is accepted once by its id, also when its answer comes late, doubled or
-// after the round ended. One that was lost stays deducted at the giver: stranded until
-// the ask is answered, never in two places.
+// A transfer is accepted exactly once by its id, even if its answer is late, duplicated or
+// arrives after the round ended. The tokens of a lost transfer stay deducted at the sender:
+// they are stranded until the ask is answered, but never held by two hosts.
 func (h *Holder) AskAnswered(now time.Time, id string, t *pb.Transfer) Output {
 	var out Output
 	ask, open := h.transfers.open[id]
@@ -168,14 +171,15 @@
 	if got > 0 {
 		b := h.budget(ask.budget)
 		b.free += got
-		b.receivedNext += got
+		b.receivedPending += got
 		h.advance(now, b, &out)
 	}
 	h.roundAnswered(now, ask, id, got, &out)
 	return out
 }
 
-// accept returns the tokens of t if it answers the ask, for this holder and from a live one.
+// accept returns the tokens of t if it answers the ask, is addressed to this holder, and its
+// sender is not fenced.
 func (h *Holder) accept(now time.Time, id string, ask *openAsk, t *pb.Transfer) uint64 {
 	if t.GetTokens() == 0 || t.GetId() != id || t.GetBudget() != ask.budget {
 		return 0
@@ -183,12 +187,12 @@
 	if keyOf(t.GetTo()) != keyOf(h.self) || h.isFenced(t.GetFrom()) {
 		return 0
 	}
-	h.settlement.accept(now, t)
+	h.settlement.addTransfer(now, t)
 	return t.GetTokens()
 }
 
-// AskFailed tells that an ask got no answer. The round goes on without that peer; the
-// ask stays open, since the peer may have given.
+// AskFailed reports that an ask got no answer. The round continues without that peer; the
+// ask stays open, since the peer may have sent tokens.
 func (h *Holder) AskFailed(now time.Time, id string) Output {
 	var out Output
 	if ask, ok := h.transfers.open[id]; ok {
@@ -217,40 +221,40 @@
 	h.advance(now, b, out)
 }
 
-// endRound closes a round that has no ask left; the peers can't help the waiters that it
-// covered.
+// endRound closes a round that has no unanswered ask or nothing missing, and marks the
+// waiters that it covered as not served by the peers.
 func (h *Holder) endRound(now time.Time, b *budget, out *Output) {
-	if b.round == nil || len(b.round.asks) > 0 && b.askedShortage() > 0 {
+	if b.round == nil || len(b.round.asks) > 0 && b.roundShortage() > 0 {
 		return
 	}
 	b.round = nil
 	for _, w := range b.waiters {
-		w.helpless = w.helpless || w.asked
-		w.asked = false
+		w.peersTried = w.peersTried || w.inRound
+		w.inRound = false
 	}
-	h.refuseHelpless(now, b, out)
+	h.refuseUnserved(now, b, out)
 }
 
-// refuseHelpless refuses the waiters that neither the ledger nor the peers can serve.
-func (h *Holder) refuseHelpless(now time.Time, b *budget, out *Output) {
+// refuseUnserved refuses the waiters that neither the ledger nor the peers can serve.
+func (h *Holder) refuseUnserved(now time.Time, b *budget, out *Output) {
 	kept := b.waiters[:0]
 	for _, w := range b.waiters {
-		if !w.helpless || now.Before(w.notBefore) {
+		if !w.peersTried || now.Before(w.refuseAt) {
 			kept = append(kept, w)
 			continue
 		}
-		out.Decisions = append(out.Decisions, Decision{Request: w.request, Err: h.refusal(now, w, b), ReserveUsableIn: h.opensIn(now, w, b)})
+		out.Decisions = append(out.Decisions, Decision{Request: w.request, Err: h.refusal(now, w, b), ReserveUsableIn: h.reserveUsableIn(now, w, b)})
 	}
 	clear(b.waiters[len(kept):])
 	b.waiters = kept
 }
 
-// opensIn is when the reserve will cover a refused waiter; 0: not known.
-func (h *Holder) opensIn(now time.Time, w *waiter, b *budget) time.Duration {
-	if w.why != errkind.BudgetUnreachable {
+// reserveUsableIn returns the time until the reserve covers a refused waiter; 0 if unknown.
+func (h *Holder) reserveUsableIn(now time.Time, w *waiter, b *budget) time.Duration {
+	if w.refusalKind != errkind.BudgetUnreachable {
 		return 0
 	}
-	in, ok := b.out.opensIn(w.tokens-min(w.tokens, b.free), h.withoutContact(now))
+	in, ok := b.reserve.usableIn(w.tokens-min(w.tokens, b.free), h.sinceContact(now))
 	if !ok {
 		return 0
 	}
@@ -258,19 +262,18 @@
 }
 
 func (h *Holder) refusal(now time.Time, w *waiter, b *budget) *errkind.Error {
-	held := fmt.Sprintf("%d tokens needed, %d free here, %d in reserve, %v without contact, %d free at the ledger then",
-		w.tokens, b.free, b.out.reserve, h.withoutContact(now).Round(time.Millisecond), b.level)
-	if w.why == errkind.BudgetUnreachable {
-		again := min(max(h.withoutContact(now), RetryAfterUnreachable), MaxRetryAfterUnreachable)
-		return errkind.New(w.why, "budget %s: %s; the ledger is out of reach", b.name, held).After(again)
+	amounts := fmt.Sprintf("%d tokens needed, %d free on this host, %d in reserve; ledger last reached %v ago with %d free",
+		w.tokens, b.free, b.reserve.tokens, h.sinceContact(now).Round(time.Millisecond), b.ledgerFree)
+	if w.refusalKind == errkind.BudgetUnreachable {
+		again := min(max(h.sinceContact(now), RetryAfterUnreachable), MaxRetryAfterUnreachable)
+		return errkind.New(w.refusalKind, "budget %s: %s; the ledger is unreachable", b.name, amounts).After(again)
 	}
-	return errkind.New(w.why, "budget %s: %s; none left to grant", b.name, held).After(RetryAfterExhausted)
+	return errkind.New(w.refusalKind, "budget %s: %s; no tokens left to grant", b.name, amounts).After(RetryAfterExhausted)
 }
 
-// resendAsks asks again for the outcome of asks without an answer. A repeated ask asks
-// for no tokens: a giver that knows the id answers as before, one that doesn't gives
-// nothing and remembers that, so that the first message gives nothing either if it
-// arrives later.
+// resendAsks repeats unanswered asks to learn their outcome. A repeated ask requests no
+// tokens: a sender that knows the id answers as before; one that doesn't sends nothing and
+// remembers that, so that the first message gets nothing either if it arrives later.
 func (h *Holder) resendAsks(now time.Time, out *Output) {
 	for _, id := range slices.Sorted(maps.Keys(h.transfers.open)) {
 		ask := h.transfers.open[id]
@@ -286,35 +289,37 @@
 	}
 }
 
-// TransferState says what the giver's runtime must do with an ask.
+// TransferState tells the sender's runtime how to proceed with an ask.
 type TransferState int
 
-// States of an ask at the giver.
+// States of an ask at the sender.
 const (
-	// NoTransfer: answer without a transfer.
+	// NoTransfer means that the ask is answered without a transfer.
 	NoTransfer TransferState = iota
-	// NewTransfer: the tokens are deducted; copy the transfer to peers, then call GiveReady
-	// and answer, or GiveUndone and answer without.
+	// NewTransfer means that the tokens are deducted. The runtime copies the transfer to
+	// peers; then it calls MarkTransferReady and answers with the transfer, or UndoTransfer
+	// and answers without it.
 	NewTransfer
-	// ReadyTransfer: answer with the transfer.
+	// ReadyTransfer means that the ask is answered with the transfer.
 	ReadyTransfer
-	// PendingTransfer: its copies are not yet in place; copy again, or let the asker come back.
+	// PendingTransfer means that the copies of the transfer are not yet stored. The runtime
+	// copies it again, or has the receiver retry.
 	PendingTransfer
 )
 
-// HandleAsk is the giver's side: it deducts tokens before anyone else may have them.
-// A holder with waiters of its own gives only to a host whose name comes first, so that
-// of two short hosts one gets enough.
+// HandleAsk handles a peer's ask as the sender: it deducts the tokens before the peer can
+// have them. A holder with waiters of its own sends tokens only to a host whose name sorts
+// first, so that of two hosts that are short of tokens one gets enough.
 func (h *Holder) HandleAsk(now time.Time, req *pb.AskTokensRequest) (*pb.Transfer, TransferState) {
 	if h.isFenced(req.GetFrom()) {
 		return nil, NoTransfer
 	}
-	if g, ok := h.transfers.given[req.GetId()]; ok {
+	if g, ok := h.transfers.sent[req.GetId()]; ok {
 		return g.state()
 	}
-	tokens := h.spare(req)
+	tokens := h.transferAmount(req)
 	t := &pb.Transfer{Id: req.GetId(), Budget: req.GetBudget(), From: h.self, To: req.GetFrom(), Tokens: tokens}
-	h.transfers.given[req.GetId()] = &given{transfer: t, at: now, ready: tokens == 0}
+	h.transfers.sent[req.GetId()] = &sentTransfer{transfer: t, at: now, ready: tokens == 0}
 	if tokens == 0 {
 		return nil, NoTransfer
 	}
@@ -322,14 +327,14 @@
 	return t, NewTransfer
 }
 
-func (g *given) window() time.Duration {
+func (g *sentTransfer) retention() time.Duration {
 	if g.transfer.GetTokens() == 0 {
-		return nothingWindow
+		return emptyRetention
 	}
-	return givenWindow
+	return sentRetention
 }
 
-func (g *given) state() (*pb.Transfer, TransferState) {
+func (g *sentTransfer) state() (*pb.Transfer, TransferState) {
 	if g.transfer.GetTokens() == 0 {
 		return nil, NoTransfer
 	}
@@ -339,7 +344,7 @@
 	return g.transfer, ReadyTransfer
 }
 
-func (h *Holder) spare(req *pb.AskTokensRequest) uint64 {
+func (h *Holder) transferAmount(req *pb.AskTokensRequest) uint64 {
 	b, ok := h.budgets[req.GetBudget()]
 	if !ok {
 		return 0
@@ -347,56 +352,58 @@
 	if len(b.waiters) > 0 && h.self.GetHost() < req.GetFrom().GetHost() {
 		return 0
 	}
-	return min(req.GetTokens(), b.free, b.givable())
+	return min(req.GetTokens(), b.free, b.transferable())
 }
 
-// givable is how much may be given so that the ledger can follow: it must find the tokens
-// in this holder's grant whichever batch it applies first, the receiver's or one of ours.
+// transferable returns how many tokens may be sent to a peer. The ledger must find them in
+// this holder's grant whichever batch it applies first, the receiver's or one of this holder.
 //
-// Tokens received from a third holder and passed on at once would break that: the
-// receiver's batch may come first and move tokens that the ledger doesn't know here yet.
-func (b *budget) givable() uint64 {
-	now := sub(b.held(), b.receivedSent+b.receivedNext)
-	afterBatch := sub(b.held(), b.leaving+b.receivedNext)
+// Tokens received from a third holder and forwarded immediately would violate that: the
+// receiver's batch may be applied first and move tokens that the ledger does not yet count
+// as granted to this holder.
+func (b *budget) transferable() uint64 {
+	now := sub(b.held(), b.receivedInBatch+b.receivedPending)
+	afterBatch := sub(b.held(), b.outgoing+b.receivedPending)
 	return min(now, afterBatch)
 }
 
-// sub is x - y, 0 if y is greater.
+// sub returns x - y, or 0 if y is greater.
 func sub(x, y uint64) uint64 { return x - min(x, y) }
 
-// PendingTransfers are the transfers deducted here whose copies are not yet in place.
+// PendingTransfers returns the transfers deducted from this holder whose copies are not yet
+// stored at peers.
 func (h *Holder) PendingTransfers() []*pb.Transfer {
 	var pending []*pb.Transfer
-	for _, id := range slices.Sorted(maps.Keys(h.transfers.given)) {
-		if g := h.transfers.given[id]; !g.ready {
+	for _, id := range slices.Sorted(maps.Keys(h.transfers.sent)) {
+		if g := h.transfers.sent[id]; !g.ready {
 			pending = append(pending, g.transfer)
 		}
 	}
 	return pending
 }
 
-// MarkTransferReady tells that the copies of a new transfer are in place.
+// MarkTransferReady records that the copies of a new transfer are stored at peers.
 func (h *Holder) MarkTransferReady(id string) {
-	if g, ok := h.transfers.given[id]; ok {
+	if g, ok := h.transfers.sent[id]; ok {
 		g.ready = true
 	}
 }
 
-// MarkTransferSettled forgets a given transfer: its receiver told that the ledger knows it. For a
-// while its id is still answered with nothing, so that a first ask that comes late doesn't
-// move tokens again.
+// MarkTransferSettled forgets a transfer after its receiver reported that the ledger knows
+// it. For emptyRetention its id is still answered without tokens, so that a first ask that
+// arrives late doesn't move tokens again.
 func (h *Holder) MarkTransferSettled(now time.Time, id string) {
-	if g, ok := h.transfers.given[id]; ok && g.ready {
+	if g, ok := h.transfers.sent[id]; ok && g.ready {
 		g.transfer = &pb.Transfer{Id: id}
 		g.at = now
 	}
 }
 
-// UndoTransfer takes a transfer back that was never answered and never will be: from now
-// on its id is answered with nothing.
+// UndoTransfer frees the tokens of a transfer with which no ask was or will be answered: from
+// now on its id is answered without tokens.
 func (h *Holder) UndoTransfer(now time.Time, id string) Output {
 	var out Output
-	g, ok := h.transfers.given[id]
+	g, ok := h.transfers.sent[id]
 	if !ok || g.ready {
 		return out
 	}
@@ -408,11 +415,11 @@
 	return out
 }
 
-// Fence refuses from now on every transfer from or to a dead incarnation, and returns
+// Fence rejects from now on every transfer from or to a dead incarnation, and returns
 // those that this holder accepted from it and the ledger hasn't acknowledged.
 //
-// Without it, a transfer still under way when the dead holder's tokens are released
-// would put the same tokens in two places.
+// Without it, a transfer that is still in flight when the dead holder's tokens are released
+// would make the same tokens available twice.
 func (h *Holder) Fence(dead *pb.Holder) []*pb.Transfer {
 	h.fenced[keyOf(dead)] = struct{}{}
 	var from []*pb.Transfer
@@ -430,7 +437,7 @@
 	return dead
 }
 
-// ErrCopying is the refusal that an AskTokensReply carries while copies are under way.
-func ErrCopying() *errkind.Error {
-	return errkind.New(errkind.InProgress, "the transfer is being copied").After(RetryAfterUnreachable)
+// CopyInProgress returns the error of an AskTokensReply while the transfer is being copied.
+func CopyInProgress() *errkind.Error {
+	return errkind.New(errkind.InProgress, "the transfer is still being copied to peers").After(RetryAfterUnreachable)
 }
