--- a/internal/grant/holder_test.go
+++ b/internal/grant/holder_test.go
@@ -287,12 +287,12 @@
 			"reserve": func(*rapid.T) { w.reserve() },
 			"settle": func(t *rapid.T) {
 				if requests := w.running(); len(requests) > 0 {
-					w.end(rapid.SampledFrom(requests).Draw(t, "request"), rapid.Uint64Range(0, 400).Draw(t, "used"))
+					w.end(rapid.SampledFrom(requests).Draw(t, "run"), rapid.Uint64Range(0, 400).Draw(t, "used"))
 				}
 			},
 			"release": func(t *rapid.T) {
 				if requests := w.running(); len(requests) > 0 {
-					w.release(rapid.SampledFrom(requests).Draw(t, "request"))
+					w.release(rapid.SampledFrom(requests).Draw(t, "run"))
 				}
 			},
 			"deliver": func(t *rapid.T) { w.deliver(t, false) },
