--- a/internal/ledger/budget.go
+++ b/internal/ledger/budget.go
@@ -36,7 +36,7 @@
 	// reserve is the part of tokens that the holder may spend only while it is out of
 	// contact; see package reserve.
 	reserve uint64
-	opening opening
+	reserveRate reserveRate
 	// seq, lastAmount and lastReserve are of the last Acquire, for its resend.
 	seq         uint64
 	lastAmount  uint64
@@ -261,7 +261,7 @@
 	s.setGrant(b, inc, b.holders[inc].tokens+added)
 	g := b.holders[inc]
 	g.reserve += added
-	g.opening.set(a.Rate, r.Now, s.registry.open[inc].Confirmed)
+	g.reserveRate.set(a.Rate, r.Now, s.registry.open[inc].Confirmed)
 	g.seq, g.lastAmount, g.lastReserve = a.Seq, amount, added
 	b.holders[inc] = g
 }
--- a/internal/ledger/image.go
+++ b/internal/ledger/image.go
@@ -46,7 +46,7 @@
 	Seq         uint64  `json:"seq"`
 	LastAmount  uint64  `json:"last_amount"`
 	LastReserve uint64  `json:"last_reserve,omitempty"`
-	Opening     opening `json:"opening,omitzero"`
+	ReserveRate     reserveRate `json:"opening,omitzero"`
 }
 
 type transferImage struct {
@@ -100,7 +100,7 @@
 		g := b.holders[inc]
 		im.Grants = append(im.Grants, grantImage{
 			Incarnation: inc, Tokens: g.tokens, Reserve: g.reserve, Seq: g.seq, LastAmount: g.lastAmount, LastReserve: g.lastReserve,
-			Opening: g.opening,
+			ReserveRate: g.reserveRate,
 		})
 	}
 	return im
@@ -172,7 +172,7 @@
 		b.setGrant(g.Incarnation, g.Tokens)
 		b.holders[g.Incarnation] = grant{
 			tokens: g.Tokens, reserve: min(g.Reserve, g.Tokens), seq: g.Seq, lastAmount: g.LastAmount, lastReserve: g.LastReserve,
-			opening: g.Opening,
+			reserveRate: g.ReserveRate,
 		}
 	}
 	if promised > im.Funded {
--- a/internal/ledger/opening.go
+++ b/internal/ledger/opening.go
@@ -1,12 +1,12 @@
 package ledger
 
-// opening is the rate at which a holder's reserve opens while it is out of contact, in tokens
+// reserveRate is the rate at which a holder's reserve opens while it is out of contact, in tokens
 // a second; see package reserve.
 //
 // What goes wrong when only the present rate is known: a holder spends from its reserve in a
 // partition, asks for a lower rate before it has told what it spent, and is lost. The ledger
 // would count by the lower rate, and free tokens that were used.
-type opening struct {
+type reserveRate struct {
 	Rate uint64 `json:"rate"`
 	// Before is the highest rate that was in force before Changed and may still have been
 	// when the holder had its last contact.
@@ -17,7 +17,7 @@
 
 // set puts a rate in force. confirmed is a time at which the holder surely had not had its
 // last contact.
-func (o *opening) set(rate uint64, now, confirmed int64) {
+func (o *reserveRate) set(rate uint64, now, confirmed int64) {
 	if rate == o.Rate {
 		return
 	}
@@ -26,7 +26,7 @@
 }
 
 // highest is the highest rate in force at any moment since confirmed.
-func (o *opening) highest(confirmed int64) uint64 {
+func (o *reserveRate) highest(confirmed int64) uint64 {
 	if confirmed > o.Changed {
 		return o.Rate
 	}
