--- a/internal/ledger/opening.go
+++ b/internal/ledger/opening.go
@@ -8,9 +8,9 @@
 // would count by the lower rate, and free tokens that were used.
 type reserveRate struct {
 	Rate uint64 `json:"rate"`
-	// Before is the highest rate that was in force before Changed and may still have been
+	// HighestBefore is the highest rate that was in force before Changed and may still have been
 	// when the holder had its last contact.
-	Before uint64 `json:"before,omitempty"`
+	HighestBefore uint64 `json:"before,omitempty"`
 	// Changed is when Rate came into force, in Unix milliseconds.
 	Changed int64 `json:"changed,omitempty"`
 }
@@ -21,14 +21,14 @@
 	if rate == o.Rate {
 		return
 	}
-	o.Before, o.Changed = o.highest(confirmed), now
+	o.HighestBefore, o.Changed = o.highestSince(confirmed), now
 	o.Rate = rate
 }
 
-// highest is the highest rate in force at any moment since confirmed.
-func (o *reserveRate) highest(confirmed int64) uint64 {
+// highestSince is the highestSince rate in force at any moment since confirmed.
+func (o *reserveRate) highestSince(confirmed int64) uint64 {
 	if confirmed > o.Changed {
 		return o.Rate
 	}
-	return max(o.Rate, o.Before)
+	return max(o.Rate, o.HighestBefore)
 }
--- a/internal/ledger/registry.go
+++ b/internal/ledger/registry.go
@@ -115,7 +115,7 @@
 		if g.tokens == 0 {
 			continue
 		}
-		freed := g.reserve - reserve.CountedAsSpent(g.reserve, g.reserveRate.highest(former.Confirmed), without)
+		freed := g.reserve - reserve.CountedAsSpent(g.reserve, g.reserveRate.highestSince(former.Confirmed), without)
 		ended.Grants = append(ended.Grants, &pb.FormerGrant{
 			Budget: b.name, Open: g.tokens - g.reserve, Reserve: g.reserve, Freed: freed,
 		})
