--- a/internal/ledger/budget.go
+++ b/internal/ledger/budget.go
@@ -18,13 +18,13 @@
 	funded  uint64
 	billed  uint64
 	bills   uint64
-	// limit is what operators funded in all. It is below funded only while more than it
+	// intended is what operators funded in all. It is below funded only while more than it
 	// is billed or granted; see SetFunds.
-	limit uint64
+	intended uint64
 	// granted is the sum over holders; it changes only in setGrant and dropGrant.
 	granted uint64
-	// active is the number of holders that have tokens.
-	active uint64
+	// activeHolders is the number of holders that have tokens.
+	activeHolders uint64
 	// holders by incarnation, which is unique across hosts.
 	holders   map[uint64]grant
 	statement statement
@@ -45,23 +45,23 @@
 
 func (b *budget) free() uint64 { return b.funded - b.billed - b.granted }
 
-// shrink takes tokens that came back to a lowered budget out of it.
-func (b *budget) shrink() {
-	if b.limit < b.funded {
-		b.funded = max(b.limit, b.billed+b.granted)
+// reduceFunds takes tokens that came back to a lowered budget out of it.
+func (b *budget) reduceFunds() {
+	if b.intended < b.funded {
+		b.funded = max(b.intended, b.billed+b.granted)
 	}
 }
 
 // setGrant changes a holder's tokens of a budget.
 func (s *State) setGrant(b *budget, incarnation, tokens uint64) {
-	s.registry.countBudget(incarnation, b.holders[incarnation].tokens, tokens)
+	s.registry.updateBudgetCount(incarnation, b.holders[incarnation].tokens, tokens)
 	b.setGrant(incarnation, tokens)
 }
 
 // setGrant changes a holder's tokens and keeps the sums. Use State.setGrant.
 func (b *budget) setGrant(incarnation, tokens uint64) {
 	g := b.holders[incarnation]
-	b.count(g.tokens, tokens)
+	b.updateTotals(g.tokens, tokens)
 	g.tokens = tokens
 	g.reserve = min(g.reserve, tokens) // the open part goes first
 	b.holders[incarnation] = g
@@ -74,20 +74,20 @@
 	b.holders[incarnation] = g
 }
 
-func (b *budget) count(before, after uint64) {
+func (b *budget) updateTotals(before, after uint64) {
 	b.granted = b.granted - before + after
 	if before > 0 {
-		b.active--
+		b.activeHolders--
 	}
 	if after > 0 {
-		b.active++
+		b.activeHolders++
 	}
 }
 
 // dropGrant forgets a holder and returns the tokens that it had.
 func (b *budget) dropGrant(incarnation uint64) uint64 {
 	g := b.holders[incarnation]
-	b.count(g.tokens, 0)
+	b.updateTotals(g.tokens, 0)
 	delete(b.holders, incarnation)
 	return g.tokens
 }
@@ -112,10 +112,10 @@
 	return &pb.BudgetLevel{Budget: b.name, Funded: b.funded, Billed: b.billed, Free: b.free()}
 }
 
-// operatorAnswer is what is remembered of one accepted CreateBudget or TopUp. It is
+// operatorResult is what is remembered of one accepted CreateBudget or TopUp. It is
 // kept for good: an operator may resend a top-up long after its answer was lost,
 // and funding twice would break the promise that no budget is overspent.
-type operatorAnswer struct {
+type operatorResult struct {
 	budget uint32
 	create bool
 	tokens uint64
@@ -128,20 +128,20 @@
 	if c.Name == "" {
 		return nil, false, errkind.New(errkind.BadRequest, "a budget needs a name")
 	}
-	if first, err = s.answered(r.OpID, c.Name, true, c.Tokens); first != nil || err != nil {
+	if first, err = s.findOperation(r.OpID, c.Name, true, c.Tokens); first != nil || err != nil {
 		return first, err == nil, err
 	}
 	if _, ok := s.budgets[c.Name]; ok {
 		return nil, false, errkind.New(errkind.AlreadyExists, "budget %q exists", c.Name)
 	}
-	b := s.open(r, c)
-	return s.remember(r.OpID, b, true, c.Tokens), false, nil
+	b := s.addBudget(r, c)
+	return s.recordOperation(r.OpID, b, true, c.Tokens), false, nil
 }
 
-// open makes a budget.
-func (s *State) open(r Record, c *pb.CreateBudget) *budget {
+// addBudget makes a budget.
+func (s *State) addBudget(r Record, c *pb.CreateBudget) *budget {
 	b := &budget{
-		number: uint32(len(s.byNumber)), name: c.Name, account: c.Account, funded: c.Tokens, limit: c.Tokens,
+		number: uint32(len(s.byNumber)), name: c.Name, account: c.Account, funded: c.Tokens, intended: c.Tokens,
 		holders:   make(map[uint64]grant),
 		statement: statement{limit: s.options.StatementLines},
 	}
@@ -161,17 +161,17 @@
 func (s *State) SetFunds(r Record, name, account string, total uint64) {
 	b := s.budgets[name]
 	if b == nil {
-		s.open(r, &pb.CreateBudget{Name: name, Account: account, Tokens: total})
+		s.addBudget(r, &pb.CreateBudget{Name: name, Account: account, Tokens: total})
 		return
 	}
-	if total == b.limit {
+	if total == b.intended {
 		return
 	}
 	kind := lineTopUp
-	if total < b.limit {
+	if total < b.intended {
 		kind = lineLowered
 	}
-	b.limit = total
+	b.intended = total
 	b.funded = max(total, b.billed+b.granted)
 	b.statement.append(line{Index: r.Index, TimeMs: r.Now, Kind: kind, Tokens: total, Actor: r.Actor})
 	checkInvariant(b)
@@ -180,31 +180,31 @@
 // TopUp adds tokens to a budget, once per operation id. A resend of the operation
 // gets the first answer.
 func (s *State) TopUp(r Record, t *pb.TopUp) (first *pb.Budget, resend bool, err error) {
-	if first, err = s.answered(r.OpID, t.Budget, false, t.Tokens); first != nil || err != nil {
+	if first, err = s.findOperation(r.OpID, t.Budget, false, t.Tokens); first != nil || err != nil {
 		return first, err == nil, err
 	}
 	b, err := s.find(t.Budget)
 	if err != nil {
 		return nil, false, errkind.New(errkind.NotFound, "no budget %q", t.Budget)
 	}
-	limit, ok := add(b.limit, t.Tokens)
+	limit, ok := add(b.intended, t.Tokens)
 	if !ok || t.Tokens == 0 {
-		return nil, false, errkind.New(errkind.BadRequest, "%d tokens can't be added to %d", t.Tokens, b.limit)
+		return nil, false, errkind.New(errkind.BadRequest, "%d tokens can't be added to %d", t.Tokens, b.intended)
 	}
-	b.limit = limit
+	b.intended = limit
 	b.funded = max(limit, b.billed+b.granted)
 	b.statement.append(line{Index: r.Index, TimeMs: r.Now, Kind: lineTopUp, Tokens: t.Tokens, Actor: r.Actor, Note: t.Note})
 	checkInvariant(b)
-	return s.remember(r.OpID, b, false, t.Tokens), false, nil
+	return s.recordOperation(r.OpID, b, false, t.Tokens), false, nil
 }
 
-// answered looks an operation up. It returns nil, nil for a new one and refuses an
+// findOperation looks an operation up. It returns nil, nil for a new one and refuses an
 // id that was used for something else.
-func (s *State) answered(opID, name string, create bool, tokens uint64) (*pb.Budget, error) {
+func (s *State) findOperation(opID, name string, create bool, tokens uint64) (*pb.Budget, error) {
 	if opID == "" {
 		return nil, errkind.New(errkind.BadRequest, "a change of funds needs an operation id, so that a resend is known")
 	}
-	a, ok := s.operators[window.KeyOf(opID)]
+	a, ok := s.operations[window.KeyOf(opID)]
 	if !ok {
 		return nil, nil
 	}
@@ -215,13 +215,13 @@
 	return a.proto(b), nil
 }
 
-func (s *State) remember(opID string, b *budget, create bool, tokens uint64) *pb.Budget {
-	a := operatorAnswer{budget: b.number, create: create, tokens: tokens, funded: b.funded, billed: b.billed}
-	s.operators[window.KeyOf(opID)] = a
+func (s *State) recordOperation(opID string, b *budget, create bool, tokens uint64) *pb.Budget {
+	a := operatorResult{budget: b.number, create: create, tokens: tokens, funded: b.funded, billed: b.billed}
+	s.operations[window.KeyOf(opID)] = a
 	return a.proto(b)
 }
 
-func (a operatorAnswer) proto(b *budget) *pb.Budget {
+func (a operatorResult) proto(b *budget) *pb.Budget {
 	return &pb.Budget{Name: b.name, Account: b.account, Funded: a.funded, Billed: a.billed}
 }
 
@@ -255,20 +255,20 @@
 // acquire carries out a new Acquire.
 func (s *State) acquire(r Record, b *budget, inc uint64, a *pb.Acquire) {
 	b.unlock(inc, a.Unlock)
-	amount := b.grantSize(inc, a.Need, min(a.Want, a.Need+b.ahead(a)))
+	amount := b.grantSize(inc, a.Need, min(a.Want, a.Need+b.allowedAhead(a)))
 	s.setGrant(b, inc, b.holders[inc].tokens+amount)
-	added := b.grantSize(inc, 0, min(a.Reserve, b.ahead(a)))
+	added := b.grantSize(inc, 0, min(a.Reserve, b.allowedAhead(a)))
 	s.setGrant(b, inc, b.holders[inc].tokens+added)
 	g := b.holders[inc]
 	g.reserve += added
-	g.reserveRate.set(a.Rate, r.Now, s.registry.open[inc].Confirmed)
+	g.reserveRate.set(a.Rate, r.Now, s.registry.unrecovered[inc].Confirmed)
 	g.seq, g.lastAmount, g.lastReserve = a.Seq, amount, added
 	b.holders[inc] = g
 }
 
-// ahead is how much may still be granted beyond need, so that all holders together hold
+// allowedAhead is how much may still be granted beyond need, so that all holders together hold
 // no more of what is left than the bound of an Acquire says.
-func (b *budget) ahead(a *pb.Acquire) uint64 {
+func (b *budget) allowedAhead(a *pb.Acquire) uint64 {
 	if a.AtRiskPermille == 0 {
 		return math.MaxUint64 - a.Need
 	}
@@ -287,7 +287,7 @@
 	if free <= need {
 		return free
 	}
-	holders := b.active
+	holders := b.activeHolders
 	if b.holders[incarnation].tokens == 0 {
 		holders++
 	}
--- a/internal/ledger/draft.go
+++ b/internal/ledger/draft.go
@@ -22,7 +22,7 @@
 	touched    []*budget
 	identities map[window.Key]billRef
 	billedKeys []window.Key
-	moved      map[string]transfer
+	transfers      map[string]transfer
 	unlocked   []unlocked
 	lines      []budgetLine
 	duplicates []string
@@ -63,7 +63,7 @@
 		grants:     make(map[grantKey]uint64),
 		spending:   make(map[*budget]spending),
 		identities: make(map[window.Key]billRef),
-		moved:      make(map[string]transfer),
+		transfers:      make(map[string]transfer),
 	}
 }
 
@@ -92,20 +92,20 @@
 	d.lines = append(d.lines, budgetLine{b, l})
 }
 
-// overdraw says what to do with a bill above what its holder was granted.
-type overdraw int
+// overdraftPolicy says what to do with a bill above what its holder was granted.
+type overdraftPolicy int
 
 const (
-	// refuseOverdraw refuses the batch: a live holder that bills more than it was
+	// rejectOverdraft refuses the batch: a live holder that bills more than it was
 	// granted is faulty and must be noticed.
-	refuseOverdraw overdraw = iota
-	// capOverdraw bills what is there and counts it: refusing would lock the other
+	rejectOverdraft overdraftPolicy = iota
+	// capOverdraft bills what is there and counts it: refusing would lock the other
 	// tokens of a dead holder for good.
-	capOverdraw
+	capOverdraft
 )
 
 // bill adds one bill of a holder, or lists it as a duplicate.
-func (d *draft) bill(incarnation uint64, p *pb.Bill, o overdraw) error {
+func (d *draft) bill(incarnation uint64, p *pb.Bill, o overdraftPolicy) error {
 	b, err := d.state.find(p.Budget)
 	if err != nil {
 		return err
@@ -115,20 +115,20 @@
 	}
 	d.touch(b)
 	key := window.KeyOf(p.Identity)
-	if d.known(key) {
+	if d.isBilled(key) {
 		d.counters.Duplicates++
-		d.notBilled(b, p, lineDuplicate)
+		d.addUnbilled(b, p, lineDuplicate)
 		return nil
 	}
 	if d.state.billed.expired(p.TimeMs, d.record.Now) {
 		d.counters.Expired++
-		d.notBilled(b, p, lineExpired)
+		d.addUnbilled(b, p, lineExpired)
 		return nil
 	}
-	return d.spend(b, incarnation, key, p, o)
+	return d.charge(b, incarnation, key, p, o)
 }
 
-func (d *draft) known(key window.Key) bool {
+func (d *draft) isBilled(key window.Key) bool {
 	if _, ok := d.identities[key]; ok {
 		return true
 	}
@@ -136,16 +136,16 @@
 	return ok
 }
 
-func (d *draft) notBilled(b *budget, p *pb.Bill, kind string) {
+func (d *draft) addUnbilled(b *budget, p *pb.Bill, kind string) {
 	d.duplicates = append(d.duplicates, p.Identity)
 	d.addLine(b, line{Kind: kind, Identity: p.Identity, RequestID: p.RequestId, Tokens: p.Tokens})
 }
 
-func (d *draft) spend(b *budget, incarnation uint64, key window.Key, p *pb.Bill, o overdraw) error {
+func (d *draft) charge(b *budget, incarnation uint64, key window.Key, p *pb.Bill, o overdraftPolicy) error {
 	have := d.granted(b, incarnation)
 	tokens, note := p.Tokens, ""
 	if tokens > have {
-		if o == refuseOverdraw {
+		if o == rejectOverdraft {
 			return violation("bill of %d tokens for %s, but incarnation %d has %d granted of budget %q",
 				tokens, p.Identity, incarnation, have, b.name)
 		}
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// spendPlain takes tokens that a holder spent on requests of its own off its grant.
-func (d *draft) spendPlain(incarnation uint64, p *pb.Spend) error {
+// chargeSpend takes tokens that a holder spent on requests of its own off its grant.
+func (d *draft) chargeSpend(incarnation uint64, p *pb.Spend) error {
 	b, err := d.state.find(p.GetBudget())
 	if err != nil {
 		return err
@@ -186,8 +186,8 @@
 	return nil
 }
 
-// giveBack moves granted tokens of a holder back to the free ones.
-func (d *draft) giveBack(incarnation uint64, r *pb.Return) error {
+// returnTokens moves granted tokens of a holder back to the free ones.
+func (d *draft) returnTokens(incarnation uint64, r *pb.Return) error {
 	b, err := d.state.find(r.Budget)
 	if err != nil {
 		return err
@@ -215,13 +215,13 @@
 	return nil
 }
 
-// moveAll applies transfers in whatever order their tokens allow: a holder may
+// applyTransfers applies transfers in whatever order their tokens allow: a holder may
 // have passed on what it got by an earlier transfer of the same list.
-func (d *draft) moveAll(transfers []*pb.Transfer) error {
+func (d *draft) applyTransfers(transfers []*pb.Transfer) error {
 	for len(transfers) > 0 {
 		var early []*pb.Transfer
 		for _, t := range transfers {
-			done, err := d.move(t)
+			done, err := d.applyTransfer(t)
 			if err != nil {
 				return err
 			}
@@ -238,9 +238,9 @@
 	return nil
 }
 
-// move applies one transfer, once per id. It returns false when the giver has not
+// applyTransfer applies one transfer, once per id. It returns false when the giver has not
 // enough tokens in the ledger yet.
-func (d *draft) move(t *pb.Transfer) (bool, error) {
+func (d *draft) applyTransfer(t *pb.Transfer) (bool, error) {
 	b, err := d.state.find(t.Budget)
 	if err != nil {
 		return false, err
@@ -248,7 +248,7 @@
 	if t.Id == "" || t.From.GetIncarnation() == t.To.GetIncarnation() {
 		return false, errkind.New(errkind.BadRequest, "a transfer needs an id and two holders")
 	}
-	if d.counted(t.Id) {
+	if d.transferApplied(t.Id) {
 		return true, nil
 	}
 	from, err := d.state.registry.find(t.From)
@@ -271,12 +271,12 @@
 	if to != nil { // else the receiver was recovered meanwhile and the tokens are free again
 		d.setGranted(b, to.Number, d.granted(b, to.Number)+t.Tokens)
 	}
-	d.moved[t.Id] = transfer{From: t.From.Incarnation, To: t.To.Incarnation}
+	d.transfers[t.Id] = transfer{From: t.From.Incarnation, To: t.To.Incarnation}
 	return true, nil
 }
 
-func (d *draft) counted(id string) bool {
-	if _, ok := d.moved[id]; ok {
+func (d *draft) transferApplied(id string) bool {
+	if _, ok := d.transfers[id]; ok {
 		return true
 	}
 	_, ok := d.state.transfers[id]
@@ -296,7 +296,7 @@
 		b.billed += sp.tokens
 		b.bills += sp.bills
 	}
-	for id, t := range d.moved {
+	for id, t := range d.transfers {
 		s.transfers[id] = t
 	}
 	for _, l := range d.lines {
@@ -308,7 +308,7 @@
 	s.counters.add(d.counters)
 	s.billed.forget(d.record.Now, &s.registry)
 	for _, b := range d.touched {
-		b.shrink()
+		b.reduceFunds()
 		checkInvariant(b)
 	}
 }
--- a/internal/ledger/fleet_test.go
+++ b/internal/ledger/fleet_test.go
@@ -121,7 +121,7 @@
 func (f *fleet) restart(t *rapid.T) {
 	host := rapid.SampledFrom(f.hosts).Draw(t, "host")
 	seldom := rapid.IntRange(0, 3).Draw(t, "seldom")
-	if seldom != 0 || len(f.ledger.registry.hosts[host].Boots) == bootsKept {
+	if seldom != 0 || len(f.ledger.registry.hosts[host].Boots) == maxBoots {
 		t.Skip("not now")
 	}
 	f.boot(host)
--- a/internal/ledger/identities.go
+++ b/internal/ledger/identities.go
@@ -11,8 +11,8 @@
 	// clockMargin is how far the clocks of hosts may stand apart, and how long a batch
 	// may be on its way.
 	clockMargin = 2 * time.Minute
-	// forgetEvery spaces the checks for what may be forgotten.
-	forgetEvery = time.Minute
+	// forgetInterval spaces the checks for what may be forgotten.
+	forgetInterval = time.Minute
 	// generationsPerWindow sets how finely identities are forgotten.
 	generationsPerWindow = 4
 )
@@ -46,8 +46,8 @@
 // kept, or at high load no bill at all would be accepted.
 type billedIdentities struct {
 	memory     *window.Memory[billRef]
-	reachMs    int64 // how long before its bill's time a duplicate may have been billed
-	keepMs     int64
+	lookbackMs    int64 // how long before its bill's time a duplicate may have been billed
+	retentionMs     int64
 	nextForget int64
 }
 
@@ -58,9 +58,9 @@
 }
 
 func (b *billedIdentities) setLimits(idempotencyWindow, longestRequest time.Duration) {
-	b.reachMs = (idempotencyWindow + longestRequest + clockMargin).Milliseconds()
-	b.keepMs = b.reachMs + (longestRequest + 2*clockMargin).Milliseconds()
-	b.memory.SetLength(b.keepMs / generationsPerWindow)
+	b.lookbackMs = (idempotencyWindow + longestRequest + clockMargin).Milliseconds()
+	b.retentionMs = b.lookbackMs + (longestRequest + 2*clockMargin).Milliseconds()
+	b.memory.SetLength(b.retentionMs / generationsPerWindow)
 }
 
 func (b *billedIdentities) get(k window.Key) (billRef, bool) { return b.memory.Get(k) }
@@ -72,15 +72,15 @@
 	if horizon == 0 {
 		return false
 	}
-	return min(at, now)-b.reachMs < horizon
+	return min(at, now)-b.lookbackMs < horizon
 }
 
 // forget drops what no open incarnation can bring again, and what is above the bound.
 func (b *billedIdentities) forget(now int64, hosts *registry) {
-	b.memory.Shrink(now - b.keepMs)
+	b.memory.Shrink(now - b.retentionMs)
 	if now < b.nextForget {
 		return
 	}
-	b.nextForget = now + forgetEvery.Milliseconds()
-	b.memory.Forget(hosts.oldestContact(now) - b.keepMs)
+	b.nextForget = now + forgetInterval.Milliseconds()
+	b.memory.Forget(hosts.oldestContact(now) - b.retentionMs)
 }
--- a/internal/ledger/image.go
+++ b/internal/ledger/image.go
@@ -66,8 +66,8 @@
 // Image copies the ledger's content; later records don't change the copy.
 func (s *State) Image() Image {
 	im := Image{
-		LastHolder: s.registry.last, Recovered: slices.Clone(s.registry.recovered),
-		Billed: s.billed.memory.Image(), ReachMs: s.billed.reachMs, KeepMs: s.billed.keepMs, NextForget: s.billed.nextForget,
+		LastHolder: s.registry.lastIncarnation, Recovered: slices.Clone(s.registry.recovered),
+		Billed: s.billed.memory.Image(), ReachMs: s.billed.lookbackMs, KeepMs: s.billed.retentionMs, NextForget: s.billed.nextForget,
 		Operators: s.operatorImages(), Counters: s.counters,
 	}
 	for _, b := range s.byNumber {
@@ -78,8 +78,8 @@
 		h.Boots = slices.Clone(h.Boots)
 		im.Hosts = append(im.Hosts, h)
 	}
-	for _, number := range slices.Sorted(maps.Keys(s.registry.open)) {
-		im.Open = append(im.Open, *s.registry.open[number])
+	for _, number := range slices.Sorted(maps.Keys(s.registry.unrecovered)) {
+		im.Open = append(im.Open, *s.registry.unrecovered[number])
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.transfers)) {
 		im.Transfers = append(im.Transfers, transferImage{ID: id, transfer: s.transfers[id]})
@@ -92,8 +92,8 @@
 		Name: b.name, Account: b.account, Funded: b.funded, Billed: b.billed, Bills: b.bills,
 		Lines: b.statement.ordered(),
 	}
-	if b.limit != b.funded {
-		limit := b.limit
+	if b.intended != b.funded {
+		limit := b.intended
 		im.Lowered = &limit
 	}
 	for _, inc := range slices.Sorted(maps.Keys(b.holders)) {
@@ -107,8 +107,8 @@
 }
 
 func (s *State) operatorImages() []operatorImage {
-	out := make([]operatorImage, 0, len(s.operators))
-	for key, a := range s.operators {
+	out := make([]operatorImage, 0, len(s.operations))
+	for key, a := range s.operations {
 		out = append(out, operatorImage{Key: key[:], Budget: a.budget, Create: a.create, Tokens: a.tokens, Funded: a.funded, Billed: a.billed})
 	}
 	slices.SortFunc(out, func(a, b operatorImage) int { return bytes.Compare(a.Key, b.Key) })
@@ -124,17 +124,17 @@
 			return err
 		}
 	}
-	fresh.registry.last = im.LastHolder
+	fresh.registry.lastIncarnation = im.LastHolder
 	fresh.registry.recovered = slices.Clone(im.Recovered)
 	for _, h := range im.Hosts {
 		fresh.registry.hosts[h.Name] = &h
 	}
 	for _, inc := range im.Open {
-		fresh.registry.open[inc.Number] = &inc
+		fresh.registry.unrecovered[inc.Number] = &inc
 	}
 	for _, b := range fresh.byNumber {
 		for inc, g := range b.holders {
-			fresh.registry.countBudget(inc, 0, g.tokens)
+			fresh.registry.updateBudgetCount(inc, 0, g.tokens)
 		}
 	}
 	for _, t := range im.Transfers {
@@ -146,7 +146,7 @@
 		}
 	}
 	fresh.billed.memory.Restore(im.Billed)
-	fresh.billed.reachMs, fresh.billed.keepMs, fresh.billed.nextForget = im.ReachMs, im.KeepMs, im.NextForget
+	fresh.billed.lookbackMs, fresh.billed.retentionMs, fresh.billed.nextForget = im.ReachMs, im.KeepMs, im.NextForget
 	fresh.counters = im.Counters
 	*s = *fresh
 	return nil
@@ -159,9 +159,9 @@
 		holders:   make(map[uint64]grant, len(im.Grants)),
 		statement: statement{limit: s.options.StatementLines},
 	}
-	b.limit = im.Funded
+	b.intended = im.Funded
 	if im.Lowered != nil {
-		b.limit = *im.Lowered
+		b.intended = *im.Lowered
 	}
 	promised := im.Billed
 	for _, g := range im.Grants {
@@ -193,6 +193,6 @@
 	if int(o.Budget) >= len(s.byNumber) {
 		return errors.Errorf("ledger: snapshot: an operation on budget number %d, but there are %d budgets", o.Budget, len(s.byNumber))
 	}
-	s.operators[window.Key(o.Key)] = operatorAnswer{budget: o.Budget, create: o.Create, tokens: o.Tokens, funded: o.Funded, billed: o.Billed}
+	s.operations[window.Key(o.Key)] = operatorResult{budget: o.Budget, create: o.Create, tokens: o.Tokens, funded: o.Funded, billed: o.Billed}
 	return nil
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -70,7 +70,7 @@
 	registry  registry
 	billed    billedIdentities
 	transfers map[string]transfer
-	operators map[window.Key]operatorAnswer
+	operations map[window.Key]operatorResult
 	counters  Counters
 }
 
@@ -84,7 +84,7 @@
 		registry:  newRegistry(),
 		billed:    newBilledIdentities(o.MaxIdentities),
 		transfers: make(map[string]transfer),
-		operators: make(map[window.Key]operatorAnswer),
+		operations: make(map[window.Key]operatorResult),
 	}
 }
 
--- a/internal/ledger/registry.go
+++ b/internal/ledger/registry.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// bootsKept is how many boots of a host are remembered. A RegisterHost that was
+	// maxBoots is how many boots of a host are remembered. A RegisterHost that was
 	// delayed in the network past a restart must not count as a newer boot, or it
 	// would declare the running process dead.
-	bootsKept = 8
-	// recoveriesKept is how many results of RecoverHolder are remembered for resends.
-	recoveriesKept = 1024
+	maxBoots = 8
+	// maxRecoveries is how many results of RecoverHolder are remembered for resends.
+	maxRecoveries = 1024
 )
 
 // registry knows the hosts and their incarnations. Incarnations are numbered over
 // all hosts, so a number alone names a holder, and any number that was given out
 // but isn't open any more has been recovered.
 type registry struct {
-	last      uint64
+	lastIncarnation      uint64
 	hosts     map[string]*host
-	open      map[uint64]*incarnation
+	unrecovered      map[uint64]*incarnation
 	recovered []recovery
 }
 
@@ -57,8 +57,8 @@
 	// Seq and Result are of the last settlement batch, for its resend.
 	Seq    uint64      `json:"seq"`
 	Result batchResult `json:"result"`
-	// Contact is when the last batch was applied (or the host registered).
-	Contact int64 `json:"contact"`
+	// LastContact is when the last batch was applied (or the host registered).
+	LastContact int64 `json:"contact"`
 	// Confirmed is a time of the past at which the holder surely had not yet received the
 	// last answer that it did receive; WallMs is its time of day in its last batch.
 	Confirmed int64 `json:"confirmed,omitempty"`
@@ -75,7 +75,7 @@
 }
 
 func newRegistry() registry {
-	return registry{hosts: make(map[string]*host), open: make(map[uint64]*incarnation)}
+	return registry{hosts: make(map[string]*host), unrecovered: make(map[uint64]*incarnation)}
 }
 
 // RegisterHost gives a starting process its incarnation; the former one is dead
@@ -84,16 +84,16 @@
 	if c.Host == "" || c.BootId == "" {
 		return nil, errkind.New(errkind.BadRequest, "a registration needs a host and a boot id")
 	}
-	former := s.formerRun(c)
+	former := s.formerIncarnation(c)
 	result := s.registry.register(c, r.Now)
 	if former != nil && former.Dead {
-		result.Former = s.releaseReserve(r, former, c)
+		result.Former = s.freeUnspentReserve(r, former, c)
 	}
 	return result, nil
 }
 
-// formerRun is the run of the host that a registration ends; nil if it ends none.
-func (s *State) formerRun(c *pb.RegisterHost) *incarnation {
+// formerIncarnation is the run of the host that a registration ends; nil if it ends none.
+func (s *State) formerIncarnation(c *pb.RegisterHost) *incarnation {
 	h := s.registry.hosts[c.Host]
 	if h == nil {
 		return nil
@@ -101,14 +101,14 @@
 	if _, known := h.boot(c.BootId); known {
 		return nil
 	}
-	return s.registry.open[h.Incarnation]
+	return s.registry.unrecovered[h.Incarnation]
 }
 
-// releaseReserve frees the part of a lost run's reserve that it can't have spent, and tells
+// freeUnspentReserve frees the part of a lost run's reserve that it can't have spent, and tells
 // what it held. The rest of that counts as spent: it stays granted to it, until a record of
 // what it gave or used turns up.
-func (s *State) releaseReserve(r Record, former *incarnation, c *pb.RegisterHost) *pb.FormerRun {
-	without := s.withoutContact(r, former, c)
+func (s *State) freeUnspentReserve(r Record, former *incarnation, c *pb.RegisterHost) *pb.FormerRun {
+	without := s.maxTimeSinceContact(r, former, c)
 	ended := &pb.FormerRun{Incarnation: former.Number, WithoutContactMs: without.Milliseconds()}
 	for _, b := range s.byNumber {
 		g := b.holders[former.Number]
@@ -124,7 +124,7 @@
 		}
 		b.unlock(former.Number, g.reserve)
 		s.setGrant(b, former.Number, g.tokens-freed)
-		b.shrink()
+		b.reduceFunds()
 		b.statement.append(line{
 			Index: r.Index, TimeMs: r.Now, Kind: lineRecover, Tokens: freed, Actor: r.Actor,
 			Note: fmt.Sprintf("reserve of incarnation %d, %v without contact", former.Number, without),
@@ -134,13 +134,13 @@
 	return ended
 }
 
-// withoutContact is how long a lost run may have lived on without contact, at most.
-func (s *State) withoutContact(r Record, former *incarnation, c *pb.RegisterHost) time.Duration {
+// maxTimeSinceContact is how long a lost run may have lived on without contact, at most.
+func (s *State) maxTimeSinceContact(r Record, former *incarnation, c *pb.RegisterHost) time.Duration {
 	ms := r.Now - former.Confirmed
 	if former.WallMs > 0 && c.WallMs > 0 {
 		// The wall time of the last batch is that of its making, after the contact counted
 		// from; what lies between the two is added.
-		ms = max(ms, c.WallMs+c.AgeMs-former.WallMs+former.Contact-former.Confirmed)
+		ms = max(ms, c.WallMs+c.AgeMs-former.WallMs+former.LastContact-former.Confirmed)
 	}
 	return time.Duration(max(ms-c.AgeMs, 0)) * time.Millisecond
 }
@@ -158,7 +158,7 @@
 	return &pb.RegisterHostResult{
 		Holder:            &pb.Holder{Host: c.Host, Incarnation: b.Incarnation},
 		FormerIncarnation: b.Former,
-		Hosts:             g.infos(),
+		Hosts:             g.hostInfos(),
 	}
 }
 
@@ -173,20 +173,20 @@
 
 func (g *registry) newIncarnation(h *host, c *pb.RegisterHost, now int64) boot {
 	g.markDead(h.Incarnation)
-	g.last++
-	b := boot{ID: c.BootId, Incarnation: g.last, Former: h.Incarnation}
+	g.lastIncarnation++
+	b := boot{ID: c.BootId, Incarnation: g.lastIncarnation, Former: h.Incarnation}
 	h.Zone, h.CallerAddress, h.PeerAddress, h.Control = c.Zone, c.CallerAddress, c.PeerAddress, c.Control
-	h.Incarnation, h.Removed = g.last, false
+	h.Incarnation, h.Removed = g.lastIncarnation, false
 	h.Boots = append(h.Boots, b)
-	if len(h.Boots) > bootsKept {
+	if len(h.Boots) > maxBoots {
 		h.Boots = slices.Delete(h.Boots, 0, 1)
 	}
-	g.open[g.last] = &incarnation{Number: g.last, Host: h.Name, Contact: now, Confirmed: now}
+	g.unrecovered[g.lastIncarnation] = &incarnation{Number: g.lastIncarnation, Host: h.Name, LastContact: now, Confirmed: now}
 	return b
 }
 
 func (g *registry) markDead(number uint64) {
-	if inc := g.open[number]; inc != nil {
+	if inc := g.unrecovered[number]; inc != nil {
 		inc.Dead = true
 	}
 }
@@ -211,7 +211,7 @@
 }
 
 // Hosts lists the hosts by name.
-func (s *State) Hosts() []*pb.HostInfo { return s.registry.infos() }
+func (s *State) Hosts() []*pb.HostInfo { return s.registry.hostInfos() }
 
 // Live tells whether the holder is its host's present live incarnation.
 func (s *State) Live(h *pb.Holder) error {
@@ -219,10 +219,10 @@
 	return err
 }
 
-func (g *registry) infos() []*pb.HostInfo {
+func (g *registry) hostInfos() []*pb.HostInfo {
 	unrecovered := make(map[string][]uint64)
-	for _, number := range slices.Sorted(maps.Keys(g.open)) {
-		if inc := g.open[number]; inc.Dead {
+	for _, number := range slices.Sorted(maps.Keys(g.unrecovered)) {
+		if inc := g.unrecovered[number]; inc.Dead {
 			unrecovered[inc.Host] = append(unrecovered[inc.Host], number)
 		}
 	}
@@ -240,7 +240,7 @@
 // holder names the holder of an open incarnation.
 func (g *registry) holder(number uint64) *pb.Holder {
 	h := &pb.Holder{Incarnation: number}
-	if inc := g.open[number]; inc != nil {
+	if inc := g.unrecovered[number]; inc != nil {
 		h.Host = inc.Host
 	}
 	return h
@@ -261,18 +261,18 @@
 // find returns the open incarnation of a holder, nil if it has been recovered, or
 // a refusal if there never was such a holder.
 func (g *registry) find(h *pb.Holder) (*incarnation, error) {
-	if h == nil || h.Incarnation == 0 || h.Incarnation > g.last {
+	if h == nil || h.Incarnation == 0 || h.Incarnation > g.lastIncarnation {
 		return nil, errkind.New(errkind.NotFound, "holder %v was never registered", h)
 	}
-	inc := g.open[h.Incarnation]
+	inc := g.unrecovered[h.Incarnation]
 	if inc != nil && inc.Host != h.Host {
 		return nil, errkind.New(errkind.NotFound, "incarnation %d is not of host %q", h.Incarnation, h.Host)
 	}
 	return inc, nil
 }
 
-// missing lists the live holders, but for the dead one, that are not in gathered.
-func (g *registry) missing(gathered []*pb.Holder) []string {
+// notGathered lists the live holders, but for the dead one, that are not in gathered.
+func (g *registry) notGathered(gathered []*pb.Holder) []string {
 	have := make(map[uint64]bool, len(gathered))
 	for _, h := range gathered {
 		have[h.GetIncarnation()] = true
@@ -280,7 +280,7 @@
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(g.hosts)) {
 		number := g.hosts[name].Incarnation
-		if inc := g.open[number]; inc != nil && !inc.Dead && !have[number] {
+		if inc := g.unrecovered[number]; inc != nil && !inc.Dead && !have[number] {
 			out = append(out, name)
 		}
 	}
@@ -292,17 +292,17 @@
 // that serves nobody would keep every identity from being forgotten.
 func (g *registry) oldestContact(now int64) int64 {
 	oldest := now
-	for _, inc := range g.open {
+	for _, inc := range g.unrecovered {
 		if inc.budgets > 0 {
-			oldest = min(oldest, inc.Contact)
+			oldest = min(oldest, inc.LastContact)
 		}
 	}
 	return oldest
 }
 
-// countBudget notes that an incarnation's tokens of one budget changed.
-func (g *registry) countBudget(number, before, after uint64) {
-	inc := g.open[number]
+// updateBudgetCount notes that an incarnation's tokens of one budget changed.
+func (g *registry) updateBudgetCount(number, before, after uint64) {
+	inc := g.unrecovered[number]
 	if inc == nil {
 		return
 	}
@@ -315,9 +315,9 @@
 }
 
 func (g *registry) closeIncarnation(r recovery) {
-	delete(g.open, r.Incarnation)
+	delete(g.unrecovered, r.Incarnation)
 	g.recovered = append(g.recovered, r)
-	if len(g.recovered) > recoveriesKept {
+	if len(g.recovered) > maxRecoveries {
 		g.recovered = slices.Delete(g.recovered, 0, 1)
 	}
 }
--- a/internal/ledger/settle.go
+++ b/internal/ledger/settle.go
@@ -48,7 +48,7 @@
 	}
 	d.commit()
 	// That this batch was made shows that the answer to the one before was received.
-	inc.Confirmed, inc.Contact = inc.Contact, r.Now
+	inc.Confirmed, inc.LastContact = inc.LastContact, r.Now
 	inc.Seq, inc.WallMs = b.Seq, b.WallMs
 	inc.Result = d.result()
 	return s.settleResult(inc), false, nil
@@ -75,11 +75,11 @@
 			return errkind.New(errkind.BadRequest, "transfer %s is not of incarnation %d", t.Id, incarnation)
 		}
 	}
-	if err := d.moveAll(b.Transfers); err != nil {
+	if err := d.applyTransfers(b.Transfers); err != nil {
 		return err
 	}
 	for _, bill := range b.Bills {
-		if err := d.bill(incarnation, bill, refuseOverdraw); err != nil {
+		if err := d.bill(incarnation, bill, rejectOverdraft); err != nil {
 			return err
 		}
 	}
@@ -89,12 +89,12 @@
 		}
 	}
 	for _, spend := range b.Spends {
-		if err := d.spendPlain(incarnation, spend); err != nil {
+		if err := d.chargeSpend(incarnation, spend); err != nil {
 			return err
 		}
 	}
 	for _, back := range b.Returns {
-		if err := d.giveBack(incarnation, back); err != nil {
+		if err := d.returnTokens(incarnation, back); err != nil {
 			return err
 		}
 	}
@@ -125,7 +125,7 @@
 	if !inc.Dead {
 		return nil, false, errkind.New(errkind.BadRequest, "incarnation %d of host %q is not known to be dead", inc.Number, inc.Host)
 	}
-	if missing := s.registry.missing(c.GatheredFrom); len(missing) > 0 {
+	if missing := s.registry.notGathered(c.GatheredFrom); len(missing) > 0 {
 		return nil, false, errkind.New(errkind.BudgetUnreachable, "hosts %q have not been asked", missing).After(retryTransfer)
 	}
 	d := s.newDraft(r)
@@ -138,11 +138,11 @@
 }
 
 func (d *draft) recover(dead uint64, c *pb.RecoverHolder) error {
-	if err := d.moveAll(d.possible(c.Transfers)); err != nil {
+	if err := d.applyTransfers(d.possible(c.Transfers)); err != nil {
 		return err
 	}
 	for _, bill := range c.Bills {
-		if err := d.bill(dead, bill, capOverdraw); err != nil {
+		if err := d.bill(dead, bill, capOverdraft); err != nil {
 			return err
 		}
 	}
@@ -174,13 +174,13 @@
 			continue
 		}
 		done.Released += tokens
-		b.shrink()
+		b.reduceFunds()
 		b.statement.append(line{Index: r.Index, TimeMs: r.Now, Kind: lineRecover, Tokens: tokens, Actor: r.Actor, Note: inc.Host})
 		checkInvariant(b)
 	}
 	s.registry.closeIncarnation(done)
 	maps.DeleteFunc(s.transfers, func(_ string, t transfer) bool {
-		return s.registry.open[t.From] == nil && s.registry.open[t.To] == nil
+		return s.registry.unrecovered[t.From] == nil && s.registry.unrecovered[t.To] == nil
 	})
 	return done
 }
