--- a/internal/ledger/budget.go
+++ b/internal/ledger/budget.go
@@ -18,26 +18,27 @@
 	funded  uint64
 	billed  uint64
 	bills   uint64
-	// intended is what operators funded in all. It is below funded only while more than it
-	// is billed or granted; see SetFunds.
+	// intended is the total that operators funded. It is below funded only while more
+	// than intended is billed or granted; see SetFunds.
 	intended uint64
-	// granted is the sum over holders; it changes only in setGrant and dropGrant.
+	// granted is the sum of all grants; it is changed only in setGrant and dropGrant.
 	granted uint64
 	// activeHolders is the number of holders that have tokens.
 	activeHolders uint64
-	// holders by incarnation, which is unique across hosts.
+	// holders maps incarnations, which are unique across hosts, to their grants.
 	holders   map[uint64]grant
 	statement statement
 }
 
-// grant is what one holder has of a budget.
+// grant is one holder's grant of a budget.
 type grant struct {
 	tokens uint64
-	// reserve is the part of tokens that the holder may spend only while it is out of
-	// contact; see package reserve.
-	reserve uint64
+	// reserve is the part of tokens that the holder may spend only while the ledger is
+	// unreachable; see package reserve.
+	reserve     uint64
 	reserveRate reserveRate
-	// seq, lastAmount and lastReserve are of the last Acquire, for its resend.
+	// seq, lastAmount and lastReserve are the number and the result of the last Acquire,
+	// to answer a resend of it.
 	seq         uint64
 	lastAmount  uint64
 	lastReserve uint64
@@ -45,29 +46,29 @@
 
 func (b *budget) free() uint64 { return b.funded - b.billed - b.granted }
 
-// reduceFunds takes tokens that came back to a lowered budget out of it.
+// reduceFunds deducts tokens that were returned to a lowered budget from its funds.
 func (b *budget) reduceFunds() {
 	if b.intended < b.funded {
 		b.funded = max(b.intended, b.billed+b.granted)
 	}
 }
 
-// setGrant changes a holder's tokens of a budget.
+// setGrant sets a holder's tokens of a budget.
 func (s *State) setGrant(b *budget, incarnation, tokens uint64) {
 	s.registry.updateBudgetCount(incarnation, b.holders[incarnation].tokens, tokens)
 	b.setGrant(incarnation, tokens)
 }
 
-// setGrant changes a holder's tokens and keeps the sums. Use State.setGrant.
+// setGrant sets a holder's tokens and updates the totals. Other code uses State.setGrant.
 func (b *budget) setGrant(incarnation, tokens uint64) {
 	g := b.holders[incarnation]
 	b.updateTotals(g.tokens, tokens)
 	g.tokens = tokens
-	g.reserve = min(g.reserve, tokens) // the open part goes first
+	g.reserve = min(g.reserve, tokens) // the open part is spent first
 	b.holders[incarnation] = g
 }
 
-// unlock moves tokens of a holder from its reserve to the open part of its grant.
+// unlock moves tokens from a holder's reserve to the open part of its grant.
 func (b *budget) unlock(incarnation, tokens uint64) {
 	g := b.holders[incarnation]
 	g.reserve -= min(g.reserve, tokens)
@@ -84,7 +85,7 @@
 	}
 }
 
-// dropGrant forgets a holder and returns the tokens that it had.
+// dropGrant removes a holder and returns the tokens that it had.
 func (b *budget) dropGrant(incarnation uint64) uint64 {
 	g := b.holders[incarnation]
 	b.updateTotals(g.tokens, 0)
@@ -112,9 +113,9 @@
 	return &pb.BudgetLevel{Budget: b.name, Funded: b.funded, Billed: b.billed, Free: b.free()}
 }
 
-// operatorResult is what is remembered of one accepted CreateBudget or TopUp. It is
-// kept for good: an operator may resend a top-up long after its answer was lost,
-// and funding twice would break the promise that no budget is overspent.
+// operatorResult is the remembered result of one accepted CreateBudget or TopUp. It is
+// kept forever: an operator may resend a top-up long after its answer was lost, and
+// funding the budget twice would violate the guarantee that no budget is overspent.
 type operatorResult struct {
 	budget uint32
 	create bool
@@ -123,7 +124,7 @@
 	billed uint64
 }
 
-// CreateBudget opens a budget. A resend of the operation gets the first answer.
+// CreateBudget creates a budget. A resend of the operation gets the first answer.
 func (s *State) CreateBudget(r Record, c *pb.CreateBudget) (first *pb.Budget, resend bool, err error) {
 	if c.Name == "" {
 		return nil, false, errkind.New(errkind.BadRequest, "a budget needs a name")
@@ -132,13 +133,13 @@
 		return first, err == nil, err
 	}
 	if _, ok := s.budgets[c.Name]; ok {
-		return nil, false, errkind.New(errkind.AlreadyExists, "budget %q exists", c.Name)
+		return nil, false, errkind.New(errkind.AlreadyExists, "budget %q already exists", c.Name)
 	}
 	b := s.addBudget(r, c)
 	return s.recordOperation(r.OpID, b, true, c.Tokens), false, nil
 }
 
-// addBudget makes a budget.
+// addBudget adds a new budget.
 func (s *State) addBudget(r Record, c *pb.CreateBudget) *budget {
 	b := &budget{
 		number: uint32(len(s.byNumber)), name: c.Name, account: c.Account, funded: c.Tokens, intended: c.Tokens,
@@ -152,12 +153,12 @@
 	return b
 }
 
-// SetFunds sets what a budget is funded with in all, and opens the budget if it is new.
+// SetFunds sets the total funds of a budget, and creates the budget if it is new.
 //
-// A total below what is billed and granted can't be kept at once, as holders may have
-// spent what they were granted. Nothing more is granted then, and what comes back is
-// taken out of the budget, until the total holds. Holders that see the lower total
-// return what they have not spent, so that this takes one round of messages.
+// A total below what is billed and granted can't take effect immediately, as holders may
+// have spent what they were granted. Nothing more is granted then, and returned tokens are
+// deducted from the budget's funds, until these are down to the total. Holders that see the
+// lower total return what they have not spent, so that this takes one round of messages.
 func (s *State) SetFunds(r Record, name, account string, total uint64) {
 	b := s.budgets[name]
 	if b == nil {
@@ -177,8 +178,8 @@
 	checkInvariant(b)
 }
 
-// TopUp adds tokens to a budget, once per operation id. A resend of the operation
-// gets the first answer.
+// TopUp adds tokens to a budget, at most once per operation id. A resend of the
+// operation gets the first answer.
 func (s *State) TopUp(r Record, t *pb.TopUp) (first *pb.Budget, resend bool, err error) {
 	if first, err = s.findOperation(r.OpID, t.Budget, false, t.Tokens); first != nil || err != nil {
 		return first, err == nil, err
@@ -198,11 +199,11 @@
 	return s.recordOperation(r.OpID, b, false, t.Tokens), false, nil
 }
 
-// findOperation looks an operation up. It returns nil, nil for a new one and refuses an
-// id that was used for something else.
+// findOperation looks up the result of an operation. It returns nil, nil for a new one
+// and rejects an id that was used for another operation.
 func (s *State) findOperation(opID, name string, create bool, tokens uint64) (*pb.Budget, error) {
 	if opID == "" {
-		return nil, errkind.New(errkind.BadRequest, "a change of funds needs an operation id, so that a resend is known")
+		return nil, errkind.New(errkind.BadRequest, "a change of funds needs an operation id, so that a resend can be recognized")
 	}
 	a, ok := s.operations[window.KeyOf(opID)]
 	if !ok {
@@ -210,7 +211,7 @@
 	}
 	b := s.byNumber[a.budget]
 	if b.name != name || a.create != create || a.tokens != tokens {
-		return nil, errkind.New(errkind.KeyConflict, "operation id %q was used for another change of funds", opID)
+		return nil, errkind.New(errkind.KeyConflict, "operation id %q was already used for another change of funds", opID)
 	}
 	return a.proto(b), nil
 }
@@ -225,8 +226,8 @@
 	return &pb.Budget{Name: b.name, Account: b.account, Funded: a.funded, Billed: a.billed}
 }
 
-// Acquire grants tokens of a budget to a live holder. A resend of the last seq gets
-// the same amount and grants nothing.
+// Acquire grants tokens of a budget to a live holder. A resend with the last sequence
+// number gets the same amount and grants nothing.
 func (s *State) Acquire(r Record, a *pb.Acquire) (*pb.AcquireResult, error) {
 	inc, err := s.registry.live(a.Holder)
 	if err != nil {
@@ -252,7 +253,7 @@
 	}, nil
 }
 
-// acquire carries out a new Acquire.
+// acquire executes an Acquire that is not a resend.
 func (s *State) acquire(r Record, b *budget, inc uint64, a *pb.Acquire) {
 	b.unlock(inc, a.Unlock)
 	amount := b.grantSize(inc, a.Need, min(a.Want, a.Need+b.allowedAhead(a)))
@@ -266,8 +267,8 @@
 	b.holders[inc] = g
 }
 
-// allowedAhead is how much may still be granted beyond need, so that all holders together hold
-// no more of what is left than the bound of an Acquire says.
+// allowedAhead returns how much may be granted beyond need, so that all holders together
+// hold at most the part of the unbilled funds given by AtRiskPermille of the Acquire.
 func (b *budget) allowedAhead(a *pb.Acquire) uint64 {
 	if a.AtRiskPermille == 0 {
 		return math.MaxUint64 - a.Need
@@ -277,11 +278,11 @@
 	return most - min(most, b.granted)
 }
 
-// grantSize says how much of the free tokens an Acquire gets: the need if it is
-// there (else what is left, to go with what the holder has), and up to want within
-// this holder's share. A share is half of what is free over the number of holders with tokens,
-// so that shares halve as the budget runs low and the last tokens are not stranded
-// at holders that don't need them.
+// grantSize returns how many of the free tokens an Acquire gets: the need, or all free
+// tokens if they are fewer (the holder may have enough others to make up the need), and
+// beyond the need up to want within this holder's share. A share is half of the free tokens
+// divided by the number of holders with tokens, so that shares shrink as the budget runs
+// low and the last tokens are not stranded at holders that don't need them.
 func (b *budget) grantSize(incarnation, need, want uint64) uint64 {
 	free := b.free()
 	if free <= need {
--- a/internal/ledger/draft.go
+++ b/internal/ledger/draft.go
@@ -9,11 +9,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// retryTransfer is when to come back with a batch whose transfers came too early.
+// retryTransfer is the retry time for a batch whose transfers the ledger can't apply yet.
 const retryTransfer = time.Second
 
-// draft collects the effects of one batch, so that a batch is applied whole or
-// refused without a trace.
+// draft collects the effects of one batch, so that a batch is either applied completely
+// or refused without any effect.
 type draft struct {
 	state      *State
 	record     Record
@@ -22,7 +22,7 @@
 	touched    []*budget
 	identities map[window.Key]billRef
 	billedKeys []window.Key
-	transfers      map[string]transfer
+	transfers  map[string]transfer
 	unlocked   []unlocked
 	lines      []budgetLine
 	duplicates []string
@@ -34,13 +34,14 @@
 	incarnation uint64
 }
 
-// spending is what a draft bills to one budget.
+// spending is the total that a draft bills to one budget.
 type spending struct {
 	tokens uint64
 	bills  uint64
 }
 
-// unlocked is what a batch moves from its holder's reserve to the open part.
+// unlocked is a number of tokens that a batch moves from its holder's reserve to the
+// open part of the grant.
 type unlocked struct {
 	grantKey
 	tokens uint64
@@ -51,7 +52,7 @@
 	line   line
 }
 
-// transfer is a move of tokens that the ledger has counted.
+// transfer is a move of tokens between incarnations that the ledger has applied.
 type transfer struct {
 	From uint64 `json:"from"`
 	To   uint64 `json:"to"`
@@ -63,11 +64,11 @@
 		grants:     make(map[grantKey]uint64),
 		spending:   make(map[*budget]spending),
 		identities: make(map[window.Key]billRef),
-		transfers:      make(map[string]transfer),
+		transfers:  make(map[string]transfer),
 	}
 }
 
-// touch lists a budget as concerned by the batch.
+// touch records that the batch affects a budget.
 func (d *draft) touch(b *budget) {
 	if _, ok := d.spending[b]; ok {
 		return
@@ -92,15 +93,15 @@
 	d.lines = append(d.lines, budgetLine{b, l})
 }
 
-// overdraftPolicy says what to do with a bill above what its holder was granted.
+// overdraftPolicy selects the handling of a bill that exceeds its holder's grant.
 type overdraftPolicy int
 
 const (
-	// rejectOverdraft refuses the batch: a live holder that bills more than it was
-	// granted is faulty and must be noticed.
+	// rejectOverdraft rejects the batch: a live holder that bills more than it was
+	// granted is faulty, and the fault must be noticed.
 	rejectOverdraft overdraftPolicy = iota
-	// capOverdraft bills what is there and counts it: refusing would lock the other
-	// tokens of a dead holder for good.
+	// capOverdraft bills what the holder has and counts the capped bill: rejecting it
+	// would leave the other tokens of a dead holder granted forever.
 	capOverdraft
 )
 
@@ -153,8 +154,8 @@
 		tokens, note = have, "capped"
 	}
 	if tokens == 0 && p.Tokens > 0 {
-		// Nothing is billed, so the identity isn't remembered. Remembered, it would make a
-		// duplicate of the true bill for the run that it had at another host.
+		// Nothing is billed, so the identity isn't remembered. If it were, the correct bill
+		// for the request's execution on another host would count as a duplicate.
 		d.addLine(b, line{Kind: lineUncovered, Identity: p.Identity, RequestID: p.RequestId, Tokens: p.Tokens})
 		return nil
 	}
@@ -167,7 +168,8 @@
 	return nil
 }
 
-// chargeSpend takes tokens that a holder spent on requests of its own off its grant.
+// chargeSpend deducts from a holder's grant the tokens that it spent on requests without
+// individual bills.
 func (d *draft) chargeSpend(incarnation uint64, p *pb.Spend) error {
 	b, err := d.state.find(p.GetBudget())
 	if err != nil {
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// returnTokens moves granted tokens of a holder back to the free ones.
+// returnTokens makes granted tokens of a holder free again.
 func (d *draft) returnTokens(incarnation uint64, r *pb.Return) error {
 	b, err := d.state.find(r.Budget)
 	if err != nil {
@@ -204,7 +206,7 @@
 	return nil
 }
 
-// unlock notes that a holder took tokens of its reserve while it was out of contact.
+// unlock records that a holder drew tokens from its reserve while the ledger was unreachable.
 func (d *draft) unlock(incarnation uint64, r *pb.Return) error {
 	b, err := d.state.find(r.Budget)
 	if err != nil {
@@ -215,31 +217,31 @@
 	return nil
 }
 
-// applyTransfers applies transfers in whatever order their tokens allow: a holder may
-// have passed on what it got by an earlier transfer of the same list.
+// applyTransfers applies transfers in whatever order the grants allow: a holder may have
+// forwarded what it got by another transfer of the same list.
 func (d *draft) applyTransfers(transfers []*pb.Transfer) error {
 	for len(transfers) > 0 {
-		var early []*pb.Transfer
+		var deferred []*pb.Transfer
 		for _, t := range transfers {
 			done, err := d.applyTransfer(t)
 			if err != nil {
 				return err
 			}
 			if !done {
-				early = append(early, t)
+				deferred = append(deferred, t)
 			}
 		}
-		if len(early) == len(transfers) {
+		if len(deferred) == len(transfers) {
 			return errkind.New(errkind.BudgetUnreachable,
-				"transfer %s: the giver's own settlement has to come first", early[0].Id).After(retryTransfer)
+				"transfer %s: the sender's own settlement has to be applied first", deferred[0].Id).After(retryTransfer)
 		}
-		transfers = early
+		transfers = deferred
 	}
 	return nil
 }
 
-// applyTransfer applies one transfer, once per id. It returns false when the giver has not
-// enough tokens in the ledger yet.
+// applyTransfer applies one transfer, at most once per id. It returns false if the sender
+// does not have enough tokens in the ledger yet.
 func (d *draft) applyTransfer(t *pb.Transfer) (bool, error) {
 	b, err := d.state.find(t.Budget)
 	if err != nil {
@@ -260,7 +262,7 @@
 		return false, err
 	}
 	if from == nil {
-		return false, violation("transfer %s from incarnation %d, which was recovered without it", t.Id, t.From.Incarnation)
+		return false, violation("transfer %s is from incarnation %d, which was recovered without it", t.Id, t.From.Incarnation)
 	}
 	have := d.granted(b, from.Number)
 	if have < t.Tokens {
@@ -268,7 +270,7 @@
 	}
 	d.touch(b)
 	d.setGranted(b, from.Number, have-t.Tokens)
-	if to != nil { // else the receiver was recovered meanwhile and the tokens are free again
+	if to != nil { // otherwise the receiver has been recovered and the tokens are free again
 		d.setGranted(b, to.Number, d.granted(b, to.Number)+t.Tokens)
 	}
 	d.transfers[t.Id] = transfer{From: t.From.Incarnation, To: t.To.Incarnation}
@@ -286,7 +288,7 @@
 // commit applies the draft and checks every budget that it touched.
 func (d *draft) commit() {
 	s := d.state
-	for _, u := range d.unlocked { // before what was spent of it leaves the grant
+	for _, u := range d.unlocked { // before the grants are reduced by what was spent of these tokens
 		u.budget.unlock(u.incarnation, u.tokens)
 	}
 	for key, tokens := range d.grants {
@@ -302,7 +304,7 @@
 	for _, l := range d.lines {
 		l.budget.statement.append(l.line)
 	}
-	for _, key := range d.billedKeys { // in order: a full generation may end between two
+	for _, key := range d.billedKeys { // in order, as a generation may become full between two keys
 		s.billed.memory.Put(key, d.identities[key], d.record.Now)
 	}
 	s.counters.add(d.counters)
@@ -319,7 +321,7 @@
 	c.Capped += o.Capped
 }
 
-// violation is the refusal of a batch that breaks the promise of its holder.
+// violation returns the error for a batch that spends more than its holder was granted.
 func violation(format string, args ...any) error {
 	return errkind.New(errkind.Internal, "ledger violation: "+format, args...)
 }
--- a/internal/ledger/fleet_test.go
+++ b/internal/ledger/fleet_test.go
@@ -17,42 +17,42 @@
 	testutil.RunRapid(m, map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true", "rapid.steps": "200", "rapid.checks": "300"})
 }
 
-// testHolder is an honest entry host: it spends only what it holds.
+// testHolder is a correct entry host: it spends only tokens that it holds.
 type testHolder struct {
-	id       *pb.Holder
-	gone     bool // recovered
-	replaced bool // its process has ended; what it sent may still arrive
-	tokens   uint64
-	acquires uint64 // seq of the last acquire sent
-	counted  uint64 // seq of the last acquire whose amount was taken
-	bills    []*pb.Bill
-	returns  uint64
-	accepted []*pb.Transfer
-	batches  []*pb.Settle
-	acked    uint64
-	fenced   map[uint64]bool // incarnations that it was asked to gather
-}
-
-// fleet drives the ledger by honest holders over a network that loses, repeats and
-// reorders, beside an oracle of what the ledger must say.
+	id        *pb.Holder
+	recovered bool
+	replaced  bool // its process has ended; messages that it sent may still arrive
+	tokens    uint64
+	acquires  uint64 // sequence number of the last acquire sent
+	counted   uint64 // sequence number of the last acquire whose amount was added to tokens
+	bills     []*pb.Bill
+	returns   uint64
+	accepted  []*pb.Transfer
+	batches   []*pb.Settle
+	acked     uint64
+	fenced    map[uint64]bool // incarnations whose records it was asked for
+}
+
+// fleet runs the ledger with correct holders and a network that loses, duplicates and
+// reorders messages, and keeps an oracle of the ledger's expected state.
 type fleet struct {
-	ledger  *State
-	index   uint64
-	holders map[uint64]*testHolder
-	current map[string]uint64
-	boots   int
-	nextID  int
-	sent    []any // every message ever sent, to be delivered at any time, any number of times
-	moving  []*pb.Transfer
-	hosts   []string
-
-	// The oracle.
-	funded  uint64
-	billed  uint64
-	paid    map[string]bool // identities billed
-	settled map[string]bool // batches applied
-	topUps  map[string]bool
-	amounts map[string]uint64 // of acquires
+	ledger    *State
+	index     uint64
+	holders   map[uint64]*testHolder
+	current   map[string]uint64
+	boots     int
+	nextID    int
+	sent      []any          // every message ever sent, any of which may be delivered at any time and repeatedly
+	inTransit []*pb.Transfer // transfers between holders
+	hosts     []string
+
+	// The oracle's state.
+	funded    uint64
+	billed    uint64
+	billedIDs map[string]bool // identities billed
+	settled   map[string]bool // batches applied
+	topUps    map[string]bool
+	amounts   map[string]uint64 // first results of acquires
 }
 
 const testBudget = "b"
@@ -60,8 +60,8 @@
 func newFleet() *fleet {
 	f := &fleet{
 		ledger: New(Options{}), holders: map[uint64]*testHolder{}, current: map[string]uint64{},
-		hosts: []string{"h1", "h2", "h3"},
-		paid:  map[string]bool{}, settled: map[string]bool{}, topUps: map[string]bool{}, amounts: map[string]uint64{},
+		hosts:     []string{"h1", "h2", "h3"},
+		billedIDs: map[string]bool{}, settled: map[string]bool{}, topUps: map[string]bool{}, amounts: map[string]uint64{},
 	}
 	if _, _, err := f.ledger.CreateBudget(f.record("create"), &pb.CreateBudget{Name: testBudget, Tokens: 400}); err != nil {
 		panic(err)
@@ -98,16 +98,16 @@
 	return fmt.Sprint(prefix, f.nextID)
 }
 
-// anyHolder draws a holder whose process runs.
+// anyHolder draws a holder whose process is running.
 func (f *fleet) anyHolder(t *rapid.T, label string) *testHolder {
 	return f.holders[f.current[rapid.SampledFrom(f.hosts).Draw(t, label)]]
 }
 
-// anyDead draws a holder whose process has ended and that is not recovered.
+// anyDead draws a holder whose process has ended and that has not been recovered.
 func (f *fleet) anyDead(t *rapid.T) *testHolder {
 	var dead []*testHolder
 	for inc := uint64(1); inc <= uint64(len(f.holders)); inc++ {
-		if h := f.holders[inc]; h.replaced && !h.gone {
+		if h := f.holders[inc]; h.replaced && !h.recovered {
 			dead = append(dead, h)
 		}
 	}
@@ -117,7 +117,7 @@
 	return rapid.SampledFrom(dead).Draw(t, "dead")
 }
 
-// restart boots a host anew, within the number of boots that the registry remembers.
+// restart boots a host again, up to the number of boots that the registry remembers.
 func (f *fleet) restart(t *rapid.T) {
 	host := rapid.SampledFrom(f.hosts).Draw(t, "host")
 	seldom := rapid.IntRange(0, 3).Draw(t, "seldom")
@@ -149,17 +149,18 @@
 	return n / rapid.SampledFrom([]uint64{8, 2, 1}).Draw(t, "divisor")
 }
 
-// identities are those that callers may use next: a few old ones and some new.
+// identities returns the identities that callers may use next: those already billed and some
+// new ones.
 func (f *fleet) identities() []int {
 	var out []int
-	for i := range len(f.paid) + 4 {
+	for i := range len(f.billedIDs) + 4 {
 		out = append(out, i)
 	}
 	return out
 }
 
-// run serves one request out of the holder's tokens. Identities repeat, as callers
-// retry at other hosts.
+// run serves one request with the holder's tokens. Identities repeat, as callers retry
+// on other hosts.
 func (f *fleet) run(t *rapid.T) {
 	h := f.anyHolder(t, "holder")
 	cost := part(t, h.tokens)
@@ -168,14 +169,15 @@
 	h.bills = append(h.bills, &pb.Bill{Budget: testBudget, Identity: identity, Tokens: cost, TimeMs: 1_000_000})
 }
 
-func (f *fleet) giveBack(t *rapid.T) {
+func (f *fleet) returnTokens(t *rapid.T) {
 	h := f.anyHolder(t, "holder")
 	n := part(t, h.tokens)
 	h.tokens -= n
 	h.returns += n
 }
 
-// batch closes the holder's next settlement batch. It lists each accepted transfer twice.
+// batch completes and sends the holder's next settlement batch. It lists each accepted
+// transfer twice.
 func (f *fleet) batch(t *rapid.T) {
 	h := f.anyHolder(t, "holder")
 	b := &pb.Settle{Holder: h.id, Seq: uint64(len(h.batches) + 1), Bills: h.bills}
@@ -188,35 +190,35 @@
 	f.send(t, b)
 }
 
-// unacknowledged is what the holder got by transfers that the ledger has not
-// acknowledged; it must not pass that on (see Settle).
+// unacknowledged returns the tokens of transfers to the holder that the ledger has not
+// acknowledged; the holder must not forward them (see Settle).
 func (h *testHolder) unacknowledged() uint64 {
 	total := sum(h.accepted)
 	for _, b := range h.batches[h.acked:] {
-		total += sum(b.Transfers[:len(b.Transfers)/2]) // each stands twice
+		total += sum(b.Transfers[:len(b.Transfers)/2]) // each is listed twice
 	}
 	return total
 }
 
-func (f *fleet) give(t *rapid.T) {
+func (f *fleet) transfer(t *rapid.T) {
 	from, to := f.anyHolder(t, "from"), f.anyHolder(t, "to")
 	spare := from.tokens - min(from.tokens, from.unacknowledged())
 	if from == to || spare == 0 {
-		t.Skip("nothing to give")
+		t.Skip("nothing to transfer")
 	}
 	n := part(t, spare)
 	from.tokens -= n
-	f.moving = append(f.moving, &pb.Transfer{Id: f.fresh("t"), Budget: testBudget, From: from.id, To: to.id, Tokens: n})
+	f.inTransit = append(f.inTransit, &pb.Transfer{Id: f.fresh("t"), Budget: testBudget, From: from.id, To: to.id, Tokens: n})
 }
 
 // accept delivers or loses a transfer between holders.
 func (f *fleet) accept(t *rapid.T) {
-	if len(f.moving) == 0 {
-		t.Skip("no transfer on its way")
+	if len(f.inTransit) == 0 {
+		t.Skip("no transfer in transit")
 	}
-	i := rapid.IntRange(0, len(f.moving)-1).Draw(t, "transfer")
-	tr := f.moving[i]
-	f.moving = append(f.moving[:i], f.moving[i+1:]...)
+	i := rapid.IntRange(0, len(f.inTransit)-1).Draw(t, "transfer")
+	tr := f.inTransit[i]
+	f.inTransit = append(f.inTransit[:i], f.inTransit[i+1:]...)
 	to := f.holders[tr.To.Incarnation]
 	if rapid.Bool().Draw(t, "lost") || to.replaced || to.fenced[tr.From.Incarnation] {
 		return
@@ -232,7 +234,7 @@
 	}
 }
 
-// resend delivers the first batch of a holder that is not settled.
+// resend delivers the first unsettled batch of a holder.
 func (f *fleet) resend(t *rapid.T) {
 	h := f.anyHolder(t, "holder")
 	for _, b := range h.batches {
@@ -244,7 +246,7 @@
 	t.Skip("all settled")
 }
 
-// late delivers any message ever sent, again or for the first time.
+// late delivers any of the messages sent so far, again or for the first time.
 func (f *fleet) late(t *rapid.T) {
 	f.deliver(t, rapid.SampledFrom(f.sent).Draw(t, "message"))
 }
@@ -254,7 +256,7 @@
 	case *pb.RegisterHost:
 		r, err := f.ledger.RegisterHost(f.record(""), m)
 		if err == nil && r.Holder.Incarnation > f.current[m.Host] {
-			t.Fatalf("late registration %v made a new incarnation", m)
+			t.Fatalf("the late registration %v created a new incarnation", m)
 		}
 	case topUpMessage:
 		f.deliverTopUp(t, m)
@@ -278,11 +280,11 @@
 	f.topUps[m.opID] = true
 }
 
-// tokenHolder is a message with an amount of tokens.
-type tokenHolder interface{ GetTokens() uint64 }
+// tokenMessage is a message with an amount of tokens.
+type tokenMessage interface{ GetTokens() uint64 }
 
-// sum adds up the tokens of messages.
-func sum[M tokenHolder](messages []M) uint64 {
+// sum returns the total tokens of messages.
+func sum[M tokenMessage](messages []M) uint64 {
 	var total uint64
 	for _, m := range messages {
 		total += m.GetTokens()
@@ -301,7 +303,7 @@
 	}
 	key := fmt.Sprint(m.Holder.Incarnation, "/", m.Seq)
 	if first, ok := f.amounts[key]; ok && (r.Amount != first || r.Free != free(before)) {
-		t.Fatalf("acquire %s repeated got %v, at first %d", key, r, first)
+		t.Fatalf("resend of acquire %s got %v, the first one got %d", key, r, first)
 	}
 	f.amounts[key] = r.Amount
 	if m.Seq <= h.counted || m.Seq != h.acquires {
@@ -315,15 +317,15 @@
 	h := f.holders[m.Holder.Incarnation]
 	r, resend, err := f.ledger.Settle(f.record(""), m)
 	key := batchKey(m)
-	if h.gone && err == nil {
-		t.Fatalf("recovered holder settled batch %s", key)
+	if h.recovered && err == nil {
+		t.Fatalf("a recovered holder settled batch %s", key)
 	}
 	if err != nil {
 		f.checkRefusal(t, h, m, err)
 		return
 	}
 	if resend != f.settled[key] {
-		t.Fatalf("batch %s: resend %v, applied before %v", key, resend, f.settled[key])
+		t.Fatalf("batch %s: reported as resend: %v, already applied: %v", key, resend, f.settled[key])
 	}
 	if !resend {
 		f.settled[key] = true
@@ -332,27 +334,27 @@
 	f.acknowledge(h, m, r)
 }
 
-// batchKey names a batch in fleet.settled.
+// batchKey returns the key of a batch in fleet.settled.
 func batchKey(b *pb.Settle) string { return fmt.Sprint(b.Holder.Incarnation, "/", b.Seq) }
 
-// checkRefusal allows gaps and recovered holders only.
+// checkRefusal checks that a batch was refused because of a gap or a recovered holder.
 func (f *fleet) checkRefusal(t *rapid.T, h *testHolder, m *pb.Settle, err error) {
 	gap := m.Seq > 1 && !f.settled[fmt.Sprint(m.Holder.Incarnation, "/", m.Seq-1)]
-	if !h.gone && !gap {
-		t.Fatalf("honest batch %v refused: %v", m, err)
+	if !h.recovered && !gap {
+		t.Fatalf("the correct batch %v was refused: %v", m, err)
 	}
 }
 
-// expect bills the first bill of each identity in the oracle and checks the others
-// were called duplicates.
+// expect bills the first bill of each identity in the oracle and checks that the others
+// were reported as duplicates.
 func (f *fleet) expect(t *rapid.T, bills []*pb.Bill, duplicates []string) {
 	var want []string
 	for _, b := range bills {
-		if f.paid[b.Identity] {
+		if f.billedIDs[b.Identity] {
 			want = append(want, b.Identity)
 			continue
 		}
-		f.paid[b.Identity] = true
+		f.billedIDs[b.Identity] = true
 		f.billed += b.Tokens
 	}
 	if fmt.Sprint(want) != fmt.Sprint(duplicates) {
@@ -360,7 +362,7 @@
 	}
 }
 
-// acknowledge gives the holder the tokens of its duplicate bills back, once.
+// acknowledge adds the tokens of duplicate bills to the holder's tokens again, once.
 func (f *fleet) acknowledge(h *testHolder, m *pb.Settle, r *pb.SettleResult) {
 	if m.Seq <= h.acked || m.Seq != r.Seq || (m.Seq < uint64(len(h.batches)) && f.settled[fmt.Sprint(m.Holder.Incarnation, "/", m.Seq+1)]) {
 		return
@@ -370,7 +372,7 @@
 	for _, id := range r.Duplicates {
 		duplicates[id]++
 	}
-	for i := len(m.Bills) - 1; i >= 0; i-- { // of two bills of one batch the later is the duplicate
+	for i := len(m.Bills) - 1; i >= 0; i-- { // of two bills in one batch the later one is the duplicate
 		if duplicates[m.Bills[i].Identity] > 0 {
 			duplicates[m.Bills[i].Identity]--
 			h.tokens += m.Bills[i].Tokens
@@ -378,7 +380,7 @@
 	}
 }
 
-// recover gathers what the peers know of a dead holder, or forgets one peer.
+// recover gathers the peers' records of a dead holder; some peers may be unreachable.
 func (f *fleet) recover(t *rapid.T) {
 	dead := f.anyDead(t)
 	m := &pb.RecoverHolder{Dead: dead.id}
@@ -400,8 +402,8 @@
 	f.send(t, m)
 }
 
-// transfersOf lists what the holder accepted from the dead one, or all if it is the
-// dead one itself: peers keep copies of accepted transfers.
+// transfersOf returns the transfers that the holder accepted from the dead one, or all of
+// its transfers if it is the dead one itself: peers keep copies of accepted transfers.
 func (h *testHolder) transfersOf(dead *pb.Holder) []*pb.Transfer {
 	var out []*pb.Transfer
 	all := append([]*pb.Transfer(nil), h.accepted...)
@@ -423,22 +425,22 @@
 	if err != nil {
 		return
 	}
-	if resend != dead.gone {
-		t.Fatalf("recovery of %v: resend %v, recovered before %v", m.Dead, resend, dead.gone)
+	if resend != dead.recovered {
+		t.Fatalf("recovery of %v: reported as resend: %v, already recovered: %v", m.Dead, resend, dead.recovered)
 	}
 	if resend {
 		return
 	}
 	if missing := f.missing(m); missing != "" {
-		t.Fatalf("recovered %v without asking %s", m.Dead, missing)
+		t.Fatalf("%v was recovered without asking %s", m.Dead, missing)
 	}
 	after, _ := f.ledger.Budget(testBudget)
 	if after.Billed-before.Billed != r.Billed {
-		t.Fatalf("recovery says billed %d, the budget %d", r.Billed, after.Billed-before.Billed)
+		t.Fatalf("the recovery reports %d tokens billed, but the budget's total rose by %d", r.Billed, after.Billed-before.Billed)
 	}
-	dead.gone = true
+	dead.recovered = true
 	for _, b := range m.Bills {
-		f.paid[b.Identity] = true
+		f.billedIDs[b.Identity] = true
 	}
 	f.billed += r.Billed
 }
@@ -480,27 +482,28 @@
 	return data
 }
 
-// check compares the ledger with the oracle and with what the holders could spend.
+// check compares the ledger with the oracle and with the tokens that holders could spend.
 func (f *fleet) check(t *rapid.T) {
 	b, err := f.ledger.Budget(testBudget)
 	testutil.NoError(t, err)
-	if b.Funded != f.funded || b.Billed != f.billed || b.Bills != uint64(len(f.paid)) {
-		t.Fatalf("ledger has funded %d, billed %d in %d bills; oracle %d, %d, %d",
-			b.Funded, b.Billed, b.Bills, f.funded, f.billed, len(f.paid))
+	if b.Funded != f.funded || b.Billed != f.billed || b.Bills != uint64(len(f.billedIDs)) {
+		t.Fatalf("ledger: %d funded, %d billed in %d bills; oracle: %d, %d, %d",
+			b.Funded, b.Billed, b.Bills, f.funded, f.billed, len(f.billedIDs))
 	}
-	if promised := b.Billed + sum(b.Granted); promised > b.Funded {
-		t.Fatalf("billed and granted %d of %d", promised, b.Funded)
+	if committed := b.Billed + sum(b.Granted); committed > b.Funded {
+		t.Fatalf("%d tokens billed and granted of %d funded", committed, b.Funded)
 	}
 	if spendable := f.spendable(); b.Billed+spendable > b.Funded {
-		t.Fatalf("billed %d and spendable %d of %d", b.Billed, spendable, b.Funded)
+		t.Fatalf("%d tokens billed and %d spendable of %d funded", b.Billed, spendable, b.Funded)
 	}
 }
 
-// spendable is what running holders hold or have spent without it being billed.
+// spendable returns the tokens that unrecovered holders hold, or have spent without being
+// billed yet.
 func (f *fleet) spendable() uint64 {
 	var total uint64
 	for _, h := range f.holders {
-		if h.gone {
+		if h.recovered {
 			continue
 		}
 		total += h.tokens + h.returns + sum(h.bills)
@@ -510,7 +513,7 @@
 			}
 		}
 	}
-	for _, tr := range f.moving {
+	for _, tr := range f.inTransit {
 		if to := f.holders[tr.To.Incarnation]; !to.replaced && !to.fenced[tr.From.Incarnation] {
 			total += tr.Tokens
 		}
@@ -518,28 +521,27 @@
 	return total
 }
 
-// Symptom: a budget is overspent, or a request billed twice.
-// Sequence: any order of top-ups, acquires, bills, returns, transfers, restarts and
-// recoveries, each message lost, late or repeated.
-// Cause: whichever step counts a repeated or late message, or frees what is still held.
+// A step that counts a repeated or late message, or frees tokens that are still held, would
+// overspend a budget or bill a request twice. The test runs top-ups, acquires, bills, returns,
+// transfers, restarts and recoveries in any order, with each message lost, late or repeated.
 func TestLedgerAgainstOracle(t *testing.T) {
-	var happened struct{ bills, duplicates, transfers, recoveries int }
+	var counts struct{ bills, duplicates, transfers, recoveries int }
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet()
 		defer func() {
-			happened.bills += len(f.paid)
-			happened.duplicates += int(f.ledger.counters.Duplicates)
-			happened.transfers += len(f.ledger.transfers)
-			happened.recoveries += len(f.ledger.registry.recovered)
+			counts.bills += len(f.billedIDs)
+			counts.duplicates += int(f.ledger.counters.Duplicates)
+			counts.transfers += len(f.ledger.transfers)
+			counts.recoveries += len(f.ledger.registry.recovered)
 		}()
 		t.Repeat(map[string]func(*rapid.T){
-			"top up": f.topUp, "acquire": f.acquire, "run": f.run, "give back": f.giveBack, "batch": f.batch,
-			"give": f.give, "accept": f.accept, "late": f.late, "resend": f.resend, "acquire more": f.acquire, "run more": f.run, "batch more": f.batch,
+			"top up": f.topUp, "acquire": f.acquire, "run": f.run, "give back": f.returnTokens, "batch": f.batch,
+			"give": f.transfer, "accept": f.accept, "late": f.late, "resend": f.resend, "acquire more": f.acquire, "run more": f.run, "batch more": f.batch,
 			"restart": f.restart, "recover": f.recover, "restore": f.restore, "": f.check,
 		})
 	})
-	if happened.bills < 1000 || happened.duplicates < 100 || happened.transfers < 100 || happened.recoveries < 100 {
-		t.Errorf("too little happened: %+v", happened)
+	if counts.bills < 1000 || counts.duplicates < 100 || counts.transfers < 100 || counts.recoveries < 100 {
+		t.Errorf("the runs covered too few cases: %+v", counts)
 	}
-	t.Logf("%+v", happened)
+	t.Logf("%+v", counts)
 }
--- a/internal/ledger/identities.go
+++ b/internal/ledger/identities.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// clockMargin is how far the clocks of hosts may stand apart, and how long a batch
-	// may be on its way.
+	// clockMargin is the maximum difference between the clocks of hosts, and the maximum
+	// time that a batch may be in transit.
 	clockMargin = 2 * time.Minute
-	// forgetInterval spaces the checks for what may be forgotten.
+	// forgetInterval is the time between checks for identities that may be forgotten.
 	forgetInterval = time.Minute
-	// generationsPerWindow sets how finely identities are forgotten.
+	// generationsPerWindow is the number of generations per retention period: identities are
+	// forgotten by whole generations.
 	generationsPerWindow = 4
 )
 
-// billRef is what is remembered of a billed identity: the budget's number in the
-// upper half, the tokens in the lower (saturated at 32 bits).
+// billRef is the remembered bill of an identity: the budget's number in the upper half,
+// the tokens in the lower half (saturated at 32 bits).
 type billRef uint64
 
 func newBillRef(b *budget, tokens uint64) billRef {
@@ -29,26 +30,26 @@
 func (r billRef) tokens() uint64 { return uint64(uint32(r)) }
 
 // billedIdentities remembers which identities were billed, so that each is billed
-// once however many holders bring it.
+// once however many holders submit it.
 //
-// What goes wrong without a long memory: in a network partition a caller retries,
-// the identity runs on both sides, one side settles at once and the other hours
-// later. With a memory of the idempotency window alone the late bill would look
-// new and be billed again. So an identity is kept until no open incarnation can
-// still bring a duplicate of it: the idempotency window, plus the longest request
-// twice (once as long before the window a request may have arrived, once as a bill
-// may say when its request arrived or when it ended), plus margins for clocks, counted
-// back from the oldest last settlement of any open incarnation.
+// During a network partition a caller may retry, so that the identity runs on both sides;
+// one side settles immediately and the other hours later. If identities were remembered
+// only for the idempotency window, the late bill would look new and be billed again. So an
+// identity is kept until no unrecovered incarnation can still submit a duplicate of it:
+// for the idempotency window, plus twice the longest request (once because a request may
+// have arrived that long before the window, once because the time of a bill may be that of
+// the request's arrival or of its end), plus clock margins, counted back from the oldest
+// last settlement of any unrecovered incarnation.
 //
-// What is kept for incarnations out of contact is bounded by a number; past it the
-// oldest are forgotten, and bills that might duplicate a forgotten one are refused as
-// expired rather than perhaps billed twice. What holders in contact need is always
-// kept, or at high load no bill at all would be accepted.
+// The number of identities kept for disconnected incarnations is bounded. Beyond the bound
+// the oldest are forgotten, and bills that might duplicate a forgotten one are refused as
+// expired, so that none is billed twice. Identities that connected holders need are always
+// kept; otherwise no bill at all would be accepted under high load.
 type billedIdentities struct {
-	memory     *window.Memory[billRef]
-	lookbackMs    int64 // how long before its bill's time a duplicate may have been billed
-	retentionMs     int64
-	nextForget int64
+	memory      *window.Memory[billRef]
+	lookbackMs  int64 // how long before the time of a bill its duplicate may have been billed
+	retentionMs int64
+	nextForget  int64
 }
 
 func newBilledIdentities(maxSize int) billedIdentities {
@@ -65,7 +66,7 @@
 
 func (b *billedIdentities) get(k window.Key) (billRef, bool) { return b.memory.Get(k) }
 
-// expired tells whether a duplicate of a bill might have been forgotten. at is when the
+// expired reports whether a duplicate of a bill might have been forgotten. at is when the
 // request arrived at the holder or ended, in Unix milliseconds by the holder's clock.
 func (b *billedIdentities) expired(at, now int64) bool {
 	horizon := b.memory.Horizon()
@@ -75,7 +76,8 @@
 	return min(at, now)-b.lookbackMs < horizon
 }
 
-// forget drops what no open incarnation can bring again, and what is above the bound.
+// forget drops the identities that no unrecovered incarnation can submit again, and those
+// beyond the bound.
 func (b *billedIdentities) forget(now int64, hosts *registry) {
 	b.memory.Shrink(now - b.retentionMs)
 	if now < b.nextForget {
--- a/internal/ledger/image.go
+++ b/internal/ledger/image.go
@@ -31,7 +31,7 @@
 	Name    string `json:"name"`
 	Account string `json:"account"`
 	Funded  uint64 `json:"funded"`
-	// Lowered is what operators funded if that is less than Funded; nil: Funded.
+	// Lowered is the total that operators funded if it is less than Funded; otherwise nil.
 	Lowered *uint64      `json:"lowered,omitempty"`
 	Billed  uint64       `json:"billed"`
 	Bills   uint64       `json:"bills"`
@@ -40,13 +40,13 @@
 }
 
 type grantImage struct {
-	Incarnation uint64  `json:"incarnation"`
-	Tokens      uint64  `json:"tokens"`
-	Reserve     uint64  `json:"reserve,omitempty"`
-	Seq         uint64  `json:"seq"`
-	LastAmount  uint64  `json:"last_amount"`
-	LastReserve uint64  `json:"last_reserve,omitempty"`
-	ReserveRate     reserveRate `json:"opening,omitzero"`
+	Incarnation uint64      `json:"incarnation"`
+	Tokens      uint64      `json:"tokens"`
+	Reserve     uint64      `json:"reserve,omitempty"`
+	Seq         uint64      `json:"seq"`
+	LastAmount  uint64      `json:"last_amount"`
+	LastReserve uint64      `json:"last_reserve,omitempty"`
+	ReserveRate reserveRate `json:"opening,omitzero"`
 }
 
 type transferImage struct {
@@ -63,7 +63,7 @@
 	Billed uint64 `json:"billed"`
 }
 
-// Image copies the ledger's content; later records don't change the copy.
+// Image returns a copy of the ledger's content, which later records don't change.
 func (s *State) Image() Image {
 	im := Image{
 		LastHolder: s.registry.lastIncarnation, Recovered: slices.Clone(s.registry.recovered),
@@ -115,8 +115,8 @@
 	return out
 }
 
-// Restore replaces the ledger's content by im. It refuses an image that breaks the
-// invariant or doesn't hang together; the ledger must not be used then.
+// Restore replaces the ledger's content by im. It returns an error if im violates the
+// invariant or is inconsistent; the ledger must not be used then.
 func (s *State) Restore(im Image) error {
 	fresh := New(s.options)
 	for _, bi := range im.Budgets {
@@ -163,11 +163,11 @@
 	if im.Lowered != nil {
 		b.intended = *im.Lowered
 	}
-	promised := im.Billed
+	committed := im.Billed
 	for _, g := range im.Grants {
 		var ok bool
-		if promised, ok = add(promised, g.Tokens); !ok {
-			return errors.Errorf("ledger: snapshot: the grants of budget %q overflow", im.Name)
+		if committed, ok = add(committed, g.Tokens); !ok {
+			return errors.Errorf("ledger: snapshot: the sum of the grants of budget %q overflows", im.Name)
 		}
 		b.setGrant(g.Incarnation, g.Tokens)
 		b.holders[g.Incarnation] = grant{
@@ -175,8 +175,8 @@
 			reserveRate: g.ReserveRate,
 		}
 	}
-	if promised > im.Funded {
-		return errors.Errorf("ledger: snapshot: budget %q has billed and granted %d of %d funded tokens", im.Name, promised, im.Funded)
+	if committed > im.Funded {
+		return errors.Errorf("ledger: snapshot: budget %q has %d tokens billed and granted, but only %d funded", im.Name, committed, im.Funded)
 	}
 	for _, l := range im.Lines {
 		b.statement.append(l)
@@ -188,10 +188,10 @@
 
 func (s *State) restoreOperator(o operatorImage) error {
 	if len(o.Key) != window.KeySize {
-		return errors.Errorf("ledger: snapshot: the key of an operation has %d bytes instead of %d", len(o.Key), window.KeySize)
+		return errors.Errorf("ledger: snapshot: an operation key has %d bytes, want %d", len(o.Key), window.KeySize)
 	}
 	if int(o.Budget) >= len(s.byNumber) {
-		return errors.Errorf("ledger: snapshot: an operation on budget number %d, but there are %d budgets", o.Budget, len(s.byNumber))
+		return errors.Errorf("ledger: snapshot: an operation refers to budget number %d, but there are only %d budgets", o.Budget, len(s.byNumber))
 	}
 	s.operations[window.Key(o.Key)] = operatorResult{budget: o.Budget, create: o.Create, tokens: o.Tokens, funded: o.Funded, billed: o.Billed}
 	return nil
--- a/internal/ledger/opening.go
+++ b/internal/ledger/opening.go
@@ -1,22 +1,22 @@
 package ledger
 
-// reserveRate is the rate at which a holder's reserve opens while it is out of contact, in tokens
-// a second; see package reserve.
+// reserveRate is the rate in tokens per second at which a holder's reserve becomes usable
+// while the ledger is unreachable; see package reserve.
 //
-// What goes wrong when only the present rate is known: a holder spends from its reserve in a
-// partition, asks for a lower rate before it has told what it spent, and is lost. The ledger
-// would count by the lower rate, and free tokens that were used.
+// The current rate alone is not enough: a holder may spend from its reserve during a
+// partition, then request a lower rate before it has reported what it spent, and die. The
+// ledger would use the lower rate and free tokens that were spent.
 type reserveRate struct {
 	Rate uint64 `json:"rate"`
-	// HighestBefore is the highest rate that was in force before Changed and may still have been
-	// when the holder had its last contact.
+	// HighestBefore is the highest rate that was in force before Changed and may still have
+	// been in force at the holder's last contact.
 	HighestBefore uint64 `json:"before,omitempty"`
-	// Changed is when Rate came into force, in Unix milliseconds.
+	// Changed is when Rate took effect, in Unix milliseconds.
 	Changed int64 `json:"changed,omitempty"`
 }
 
-// set puts a rate in force. confirmed is a time at which the holder surely had not had its
-// last contact.
+// set changes the rate. confirmed is a time that is certainly before the holder's last
+// contact.
 func (o *reserveRate) set(rate uint64, now, confirmed int64) {
 	if rate == o.Rate {
 		return
@@ -25,7 +25,7 @@
 	o.Rate = rate
 }
 
-// highestSince is the highestSince rate in force at any moment since confirmed.
+// highestSince returns the highest rate that was in force at any moment since confirmed.
 func (o *reserveRate) highestSince(confirmed int64) uint64 {
 	if confirmed > o.Changed {
 		return o.Rate
--- a/internal/ledger/registry.go
+++ b/internal/ledger/registry.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// maxBoots is how many boots of a host are remembered. A RegisterHost that was
-	// delayed in the network past a restart must not count as a newer boot, or it
-	// would declare the running process dead.
+	// maxBoots is the number of boots remembered per host. A RegisterHost that was delayed
+	// in the network until after a restart must not count as a newer boot, or it would
+	// declare the running process dead.
 	maxBoots = 8
-	// maxRecoveries is how many results of RecoverHolder are remembered for resends.
+	// maxRecoveries is the number of RecoverHolder results remembered for resends.
 	maxRecoveries = 1024
 )
 
-// registry knows the hosts and their incarnations. Incarnations are numbered over
-// all hosts, so a number alone names a holder, and any number that was given out
-// but isn't open any more has been recovered.
+// registry holds the hosts and their incarnations. Incarnations are numbered across all
+// hosts, so a number alone identifies a holder, and any number up to lastIncarnation that
+// is not in unrecovered has been recovered.
 type registry struct {
-	lastIncarnation      uint64
-	hosts     map[string]*host
-	unrecovered      map[uint64]*incarnation
-	recovered []recovery
+	lastIncarnation uint64
+	hosts           map[string]*host
+	unrecovered     map[uint64]*incarnation
+	recovered       []recovery
 }
 
-// host is one entry host by name.
+// host is one entry host.
 type host struct {
 	Name          string `json:"name"`
 	Zone          string `json:"zone"`
@@ -49,21 +49,22 @@
 	Former      uint64 `json:"former"`
 }
 
-// incarnation is one run of a host that may still hold tokens.
+// incarnation is an incarnation of a host that may still hold tokens.
 type incarnation struct {
 	Number uint64 `json:"number"`
 	Host   string `json:"host"`
 	Dead   bool   `json:"dead,omitempty"`
-	// Seq and Result are of the last settlement batch, for its resend.
+	// Seq and Result are the number and the result of the last settlement batch, to answer
+	// a resend of it.
 	Seq    uint64      `json:"seq"`
 	Result batchResult `json:"result"`
-	// LastContact is when the last batch was applied (or the host registered).
+	// LastContact is when the last batch was applied, or when the host registered.
 	LastContact int64 `json:"contact"`
-	// Confirmed is a time of the past at which the holder surely had not yet received the
-	// last answer that it did receive; WallMs is its time of day in its last batch.
+	// Confirmed is a time that is certainly before the holder received the last answer that
+	// it did receive; WallMs is the wall-clock time in its last batch.
 	Confirmed int64 `json:"confirmed,omitempty"`
 	WallMs    int64 `json:"wall_ms,omitempty"`
-	// budgets is the number of budgets of which it has tokens.
+	// budgets is the number of budgets of which the incarnation has tokens.
 	budgets int
 }
 
@@ -78,8 +79,8 @@
 	return registry{hosts: make(map[string]*host), unrecovered: make(map[uint64]*incarnation)}
 }
 
-// RegisterHost gives a starting process its incarnation; the former one is dead
-// from then on. A resend with the same boot id gets the same incarnation.
+// RegisterHost assigns an incarnation to a starting process; the host's former incarnation
+// counts as dead from then on. A resend with the same boot id gets the same incarnation.
 func (s *State) RegisterHost(r Record, c *pb.RegisterHost) (*pb.RegisterHostResult, error) {
 	if c.Host == "" || c.BootId == "" {
 		return nil, errkind.New(errkind.BadRequest, "a registration needs a host and a boot id")
@@ -92,7 +93,7 @@
 	return result, nil
 }
 
-// formerIncarnation is the run of the host that a registration ends; nil if it ends none.
+// formerIncarnation returns the incarnation that a registration ends; nil if it ends none.
 func (s *State) formerIncarnation(c *pb.RegisterHost) *incarnation {
 	h := s.registry.hosts[c.Host]
 	if h == nil {
@@ -104,19 +105,19 @@
 	return s.registry.unrecovered[h.Incarnation]
 }
 
-// freeUnspentReserve frees the part of a lost run's reserve that it can't have spent, and tells
-// what it held. The rest of that counts as spent: it stays granted to it, until a record of
-// what it gave or used turns up.
+// freeUnspentReserve frees the part of a dead incarnation's reserve that it can't have spent,
+// and returns what it held. The rest counts as spent: it stays granted to that incarnation
+// until a record of what it sent or used is found.
 func (s *State) freeUnspentReserve(r Record, former *incarnation, c *pb.RegisterHost) *pb.FormerRun {
-	without := s.maxTimeSinceContact(r, former, c)
-	ended := &pb.FormerRun{Incarnation: former.Number, WithoutContactMs: without.Milliseconds()}
+	sinceContact := s.maxTimeSinceContact(r, former, c)
+	report := &pb.FormerRun{Incarnation: former.Number, WithoutContactMs: sinceContact.Milliseconds()}
 	for _, b := range s.byNumber {
 		g := b.holders[former.Number]
 		if g.tokens == 0 {
 			continue
 		}
-		freed := g.reserve - reserve.CountedAsSpent(g.reserve, g.reserveRate.highestSince(former.Confirmed), without)
-		ended.Grants = append(ended.Grants, &pb.FormerGrant{
+		freed := g.reserve - reserve.CountedAsSpent(g.reserve, g.reserveRate.highestSince(former.Confirmed), sinceContact)
+		report.Grants = append(report.Grants, &pb.FormerGrant{
 			Budget: b.name, Open: g.tokens - g.reserve, Reserve: g.reserve, Freed: freed,
 		})
 		if g.reserve == 0 {
@@ -127,19 +128,20 @@
 		b.reduceFunds()
 		b.statement.append(line{
 			Index: r.Index, TimeMs: r.Now, Kind: lineRecover, Tokens: freed, Actor: r.Actor,
-			Note: fmt.Sprintf("reserve of incarnation %d, %v without contact", former.Number, without),
+			Note: fmt.Sprintf("reserve of incarnation %d, %v without contact", former.Number, sinceContact),
 		})
 		checkInvariant(b)
 	}
-	return ended
+	return report
 }
 
-// maxTimeSinceContact is how long a lost run may have lived on without contact, at most.
+// maxTimeSinceContact returns the maximum time for which a dead incarnation may have run on
+// without contact.
 func (s *State) maxTimeSinceContact(r Record, former *incarnation, c *pb.RegisterHost) time.Duration {
 	ms := r.Now - former.Confirmed
 	if former.WallMs > 0 && c.WallMs > 0 {
-		// The wall time of the last batch is that of its making, after the contact counted
-		// from; what lies between the two is added.
+		// The wall-clock time in the last batch is when the batch was made, which is after the
+		// contact from which the time is measured; the time between the two is added.
 		ms = max(ms, c.WallMs+c.AgeMs-former.WallMs+former.LastContact-former.Confirmed)
 	}
 	return time.Duration(max(ms-c.AgeMs, 0)) * time.Millisecond
@@ -191,29 +193,29 @@
 	}
 }
 
-// RemoveHost marks a host as dead: an operator reports it, or the host says itself
-// that it has left. A host that left in order holds no tokens; if it counted as live,
-// the recovery of any other host would wait for its answer for good.
+// RemoveHost marks a host as dead: an operator reports that it is dead, or the host itself
+// reports that it has left. A host that left cleanly holds no tokens; if it counted as live,
+// the recovery of any other host would wait for its answer forever.
 //
-// The report must be true. A removed host that is only cut off goes on spending the
-// tokens that it holds, and what it spends after its recovery can't be billed any more.
+// The report must be true. A removed host that is only cut off continues to spend the tokens
+// that it holds, and what it spends after its recovery can no longer be billed.
 func (s *State) RemoveHost(c *pb.RemoveHost) error {
 	h := s.registry.hosts[c.Host]
 	if h == nil {
 		return errkind.New(errkind.NotFound, "no host %q", c.Host)
 	}
 	if c.Incarnation != 0 && c.Incarnation != h.Incarnation {
-		return errkind.New(errkind.StaleFence, "incarnation %d of host %q has been followed by %d", c.Incarnation, c.Host, h.Incarnation)
+		return errkind.New(errkind.StaleFence, "incarnation %d of host %q has been replaced by %d", c.Incarnation, c.Host, h.Incarnation)
 	}
 	h.Removed = true
 	s.registry.markDead(h.Incarnation)
 	return nil
 }
 
-// Hosts lists the hosts by name.
+// Hosts returns the hosts, sorted by name.
 func (s *State) Hosts() []*pb.HostInfo { return s.registry.hostInfos() }
 
-// Live tells whether the holder is its host's present live incarnation.
+// Live returns an error unless the holder is its host's current live incarnation.
 func (s *State) Live(h *pb.Holder) error {
 	_, err := s.registry.live(h)
 	return err
@@ -237,7 +239,7 @@
 	return out
 }
 
-// holder names the holder of an open incarnation.
+// holder returns the holder of an incarnation, without its host if it has been recovered.
 func (g *registry) holder(number uint64) *pb.Holder {
 	h := &pb.Holder{Incarnation: number}
 	if inc := g.unrecovered[number]; inc != nil {
@@ -246,7 +248,7 @@
 	return h
 }
 
-// live returns the number of a live holder, or a refusal.
+// live returns the number of a live holder, or an error if the holder is not live.
 func (g *registry) live(h *pb.Holder) (uint64, error) {
 	inc, err := g.find(h)
 	if err != nil {
@@ -258,20 +260,20 @@
 	return inc.Number, nil
 }
 
-// find returns the open incarnation of a holder, nil if it has been recovered, or
-// a refusal if there never was such a holder.
+// find returns the incarnation of a holder, nil if it has been recovered, or an error if
+// there never was such a holder.
 func (g *registry) find(h *pb.Holder) (*incarnation, error) {
 	if h == nil || h.Incarnation == 0 || h.Incarnation > g.lastIncarnation {
 		return nil, errkind.New(errkind.NotFound, "holder %v was never registered", h)
 	}
 	inc := g.unrecovered[h.Incarnation]
 	if inc != nil && inc.Host != h.Host {
-		return nil, errkind.New(errkind.NotFound, "incarnation %d is not of host %q", h.Incarnation, h.Host)
+		return nil, errkind.New(errkind.NotFound, "incarnation %d does not belong to host %q", h.Incarnation, h.Host)
 	}
 	return inc, nil
 }
 
-// notGathered lists the live holders, but for the dead one, that are not in gathered.
+// notGathered returns the hosts of the live holders that are not in gathered.
 func (g *registry) notGathered(gathered []*pb.Holder) []string {
 	have := make(map[uint64]bool, len(gathered))
 	for _, h := range gathered {
@@ -287,9 +289,9 @@
 	return out
 }
 
-// oldestContact is the earliest time since when some open incarnation that has tokens
-// has not settled. One without tokens has nothing to bill; were it counted, a host
-// that serves nobody would keep every identity from being forgotten.
+// oldestContact returns the earliest LastContact of the unrecovered incarnations that have
+// tokens. One without tokens has nothing to bill; if it counted, a host that serves no
+// requests would keep every identity from being forgotten.
 func (g *registry) oldestContact(now int64) int64 {
 	oldest := now
 	for _, inc := range g.unrecovered {
@@ -300,7 +302,7 @@
 	return oldest
 }
 
-// updateBudgetCount notes that an incarnation's tokens of one budget changed.
+// updateBudgetCount records that an incarnation's tokens of one budget changed.
 func (g *registry) updateBudgetCount(number, before, after uint64) {
 	inc := g.unrecovered[number]
 	if inc == nil {
@@ -322,7 +324,7 @@
 	}
 }
 
-// recoveryOf returns the remembered result for a recovered incarnation.
+// recoveryOf returns the remembered result of an incarnation's recovery.
 func (g *registry) recoveryOf(number uint64) recovery {
 	for _, r := range g.recovered {
 		if r.Incarnation == number {
--- a/internal/ledger/reserve_test.go
+++ b/internal/ledger/reserve_test.go
@@ -19,38 +19,39 @@
 const (
 	budgetName = "x"
 	funds      = 3_000
-	// clockBack is how far the leader's clock and those of the hosts may be set back; less than
-	// reserve.Margin.
-	clockBack = 900 * time.Millisecond
-	// slowedBy is the part of the time, one in so many, that a suspended host doesn't count.
-	slowedBy = 3
+	// maxClockStepBack is how far the clocks of the leader and of the hosts may be set back;
+	// it is less than reserve.Margin.
+	maxClockStepBack = 900 * time.Millisecond
+	// suspendedDivisor: a suspended host doesn't measure 1/suspendedDivisor of the time.
+	suspendedDivisor = 3
 )
 
 var reservePolicy = grant.Policy{
 	Horizon: 2 * time.Second, Reserve: 10 * time.Second, IdleReturn: time.Minute, Transfers: true,
 	MinHistory: 100 * time.Millisecond, AtRiskPermille: 900,
-	// The reserve opens fast, and at another rate with every few requests.
+	// The reserve becomes usable quickly, and its rate changes every few requests.
 	Window: 500 * time.Millisecond, ReserveRatePermille: 6000,
 }
 
-// message is on its way between a holder and the ledger, or between two holders.
+// message is a message in transit between a holder and the ledger, or between two holders.
 type message struct {
 	ledger  bool
 	deliver func()
 }
 
-// run is one run of a host, with its real holder.
-type run struct {
+// incarnation is one incarnation of a host, with a real grant.Holder.
+type incarnation struct {
 	holder *grant.Holder
 	number uint64
-	// asked are the tokens reserved for each request that runs.
-	asked map[string]uint64
-	// used is what its requests may have been asked to use, billed what the ledger knows of it.
+	// asked are the tokens requested for each waiting or running request.
+	reserved map[string]uint64
+	// used is the maximum that its requests may have used; billed is the part of it that
+	// the ledger knows.
 	used, billed uint64
 }
 
-// fleet is a ledger and holders in virtual time, with a network that loses, repeats and
-// delays, hosts that die alone or together, and clocks that are set and stand still.
+// fleet is a ledger and holders in virtual time, with a network that loses, duplicates and
+// delays messages, hosts that die alone or together, and clocks that are set or stop.
 type fleet struct {
 	t     *rapid.T
 	now   time.Time
@@ -60,22 +61,22 @@
 
 	ledger   *ledger.State
 	hosts    []string
-	runs     map[string]*run
-	former   map[string]*run // the last run of each host, dead or not
+	live     map[string]*incarnation
+	latest   map[string]*incarnation // the latest incarnation of each host, dead or alive
 	policy   grant.Policy
-	behind   map[string]time.Duration // what a host's steady clock has not counted
-	wallSkew map[string]time.Duration // of a host's time of day
+	behind   map[string]time.Duration // time that a host's monotonic clock has not measured
+	wallSkew map[string]time.Duration // error of a host's wall clock
 	boots    int
 	requests int
 	messages []message
-	// used is what backend servers may have been asked to do, at most.
+	// used is the maximum number of tokens that backend servers may have used.
 	used uint64
 }
 
 func newFleet(t *rapid.T) *fleet {
 	f := &fleet{
 		t: t, now: time.Unix(5000, 0), ledger: ledger.New(ledger.Options{}), hosts: []string{"a", "b", "c"},
-		runs: map[string]*run{}, former: map[string]*run{}, policy: reservePolicy, behind: map[string]time.Duration{}, wallSkew: map[string]time.Duration{},
+		live: map[string]*incarnation{}, latest: map[string]*incarnation{}, policy: reservePolicy, behind: map[string]time.Duration{}, wallSkew: map[string]time.Duration{},
 	}
 	f.policy.Transfers = rapid.Bool().Draw(t, "transfers")
 	f.ledger.SetFunds(f.record(), budgetName, budgetName, funds)
@@ -85,7 +86,8 @@
 	return f
 }
 
-// record stamps a record as the leader does: its time never goes back.
+// record returns the metadata of the next record as the leader sets it: its time never
+// decreases.
 func (f *fleet) record() ledger.Record {
 	f.index++
 	f.stamp = max(f.stamp, f.now.Add(f.skew).UnixMilli())
@@ -94,7 +96,7 @@
 
 func (f *fleet) clock(host string) time.Time { return f.now.Add(-f.behind[host]) }
 
-// wall is a host's time of day.
+// wall returns a host's wall-clock time.
 func (f *fleet) wall(host string) time.Time { return f.now.Add(f.wallSkew[host]) }
 
 func (f *fleet) boot(host string) {
@@ -106,18 +108,19 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.checkFormer(host)
-	r := &run{number: registered.Holder.Incarnation, asked: map[string]uint64{}}
+	f.checkLatest(host)
+	r := &incarnation{number: registered.Holder.Incarnation, reserved: map[string]uint64{}}
 	r.holder = grant.New(registered.Holder, grant.Config{WallClock: func() time.Time { return f.wall(host) }}, rand.New(rand.NewSource(int64(f.boots))))
 	r.holder.RecordContact(f.clock(host))
 	r.holder.SetPeers(f.others(host))
-	f.runs[host], f.former[host] = r, r
+	f.live[host], f.latest[host] = r, r
 }
 
-// checkFormer compares what a run used, and did not tell, with what still counts as its own.
-// Tokens that move between hosts are the other one's in the books for a while.
-func (f *fleet) checkFormer(host string) {
-	r := f.former[host]
+// checkLatest checks that the ledger counts as billed or granted all that a host's latest
+// incarnation may have used. It is skipped with transfers, as transferred tokens are granted
+// to the other host in the ledger for a while.
+func (f *fleet) checkLatest(host string) {
+	r := f.latest[host]
 	if r == nil || f.policy.Transfers {
 		return
 	}
@@ -132,7 +135,7 @@
 		}
 	}
 	if counted < r.used {
-		f.t.Fatalf("run %d of %s used %d, of which %d count as spent: %s", r.number, host, r.used, counted, f.books())
+		f.t.Fatalf("incarnation %d of %s used %d tokens, but only %d count as spent: %s", r.number, host, r.used, counted, f.budgets())
 	}
 }
 
@@ -150,18 +153,18 @@
 	f.messages = append(f.messages, message{ledger: ledger, deliver: deliver})
 }
 
-// carry sends what a holder wants sent and notes what it decided.
-func (f *fleet) carry(host string, out grant.Output) {
-	r := f.runs[host]
+// process sends a holder's messages and records its decisions.
+func (f *fleet) process(host string, out grant.Output) {
+	r := f.live[host]
 	for _, d := range out.Decisions {
 		if d.Err != nil {
-			delete(r.asked, d.Request)
+			delete(r.reserved, d.Request)
 			continue
 		}
-		f.used += r.asked[d.Request]
-		r.used += r.asked[d.Request]
+		f.used += r.reserved[d.Request]
+		r.used += r.reserved[d.Request]
 		if f.used > funds {
-			f.t.Fatalf("%s may use %d of %d tokens: %s", host, f.used, funds, f.books())
+			f.t.Fatalf("after a grant to %s, requests may use %d tokens of %d funded: %s", host, f.used, funds, f.budgets())
 		}
 	}
 	for _, a := range out.Acquires {
@@ -191,101 +194,102 @@
 		})
 	}
 	for _, ask := range out.Asks {
-		f.send(false, func() { f.asked(host, r, ask) })
+		f.send(false, func() { f.handleAsk(host, r, ask) })
 	}
 }
 
-func (f *fleet) asked(from string, asker *run, ask grant.Ask) {
-	giver := f.runs[ask.Peer]
-	if giver == nil {
+func (f *fleet) handleAsk(from string, receiver *incarnation, ask grant.Ask) {
+	sender := f.live[ask.Peer]
+	if sender == nil {
 		return
 	}
-	t, state := giver.holder.HandleAsk(f.clock(ask.Peer), ask.Request)
+	t, state := sender.holder.HandleAsk(f.clock(ask.Peer), ask.Request)
 	if state == grant.NewTransfer || state == grant.PendingTransfer {
-		giver.holder.MarkTransferReady(ask.Request.Id)
+		sender.holder.MarkTransferReady(ask.Request.Id)
 	}
-	f.reply(false, from, asker, func() grant.Output { return asker.holder.AskAnswered(f.clock(from), ask.Request.Id, t) })
+	f.reply(false, from, receiver, func() grant.Output { return receiver.holder.AskAnswered(f.clock(from), ask.Request.Id, t) })
 }
 
-// reply is delivered only to the run that it is for.
-func (f *fleet) reply(ledger bool, host string, r *run, answer func() grant.Output) {
+// reply sends an answer that is delivered only to the given incarnation.
+func (f *fleet) reply(ledger bool, host string, r *incarnation, answer func() grant.Output) {
 	f.send(ledger, func() {
-		if f.runs[host] == r {
-			f.carry(host, answer())
+		if f.live[host] == r {
+			f.process(host, answer())
 		}
 	})
 }
 
-func (f *fleet) books() string { return fmt.Sprint(f.ledger.Budgets()) }
+func (f *fleet) budgets() string { return fmt.Sprint(f.ledger.Budgets()) }
 
 func (f *fleet) host() string { return rapid.SampledFrom(f.hosts).Draw(f.t, "host") }
 
-// reserve has a host ask for tokens for a few requests.
+// reserve makes a host reserve tokens for a few requests.
 func (f *fleet) reserve(h string) {
 	for range rapid.IntRange(0, 4).Draw(f.t, "requests") {
-		r := f.runs[h]
+		r := f.live[h]
 		if r == nil {
 			return
 		}
 		f.requests++
 		id := fmt.Sprint("r", f.requests)
-		r.asked[id] = uint64(rapid.IntRange(1, 400).Draw(f.t, "tokens"))
-		f.carry(h, r.holder.Reserve(f.clock(h), id, budgetName, r.asked[id], f.policy))
+		r.reserved[id] = uint64(rapid.IntRange(1, 400).Draw(f.t, "tokens"))
+		f.process(h, r.holder.Reserve(f.clock(h), id, budgetName, r.reserved[id], f.policy))
 	}
 }
 
-// spend ends the requests of a host that hold a reservation, most of them.
+// spend ends most of a host's requests that hold a reservation.
 func (f *fleet) spend(h string) {
-	r := f.runs[h]
+	r := f.live[h]
 	if r == nil {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.asked)) {
+	for _, id := range slices.Sorted(maps.Keys(r.reserved)) {
 		if rapid.IntRange(0, 3).Draw(f.t, "runs on") == 0 {
 			continue
 		}
-		reserved := r.asked[id]
+		reserved := r.reserved[id]
 		spent := uint64(rapid.IntRange(0, int(reserved)).Draw(f.t, "spent"))
 		if out, held := r.holder.Spend(f.clock(h), id, spent); held {
-			delete(r.asked, id)
+			delete(r.reserved, id)
 			f.used -= reserved - spent
 			r.used -= reserved - spent
-			f.carry(h, out)
+			f.process(h, out)
 		}
 	}
 }
 
-// pass lets some time go by at all hosts, in steps in which each does what is due.
-func (f *fleet) pass(most int) {
+// advance advances the time of all hosts in steps, and calls Tick for each host in each step.
+func (f *fleet) advance(most int) {
 	for range rapid.IntRange(1, most).Draw(f.t, "steps") {
 		d := time.Duration(rapid.IntRange(50, 400).Draw(f.t, "ms")) * time.Millisecond
 		f.now = f.now.Add(d)
 		if h := f.host(); rapid.IntRange(0, 9).Draw(f.t, "suspended") == 0 {
-			f.behind[h] += d / slowedBy
+			f.behind[h] += d / suspendedDivisor
 		}
 		for _, h := range f.hosts {
-			if f.runs[h] != nil {
-				f.carry(h, f.runs[h].holder.Tick(f.clock(h)))
+			if f.live[h] != nil {
+				f.process(h, f.live[h].holder.Tick(f.clock(h)))
 			}
 		}
 	}
 }
 
-// deliver takes the messages on their way, to the ledger or not, in any order: most
-// arrive, some arrive and come again later, some are lost, some stay under way.
+// deliver handles the messages in transit in random order: most are delivered, some are
+// delivered and duplicated, some are lost, some stay in transit. Messages from and to the
+// ledger stay in transit unless withLedger is set.
 func (f *fleet) deliver(withLedger bool) {
 	for range rapid.IntRange(1, 3).Draw(f.t, "rounds") {
-		under := f.messages
+		inTransit := f.messages
 		f.messages = nil
-		for _, i := range rapid.Permutation(indices(len(under))).Draw(f.t, "order") {
-			m := under[i]
+		for _, i := range rapid.Permutation(indices(len(inTransit))).Draw(f.t, "order") {
+			m := inTransit[i]
 			fate := rapid.IntRange(0, 19).Draw(f.t, "fate")
 			if m.ledger && !withLedger || fate == 0 {
 				f.messages = append(f.messages, m)
 				continue
 			}
 			if fate == 1 {
-				f.messages = append(f.messages, m) // comes again
+				f.messages = append(f.messages, m) // is delivered again later
 			}
 			if fate != 2 {
 				m.deliver()
@@ -302,52 +306,53 @@
 	return out
 }
 
-// calm is a while in which everybody reaches the ledger.
+// calm simulates a period in which all hosts reach the ledger.
 func (f *fleet) calm(*rapid.T) {
 	for range rapid.IntRange(1, 4).Draw(f.t, "while") {
 		h := f.host()
 		f.reserve(h)
 		f.deliver(true)
-		f.pass(3)
+		f.advance(3)
 		f.deliver(true)
 		f.spend(h)
 	}
 }
 
-// cut is a while in which nobody reaches the ledger; the hosts reach each other.
+// cut simulates a period in which no host reaches the ledger; the hosts reach each other.
 func (f *fleet) cut(*rapid.T) {
 	for range rapid.IntRange(1, 8).Draw(f.t, "while") {
 		h := f.host()
-		f.pass(6)
+		f.advance(6)
 		f.reserve(h)
 		f.deliver(false)
 		f.spend(h)
 	}
 }
 
-// loss is a partition that lasts until the reserve is open, in which hosts live from it, and
-// at whose end all are lost. Some of what they send arrives before that.
+// loss simulates a partition that lasts until the reserve is usable, in which hosts spend from
+// it, and which ends with the death of one host or all. Some of their messages are delivered
+// before that.
 func (f *fleet) loss(*rapid.T) {
 	f.calm(f.t)
-	f.pass(24)
+	f.advance(24)
 	for range rapid.IntRange(1, 4).Draw(f.t, "while") {
 		f.reserve(f.host())
 		f.spend(f.host())
-		f.pass(4)
+		f.advance(4)
 	}
 	f.kill(f.t)
 	f.restart(f.t)
 }
 
-// kill ends runs in the middle of things: some have just used tokens, and of the messages
-// on their way only some have arrived.
+// kill ends the process of one host or of all hosts, just after they reserved tokens, and
+// delivers only some of the messages in transit.
 func (f *fleet) kill(*rapid.T) {
 	for _, h := range f.hosts {
 		f.reserve(h)
 	}
-	under := f.messages
+	inTransit := f.messages
 	f.messages = nil
-	for _, m := range under {
+	for _, m := range inTransit {
 		if rapid.IntRange(0, 3).Draw(f.t, "arrives") == 0 {
 			m.deliver()
 		} else {
@@ -355,49 +360,47 @@
 		}
 	}
 	if rapid.IntRange(0, 1).Draw(f.t, "all") == 0 {
-		f.runs = map[string]*run{} // all at once
+		f.live = map[string]*incarnation{} // all hosts at once
 		return
 	}
-	delete(f.runs, f.host())
+	delete(f.live, f.host())
 }
 
 func (f *fleet) restart(*rapid.T) {
 	f.now = f.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(f.t, "down")) * time.Millisecond)
 	for _, h := range f.hosts {
-		if f.runs[h] == nil {
+		if f.live[h] == nil {
 			f.boot(h)
 		}
 	}
 }
 
-// exhaust has all hosts start again and use whatever they are given: what was freed
-// wrongly before is spent a second time.
+// exhaust restarts all hosts and makes them use all tokens that they are granted, so that
+// tokens which were wrongly freed before are spent a second time.
 func (f *fleet) exhaust() {
 	f.restart(f.t)
 	for range 3 {
 		for _, h := range f.hosts {
 			f.reserve(h)
 			f.deliver(true)
-			f.pass(2)
+			f.advance(2)
 			f.deliver(true)
 		}
 	}
 }
 
 func (f *fleet) setClock(*rapid.T) {
-	ms := rapid.IntRange(int(-clockBack.Milliseconds()), 3000).Draw(f.t, "skew")
+	ms := rapid.IntRange(int(-maxClockStepBack.Milliseconds()), 3000).Draw(f.t, "skew")
 	f.skew = time.Duration(ms) * time.Millisecond
-	most := int(clockBack.Milliseconds()) / 2
+	most := int(maxClockStepBack.Milliseconds()) / 2
 	for _, h := range f.hosts {
 		f.wallSkew[h] = time.Duration(rapid.IntRange(-most, most).Draw(f.t, "wall")) * time.Millisecond
 	}
 }
 
-// Symptom: a budget is overspent after hosts were lost.
-// Sequence: holders live from their reserves while the ledger is out of reach, die alone
-// or together with messages under way, and start again; the ledger frees what the former
-// runs can't have spent; clocks are set and stand still meanwhile.
-// Cause: more freed than was left.
+// Holders spend from their reserves while the ledger is unreachable, die alone or together with
+// messages in transit, and restart, while clocks are set or stop. If the ledger frees more than
+// the former incarnations left unspent, a budget is overspent.
 func TestReserveIsNeverSpentTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t)
@@ -409,10 +412,10 @@
 	})
 }
 
-// Symptom: after the loss of all hosts nobody is served, though budgets have tokens.
-// Sequence: a host in contact holds a reserve; all processes are killed and back soon.
-// Cause: all that a lost run held counted as spent.
-func TestReserveComesBackAfterAKill(t *testing.T) {
+// When a connected host with a reserve is killed and restarts soon, nearly all of its reserve
+// must be free again. If everything that it held counted as spent, no requests would be served
+// after the death of all hosts although budgets have tokens.
+func TestReserveFreedAfterKill(t *testing.T) {
 	s := ledger.New(ledger.Options{})
 	at := func(ms int64) ledger.Record { return ledger.Record{Index: uint64(ms) + 1, Now: 1_000_000 + ms} }
 	s.SetFunds(at(0), budgetName, budgetName, funds)
@@ -433,39 +436,37 @@
 			t.Fatal(err)
 		}
 	}
-	// 1.4 s after the last confirmed contact, less 0.2 s of the new run's age.
+	// The last confirmed contact was 1.4 s ago, less the new incarnation's age of 0.2 s.
 	boot(2000, "two")
 	b, err := s.Budget(budgetName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lost := uint64(0)
+	granted := uint64(0)
 	for _, g := range b.Granted {
-		lost += g.Tokens
+		granted += g.Tokens
 	}
-	if lost > 100+1400/100 {
-		t.Errorf("%d tokens count as spent, want the open part of 100 and next to nothing of the reserve", lost)
+	if granted > 100+1400/100 {
+		t.Errorf("%d tokens count as spent, want the open part of 100 and almost nothing of the reserve", granted)
 	}
 }
 
-func TestPerhapsSpentCoversUsable(t *testing.T) {
+func TestCountedAsSpentCoversUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tokens := rapid.Uint64Range(0, 1<<50).Draw(t, "tokens")
 		holder := time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "holder"))
 		more := time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "more"))
 		rate := rapid.Uint64().Draw(t, "rate")
 		if usable, counted := reserve.Usable(tokens, rate, holder), reserve.CountedAsSpent(tokens, rate, holder+more-reserve.Margin); more >= 0 && usable > counted {
-			t.Fatalf("%d usable, %d counted", usable, counted)
+			t.Fatalf("%d tokens usable for the holder, but only %d count as spent", usable, counted)
 		}
 	})
 }
 
-// Symptom: a budget is overspent when a host is lost right after a partition.
-// Sequence: a holder spends its reserve at a high rate while it is cut off; its callers become
-// fewer, and the first thing that it gets through afterwards asks for a low rate; it dies
-// before it has told what it spent.
-// Cause: what it may have spent was counted by the rate of now.
-func TestLowerRateFreesNothingThatWasSpentBefore(t *testing.T) {
+// A holder may spend its reserve at a high rate during a partition, request a lower rate with
+// its first message after the partition, and die before it has reported what it spent. If the
+// ledger used the current rate to compute what it may have spent, the budget would be overspent.
+func TestLowerRateDoesNotFreeSpentTokens(t *testing.T) {
 	s := ledger.New(ledger.Options{})
 	at := func(ms int64) ledger.Record { return ledger.Record{Index: uint64(ms) + 1, Now: 1_000_000 + ms} }
 	s.SetFunds(at(0), budgetName, budgetName, funds)
@@ -473,9 +474,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	acquire := func(ms int64, seq, kept, rate uint64) *pb.AcquireResult {
+	acquire := func(ms int64, seq, reserveTokens, rate uint64) *pb.AcquireResult {
 		got, err := s.Acquire(at(ms), &pb.Acquire{
-			Holder: registered.Holder, Budget: budgetName, Seq: seq, Need: 1, Want: 1, Reserve: kept, Rate: rate,
+			Holder: registered.Holder, Budget: budgetName, Seq: seq, Need: 1, Want: 1, Reserve: reserveTokens, Rate: rate,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -495,15 +496,14 @@
 		freed += g.Freed
 	}
 	if first.Reserve == 0 || freed > first.Reserve-spent {
-		t.Errorf("%d freed of a reserve of %d, of which %d may have been spent; %d free before", freed, first.Reserve, spent, last.Free)
+		t.Errorf("%d tokens freed of a reserve of %d, of which %d may have been spent; %d were free before", freed, first.Reserve, spent, last.Free)
 	}
 }
 
-// Symptom: hosts grant themselves more than operators now allow.
-// Sequence: a budget of 10,000 with 4,000 granted is lowered to 2,000; the holder returns
-// what it has not spent; the budget is raised again.
-// Cause: granted tokens that came back were free to be granted once more.
-func TestLoweredFundsShrinkAsGrantsReturn(t *testing.T) {
+// When a budget of 10,000 with 4,000 granted is lowered to 2,000, returned tokens must not
+// become free again, or more could be granted than operators allow. Raising the budget
+// afterwards makes tokens available again.
+func TestLoweredFundsDecreaseAsGrantsReturn(t *testing.T) {
 	s := ledger.New(ledger.Options{})
 	r := func(i uint64) ledger.Record { return ledger.Record{Index: i, Now: 1} }
 	s.SetFunds(r(1), budgetName, budgetName, 10_000)
@@ -537,19 +537,18 @@
 		t.Errorf("budget %v, %v", b, err)
 	}
 	if got := acquire(3, 900); got != 500 {
-		t.Errorf("acquired %d of the 500 left", got)
+		t.Errorf("acquired %d, want the remaining 500", got)
 	}
 	s.SetFunds(r(5), budgetName, budgetName, 3000)
 	if got := acquire(4, 900); got != 900 {
-		t.Errorf("acquired %d after the funds were raised", got)
+		t.Errorf("acquired %d after the funds were raised, want 900", got)
 	}
 }
 
-// Symptom: a budget is overspent when a host is lost right after a partition.
-// Sequence: a batch is sent and held up; its holder, without an answer, lives from its
-// reserve; the batch arrives; the holder dies before it hears so, and starts again.
-// Cause: the arrival of a batch taken for contact with its holder at that moment.
-func TestHeldUpBatchIsNoContact(t *testing.T) {
+// The arrival of a batch does not prove that its holder was connected at that moment. A batch
+// may be delayed while its holder, without an answer, spends its reserve; if the holder dies
+// before it gets the answer, counting the arrival as contact would overspend the budget.
+func TestDelayedBatchIsNotContact(t *testing.T) {
 	s := ledger.New(ledger.Options{})
 	at := func(ms int64) ledger.Record { return ledger.Record{Index: uint64(ms) + 1, Now: 1_000_000 + ms} }
 	s.SetFunds(at(0), budgetName, budgetName, 1100)
@@ -557,23 +556,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, err := s.Acquire(at(1), &pb.Acquire{Holder: registered.Holder, Budget: budgetName, Seq: 1, Need: 100, Want: 100, Reserve: 1000, Rate: 200})
-	if err != nil || held.Reserve == 0 {
-		t.Fatalf("acquired %v, %v", held, err)
+	acquired, err := s.Acquire(at(1), &pb.Acquire{Holder: registered.Holder, Budget: budgetName, Seq: 1, Need: 100, Want: 100, Reserve: 1000, Rate: 200})
+	if err != nil || acquired.Reserve == 0 {
+		t.Fatalf("acquired %v, %v", acquired, err)
 	}
-	heldUp := reserve.HoldPeriod + 5*time.Second // the whole reserve is open
+	delay := reserve.HoldPeriod + 5*time.Second // the whole reserve is usable
 	if _, _, err := s.Settle(at(300), &pb.Settle{Holder: registered.Holder, Seq: 1}); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := s.Settle(at(400+heldUp.Milliseconds()), &pb.Settle{Holder: registered.Holder, Seq: 2}); err != nil {
+	if _, _, err := s.Settle(at(400+delay.Milliseconds()), &pb.Settle{Holder: registered.Holder, Seq: 2}); err != nil {
 		t.Fatal(err)
 	}
-	next, err := s.RegisterHost(at(500+heldUp.Milliseconds()), &pb.RegisterHost{Host: "a", BootId: "two"})
+	next, err := s.RegisterHost(at(500+delay.Milliseconds()), &pb.RegisterHost{Host: "a", BootId: "two"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := s.Acquire(at(500+heldUp.Milliseconds()), &pb.Acquire{Holder: next.Holder, Budget: budgetName, Seq: 1, Need: 1100, Want: 1100})
-	if err != nil || got.Amount != held.Free {
-		t.Errorf("%d tokens granted, but only the %d that nobody held can't be spent (%v)", got.GetAmount(), held.Free, err)
+	got, err := s.Acquire(at(500+delay.Milliseconds()), &pb.Acquire{Holder: next.Holder, Budget: budgetName, Seq: 1, Need: 1100, Want: 1100})
+	if err != nil || got.Amount != acquired.Free {
+		t.Errorf("%d tokens granted, want only the %d that no holder can have spent (%v)", got.GetAmount(), acquired.Free, err)
 	}
 }
--- a/internal/ledger/settle.go
+++ b/internal/ledger/settle.go
@@ -8,24 +8,24 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// batchResult is what is kept of a holder's last batch for its resend.
+// batchResult is the result of a holder's last batch, kept to answer a resend of it.
 type batchResult struct {
 	Duplicates []string `json:"duplicates,omitempty"`
 	Budgets    []uint32 `json:"budgets,omitempty"`
 }
 
 // Settle applies one batch of a holder: transfers, then bills, then returns. A batch
-// is applied whole or not at all. resend is true when the batch was applied before;
-// the duplicates are then those of the first time and the levels those of now.
+// is applied completely or not at all. resend is true if the batch was already applied;
+// the duplicates are then those of the first time and the levels the current ones.
 //
-// A holder must not pass on tokens that it got by a transfer before the ledger has
-// acknowledged the batch that reports it. What goes wrong otherwise: the receiver's
-// report of the second transfer comes first and takes the tokens that an older batch
-// of the giver still needs; that batch is then refused, and all behind it wait, until
-// the first giver reports its transfer too. Nothing is overspent meanwhile.
+// A holder must not forward tokens that it got by a transfer before the ledger has
+// acknowledged the batch that reports the transfer. Otherwise the receiver's report of the
+// second transfer may be applied first and take the tokens that an older batch of the
+// sender still needs; that batch, and all later ones, are then refused until the sender of
+// the first transfer reports it as well. Nothing is overspent in the meantime.
 //
 // A dead incarnation that isn't recovered yet may still settle, as its bills are
-// true; one that is recovered is refused with StaleFence.
+// true; a recovered one is refused with StaleFence.
 func (s *State) Settle(r Record, b *pb.Settle) (result *pb.SettleResult, resend bool, err error) {
 	inc, err := s.registry.find(b.Holder)
 	if err != nil {
@@ -35,10 +35,10 @@
 		return nil, false, errkind.New(errkind.StaleFence, "incarnation %d of host %q has been recovered", b.Holder.Incarnation, b.Holder.Host)
 	}
 	if b.Seq <= inc.Seq {
-		return s.settledBefore(inc, b.Seq), true, nil
+		return s.resendResult(inc, b.Seq), true, nil
 	}
 	if b.Seq != inc.Seq+1 {
-		e := errkind.New(errkind.VersionConflict, "batch %d of incarnation %d, but %d comes next", b.Seq, inc.Number, inc.Seq+1)
+		e := errkind.New(errkind.VersionConflict, "got batch %d of incarnation %d, but %d is next", b.Seq, inc.Number, inc.Seq+1)
 		e.PresentVersion = inc.Seq
 		return nil, false, e
 	}
@@ -47,14 +47,14 @@
 		return nil, false, err
 	}
 	d.commit()
-	// That this batch was made shows that the answer to the one before was received.
+	// This batch proves that the answer to the previous one was received.
 	inc.Confirmed, inc.LastContact = inc.LastContact, r.Now
 	inc.Seq, inc.WallMs = b.Seq, b.WallMs
 	inc.Result = d.result()
 	return s.settleResult(inc), false, nil
 }
 
-func (s *State) settledBefore(inc *incarnation, seq uint64) *pb.SettleResult {
+func (s *State) resendResult(inc *incarnation, seq uint64) *pb.SettleResult {
 	if seq < inc.Seq {
 		return &pb.SettleResult{Seq: seq}
 	}
@@ -72,7 +72,7 @@
 func (d *draft) settle(incarnation uint64, b *pb.Settle) error {
 	for _, t := range b.Transfers {
 		if t.From.GetIncarnation() != incarnation && t.To.GetIncarnation() != incarnation {
-			return errkind.New(errkind.BadRequest, "transfer %s is not of incarnation %d", t.Id, incarnation)
+			return errkind.New(errkind.BadRequest, "transfer %s does not involve incarnation %d", t.Id, incarnation)
 		}
 	}
 	if err := d.applyTransfers(b.Transfers); err != nil {
@@ -109,9 +109,9 @@
 	return r
 }
 
-// RecoverHolder settles a dead incarnation from what its peers hold of it and
-// frees the rest of its grants. Every present live holder must have been asked: one
-// that was not may have accepted a transfer of the dead one or hold the only copy
+// RecoverHolder settles a dead incarnation from the records that its peers hold, and
+// frees the rest of its grants. Every current live holder must have been asked: one
+// that was not may have accepted a transfer from the dead one or hold the only copy
 // of a bill, and freeing those tokens would let them be spent twice.
 func (s *State) RecoverHolder(r Record, c *pb.RecoverHolder) (result *pb.RecoverHolderResult, resend bool, err error) {
 	inc, err := s.registry.find(c.Dead)
@@ -138,7 +138,7 @@
 }
 
 func (d *draft) recover(dead uint64, c *pb.RecoverHolder) error {
-	if err := d.applyTransfers(d.possible(c.Transfers)); err != nil {
+	if err := d.applyTransfers(d.applicableTransfers(c.Transfers)); err != nil {
 		return err
 	}
 	for _, bill := range c.Bills {
@@ -149,9 +149,9 @@
 	return nil
 }
 
-// possible leaves out the transfers whose giver was recovered without them: its
+// applicableTransfers omits the transfers whose sender was recovered without them: its
 // tokens are free again, so the receiver can't have them.
-func (d *draft) possible(transfers []*pb.Transfer) []*pb.Transfer {
+func (d *draft) applicableTransfers(transfers []*pb.Transfer) []*pb.Transfer {
 	var out []*pb.Transfer
 	for _, t := range transfers {
 		from, err := d.state.registry.find(t.From)
@@ -162,7 +162,7 @@
 	return out
 }
 
-// release frees what the dead incarnation still has and closes it.
+// release frees the tokens that the dead incarnation still has and closes it.
 func (s *State) release(r Record, inc *incarnation, d *draft) recovery {
 	done := recovery{Incarnation: inc.Number}
 	for _, sp := range d.spending {
--- a/internal/ledger/statement.go
+++ b/internal/ledger/statement.go
@@ -8,12 +8,12 @@
 	lineTopUp   = "top-up"
 	lineLowered = "lowered"
 	lineBill    = "bill"
-	// lineSpend is the sum of a holder's requests that no other holder can bring.
+	// lineSpend is the sum of a holder's requests that no other holder can bill.
 	lineSpend     = "spend"
 	lineDuplicate = "duplicate"
 	lineExpired   = "expired"
 	lineRecover   = "recover"
-	// lineUncovered: a dead holder's bill by a guess, for which it had no tokens.
+	// lineUncovered is an estimated bill of a dead holder, for which it had no tokens.
 	lineUncovered = "uncovered"
 )
 
@@ -29,11 +29,12 @@
 	Note      string `json:"note,omitempty"`
 }
 
-// statement keeps the last lines; the budget's totals stay exact without the older ones.
+// statement is a ring buffer of a budget's last lines; the budget's totals stay exact
+// without the older ones.
 type statement struct {
 	limit int
 	lines []line
-	next  int // where the next line goes once the ring is full
+	next  int // position of the next line once the ring is full
 }
 
 func (s *statement) append(l line) {
