--- a/internal/controller/records/find.go
+++ b/internal/controller/records/find.go
@@ -119,7 +119,7 @@
 func (c *Controller) noteBegun(request string, copies int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.store.Begun(request)
+	c.store.ConfirmBegin(request)
 	metrics.Add("begun", 1)
 	if missing := copies - c.store.Copies(request); missing > 0 {
 		metrics.Add("begun_with_copies_missing", 1)
--- a/internal/inflight/bounds.go
+++ b/internal/inflight/bounds.go
@@ -10,16 +10,16 @@
 // bill needs, oldest first. A record that may still have to be billed is never dropped;
 // if nothing else is left the new one is refused.
 func (s *Store) makeRoom(size, records int) error {
-	for s.over(size, records) {
+	for s.overLimits(size, records) {
 		short := s.bytes+size > s.cfg.MaxBytes
-		if !(short && s.dropAnswer()) && !s.dropSpare() {
+		if !(short && s.dropAnswer()) && !s.dropExpendable() {
 			return errkind.New(errkind.Overloaded, "this host keeps %d in-flight records, %d bytes", s.count, s.bytes)
 		}
 	}
 	return nil
 }
 
-func (s *Store) over(size, records int) bool {
+func (s *Store) overLimits(size, records int) bool {
 	return s.count+records > s.cfg.MaxRecords || s.bytes+size > s.cfg.MaxBytes
 }
 
@@ -37,7 +37,7 @@
 	for len(s.answers) > 0 {
 		e := s.answers[0]
 		s.answers = s.answers[1:]
-		if e.gone || len(e.rec.GetAnswer()) == 0 {
+		if e.removed || len(e.rec.GetAnswer()) == 0 {
 			continue
 		}
 		rec := proto.CloneOf(e.rec)
@@ -50,9 +50,9 @@
 	return false
 }
 
-func (s *Store) dropSpare() bool {
+func (s *Store) dropExpendable() bool {
 	for i, e := range s.finished {
-		if e.gone || !s.spare(e) {
+		if e.removed || !s.expendable(e) {
 			continue
 		}
 		s.finished = append(s.finished[:i], s.finished[i+1:]...)
--- a/internal/inflight/copies.go
+++ b/internal/inflight/copies.go
@@ -58,7 +58,7 @@
 		return err
 	}
 	age := time.Duration(rec.GetAgeMs()) * time.Millisecond
-	e := &entry{rec: &pb.InflightRecord{}, made: now.Add(-age)}
+	e := &entry{rec: &pb.InflightRecord{}, startedAt: now.Add(-age)}
 	s.copied[rec.GetIdentity()] = append(s.copied[rec.GetIdentity()], e)
 	s.count++
 	s.setRecord(now, e, proto.CloneOf(rec))
@@ -72,7 +72,7 @@
 // What goes wrong otherwise: the owner's recovery waits, for a cut or a running request,
 // the copy's host dies meanwhile, and the bill is lost with the only copy.
 func (s *Store) guard(e *entry) {
-	needless := !e.done.IsZero() && s.spare(e)
+	needless := !e.finishedAt.IsZero() && s.expendable(e)
 	if len(s.ring.hosts) == 0 || needless || s.ownerLives(e.rec) {
 		return
 	}
--- a/internal/inflight/cost_bench_test.go
+++ b/internal/inflight/cost_bench_test.go
@@ -35,7 +35,7 @@
 	if _, err := s.Begin(now, rec, 1); err != nil {
 		b.Fatal(err)
 	}
-	s.Begun(rec.RequestId)
+	s.ConfirmBegin(rec.RequestId)
 	copyOut(s, now, rec.RequestId)
 	s.Lookup(rec.Identity, 1)
 	rec.State, rec.PromptTokens, rec.OutputTokens = pb.InflightState_INFLIGHT_STATE_DONE, 500, 300
--- a/internal/inflight/store.go
+++ b/internal/inflight/store.go
@@ -69,14 +69,14 @@
 // entry is one record with its bookkeeping.
 type entry struct {
 	rec *pb.InflightRecord
-	// made is when the request began, by this host's clock.
-	made time.Time
-	done time.Time // zero while it runs
+	// startedAt is when the request began, by this host's clock.
+	startedAt time.Time
+	finishedAt time.Time // zero while it runs
 	size int
-	gone bool
-	// beginning: this host hasn't yet decided whether its record stands or yields to
+	removed bool
+	// unconfirmed: this host hasn't yet decided whether its record stands or yields to
 	// another host's for the same identity.
-	beginning bool
+	unconfirmed bool
 	// wanted copies, and what each host that was sent one is known to hold; own records only.
 	wanted int
 	sent   map[string]holding
@@ -129,14 +129,14 @@
 	if err := s.Adopt(now, rec, n); err != nil {
 		return nil, err
 	}
-	s.own[rec.GetRequestId()].beginning = true
+	s.own[rec.GetRequestId()].unconfirmed = true
 	return nil, nil
 }
 
-// Begun ends the beginning of an own record: it stands.
-func (s *Store) Begun(requestID string) {
+// ConfirmBegin ends the beginning of an own record: it stands.
+func (s *Store) ConfirmBegin(requestID string) {
 	if e, ok := s.own[requestID]; ok {
-		e.beginning = false
+		e.unconfirmed = false
 	}
 }
 
@@ -147,7 +147,7 @@
 	rec = proto.CloneOf(rec)
 	rec.Holder = s.cfg.Self
 	rec.Version++
-	e := &entry{rec: rec, made: now, wanted: n, sent: make(map[string]holding)}
+	e := &entry{rec: rec, startedAt: now, wanted: n, sent: make(map[string]holding)}
 	if rec.GetState() == pb.InflightState_INFLIGHT_STATE_NONE {
 		rec.State = pb.InflightState_INFLIGHT_STATE_RUNNING
 	}
@@ -178,7 +178,7 @@
 // finished is dropped and reported as false.
 func (s *Store) Update(now time.Time, rec *pb.InflightRecord) bool {
 	e, ok := s.own[rec.GetRequestId()]
-	if !ok || e.rec.GetIdentity() != rec.GetIdentity() || !e.done.IsZero() {
+	if !ok || e.rec.GetIdentity() != rec.GetIdentity() || !e.finishedAt.IsZero() {
 		return false
 	}
 	next := proto.CloneOf(rec)
@@ -210,7 +210,7 @@
 // A transfer to a holder that was gathered can't be abandoned: its recovery counts it.
 func (s *Store) Abandon(now time.Time, requestID string) bool {
 	e, ok := s.own[requestID]
-	if !ok || !e.done.IsZero() || s.touchesFenced(e.rec) {
+	if !ok || !e.finishedAt.IsZero() || s.touchesFenced(e.rec) {
 		return false
 	}
 	next := proto.CloneOf(e.rec)
@@ -232,8 +232,8 @@
 	size := proto.Size(next) + entryOverhead
 	s.bytes += size - e.size
 	e.rec, e.size = next, size
-	if e.done.IsZero() && next.GetState() != pb.InflightState_INFLIGHT_STATE_RUNNING {
-		e.done = now
+	if e.finishedAt.IsZero() && next.GetState() != pb.InflightState_INFLIGHT_STATE_RUNNING {
+		e.finishedAt = now
 		s.finished = append(s.finished, e)
 	}
 	if len(next.GetAnswer()) > 0 {
@@ -276,7 +276,7 @@
 	switch {
 	case e.rec.GetState() == pb.InflightState_INFLIGHT_STATE_ABANDONED:
 		return 0
-	case !e.done.IsZero():
+	case !e.finishedAt.IsZero():
 		return 3
 	case s.ownerLives(e.rec):
 		return 2
@@ -296,14 +296,14 @@
 // snapshot is the record with its present age.
 func (e *entry) snapshot(now time.Time) *pb.InflightRecord {
 	rec := proto.CloneOf(e.rec)
-	rec.AgeMs = now.Sub(e.made).Milliseconds()
+	rec.AgeMs = now.Sub(e.startedAt).Milliseconds()
 	return rec
 }
 
 // answer is the snapshot for those who ask for the identity.
 func (e *entry) answer(now time.Time) *pb.InflightRecord {
 	rec := e.snapshot(now)
-	if e.beginning && rec.GetState() == pb.InflightState_INFLIGHT_STATE_RUNNING {
+	if e.unconfirmed && rec.GetState() == pb.InflightState_INFLIGHT_STATE_RUNNING {
 		rec.State = pb.InflightState_INFLIGHT_STATE_NONE
 	}
 	return rec
@@ -312,31 +312,31 @@
 // Tick drops finished records whose window is over.
 func (s *Store) Tick(now time.Time) {
 	n, removed := 0, false
-	for n < len(s.finished) && now.Sub(s.finished[n].done) >= s.cfg.Window {
+	for n < len(s.finished) && now.Sub(s.finished[n].finishedAt) >= s.cfg.Window {
 		e := s.finished[n]
-		if now.Sub(e.done) >= s.window(e) {
+		if now.Sub(e.finishedAt) >= s.window(e) {
 			s.remove(e)
 			removed = true
 		}
 		n++
 	}
 	if removed {
-		s.finished = slices.DeleteFunc(s.finished, func(e *entry) bool { return e.gone })
+		s.finished = slices.DeleteFunc(s.finished, func(e *entry) bool { return e.removed })
 	}
 }
 
 // window is longer for a record that may still be needed for a bill.
 func (s *Store) window(e *entry) time.Duration {
-	if s.spare(e) {
+	if s.expendable(e) {
 		return s.cfg.Window
 	}
 	return max(s.cfg.Window, unsettledWindow)
 }
 
-// spare tells whether a finished record is needed for answers only. A copy is needed until
+// expendable tells whether a finished record is needed for answers only. A copy is needed until
 // its bill is settled. An own record isn't needed for its bill, which the grants hold, but
 // until every host that may hold an older version has the last one.
-func (s *Store) spare(e *entry) bool {
+func (s *Store) expendable(e *entry) bool {
 	if s.own[e.rec.GetRequestId()] == e {
 		return s.complete(e) && !e.lostBehind()
 	}
@@ -356,10 +356,10 @@
 }
 
 func (s *Store) remove(e *entry) {
-	if e.gone {
+	if e.removed {
 		return
 	}
-	e.gone = true
+	e.removed = true
 	s.count--
 	s.bytes -= e.size
 	id, request := e.rec.GetIdentity(), e.rec.GetRequestId()
