--- a/internal/controller/records/records.go
+++ b/internal/controller/records/records.go
@@ -144,7 +144,7 @@
 }
 
 // sendBatch puts records to one host, one by one if the host refuses one of them.
-func (c *Controller) sendBatch(ctx context.Context, send inflight.Send) {
+func (c *Controller) sendBatch(ctx context.Context, send inflight.CopyBatch) {
 	ctx, cancel := context.WithTimeout(ctx, 4*c.cfg.CallWait)
 	defer cancel()
 	if len(send.Records) > 1 {
--- a/internal/inflight/copies.go
+++ b/internal/inflight/copies.go
@@ -11,8 +11,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// avoidFor is how long a host that could not be reached gets no copies.
-const avoidFor = time.Second
+// avoidDuration is how long a host that could not be reached gets no copies.
+const avoidDuration = time.Second
 
 // transferPrefix marks the identities of records that copy a transfer.
 const transferPrefix = "\x00transfer/"
@@ -20,8 +20,8 @@
 // TransferIdentity is the identity of the record that copies a transfer.
 func TransferIdentity(id string) string { return transferPrefix + id }
 
-// Send is the records that one host should get.
-type Send struct {
+// CopyBatch is the records that one host should get.
+type CopyBatch struct {
 	Host    Host
 	Records []*pb.InflightRecord
 }
@@ -239,7 +239,7 @@
 	if !ok {
 		return nil
 	}
-	skip := func(name string) bool { return except[name] || now.Before(s.avoid[name]) }
+	skip := func(name string) bool { return except[name] || now.Before(s.avoidUntil[name]) }
 	var targets []Host
 	for _, name := range slices.Sorted(maps.Keys(e.sent)) {
 		h, live := s.Host(name)
@@ -326,7 +326,7 @@
 }
 
 // Unreachable notes that a host didn't answer: it gets nothing for a while.
-func (s *Store) Unreachable(now time.Time, host string) { s.avoid[host] = now.Add(avoidFor) }
+func (s *Store) Unreachable(now time.Time, host string) { s.avoidUntil[host] = now.Add(avoidDuration) }
 
 // HeldBy tells whether a host holds the present version of an own record.
 func (s *Store) HeldBy(requestID, host string) bool {
@@ -360,8 +360,8 @@
 
 // Plan lists at most limit records that have to be sent, by host. Records that need
 // nothing more leave the list of dirty ones.
-func (s *Store) Plan(now time.Time, limit int) []Send {
-	byHost := make(map[string]*Send)
+func (s *Store) Plan(now time.Time, limit int) []CopyBatch {
+	byHost := make(map[string]*CopyBatch)
 	for _, request := range slices.Sorted(maps.Keys(s.dirty)) {
 		if limit == 0 {
 			break
@@ -378,12 +378,12 @@
 		rec, _ := s.Record(now, request)
 		for _, h := range targets {
 			if byHost[h.Name] == nil {
-				byHost[h.Name] = &Send{Host: h}
+				byHost[h.Name] = &CopyBatch{Host: h}
 			}
 			byHost[h.Name].Records = append(byHost[h.Name].Records, rec)
 		}
 	}
-	var sends []Send
+	var sends []CopyBatch
 	for _, name := range slices.Sorted(maps.Keys(byHost)) {
 		sends = append(sends, *byHost[name])
 	}
--- a/internal/inflight/store.go
+++ b/internal/inflight/store.go
@@ -53,8 +53,8 @@
 	answers []*entry
 	// dirty are the request ids of own records whose copies are not all up to date.
 	dirty map[string]struct{}
-	// avoid says until when a host gets nothing because it could not be reached.
-	avoid map[string]time.Time
+	// avoidUntil says until when a host gets nothing because it could not be reached.
+	avoidUntil map[string]time.Time
 	count int
 	bytes int
 }
@@ -106,7 +106,7 @@
 	return &Store{
 		cfg: cfg, own: make(map[string]*entry), current: make(map[string]*entry), copied: make(map[string][]*entry),
 		guarded: make(map[string]*entry), fenced: make(map[holderKey]struct{}), dirty: make(map[string]struct{}),
-		avoid: make(map[string]time.Time),
+		avoidUntil: make(map[string]time.Time),
 	}
 }
 
