--- a/internal/controller/records/put.go
+++ b/internal/controller/records/put.go
@@ -62,7 +62,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, rec := range records {
-		c.store.Sending(rec.GetRequestId(), host)
+		c.store.MarkSending(rec.GetRequestId(), host)
 	}
 }
 
--- a/internal/inflight/bench_test.go
+++ b/internal/inflight/bench_test.go
@@ -29,7 +29,7 @@
 		b.Run(fmt.Sprintf("own/answer=%d", answer), func(b *testing.B) {
 			perRecord(b, answer, func(s *Store, rec *pb.InflightRecord) {
 				_, _ = s.Begin(now, rec, 1)
-				s.Sending(rec.GetRequestId(), Host{Name: "entry-00003", Incarnation: 1})
+				s.MarkSending(rec.GetRequestId(), Host{Name: "entry-00003", Incarnation: 1})
 				s.Acked(rec.GetRequestId(), "entry-00003", 1, 1)
 			})
 		})
--- a/internal/inflight/copies.go
+++ b/internal/inflight/copies.go
@@ -34,7 +34,7 @@
 // released, so a bill from it could no longer be taken in; Overloaded: no room.
 func (s *Store) PutCopy(now time.Time, rec *pb.InflightRecord, from *pb.Holder) error {
 	fromOwner := keyOf(from) == keyOf(rec.GetHolder())
-	if fromOwner && s.touchesFenced(rec) {
+	if fromOwner && s.involvesFenced(rec) {
 		return errkind.New(errkind.StaleFence, "holder %s/%d is dead", rec.GetHolder().GetHost(), rec.GetHolder().GetIncarnation())
 	}
 	if e := s.copyOf(rec); e != nil {
@@ -62,34 +62,34 @@
 	s.copied[rec.GetIdentity()] = append(s.copied[rec.GetIdentity()], e)
 	s.count++
 	s.setRecord(now, e, proto.CloneOf(rec))
-	s.guard(e)
+	s.trackOrphan(e)
 	return nil
 }
 
-// guard makes this host answer for a copy whose owner is dead: it sees to it that another
+// trackOrphan makes this host answer for a copy whose owner is dead: it sees to it that another
 // host holds the record as well.
 //
 // What goes wrong otherwise: the owner's recovery waits, for a cut or a running request,
 // the copy's host dies meanwhile, and the bill is lost with the only copy.
-func (s *Store) guard(e *entry) {
+func (s *Store) trackOrphan(e *entry) {
 	needless := !e.finishedAt.IsZero() && s.expendable(e)
 	if len(s.ring.hosts) == 0 || needless || s.ownerLives(e.rec) {
 		return
 	}
-	if e.sent == nil {
-		e.sent = make(map[string]holding)
+	if e.copyHolders == nil {
+		e.copyHolders = make(map[string]copyState)
 	}
-	e.wanted = 1
-	s.guarded[e.rec.GetRequestId()] = e
+	e.wantedCopies = 1
+	s.orphans[e.rec.GetRequestId()] = e
 	s.dirty[e.rec.GetRequestId()] = struct{}{}
 }
 
-// kept is an own or a guarded record.
-func (s *Store) kept(requestID string) (*entry, bool) {
+// replicatedEntry is an own or a guarded record.
+func (s *Store) replicatedEntry(requestID string) (*entry, bool) {
 	if e, ok := s.own[requestID]; ok {
 		return e, true
 	}
-	e, ok := s.guarded[requestID]
+	e, ok := s.orphans[requestID]
 	return e, ok
 }
 
@@ -111,8 +111,8 @@
 	s.copied[identity] = left
 }
 
-// touchesFenced tells whether a record belongs to a fenced holder or moves its tokens.
-func (s *Store) touchesFenced(rec *pb.InflightRecord) bool {
+// involvesFenced tells whether a record belongs to a fenced holder or moves its tokens.
+func (s *Store) involvesFenced(rec *pb.InflightRecord) bool {
 	t := rec.GetTransfer()
 	return s.isFenced(rec.GetHolder()) || s.isFenced(t.GetFrom()) || s.isFenced(t.GetTo())
 }
@@ -158,56 +158,56 @@
 	}
 	for _, entries := range s.copied {
 		for _, e := range entries {
-			s.guard(e)
+			s.trackOrphan(e)
 		}
 	}
 	for request, e := range s.own {
-		s.forgetLost(request, e, live)
+		s.updateCopyHolders(request, e, live)
 	}
-	for request, e := range s.guarded {
-		s.forgetLost(request, e, live)
+	for request, e := range s.orphans {
+		s.updateCopyHolders(request, e, live)
 	}
 }
 
-// forgetLost plans new copies for those on hosts that left the list. A host may only be cut
+// updateCopyHolders plans new copies for those on hosts that left the list. A host may only be cut
 // off and come back as the same incarnation with an old version. It is told the rest then:
 // if it still held an abandoned request as running when the owner died, the request would
 // be billed though it did not run.
-func (s *Store) forgetLost(request string, e *entry, live map[string]uint64) {
-	for host, h := range e.lost {
+func (s *Store) updateCopyHolders(request string, e *entry, live map[string]uint64) {
+	for host, h := range e.departed {
 		incarnation, back := live[host]
 		if !back {
 			continue
 		}
-		delete(e.lost, host)
+		delete(e.departed, host)
 		if incarnation == h.incarnation {
-			e.sent[host] = h
+			e.copyHolders[host] = h
 			s.dirty[request] = struct{}{}
 		}
 	}
-	for host, h := range e.sent {
+	for host, h := range e.copyHolders {
 		incarnation, there := live[host]
 		if there && incarnation == h.incarnation {
 			continue
 		}
-		delete(e.sent, host)
+		delete(e.copyHolders, host)
 		s.dirty[request] = struct{}{}
 		if !there {
-			e.rememberLost(host, h)
+			e.addDeparted(host, h)
 		}
 	}
 }
 
-func (e *entry) rememberLost(host string, h holding) {
-	if e.lost == nil {
-		e.lost = make(map[string]holding)
+func (e *entry) addDeparted(host string, h copyState) {
+	if e.departed == nil {
+		e.departed = make(map[string]copyState)
 	}
-	e.lost[host] = h
+	e.departed[host] = h
 }
 
-// lostBehind tells whether a host that left the list holds an older version.
-func (e *entry) lostBehind() bool {
-	for _, h := range e.lost {
+// departedOutdated tells whether a host that left the list holds an older version.
+func (e *entry) departedOutdated() bool {
+	for _, h := range e.departed {
 		if h.version < e.rec.GetVersion() {
 			return true
 		}
@@ -235,36 +235,36 @@
 // that hold an older one, and as many new ones as copies are missing. Hosts in except
 // are passed over.
 func (s *Store) Targets(now time.Time, requestID string, except map[string]bool) []Host {
-	e, ok := s.kept(requestID)
+	e, ok := s.replicatedEntry(requestID)
 	if !ok {
 		return nil
 	}
 	skip := func(name string) bool { return except[name] || now.Before(s.avoidUntil[name]) }
 	var targets []Host
-	for _, name := range slices.Sorted(maps.Keys(e.sent)) {
+	for _, name := range slices.Sorted(maps.Keys(e.copyHolders)) {
 		h, live := s.Host(name)
-		if live && e.sent[name].version < e.rec.GetVersion() && !skip(name) {
+		if live && e.copyHolders[name].version < e.rec.GetVersion() && !skip(name) {
 			targets = append(targets, h)
 		}
 	}
 	if e.rec.GetState() == pb.InflightState_INFLIGHT_STATE_ABANDONED {
 		return targets
 	}
-	missing := e.wanted - e.held() - len(targets)
+	missing := e.wantedCopies - e.currentCopies() - len(targets)
 	skipHost := func(h Host) bool {
-		_, has := e.sent[h.Name]
+		_, has := e.copyHolders[h.Name]
 		_, declined := e.declined[h.Name]
-		return has || declined || skip(h.Name) || e.partyOf(h.Name)
+		return has || declined || skip(h.Name) || e.isTransferParty(h.Name)
 	}
 	identity := e.rec.GetIdentity()
 	fresh := s.ring.copies(identity, s.cfg.Self.GetHost(), s.cfg.Zone, missing, skipHost)
 	return append(targets, fresh...)
 }
 
-// held is the number of hosts known to hold the record's present version.
-func (e *entry) held() int {
+// currentCopies is the number of hosts known to hold the record's present version.
+func (e *entry) currentCopies() int {
 	n := 0
-	for _, h := range e.sent {
+	for _, h := range e.copyHolders {
 		if h.version == e.rec.GetVersion() {
 			n++
 		}
@@ -272,53 +272,53 @@
 	return n
 }
 
-// partyOf tells whether host takes part in the transfer that the record copies; its copy
+// isTransferParty tells whether host takes part in the transfer that the record copies; its copy
 // must survive the loss of both ends.
-func (e *entry) partyOf(host string) bool {
+func (e *entry) isTransferParty(host string) bool {
 	t := e.rec.GetTransfer()
 	return t != nil && (t.GetFrom().GetHost() == host || t.GetTo().GetHost() == host)
 }
 
 // Record is the present version of an own record for sending.
 func (s *Store) Record(now time.Time, requestID string) (*pb.InflightRecord, bool) {
-	e, ok := s.kept(requestID)
+	e, ok := s.replicatedEntry(requestID)
 	if !ok {
 		return nil, false
 	}
 	return e.snapshot(now), true
 }
 
-// Sending notes that a host is being sent an own record: it may hold it from now on,
+// MarkSending notes that a host is being sent an own record: it may hold it from now on,
 // also if it doesn't answer.
-func (s *Store) Sending(requestID string, to Host) {
-	e, ok := s.kept(requestID)
+func (s *Store) MarkSending(requestID string, to Host) {
+	e, ok := s.replicatedEntry(requestID)
 	if !ok {
 		return
 	}
-	if h, known := e.sent[to.Name]; !known || h.incarnation != to.Incarnation {
-		e.sent[to.Name] = holding{incarnation: to.Incarnation}
+	if h, known := e.copyHolders[to.Name]; !known || h.incarnation != to.Incarnation {
+		e.copyHolders[to.Name] = copyState{incarnation: to.Incarnation}
 	}
 }
 
 // Acked notes that a host's incarnation holds a version of an own record.
 func (s *Store) Acked(requestID string, host string, incarnation, version uint64) {
-	e, ok := s.kept(requestID)
+	e, ok := s.replicatedEntry(requestID)
 	if !ok {
 		return
 	}
-	h, known := e.sent[host]
+	h, known := e.copyHolders[host]
 	if known && h.incarnation == incarnation && h.version < version {
-		e.sent[host] = holding{incarnation: incarnation, version: version}
+		e.copyHolders[host] = copyState{incarnation: incarnation, version: version}
 	}
 }
 
 // Declined notes that a host refused an own record; it isn't asked again.
 func (s *Store) Declined(requestID, host string) {
-	e, ok := s.kept(requestID)
+	e, ok := s.replicatedEntry(requestID)
 	if !ok {
 		return
 	}
-	delete(e.sent, host)
+	delete(e.copyHolders, host)
 	if e.declined == nil {
 		e.declined = make(map[string]struct{})
 	}
@@ -330,32 +330,32 @@
 
 // HeldBy tells whether a host holds the present version of an own record.
 func (s *Store) HeldBy(requestID, host string) bool {
-	e, ok := s.kept(requestID)
-	return ok && e.sent[host].version == e.rec.GetVersion()
+	e, ok := s.replicatedEntry(requestID)
+	return ok && e.copyHolders[host].version == e.rec.GetVersion()
 }
 
 // Complete tells whether every host that may hold an own record holds its present
 // version and, unless it is abandoned, the wanted number do.
 func (s *Store) Complete(requestID string) bool {
-	e, ok := s.kept(requestID)
+	e, ok := s.replicatedEntry(requestID)
 	return !ok || s.complete(e)
 }
 
 // Copies is the number of hosts that hold the present version of an own record.
 func (s *Store) Copies(requestID string) int {
-	e, ok := s.kept(requestID)
+	e, ok := s.replicatedEntry(requestID)
 	if !ok {
 		return 0
 	}
-	return e.held()
+	return e.currentCopies()
 }
 
 func (s *Store) complete(e *entry) bool {
-	if e.held() < len(e.sent) {
+	if e.currentCopies() < len(e.copyHolders) {
 		return false
 	}
 	abandoned := e.rec.GetState() == pb.InflightState_INFLIGHT_STATE_ABANDONED
-	return abandoned || e.held() >= e.wanted
+	return abandoned || e.currentCopies() >= e.wantedCopies
 }
 
 // Plan lists at most limit records that have to be sent, by host. Records that need
--- a/internal/inflight/cost_bench_test.go
+++ b/internal/inflight/cost_bench_test.go
@@ -49,7 +49,7 @@
 func copyOut(s *Store, now time.Time, request string) {
 	rec, _ := s.Record(now, request)
 	for _, h := range s.Targets(now, request, nil) {
-		s.Sending(request, h)
+		s.MarkSending(request, h)
 		s.Acked(request, h.Name, h.Incarnation, rec.GetVersion())
 	}
 }
--- a/internal/inflight/store.go
+++ b/internal/inflight/store.go
@@ -44,8 +44,8 @@
 	current map[string]*entry
 	// copied holds other hosts' records by identity.
 	copied map[string][]*entry
-	// guarded are those of the copies whose owner is dead, by request id.
-	guarded map[string]*entry
+	// orphans are those of the copies whose owner is dead, by request id.
+	orphans map[string]*entry
 	fenced  map[holderKey]struct{}
 	// finished holds entries in the order in which they finished, oldest first.
 	finished []*entry
@@ -77,18 +77,18 @@
 	// unconfirmed: this host hasn't yet decided whether its record stands or yields to
 	// another host's for the same identity.
 	unconfirmed bool
-	// wanted copies, and what each host that was sent one is known to hold; own records only.
-	wanted int
-	sent   map[string]holding
-	// lost is the same of hosts that left the list of live ones.
-	lost map[string]holding
+	// wantedCopies copies, and what each host that was sent one is known to hold; own records only.
+	wantedCopies int
+	copyHolders   map[string]copyState
+	// departed is the same of hosts that left the list of live ones.
+	departed map[string]copyState
 	// declined are hosts that refused the record.
 	declined map[string]struct{}
 }
 
-// holding is the newest version that a host's incarnation acknowledged; 0: it was sent
+// copyState is the newest version that a host's incarnation acknowledged; 0: it was sent
 // one and didn't answer, so it may hold it or not.
-type holding struct {
+type copyState struct {
 	incarnation, version uint64
 }
 
@@ -105,7 +105,7 @@
 	}
 	return &Store{
 		cfg: cfg, own: make(map[string]*entry), current: make(map[string]*entry), copied: make(map[string][]*entry),
-		guarded: make(map[string]*entry), fenced: make(map[holderKey]struct{}), dirty: make(map[string]struct{}),
+		orphans: make(map[string]*entry), fenced: make(map[holderKey]struct{}), dirty: make(map[string]struct{}),
 		avoidUntil: make(map[string]time.Time),
 	}
 }
@@ -147,7 +147,7 @@
 	rec = proto.CloneOf(rec)
 	rec.Holder = s.cfg.Self
 	rec.Version++
-	e := &entry{rec: rec, startedAt: now, wanted: n, sent: make(map[string]holding)}
+	e := &entry{rec: rec, startedAt: now, wantedCopies: n, copyHolders: make(map[string]copyState)}
 	if rec.GetState() == pb.InflightState_INFLIGHT_STATE_NONE {
 		rec.State = pb.InflightState_INFLIGHT_STATE_RUNNING
 	}
@@ -210,7 +210,7 @@
 // A transfer to a holder that was gathered can't be abandoned: its recovery counts it.
 func (s *Store) Abandon(now time.Time, requestID string) bool {
 	e, ok := s.own[requestID]
-	if !ok || !e.finishedAt.IsZero() || s.touchesFenced(e.rec) {
+	if !ok || !e.finishedAt.IsZero() || s.involvesFenced(e.rec) {
 		return false
 	}
 	next := proto.CloneOf(e.rec)
@@ -338,7 +338,7 @@
 // until every host that may hold an older version has the last one.
 func (s *Store) expendable(e *entry) bool {
 	if s.own[e.rec.GetRequestId()] == e {
-		return s.complete(e) && !e.lostBehind()
+		return s.complete(e) && !e.departedOutdated()
 	}
 	return e.rec.GetSettled() || !Billable(e.rec)
 }
@@ -364,8 +364,8 @@
 	s.bytes -= e.size
 	id, request := e.rec.GetIdentity(), e.rec.GetRequestId()
 	if s.own[request] != e {
-		if s.guarded[request] == e {
-			delete(s.guarded, request)
+		if s.orphans[request] == e {
+			delete(s.orphans, request)
 			delete(s.dirty, request)
 		}
 		s.removeCopy(id, e)
--- a/internal/inflight/store_test.go
+++ b/internal/inflight/store_test.go
@@ -164,7 +164,7 @@
 	if s.MarkSettled(now, "r"); !s.own["r"].rec.GetSettled() {
 		t.Error("not settled")
 	}
-	s.Sending("r", Host{Name: "peer", Incarnation: 1})
+	s.MarkSending("r", Host{Name: "peer", Incarnation: 1})
 	s.Acked("r", "peer", 1, 2)
 	s.Tick(now.Add(11 * time.Minute))
 	if s.Len() != 1 {
