--- a/internal/controller/records/put.go
+++ b/internal/controller/records/put.go
@@ -43,7 +43,7 @@
 	}
 	metrics.Add("puts", 1)
 	for _, rec := range records {
-		c.store.Acked(rec.GetRequestId(), host.Name, reply.GetSelf().GetIncarnation(), rec.GetVersion())
+		c.store.MarkAcked(rec.GetRequestId(), host.Name, reply.GetSelf().GetIncarnation(), rec.GetVersion())
 	}
 	return putDone
 }
--- a/internal/inflight/bench_test.go
+++ b/internal/inflight/bench_test.go
@@ -30,7 +30,7 @@
 			perRecord(b, answer, func(s *Store, rec *pb.InflightRecord) {
 				_, _ = s.Begin(now, rec, 1)
 				s.MarkSending(rec.GetRequestId(), Host{Name: "entry-00003", Incarnation: 1})
-				s.Acked(rec.GetRequestId(), "entry-00003", 1, 1)
+				s.MarkAcked(rec.GetRequestId(), "entry-00003", 1, 1)
 			})
 		})
 		b.Run(fmt.Sprintf("copy/answer=%d", answer), func(b *testing.B) {
--- a/internal/inflight/copies.go
+++ b/internal/inflight/copies.go
@@ -300,8 +300,8 @@
 	}
 }
 
-// Acked notes that a host's incarnation holds a version of an own record.
-func (s *Store) Acked(requestID string, host string, incarnation, version uint64) {
+// MarkAcked notes that a host's incarnation holds a version of an own record.
+func (s *Store) MarkAcked(requestID string, host string, incarnation, version uint64) {
 	e, ok := s.replicatedEntry(requestID)
 	if !ok {
 		return
--- a/internal/inflight/cost_bench_test.go
+++ b/internal/inflight/cost_bench_test.go
@@ -50,6 +50,6 @@
 	rec, _ := s.Record(now, request)
 	for _, h := range s.Targets(now, request, nil) {
 		s.MarkSending(request, h)
-		s.Acked(request, h.Name, h.Incarnation, rec.GetVersion())
+		s.MarkAcked(request, h.Name, h.Incarnation, rec.GetVersion())
 	}
 }
--- a/internal/inflight/store_test.go
+++ b/internal/inflight/store_test.go
@@ -165,12 +165,12 @@
 		t.Error("not settled")
 	}
 	s.MarkSending("r", Host{Name: "peer", Incarnation: 1})
-	s.Acked("r", "peer", 1, 2)
+	s.MarkAcked("r", "peer", 1, 2)
 	s.Tick(now.Add(11 * time.Minute))
 	if s.Len() != 1 {
 		t.Error("dropped before its copy knows the end")
 	}
-	s.Acked("r", "peer", 1, 3)
+	s.MarkAcked("r", "peer", 1, 3)
 	s.Tick(now.Add(11 * time.Minute))
 	if s.Len() != 0 || s.Bytes() != 0 {
 		t.Errorf("%d records, %d bytes after the window", s.Len(), s.Bytes())
