--- a/internal/controller/records/put.go
+++ b/internal/controller/records/put.go
@@ -37,7 +37,7 @@
 	if e := reply.GetError(); e != nil {
 		metrics.Add("puts_refused_"+e.GetKind(), 1)
 		if len(records) == 1 {
-			c.store.Declined(records[0].GetRequestId(), host.Name)
+			c.store.MarkDeclined(records[0].GetRequestId(), host.Name)
 		}
 		return refusedOutcome(e)
 	}
--- a/internal/inflight/copies.go
+++ b/internal/inflight/copies.go
@@ -312,8 +312,8 @@
 	}
 }
 
-// Declined notes that a host refused an own record; it isn't asked again.
-func (s *Store) Declined(requestID, host string) {
+// MarkDeclined notes that a host refused an own record; it isn't asked again.
+func (s *Store) MarkDeclined(requestID, host string) {
 	e, ok := s.replicatedEntry(requestID)
 	if !ok {
 		return
