--- a/internal/controller/records/put.go
+++ b/internal/controller/records/put.go
@@ -31,7 +31,7 @@
 	defer c.mu.Unlock()
 	if err != nil {
 		metrics.Add("puts_unanswered", 1)
-		c.store.Unreachable(time.Now(), host.Name)
+		c.store.MarkUnreachable(time.Now(), host.Name)
 		return putUnanswered
 	}
 	if e := reply.GetError(); e != nil {
