--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -214,7 +214,7 @@
 func (e *entry) makeControllers(self *pb.Holder) {
 	cfg := e.d.cfg
 	e.records = records.New(records.Config{
-		Store: inflight.Config{Self: self, Zone: cfg.Zone, Window: e.d.settings.Fleet().IdempotencyWindow.Std()},
+		Store: inflight.Config{Self: self, Zone: cfg.Zone, Retention: e.d.settings.Fleet().IdempotencyWindow.Std()},
 		Peers: peers{e}, Log: e.d.tel.Log,
 	})
 	e.grants = grants.New(grants.Config{
--- a/internal/inflight/store.go
+++ b/internal/inflight/store.go
@@ -19,16 +19,16 @@
 // entryOverhead estimates the bytes of an entry besides its encoded record.
 const entryOverhead = 400
 
-// unsettledWindow is how long a copy is kept whose bill isn't known to be settled; its
+// unsettledRetention is how long a copy is kept whose bill isn't known to be settled; its
 // owner may be dead and its recovery may wait for the end of a long cut.
-const unsettledWindow = 24 * time.Hour
+const unsettledRetention = 24 * time.Hour
 
 // Config of a store. The zero value of a field means its default.
 type Config struct {
 	Self *pb.Holder
 	Zone string
-	// Window is how long a finished record is kept; default 10m.
-	Window time.Duration
+	// Retention is how long a finished record is kept; default 10m.
+	Retention time.Duration
 	// MaxRecords and MaxBytes bound own records and copies together; defaults 100,000
 	// and 64 MiB.
 	MaxRecords int
@@ -94,8 +94,8 @@
 
 // New makes an empty store.
 func New(cfg Config) *Store {
-	if cfg.Window == 0 {
-		cfg.Window = 10 * time.Minute
+	if cfg.Retention == 0 {
+		cfg.Retention = 10 * time.Minute
 	}
 	if cfg.MaxRecords == 0 {
 		cfg.MaxRecords = 100_000
@@ -312,9 +312,9 @@
 // Tick drops finished records whose window is over.
 func (s *Store) Tick(now time.Time) {
 	n, removed := 0, false
-	for n < len(s.finished) && now.Sub(s.finished[n].finishedAt) >= s.cfg.Window {
+	for n < len(s.finished) && now.Sub(s.finished[n].finishedAt) >= s.cfg.Retention {
 		e := s.finished[n]
-		if now.Sub(e.finishedAt) >= s.window(e) {
+		if now.Sub(e.finishedAt) >= s.retention(e) {
 			s.remove(e)
 			removed = true
 		}
@@ -325,12 +325,12 @@
 	}
 }
 
-// window is longer for a record that may still be needed for a bill.
-func (s *Store) window(e *entry) time.Duration {
+// retention is longer for a record that may still be needed for a bill.
+func (s *Store) retention(e *entry) time.Duration {
 	if s.expendable(e) {
-		return s.cfg.Window
+		return s.cfg.Retention
 	}
-	return max(s.cfg.Window, unsettledWindow)
+	return max(s.cfg.Retention, unsettledRetention)
 }
 
 // expendable tells whether a finished record is needed for answers only. A copy is needed until
--- a/internal/inflight/store_test.go
+++ b/internal/inflight/store_test.go
@@ -55,7 +55,7 @@
 				}
 			},
 			"sweep": func(t *rapid.T) {
-				if now.Before(time.Unix(1, 0).Add(unsettledWindow - time.Hour)) {
+				if now.Before(time.Unix(1, 0).Add(unsettledRetention - time.Hour)) {
 					now = now.Add(11 * time.Minute)
 				}
 				s.Tick(now)
