--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// minWindow is how long a claim is remembered at least, after its last change.
+	// minRetention is how long a claim is remembered at least, after its last change.
 	// It is far over the idempotency window, as forgetting a claim early would
 	// let a late retry run a second time.
-	minWindow = 24 * time.Hour
+	minRetention = 24 * time.Hour
 	// maxClaims bounds the claims remembered. When it is reached, new claims are
 	// refused (the request did not run) rather than old ones forgotten.
 	maxClaims = 250_000
 	// maxFormer bounds how often one identity may be claimed again after NOT_RUN.
 	maxFormer = 16
-	// retryWhenFull is when to come back after a refusal for want of room.
-	retryWhenFull = time.Minute
+	// retryAfterFull is when to come back after a refusal for want of room.
+	retryAfterFull = time.Minute
 )
 
 // claim is what is remembered of one identity.
@@ -40,20 +40,20 @@
 // State is the set of claims.
 type State struct {
 	memory *window.Memory[claim]
-	keep   int64
-	max    int
+	retentionMs   int64
+	limit    int
 }
 
 // New makes an empty state.
 func New() *State {
-	keep := minWindow.Milliseconds()
-	return &State{memory: window.New[claim](keep/4, 0), keep: keep, max: maxClaims}
+	keep := minRetention.Milliseconds()
+	return &State{memory: window.New[claim](keep/4, 0), retentionMs: keep, limit: maxClaims}
 }
 
 // SetWindow sets the idempotency window; claims are kept for it or minWindow, whichever is longer.
 func (s *State) SetWindow(d time.Duration) {
-	s.keep = max(minWindow, d).Milliseconds()
-	s.memory.SetLength(s.keep / 4)
+	s.retentionMs = max(minRetention, d).Milliseconds()
+	s.memory.SetLength(s.retentionMs / 4)
 }
 
 // Len is the number of claims remembered.
@@ -66,17 +66,17 @@
 	if c.Identity == "" || c.RequestId == "" || c.Holder == nil {
 		return nil, errkind.New(errkind.BadRequest, "a claim needs an identity, a holder and a request id")
 	}
-	s.memory.Forget(now - s.keep)
+	s.memory.Forget(now - s.retentionMs)
 	key := window.KeyOf(c.Identity)
 	old, found := s.memory.Get(key)
-	if found && !old.mayBeWonBy(c.RequestId) {
+	if found && !old.canBeWonBy(c.RequestId) {
 		return old.result(old.wonBy(c.RequestId)), nil
 	}
-	if !found && s.memory.Len() >= s.max {
-		return nil, errkind.New(errkind.ClaimUnavailable, "%d claims are remembered, which is the bound", s.max).After(retryWhenFull)
+	if !found && s.memory.Len() >= s.limit {
+		return nil, errkind.New(errkind.ClaimUnavailable, "%d claims are remembered, which is the bound", s.limit).After(retryAfterFull)
 	}
 	if len(old.Former) >= maxFormer {
-		return nil, errkind.New(errkind.ClaimUnavailable, "the identity was claimed and not run %d times", maxFormer).After(retryWhenFull)
+		return nil, errkind.New(errkind.ClaimUnavailable, "the identity was claimed and not run %d times", maxFormer).After(retryAfterFull)
 	}
 	won := claim{Host: c.Holder.Host, Incarnation: c.Holder.Incarnation, RequestID: c.RequestId, State: pb.ClaimState_CLAIM_STATE_CLAIMED}
 	if found {
@@ -86,7 +86,7 @@
 	return won.result(true), nil
 }
 
-func (c claim) mayBeWonBy(requestID string) bool {
+func (c claim) canBeWonBy(requestID string) bool {
 	if c.State != pb.ClaimState_CLAIM_STATE_NOT_RUN {
 		return false
 	}
@@ -135,15 +135,15 @@
 
 // Image is a copy of the state, for snapshots.
 type Image struct {
-	Keep   int64               `json:"keep"`
+	RetentionMs   int64               `json:"keep"`
 	Memory window.Image[claim] `json:"memory"`
 }
 
 // Image copies the state's content.
-func (s *State) Image() Image { return Image{Keep: s.keep, Memory: s.memory.Image()} }
+func (s *State) Image() Image { return Image{RetentionMs: s.retentionMs, Memory: s.memory.Image()} }
 
 // Restore replaces the state's content.
 func (s *State) Restore(im Image) {
-	s.keep = im.Keep
+	s.retentionMs = im.RetentionMs
 	s.memory.Restore(im.Memory)
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -86,7 +86,7 @@
 // Cause: a claim inside its window was forgotten to make room.
 func TestClaimsInsideTheWindowAreNeverForgotten(t *testing.T) {
 	s := New()
-	s.max = 100
+	s.limit = 100
 	for i := range 100 {
 		wins(t, s, fmt.Sprint("a/", i), "r1", int64(i)*time.Hour.Milliseconds()/10)
 	}
@@ -99,7 +99,7 @@
 			t.Fatalf("claim %d was forgotten", i)
 		}
 	}
-	if !wins(t, s, "a/new", "r1", now+2*minWindow.Milliseconds()) || s.Len() != 1 {
+	if !wins(t, s, "a/new", "r1", now+2*minRetention.Milliseconds()) || s.Len() != 1 {
 		t.Errorf("%d claims are remembered after the window", s.Len())
 	}
 }
--- a/internal/inflight/copies.go
+++ b/internal/inflight/copies.go
@@ -59,7 +59,7 @@
 	}
 	age := time.Duration(rec.GetAgeMs()) * time.Millisecond
 	e := &entry{rec: &pb.InflightRecord{}, startedAt: now.Add(-age)}
-	s.copied[rec.GetIdentity()] = append(s.copied[rec.GetIdentity()], e)
+	s.copies[rec.GetIdentity()] = append(s.copies[rec.GetIdentity()], e)
 	s.count++
 	s.setRecord(now, e, proto.CloneOf(rec))
 	s.trackOrphan(e)
@@ -73,7 +73,7 @@
 // the copy's host dies meanwhile, and the bill is lost with the only copy.
 func (s *Store) trackOrphan(e *entry) {
 	needless := !e.finishedAt.IsZero() && s.expendable(e)
-	if len(s.ring.hosts) == 0 || needless || s.ownerLives(e.rec) {
+	if len(s.ring.hosts) == 0 || needless || s.ownerAlive(e.rec) {
 		return
 	}
 	if e.copyHolders == nil {
@@ -94,7 +94,7 @@
 }
 
 func (s *Store) copyOf(rec *pb.InflightRecord) *entry {
-	for _, e := range s.copied[rec.GetIdentity()] {
+	for _, e := range s.copies[rec.GetIdentity()] {
 		if e.rec.GetRequestId() == rec.GetRequestId() && keyOf(e.rec.GetHolder()) == keyOf(rec.GetHolder()) {
 			return e
 		}
@@ -103,12 +103,12 @@
 }
 
 func (s *Store) removeCopy(identity string, e *entry) {
-	left := slices.DeleteFunc(s.copied[identity], func(x *entry) bool { return x == e })
+	left := slices.DeleteFunc(s.copies[identity], func(x *entry) bool { return x == e })
 	if len(left) == 0 {
-		delete(s.copied, identity)
+		delete(s.copies, identity)
 		return
 	}
-	s.copied[identity] = left
+	s.copies[identity] = left
 }
 
 // involvesFenced tells whether a record belongs to a fenced holder or moves its tokens.
@@ -137,8 +137,8 @@
 			found = append(found, e.snapshot(now))
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.copied)) {
-		for _, e := range s.copied[id] {
+	for _, id := range slices.Sorted(maps.Keys(s.copies)) {
+		for _, e := range s.copies[id] {
 			consider(e)
 		}
 	}
@@ -156,7 +156,7 @@
 	for _, h := range hosts {
 		live[h.Name] = h.Incarnation
 	}
-	for _, entries := range s.copied {
+	for _, entries := range s.copies {
 		for _, e := range entries {
 			s.trackOrphan(e)
 		}
--- a/internal/inflight/store.go
+++ b/internal/inflight/store.go
@@ -42,8 +42,8 @@
 	// own holds this host's records by request id, current the latest one of an identity.
 	own     map[string]*entry
 	current map[string]*entry
-	// copied holds other hosts' records by identity.
-	copied map[string][]*entry
+	// copies holds other hosts' records by identity.
+	copies map[string][]*entry
 	// orphans are those of the copies whose owner is dead, by request id.
 	orphans map[string]*entry
 	fenced  map[holderKey]struct{}
@@ -104,7 +104,7 @@
 		cfg.MaxBytes = 64 << 20
 	}
 	return &Store{
-		cfg: cfg, own: make(map[string]*entry), current: make(map[string]*entry), copied: make(map[string][]*entry),
+		cfg: cfg, own: make(map[string]*entry), current: make(map[string]*entry), copies: make(map[string][]*entry),
 		orphans: make(map[string]*entry), fenced: make(map[holderKey]struct{}), dirty: make(map[string]struct{}),
 		avoidUntil: make(map[string]time.Time),
 	}
@@ -124,7 +124,7 @@
 		if err := conflict(e.rec, rec); err != nil {
 			return nil, err
 		}
-		return e.answer(now), nil
+		return e.lookupResult(now), nil
 	}
 	if err := s.Adopt(now, rec, n); err != nil {
 		return nil, err
@@ -248,7 +248,7 @@
 	if e == nil {
 		return nil, false
 	}
-	return e.answer(now), true
+	return e.lookupResult(now), true
 }
 
 // find prefers a finished record to a running one, and of running ones the own, then one
@@ -265,7 +265,7 @@
 		}
 	}
 	consider(s.current[identity])
-	for _, e := range s.copied[identity] {
+	for _, e := range s.copies[identity] {
 		consider(e)
 	}
 	return found
@@ -278,13 +278,13 @@
 		return 0
 	case !e.finishedAt.IsZero():
 		return 3
-	case s.ownerLives(e.rec):
+	case s.ownerAlive(e.rec):
 		return 2
 	}
 	return 1
 }
 
-func (s *Store) ownerLives(rec *pb.InflightRecord) bool {
+func (s *Store) ownerAlive(rec *pb.InflightRecord) bool {
 	owner := rec.GetHolder()
 	if keyOf(owner) == keyOf(s.cfg.Self) {
 		return true
@@ -300,8 +300,8 @@
 	return rec
 }
 
-// answer is the snapshot for those who ask for the identity.
-func (e *entry) answer(now time.Time) *pb.InflightRecord {
+// lookupResult is the snapshot for those who ask for the identity.
+func (e *entry) lookupResult(now time.Time) *pb.InflightRecord {
 	rec := e.snapshot(now)
 	if e.unconfirmed && rec.GetState() == pb.InflightState_INFLIGHT_STATE_RUNNING {
 		rec.State = pb.InflightState_INFLIGHT_STATE_NONE
