--- a/internal/controller/assign/run.go
+++ b/internal/controller/assign/run.go
@@ -61,7 +61,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err == nil {
-		a.reports.Acknowledged(m.To)
+		a.reports.MarkAcknowledged(m.To)
 		return
 	}
 	a.reports.Failed(time.Now(), m.To)
--- a/internal/controller/budgets/run.go
+++ b/internal/controller/budgets/run.go
@@ -53,7 +53,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err == nil {
-		d.outbox.Acknowledged(m.To)
+		d.outbox.MarkAcknowledged(m.To)
 		return
 	}
 	d.outbox.Failed(time.Now(), m.To)
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// firstResend and maxResend bound the pause before an unanswered message is sent again.
-	firstResend = 200 * time.Millisecond
-	maxResend   = time.Second
+	// initialBackoff and maxResend bound the pause before an unanswered message is sent again.
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff   = time.Second
 	// maxBatch bounds the items in one message.
 	maxBatch = 256
 )
@@ -29,15 +29,15 @@
 
 type queue[T any] struct {
 	entries []entry[T]
-	// sent of them are in the message under way.
-	sent  int
-	next  time.Time
-	pause time.Duration
+	// inFlight of them are in the message under way.
+	inFlight  int
+	nextSend  time.Time
+	backoff time.Duration
 }
 
 type entry[T any] struct {
 	item  T
-	until time.Time
+	expires time.Time
 }
 
 // New makes an empty outbox.
@@ -47,10 +47,10 @@
 func (o *Outbox[T]) Add(to Receiver, item T, until time.Time) {
 	q := o.receivers[to]
 	if q == nil {
-		q = &queue[T]{pause: firstResend}
+		q = &queue[T]{backoff: initialBackoff}
 		o.receivers[to] = q
 	}
-	q.entries = append(q.entries, entry[T]{item: item, until: until})
+	q.entries = append(q.entries, entry[T]{item: item, expires: until})
 }
 
 // Message is what to send to one receiver.
@@ -63,17 +63,17 @@
 func (o *Outbox[T]) Due(now time.Time) []Message[T] {
 	var out []Message[T]
 	for to, q := range o.receivers {
-		if q.sent > 0 || now.Before(q.next) {
+		if q.inFlight > 0 || now.Before(q.nextSend) {
 			continue
 		}
-		q.entries = slices.DeleteFunc(q.entries, func(e entry[T]) bool { return now.After(e.until) })
+		q.entries = slices.DeleteFunc(q.entries, func(e entry[T]) bool { return now.After(e.expires) })
 		if len(q.entries) == 0 {
 			delete(o.receivers, to)
 			continue
 		}
-		q.sent = min(len(q.entries), maxBatch)
+		q.inFlight = min(len(q.entries), maxBatch)
 		m := Message[T]{To: to}
-		for _, e := range q.entries[:q.sent] {
+		for _, e := range q.entries[:q.inFlight] {
 			m.Items = append(m.Items, e.item)
 		}
 		out = append(out, m)
@@ -81,19 +81,19 @@
 	return out
 }
 
-// Acknowledged takes that the message under way has arrived.
-func (o *Outbox[T]) Acknowledged(to Receiver) {
+// MarkAcknowledged takes that the message under way has arrived.
+func (o *Outbox[T]) MarkAcknowledged(to Receiver) {
 	if q := o.receivers[to]; q != nil {
-		q.entries = q.entries[q.sent:]
-		q.sent, q.next, q.pause = 0, time.Time{}, firstResend
+		q.entries = q.entries[q.inFlight:]
+		q.inFlight, q.nextSend, q.backoff = 0, time.Time{}, initialBackoff
 	}
 }
 
 // Failed takes that the message under way got no answer.
 func (o *Outbox[T]) Failed(now time.Time, to Receiver) {
 	if q := o.receivers[to]; q != nil {
-		q.sent, q.next = 0, now.Add(q.pause)
-		q.pause = min(2*q.pause, maxResend)
+		q.inFlight, q.nextSend = 0, now.Add(q.backoff)
+		q.backoff = min(2*q.backoff, maxBackoff)
 	}
 }
 
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -25,14 +25,14 @@
 		t.Fatalf("a second message is under way: %v", again)
 	}
 	o.Failed(start, owner)
-	if early := o.Due(start.Add(firstResend - 1)); len(early) != 0 {
+	if early := o.Due(start.Add(initialBackoff - 1)); len(early) != 0 {
 		t.Fatalf("sent again at once: %v", early)
 	}
-	second := o.Due(start.Add(firstResend))
+	second := o.Due(start.Add(initialBackoff))
 	if len(second) != 1 || len(second[0].Items) != 2 {
 		t.Fatalf("due %v, want both items", second)
 	}
-	o.Acknowledged(owner)
+	o.MarkAcknowledged(owner)
 	if !o.Empty() || len(o.Due(start.Add(lifetime))) != 0 {
 		t.Error("acknowledged items are kept")
 	}
@@ -54,7 +54,7 @@
 	if m := o.Due(start); len(m[0].Items) != maxBatch {
 		t.Errorf("%d items in one message", len(m[0].Items))
 	}
-	o.Acknowledged(owner)
+	o.MarkAcknowledged(owner)
 	if m := o.Due(start); len(m) != 1 || len(m[0].Items) != 1 {
 		t.Error("the rest was not sent")
 	}
