--- a/internal/controller/assign/run.go
+++ b/internal/controller/assign/run.go
@@ -64,6 +64,6 @@
 		a.reports.MarkAcknowledged(m.To)
 		return
 	}
-	a.reports.Failed(time.Now(), m.To)
+	a.reports.MarkFailed(time.Now(), m.To)
 	a.cfg.Log.Debug().Str("event", "reports-unanswered").Str("owner", m.To.Host).Int("reports", len(m.Items)).Err(err).Send()
 }
--- a/internal/controller/budgets/run.go
+++ b/internal/controller/budgets/run.go
@@ -56,7 +56,7 @@
 		d.outbox.MarkAcknowledged(m.To)
 		return
 	}
-	d.outbox.Failed(time.Now(), m.To)
+	d.outbox.MarkFailed(time.Now(), m.To)
 	d.cfg.Log.Debug().Str("event", "spend-unanswered").Str("owner", m.To.Host).Int("requests", len(m.Items)).Err(err).Send()
 }
 
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Failed takes that the message under way got no answer.
-func (o *Outbox[T]) Failed(now time.Time, to Receiver) {
+// MarkFailed takes that the message under way got no answer.
+func (o *Outbox[T]) MarkFailed(now time.Time, to Receiver) {
 	if q := o.receivers[to]; q != nil {
 		q.inFlight, q.nextSend = 0, now.Add(q.backoff)
 		q.backoff = min(2*q.backoff, maxBackoff)
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -24,7 +24,7 @@
 	if again := o.Due(start); len(again) != 0 {
 		t.Fatalf("a second message is under way: %v", again)
 	}
-	o.Failed(start, owner)
+	o.MarkFailed(start, owner)
 	if early := o.Due(start.Add(initialBackoff - 1)); len(early) != 0 {
 		t.Fatalf("sent again at once: %v", early)
 	}
