--- a/internal/controller/assign/run.go
+++ b/internal/controller/assign/run.go
@@ -60,9 +60,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err == nil {
-		a.reports.Acknowledged(m.To)
+		a.reports.MarkAcknowledged(m.To)
 		return
 	}
-	a.reports.Failed(time.Now(), m.To)
+	a.reports.MarkFailed(time.Now(), m.To)
 	a.cfg.Log.Debug().Str("event", "reports-unanswered").Str("owner", m.To.Host).Int("reports", len(m.Items)).Err(err).Send()
 }
--- a/internal/controller/budgets/await.go
+++ b/internal/controller/budgets/await.go
@@ -32,11 +32,11 @@
 
 // asReserveClosed returns nil if the refusal has any other reason.
 func asReserveClosed(h owners.Host, refusal error) *reserveClosed {
-	var answer *grant.NotOpenYet
+	var answer *grant.ReserveNotUsableError
 	if !errors.As(refusal, &answer) {
 		return nil
 	}
-	return &reserveClosed{host: h, opens: time.Now().Add(answer.In), refusal: answer.Refusal}
+	return &reserveClosed{host: h, opens: time.Now().Add(answer.UsableIn), refusal: answer.Refusal}
 }
 
 // awaitReserve asks the host again when its reserve should cover the request, as long as
@@ -56,7 +56,7 @@
 	}
 	if errors.Is(refusal, errUnanswered) {
 		refusal = errkind.New(errkind.BudgetUnreachable, "host %s, which holds budget %s, did not answer", host.Name, budget).
-			After(grant.RetryUnreachable)
+			After(grant.RetryAfterUnreachable)
 	}
 	return host.Name, refusal
 }
@@ -90,9 +90,9 @@
 // encodeRefusal encodes the result of a reservation; err is nil if it was made.
 func encodeRefusal(err error) *pb.ReserveTokensReply {
 	reply := &pb.ReserveTokensReply{Error: wire.EncodeError(err)}
-	var later *grant.NotOpenYet
+	var later *grant.ReserveNotUsableError
 	if errors.As(err, &later) {
-		reply.OpensMs = later.In.Milliseconds()
+		reply.OpensMs = later.UsableIn.Milliseconds()
 	}
 	return reply
 }
@@ -103,5 +103,5 @@
 	if err == nil || reply.GetOpensMs() <= 0 {
 		return err
 	}
-	return &grant.NotOpenYet{Refusal: errkind.From(err), In: time.Duration(reply.GetOpensMs()) * time.Millisecond}
+	return &grant.ReserveNotUsableError{Refusal: errkind.From(err), UsableIn: time.Duration(reply.GetOpensMs()) * time.Millisecond}
 }
--- a/internal/controller/budgets/budgets_test.go
+++ b/internal/controller/budgets/budgets_test.go
@@ -49,7 +49,7 @@
 		return errkind.New(g.refuse, "refused")
 	}
 	if in := time.Until(g.opens); in > 0 {
-		return &grant.NotOpenYet{Refusal: errkind.New(errkind.BudgetUnreachable, "in reserve").After(time.Second), In: in}
+		return &grant.ReserveNotUsableError{Refusal: errkind.New(errkind.BudgetUnreachable, "in reserve").After(time.Second), UsableIn: in}
 	}
 	if g.free < tokens {
 		return errkind.New(errkind.BudgetExhausted, "%d of %d", g.free, tokens)
--- a/internal/controller/budgets/owner.go
+++ b/internal/controller/budgets/owner.go
@@ -11,7 +11,7 @@
 
 // localID returns the ID of another host's request among this host's reservations. It starts with the
 // other host's incarnation, unlike the IDs of this host's own requests.
-func localID(k book.Key) string { return k.Run + "/" + k.Request }
+func localID(k book.Key) string { return k.Incarnation + "/" + k.Request }
 
 // HandleReserve reserves tokens for a request of another host.
 func (r *Reserver) HandleReserve(ctx context.Context, req *pb.ReserveTokensRequest) *pb.ReserveTokensReply {
@@ -23,7 +23,7 @@
 	if local == nil {
 		return errkind.New(errkind.BudgetUnreachable, "host %s is not registered with the control group yet", r.cfg.Self().GetHost()).After(time.Second)
 	}
-	k := book.Key{Run: req.GetRun(), Request: req.GetRequest()}
+	k := book.Key{Incarnation: req.GetRun(), Request: req.GetRequest()}
 	if err := local.Reserve(ctx, req.GetBudget(), localID(k), req.GetTokens()); err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range req.GetSpent() {
-		k := book.Key{Run: req.GetRun(), Request: s.GetRequest()}
+		k := book.Key{Incarnation: req.GetRun(), Request: s.GetRequest()}
 		if r.book.End(now, k) {
 			local.Spend(localID(k), s.GetTokens())
 		}
@@ -59,7 +59,7 @@
 // expire bills the full amount of the reservations whose hosts have not ended them in time.
 func (r *Reserver) expire(expired []book.Expired) {
 	for _, e := range expired {
-		r.cfg.Log.Warn().Str("event", "reservation-expired").Str("run", e.Run).Str("request", e.Request).
+		r.cfg.Log.Warn().Str("event", "reservation-expired").Str("run", e.Incarnation).Str("request", e.Request).
 			Uint64("billed", e.Tokens).Send()
 		r.cfg.Local().Spend(localID(e.Key), e.Tokens)
 	}
--- a/internal/controller/budgets/run.go
+++ b/internal/controller/budgets/run.go
@@ -53,10 +53,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil {
-		r.outbox.Acknowledged(m.To)
+		r.outbox.MarkAcknowledged(m.To)
 		return
 	}
-	r.outbox.Failed(time.Now(), m.To)
+	r.outbox.MarkFailed(time.Now(), m.To)
 	r.cfg.Log.Debug().Str("event", "spend-unanswered").Str("owner", m.To.Host).Int("requests", len(m.Items)).Err(err).Send()
 }
 
@@ -78,7 +78,7 @@
 		select {
 		case <-ctx.Done():
 			r.mu.Lock()
-			expired := r.book.All()
+			expired := r.book.RemoveAll()
 			r.mu.Unlock()
 			r.expire(expired)
 			return
@@ -90,5 +90,5 @@
 func (r *Reserver) idle() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.outbox.Empty() && r.book.Open() == 0
+	return r.outbox.Empty() && r.book.Len() == 0
 }
--- a/internal/controller/grants/calls.go
+++ b/internal/controller/grants/calls.go
@@ -160,7 +160,7 @@
 	t, copying, refuse := m.beginGiving(req)
 	switch {
 	case refuse:
-		return &pb.AskTokensReply{Error: wire.EncodeError(grant.RefuseReason())}
+		return &pb.AskTokensReply{Error: wire.EncodeError(grant.CopyInProgress())}
 	case copying:
 		return m.give(t)
 	default:
@@ -174,9 +174,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	defer m.distrust()
-	t, state := m.holder.TransferAsked(time.Now(), req)
+	t, state := m.holder.HandleAsk(time.Now(), req)
 	_, busy := m.giving[req.GetId()]
-	copying = state == grant.GiveNew || state == grant.GivePending
+	copying = state == grant.NewTransfer || state == grant.PendingTransfer
 	if copying && !busy && !m.closed {
 		m.giving[req.GetId()] = struct{}{}
 	}
@@ -194,7 +194,7 @@
 	copyErr := m.cfg.Recorder.CopyTransfer(ctx, t)
 	if copyErr == nil {
 		m.mu.Lock()
-		m.holder.GiveReady(t.GetId())
+		m.holder.MarkTransferReady(t.GetId())
 		m.mu.Unlock()
 		m.noteTransfer("transfer-given", t, nil)
 		return &pb.AskTokensReply{Transfer: t}
@@ -203,9 +203,9 @@
 	defer cancelUndo()
 	if err := m.cfg.Recorder.AbandonTransfer(undoCtx, t); err != nil {
 		m.noteTransfer("transfer-stuck", t, err)
-		return &pb.AskTokensReply{Error: wire.EncodeError(grant.RefuseReason())}
+		return &pb.AskTokensReply{Error: wire.EncodeError(grant.CopyInProgress())}
 	}
-	m.step(func(now time.Time) grant.Output { return m.holder.GiveUndone(now, t.GetId()) })
+	m.step(func(now time.Time) grant.Output { return m.holder.UndoTransfer(now, t.GetId()) })
 	m.noteTransfer("transfer-undone", t, copyErr)
 	return &pb.AskTokensReply{}
 }
@@ -217,7 +217,7 @@
 	if m.closed {
 		return
 	}
-	for _, t := range m.holder.PendingGives() {
+	for _, t := range m.holder.PendingTransfers() {
 		if _, busy := m.giving[t.GetId()]; busy {
 			continue
 		}
--- a/internal/controller/records/put.go
+++ b/internal/controller/records/put.go
@@ -31,19 +31,19 @@
 	defer c.mu.Unlock()
 	if err != nil {
 		metrics.Add("puts_unanswered", 1)
-		c.store.Unreachable(time.Now(), host.Name)
+		c.store.MarkUnreachable(time.Now(), host.Name)
 		return putUnanswered
 	}
 	if e := reply.GetError(); e != nil {
 		metrics.Add("puts_refused_"+e.GetKind(), 1)
 		if len(records) == 1 {
-			c.store.Declined(records[0].GetRequestId(), host.Name)
+			c.store.MarkDeclined(records[0].GetRequestId(), host.Name)
 		}
 		return refusedOutcome(e)
 	}
 	metrics.Add("puts", 1)
 	for _, rec := range records {
-		c.store.Acked(rec.GetRequestId(), host.Name, reply.GetSelf().GetIncarnation(), rec.GetVersion())
+		c.store.MarkAcked(rec.GetRequestId(), host.Name, reply.GetSelf().GetIncarnation(), rec.GetVersion())
 	}
 	return putDone
 }
@@ -62,7 +62,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, rec := range records {
-		c.store.Sending(rec.GetRequestId(), host)
+		c.store.MarkSending(rec.GetRequestId(), host)
 	}
 }
 
--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -60,11 +60,11 @@
 func gatewayHolder(d *Daemon) grant.Config {
 	return grant.Config{
 		BatchWait:    d.cfg.Timing.SettleEvery.Std(),
-		ContactEvery: contactEvery,
+		ContactInterval: contactEvery,
 		// A batch that a partition held up is sent again soon after it has ended: until two
 		// are answered, the loss of this host would cost what it held in reserve.
 		ResendMax: 400 * time.Millisecond,
-		Wall:      d.env.Wall,
+		WallClock:      d.env.Wall,
 	}
 }
 
@@ -76,7 +76,7 @@
 	// A large reserve costs no more than a small one: it opens by its rate, above the demand
 	// that is known, for callers come in bursts.
 	Reserve:         30 * time.Second,
-	OpeningPermille: 1300,
+	ReserveRatePermille: 1300,
 	Window:          4 * time.Second,
 	IdleReturn:      30 * time.Second,
 	MinHistory:      2 * time.Second,
--- a/internal/inflight/cost_bench_test.go
+++ b/internal/inflight/cost_bench_test.go
@@ -35,7 +35,7 @@
 	if _, err := s.Begin(now, rec, 1); err != nil {
 		b.Fatal(err)
 	}
-	s.Begun(rec.RequestId)
+	s.ConfirmBegin(rec.RequestId)
 	copyOut(s, now, rec.RequestId)
 	s.Lookup(rec.Identity, 1)
 	rec.State, rec.PromptTokens, rec.OutputTokens = pb.InflightState_INFLIGHT_STATE_DONE, 500, 300
@@ -49,7 +49,7 @@
 func copyOut(s *Store, now time.Time, request string) {
 	rec, _ := s.Record(now, request)
 	for _, h := range s.Targets(now, request, nil) {
-		s.Sending(request, h)
-		s.Acked(request, h.Name, h.Incarnation, rec.GetVersion())
+		s.MarkSending(request, h)
+		s.MarkAcked(request, h.Name, h.Incarnation, rec.GetVersion())
 	}
 }
--- a/internal/inflight/store.go
+++ b/internal/inflight/store.go
@@ -19,16 +19,16 @@
 // entryOverhead estimates the bytes of an entry besides its encoded record.
 const entryOverhead = 400
 
-// unsettledWindow is how long a copy is kept whose bill isn't known to be settled; its
+// unsettledRetention is how long a copy is kept whose bill isn't known to be settled; its
 // owner may be dead and its recovery may wait for the end of a long cut.
-const unsettledWindow = 24 * time.Hour
+const unsettledRetention = 24 * time.Hour
 
 // Config of a store. The zero value of a field means its default.
 type Config struct {
 	Self *pb.Holder
 	Zone string
-	// Window is how long a finished record is kept; default 10m.
-	Window time.Duration
+	// Retention is how long a finished record is kept; default 10m.
+	Retention time.Duration
 	// MaxRecords and MaxBytes bound own records and copies together; defaults 100,000
 	// and 64 MiB.
 	MaxRecords int
@@ -42,10 +42,10 @@
 	// own holds this host's records by request id, current the latest one of an identity.
 	own     map[string]*entry
 	current map[string]*entry
-	// copied holds other hosts' records by identity.
-	copied map[string][]*entry
-	// guarded are those of the copies whose owner is dead, by request id.
-	guarded map[string]*entry
+	// copies holds other hosts' records by identity.
+	copies map[string][]*entry
+	// orphans are those of the copies whose owner is dead, by request id.
+	orphans map[string]*entry
 	fenced  map[holderKey]struct{}
 	// finished holds entries in the order in which they finished, oldest first.
 	finished []*entry
@@ -53,8 +53,8 @@
 	answers []*entry
 	// dirty are the request ids of own records whose copies are not all up to date.
 	dirty map[string]struct{}
-	// avoid says until when a host gets nothing because it could not be reached.
-	avoid map[string]time.Time
+	// avoidUntil says until when a host gets nothing because it could not be reached.
+	avoidUntil map[string]time.Time
 	count int
 	bytes int
 }
@@ -69,33 +69,33 @@
 // entry is one record with its bookkeeping.
 type entry struct {
 	rec *pb.InflightRecord
-	// made is when the request began, by this host's clock.
-	made time.Time
-	done time.Time // zero while it runs
+	// startedAt is when the request began, by this host's clock.
+	startedAt time.Time
+	finishedAt time.Time // zero while it runs
 	size int
-	gone bool
-	// beginning: this host hasn't yet decided whether its record stands or yields to
+	removed bool
+	// unconfirmed: this host hasn't yet decided whether its record stands or yields to
 	// another host's for the same identity.
-	beginning bool
-	// wanted copies, and what each host that was sent one is known to hold; own records only.
-	wanted int
-	sent   map[string]holding
-	// lost is the same of hosts that left the list of live ones.
-	lost map[string]holding
+	unconfirmed bool
+	// wantedCopies copies, and what each host that was sent one is known to hold; own records only.
+	wantedCopies int
+	copyHolders   map[string]copyState
+	// departed is the same of hosts that left the list of live ones.
+	departed map[string]copyState
 	// declined are hosts that refused the record.
 	declined map[string]struct{}
 }
 
-// holding is the newest version that a host's incarnation acknowledged; 0: it was sent
+// copyState is the newest version that a host's incarnation acknowledged; 0: it was sent
 // one and didn't answer, so it may hold it or not.
-type holding struct {
+type copyState struct {
 	incarnation, version uint64
 }
 
 // New makes an empty store.
 func New(cfg Config) *Store {
-	if cfg.Window == 0 {
-		cfg.Window = 10 * time.Minute
+	if cfg.Retention == 0 {
+		cfg.Retention = 10 * time.Minute
 	}
 	if cfg.MaxRecords == 0 {
 		cfg.MaxRecords = 100_000
@@ -104,9 +104,9 @@
 		cfg.MaxBytes = 64 << 20
 	}
 	return &Store{
-		cfg: cfg, own: make(map[string]*entry), current: make(map[string]*entry), copied: make(map[string][]*entry),
-		guarded: make(map[string]*entry), fenced: make(map[holderKey]struct{}), dirty: make(map[string]struct{}),
-		avoid: make(map[string]time.Time),
+		cfg: cfg, own: make(map[string]*entry), current: make(map[string]*entry), copies: make(map[string][]*entry),
+		orphans: make(map[string]*entry), fenced: make(map[holderKey]struct{}), dirty: make(map[string]struct{}),
+		avoidUntil: make(map[string]time.Time),
 	}
 }
 
@@ -124,19 +124,19 @@
 		if err := conflict(e.rec, rec); err != nil {
 			return nil, err
 		}
-		return e.answer(now), nil
+		return e.lookupResult(now), nil
 	}
 	if err := s.Adopt(now, rec, n); err != nil {
 		return nil, err
 	}
-	s.own[rec.GetRequestId()].beginning = true
+	s.own[rec.GetRequestId()].unconfirmed = true
 	return nil, nil
 }
 
-// Begun ends the beginning of an own record: it stands.
-func (s *Store) Begun(requestID string) {
+// ConfirmBegin ends the beginning of an own record: it stands.
+func (s *Store) ConfirmBegin(requestID string) {
 	if e, ok := s.own[requestID]; ok {
-		e.beginning = false
+		e.unconfirmed = false
 	}
 }
 
@@ -147,7 +147,7 @@
 	rec = proto.CloneOf(rec)
 	rec.Holder = s.cfg.Self
 	rec.Version++
-	e := &entry{rec: rec, made: now, wanted: n, sent: make(map[string]holding)}
+	e := &entry{rec: rec, startedAt: now, wantedCopies: n, copyHolders: make(map[string]copyState)}
 	if rec.GetState() == pb.InflightState_INFLIGHT_STATE_NONE {
 		rec.State = pb.InflightState_INFLIGHT_STATE_RUNNING
 	}
@@ -178,7 +178,7 @@
 // finished is dropped and reported as false.
 func (s *Store) Update(now time.Time, rec *pb.InflightRecord) bool {
 	e, ok := s.own[rec.GetRequestId()]
-	if !ok || e.rec.GetIdentity() != rec.GetIdentity() || !e.done.IsZero() {
+	if !ok || e.rec.GetIdentity() != rec.GetIdentity() || !e.finishedAt.IsZero() {
 		return false
 	}
 	next := proto.CloneOf(rec)
@@ -210,7 +210,7 @@
 // A transfer to a holder that was gathered can't be abandoned: its recovery counts it.
 func (s *Store) Abandon(now time.Time, requestID string) bool {
 	e, ok := s.own[requestID]
-	if !ok || !e.done.IsZero() || s.touchesFenced(e.rec) {
+	if !ok || !e.finishedAt.IsZero() || s.involvesFenced(e.rec) {
 		return false
 	}
 	next := proto.CloneOf(e.rec)
@@ -232,8 +232,8 @@
 	size := proto.Size(next) + entryOverhead
 	s.bytes += size - e.size
 	e.rec, e.size = next, size
-	if e.done.IsZero() && next.GetState() != pb.InflightState_INFLIGHT_STATE_RUNNING {
-		e.done = now
+	if e.finishedAt.IsZero() && next.GetState() != pb.InflightState_INFLIGHT_STATE_RUNNING {
+		e.finishedAt = now
 		s.finished = append(s.finished, e)
 	}
 	if len(next.GetAnswer()) > 0 {
@@ -248,7 +248,7 @@
 	if e == nil {
 		return nil, false
 	}
-	return e.answer(now), true
+	return e.lookupResult(now), true
 }
 
 // find prefers a finished record to a running one, and of running ones the own, then one
@@ -265,7 +265,7 @@
 		}
 	}
 	consider(s.current[identity])
-	for _, e := range s.copied[identity] {
+	for _, e := range s.copies[identity] {
 		consider(e)
 	}
 	return found
@@ -276,15 +276,15 @@
 	switch {
 	case e.rec.GetState() == pb.InflightState_INFLIGHT_STATE_ABANDONED:
 		return 0
-	case !e.done.IsZero():
+	case !e.finishedAt.IsZero():
 		return 3
-	case s.ownerLives(e.rec):
+	case s.ownerAlive(e.rec):
 		return 2
 	}
 	return 1
 }
 
-func (s *Store) ownerLives(rec *pb.InflightRecord) bool {
+func (s *Store) ownerAlive(rec *pb.InflightRecord) bool {
 	owner := rec.GetHolder()
 	if keyOf(owner) == keyOf(s.cfg.Self) {
 		return true
@@ -296,14 +296,14 @@
 // snapshot is the record with its present age.
 func (e *entry) snapshot(now time.Time) *pb.InflightRecord {
 	rec := proto.CloneOf(e.rec)
-	rec.AgeMs = now.Sub(e.made).Milliseconds()
+	rec.AgeMs = now.Sub(e.startedAt).Milliseconds()
 	return rec
 }
 
-// answer is the snapshot for those who ask for the identity.
-func (e *entry) answer(now time.Time) *pb.InflightRecord {
+// lookupResult is the snapshot for those who ask for the identity.
+func (e *entry) lookupResult(now time.Time) *pb.InflightRecord {
 	rec := e.snapshot(now)
-	if e.beginning && rec.GetState() == pb.InflightState_INFLIGHT_STATE_RUNNING {
+	if e.unconfirmed && rec.GetState() == pb.InflightState_INFLIGHT_STATE_RUNNING {
 		rec.State = pb.InflightState_INFLIGHT_STATE_NONE
 	}
 	return rec
@@ -312,33 +312,33 @@
 // Tick drops finished records whose window is over.
 func (s *Store) Tick(now time.Time) {
 	n, removed := 0, false
-	for n < len(s.finished) && now.Sub(s.finished[n].done) >= s.cfg.Window {
+	for n < len(s.finished) && now.Sub(s.finished[n].finishedAt) >= s.cfg.Retention {
 		e := s.finished[n]
-		if now.Sub(e.done) >= s.window(e) {
+		if now.Sub(e.finishedAt) >= s.retention(e) {
 			s.remove(e)
 			removed = true
 		}
 		n++
 	}
 	if removed {
-		s.finished = slices.DeleteFunc(s.finished, func(e *entry) bool { return e.gone })
+		s.finished = slices.DeleteFunc(s.finished, func(e *entry) bool { return e.removed })
 	}
 }
 
-// window is longer for a record that may still be needed for a bill.
-func (s *Store) window(e *entry) time.Duration {
-	if s.spare(e) {
-		return s.cfg.Window
+// retention is longer for a record that may still be needed for a bill.
+func (s *Store) retention(e *entry) time.Duration {
+	if s.expendable(e) {
+		return s.cfg.Retention
 	}
-	return max(s.cfg.Window, unsettledWindow)
+	return max(s.cfg.Retention, unsettledRetention)
 }
 
-// spare tells whether a finished record is needed for answers only. A copy is needed until
+// expendable tells whether a finished record is needed for answers only. A copy is needed until
 // its bill is settled. An own record isn't needed for its bill, which the grants hold, but
 // until every host that may hold an older version has the last one.
-func (s *Store) spare(e *entry) bool {
+func (s *Store) expendable(e *entry) bool {
 	if s.own[e.rec.GetRequestId()] == e {
-		return s.complete(e) && !e.lostBehind()
+		return s.complete(e) && !e.departedOutdated()
 	}
 	return e.rec.GetSettled() || !Billable(e.rec)
 }
@@ -356,16 +356,16 @@
 }
 
 func (s *Store) remove(e *entry) {
-	if e.gone {
+	if e.removed {
 		return
 	}
-	e.gone = true
+	e.removed = true
 	s.count--
 	s.bytes -= e.size
 	id, request := e.rec.GetIdentity(), e.rec.GetRequestId()
 	if s.own[request] != e {
-		if s.guarded[request] == e {
-			delete(s.guarded, request)
+		if s.orphans[request] == e {
+			delete(s.orphans, request)
 			delete(s.dirty, request)
 		}
 		s.removeCopy(id, e)
--- a/internal/inflight/store_test.go
+++ b/internal/inflight/store_test.go
@@ -55,7 +55,7 @@
 				}
 			},
 			"sweep": func(t *rapid.T) {
-				if now.Before(time.Unix(1, 0).Add(unsettledWindow - time.Hour)) {
+				if now.Before(time.Unix(1, 0).Add(unsettledRetention - time.Hour)) {
 					now = now.Add(11 * time.Minute)
 				}
 				s.Tick(now)
@@ -164,13 +164,13 @@
 	if s.MarkSettled(now, "r"); !s.own["r"].rec.GetSettled() {
 		t.Error("not settled")
 	}
-	s.Sending("r", Host{Name: "peer", Incarnation: 1})
-	s.Acked("r", "peer", 1, 2)
+	s.MarkSending("r", Host{Name: "peer", Incarnation: 1})
+	s.MarkAcked("r", "peer", 1, 2)
 	s.Tick(now.Add(11 * time.Minute))
 	if s.Len() != 1 {
 		t.Error("dropped before its copy knows the end")
 	}
-	s.Acked("r", "peer", 1, 3)
+	s.MarkAcked("r", "peer", 1, 3)
 	s.Tick(now.Add(11 * time.Minute))
 	if s.Len() != 0 || s.Bytes() != 0 {
 		t.Errorf("%d records, %d bytes after the window", s.Len(), s.Bytes())
--- a/internal/ledger/image.go
+++ b/internal/ledger/image.go
@@ -31,7 +31,7 @@
 	Name    string `json:"name"`
 	Account string `json:"account"`
 	Funded  uint64 `json:"funded"`
-	// Lowered is what operators funded if that is less than Funded; nil: Funded.
+	// Lowered is the total that operators funded if it is less than Funded; otherwise nil.
 	Lowered *uint64      `json:"lowered,omitempty"`
 	Billed  uint64       `json:"billed"`
 	Bills   uint64       `json:"bills"`
@@ -40,13 +40,13 @@
 }
 
 type grantImage struct {
-	Incarnation uint64  `json:"incarnation"`
-	Tokens      uint64  `json:"tokens"`
-	Reserve     uint64  `json:"reserve,omitempty"`
-	Seq         uint64  `json:"seq"`
-	LastAmount  uint64  `json:"last_amount"`
-	LastReserve uint64  `json:"last_reserve,omitempty"`
-	Opening     opening `json:"opening,omitzero"`
+	Incarnation uint64      `json:"incarnation"`
+	Tokens      uint64      `json:"tokens"`
+	Reserve     uint64      `json:"reserve,omitempty"`
+	Seq         uint64      `json:"seq"`
+	LastAmount  uint64      `json:"last_amount"`
+	LastReserve uint64      `json:"last_reserve,omitempty"`
+	ReserveRate reserveRate `json:"opening,omitzero"`
 }
 
 type transferImage struct {
@@ -63,11 +63,11 @@
 	Billed uint64 `json:"billed"`
 }
 
-// Image copies the ledger's content; later records don't change the copy.
+// Image returns a copy of the ledger's content, which later records don't change.
 func (s *State) Image() Image {
 	im := Image{
-		LastHolder: s.registry.last, Recovered: slices.Clone(s.registry.recovered),
-		Billed: s.billed.memory.Image(), ReachMs: s.billed.reachMs, KeepMs: s.billed.keepMs, NextForget: s.billed.nextForget,
+		LastHolder: s.registry.lastIncarnation, Recovered: slices.Clone(s.registry.recovered),
+		Billed: s.billed.memory.Image(), ReachMs: s.billed.lookbackMs, KeepMs: s.billed.retentionMs, NextForget: s.billed.nextForget,
 		Operators: s.operatorImages(), Counters: s.counters,
 	}
 	for _, b := range s.byNumber {
@@ -78,8 +78,8 @@
 		h.Boots = slices.Clone(h.Boots)
 		im.Hosts = append(im.Hosts, h)
 	}
-	for _, number := range slices.Sorted(maps.Keys(s.registry.open)) {
-		im.Open = append(im.Open, *s.registry.open[number])
+	for _, number := range slices.Sorted(maps.Keys(s.registry.unrecovered)) {
+		im.Open = append(im.Open, *s.registry.unrecovered[number])
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.transfers)) {
 		im.Transfers = append(im.Transfers, transferImage{ID: id, transfer: s.transfers[id]})
@@ -92,31 +92,31 @@
 		Name: b.name, Account: b.account, Funded: b.funded, Billed: b.billed, Bills: b.bills,
 		Lines: b.statement.ordered(),
 	}
-	if b.limit != b.funded {
-		limit := b.limit
+	if b.intended != b.funded {
+		limit := b.intended
 		im.Lowered = &limit
 	}
 	for _, inc := range slices.Sorted(maps.Keys(b.holders)) {
 		g := b.holders[inc]
 		im.Grants = append(im.Grants, grantImage{
 			Incarnation: inc, Tokens: g.tokens, Reserve: g.reserve, Seq: g.seq, LastAmount: g.lastAmount, LastReserve: g.lastReserve,
-			Opening: g.opening,
+			ReserveRate: g.reserveRate,
 		})
 	}
 	return im
 }
 
 func (s *State) operatorImages() []operatorImage {
-	out := make([]operatorImage, 0, len(s.operators))
-	for key, a := range s.operators {
+	out := make([]operatorImage, 0, len(s.operations))
+	for key, a := range s.operations {
 		out = append(out, operatorImage{Key: key[:], Budget: a.budget, Create: a.create, Tokens: a.tokens, Funded: a.funded, Billed: a.billed})
 	}
 	slices.SortFunc(out, func(a, b operatorImage) int { return bytes.Compare(a.Key, b.Key) })
 	return out
 }
 
-// Restore replaces the ledger's content by im. It refuses an image that breaks the
-// invariant or doesn't hang together; the ledger must not be used then.
+// Restore replaces the ledger's content by im. It returns an error if im violates the
+// invariant or is inconsistent; the ledger must not be used then.
 func (s *State) Restore(im Image) error {
 	fresh := New(s.options)
 	for _, bi := range im.Budgets {
@@ -124,17 +124,17 @@
 			return err
 		}
 	}
-	fresh.registry.last = im.LastHolder
+	fresh.registry.lastIncarnation = im.LastHolder
 	fresh.registry.recovered = slices.Clone(im.Recovered)
 	for _, h := range im.Hosts {
 		fresh.registry.hosts[h.Name] = &h
 	}
 	for _, inc := range im.Open {
-		fresh.registry.open[inc.Number] = &inc
+		fresh.registry.unrecovered[inc.Number] = &inc
 	}
 	for _, b := range fresh.byNumber {
 		for inc, g := range b.holders {
-			fresh.registry.countBudget(inc, 0, g.tokens)
+			fresh.registry.updateBudgetCount(inc, 0, g.tokens)
 		}
 	}
 	for _, t := range im.Transfers {
@@ -146,7 +146,7 @@
 		}
 	}
 	fresh.billed.memory.Restore(im.Billed)
-	fresh.billed.reachMs, fresh.billed.keepMs, fresh.billed.nextForget = im.ReachMs, im.KeepMs, im.NextForget
+	fresh.billed.lookbackMs, fresh.billed.retentionMs, fresh.billed.nextForget = im.ReachMs, im.KeepMs, im.NextForget
 	fresh.counters = im.Counters
 	*s = *fresh
 	return nil
@@ -159,24 +159,24 @@
 		holders:   make(map[uint64]grant, len(im.Grants)),
 		statement: statement{limit: s.options.StatementLines},
 	}
-	b.limit = im.Funded
+	b.intended = im.Funded
 	if im.Lowered != nil {
-		b.limit = *im.Lowered
+		b.intended = *im.Lowered
 	}
-	promised := im.Billed
+	committed := im.Billed
 	for _, g := range im.Grants {
 		var ok bool
-		if promised, ok = add(promised, g.Tokens); !ok {
-			return errors.Errorf("ledger: snapshot: the grants of budget %q overflow", im.Name)
+		if committed, ok = add(committed, g.Tokens); !ok {
+			return errors.Errorf("ledger: snapshot: the sum of the grants of budget %q overflows", im.Name)
 		}
 		b.setGrant(g.Incarnation, g.Tokens)
 		b.holders[g.Incarnation] = grant{
 			tokens: g.Tokens, reserve: min(g.Reserve, g.Tokens), seq: g.Seq, lastAmount: g.LastAmount, lastReserve: g.LastReserve,
-			opening: g.Opening,
+			reserveRate: g.ReserveRate,
 		}
 	}
-	if promised > im.Funded {
-		return errors.Errorf("ledger: snapshot: budget %q has billed and granted %d of %d funded tokens", im.Name, promised, im.Funded)
+	if committed > im.Funded {
+		return errors.Errorf("ledger: snapshot: budget %q has %d tokens billed and granted, but only %d funded", im.Name, committed, im.Funded)
 	}
 	for _, l := range im.Lines {
 		b.statement.append(l)
@@ -188,11 +188,11 @@
 
 func (s *State) restoreOperator(o operatorImage) error {
 	if len(o.Key) != window.KeySize {
-		return errors.Errorf("ledger: snapshot: the key of an operation has %d bytes instead of %d", len(o.Key), window.KeySize)
+		return errors.Errorf("ledger: snapshot: an operation key has %d bytes, want %d", len(o.Key), window.KeySize)
 	}
 	if int(o.Budget) >= len(s.byNumber) {
-		return errors.Errorf("ledger: snapshot: an operation on budget number %d, but there are %d budgets", o.Budget, len(s.byNumber))
+		return errors.Errorf("ledger: snapshot: an operation refers to budget number %d, but there are only %d budgets", o.Budget, len(s.byNumber))
 	}
-	s.operators[window.Key(o.Key)] = operatorAnswer{budget: o.Budget, create: o.Create, tokens: o.Tokens, funded: o.Funded, billed: o.Billed}
+	s.operations[window.Key(o.Key)] = operatorResult{budget: o.Budget, create: o.Create, tokens: o.Tokens, funded: o.Funded, billed: o.Billed}
 	return nil
 }
--- a/internal/ledger/registry.go
+++ b/internal/ledger/registry.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// bootsKept is how many boots of a host are remembered. A RegisterHost that was
-	// delayed in the network past a restart must not count as a newer boot, or it
-	// would declare the running process dead.
-	bootsKept = 8
-	// recoveriesKept is how many results of RecoverHolder are remembered for resends.
-	recoveriesKept = 1024
+	// maxBoots is the number of boots remembered per host. A RegisterHost that was delayed
+	// in the network until after a restart must not count as a newer boot, or it would
+	// declare the running process dead.
+	maxBoots = 8
+	// maxRecoveries is the number of RecoverHolder results remembered for resends.
+	maxRecoveries = 1024
 )
 
-// registry knows the hosts and their incarnations. Incarnations are numbered over
-// all hosts, so a number alone names a holder, and any number that was given out
-// but isn't open any more has been recovered.
+// registry holds the hosts and their incarnations. Incarnations are numbered across all
+// hosts, so a number alone identifies a holder, and any number up to lastIncarnation that
+// is not in unrecovered has been recovered.
 type registry struct {
-	last      uint64
-	hosts     map[string]*host
-	open      map[uint64]*incarnation
-	recovered []recovery
+	lastIncarnation uint64
+	hosts           map[string]*host
+	unrecovered     map[uint64]*incarnation
+	recovered       []recovery
 }
 
-// host is one entry host by name.
+// host is one entry host.
 type host struct {
 	Name          string `json:"name"`
 	Zone          string `json:"zone"`
@@ -49,21 +49,22 @@
 	Former      uint64 `json:"former"`
 }
 
-// incarnation is one run of a host that may still hold tokens.
+// incarnation is an incarnation of a host that may still hold tokens.
 type incarnation struct {
 	Number uint64 `json:"number"`
 	Host   string `json:"host"`
 	Dead   bool   `json:"dead,omitempty"`
-	// Seq and Result are of the last settlement batch, for its resend.
+	// Seq and Result are the number and the result of the last settlement batch, to answer
+	// a resend of it.
 	Seq    uint64      `json:"seq"`
 	Result batchResult `json:"result"`
-	// Contact is when the last batch was applied (or the host registered).
-	Contact int64 `json:"contact"`
-	// Confirmed is a time of the past at which the holder surely had not yet received the
-	// last answer that it did receive; WallMs is its time of day in its last batch.
+	// LastContact is when the last batch was applied, or when the host registered.
+	LastContact int64 `json:"contact"`
+	// Confirmed is a time that is certainly before the holder received the last answer that
+	// it did receive; WallMs is the wall-clock time in its last batch.
 	Confirmed int64 `json:"confirmed,omitempty"`
 	WallMs    int64 `json:"wall_ms,omitempty"`
-	// budgets is the number of budgets of which it has tokens.
+	// budgets is the number of budgets of which the incarnation has tokens.
 	budgets int
 }
 
@@ -75,25 +76,25 @@
 }
 
 func newRegistry() registry {
-	return registry{hosts: make(map[string]*host), open: make(map[uint64]*incarnation)}
+	return registry{hosts: make(map[string]*host), unrecovered: make(map[uint64]*incarnation)}
 }
 
-// RegisterHost gives a starting process its incarnation; the former one is dead
-// from then on. A resend with the same boot id gets the same incarnation.
+// RegisterHost assigns an incarnation to a starting process; the host's former incarnation
+// counts as dead from then on. A resend with the same boot id gets the same incarnation.
 func (s *State) RegisterHost(r Record, c *pb.RegisterHost) (*pb.RegisterHostResult, error) {
 	if c.Host == "" || c.BootId == "" {
 		return nil, errkind.New(errkind.BadRequest, "a registration needs a host and a boot id")
 	}
-	former := s.formerRun(c)
+	former := s.formerIncarnation(c)
 	result := s.registry.register(c, r.Now)
 	if former != nil && former.Dead {
-		result.Former = s.releaseReserve(r, former, c)
+		result.Former = s.freeUnspentReserve(r, former, c)
 	}
 	return result, nil
 }
 
-// formerRun is the run of the host that a registration ends; nil if it ends none.
-func (s *State) formerRun(c *pb.RegisterHost) *incarnation {
+// formerIncarnation returns the incarnation that a registration ends; nil if it ends none.
+func (s *State) formerIncarnation(c *pb.RegisterHost) *incarnation {
 	h := s.registry.hosts[c.Host]
 	if h == nil {
 		return nil
@@ -101,22 +102,22 @@
 	if _, known := h.boot(c.BootId); known {
 		return nil
 	}
-	return s.registry.open[h.Incarnation]
+	return s.registry.unrecovered[h.Incarnation]
 }
 
-// releaseReserve frees the part of a lost run's reserve that it can't have spent, and tells
-// what it held. The rest of that counts as spent: it stays granted to it, until a record of
-// what it gave or used turns up.
-func (s *State) releaseReserve(r Record, former *incarnation, c *pb.RegisterHost) *pb.FormerRun {
-	without := s.withoutContact(r, former, c)
-	ended := &pb.FormerRun{Incarnation: former.Number, WithoutContactMs: without.Milliseconds()}
+// freeUnspentReserve frees the part of a dead incarnation's reserve that it can't have spent,
+// and returns what it held. The rest counts as spent: it stays granted to that incarnation
+// until a record of what it sent or used is found.
+func (s *State) freeUnspentReserve(r Record, former *incarnation, c *pb.RegisterHost) *pb.FormerRun {
+	sinceContact := s.maxTimeSinceContact(r, former, c)
+	report := &pb.FormerRun{Incarnation: former.Number, WithoutContactMs: sinceContact.Milliseconds()}
 	for _, b := range s.byNumber {
 		g := b.holders[former.Number]
 		if g.tokens == 0 {
 			continue
 		}
-		freed := g.reserve - reserve.PerhapsSpent(g.reserve, g.opening.highest(former.Confirmed), without)
-		ended.Grants = append(ended.Grants, &pb.FormerGrant{
+		freed := g.reserve - reserve.CountedAsSpent(g.reserve, g.reserveRate.highestSince(former.Confirmed), sinceContact)
+		report.Grants = append(report.Grants, &pb.FormerGrant{
 			Budget: b.name, Open: g.tokens - g.reserve, Reserve: g.reserve, Freed: freed,
 		})
 		if g.reserve == 0 {
@@ -124,23 +125,24 @@
 		}
 		b.unlock(former.Number, g.reserve)
 		s.setGrant(b, former.Number, g.tokens-freed)
-		b.shrink()
+		b.reduceFunds()
 		b.statement.append(line{
 			Index: r.Index, TimeMs: r.Now, Kind: lineRecover, Tokens: freed, Actor: r.Actor,
-			Note: fmt.Sprintf("reserve of incarnation %d, %v without contact", former.Number, without),
+			Note: fmt.Sprintf("reserve of incarnation %d, %v without contact", former.Number, sinceContact),
 		})
 		checkInvariant(b)
 	}
-	return ended
+	return report
 }
 
-// withoutContact is how long a lost run may have lived on without contact, at most.
-func (s *State) withoutContact(r Record, former *incarnation, c *pb.RegisterHost) time.Duration {
+// maxTimeSinceContact returns the maximum time for which a dead incarnation may have run on
+// without contact.
+func (s *State) maxTimeSinceContact(r Record, former *incarnation, c *pb.RegisterHost) time.Duration {
 	ms := r.Now - former.Confirmed
 	if former.WallMs > 0 && c.WallMs > 0 {
-		// The wall time of the last batch is that of its making, after the contact counted
-		// from; what lies between the two is added.
-		ms = max(ms, c.WallMs+c.AgeMs-former.WallMs+former.Contact-former.Confirmed)
+		// The wall-clock time in the last batch is when the batch was made, which is after the
+		// contact from which the time is measured; the time between the two is added.
+		ms = max(ms, c.WallMs+c.AgeMs-former.WallMs+former.LastContact-former.Confirmed)
 	}
 	return time.Duration(max(ms-c.AgeMs, 0)) * time.Millisecond
 }
@@ -158,7 +160,7 @@
 	return &pb.RegisterHostResult{
 		Holder:            &pb.Holder{Host: c.Host, Incarnation: b.Incarnation},
 		FormerIncarnation: b.Former,
-		Hosts:             g.infos(),
+		Hosts:             g.hostInfos(),
 	}
 }
 
@@ -173,56 +175,56 @@
 
 func (g *registry) newIncarnation(h *host, c *pb.RegisterHost, now int64) boot {
 	g.markDead(h.Incarnation)
-	g.last++
-	b := boot{ID: c.BootId, Incarnation: g.last, Former: h.Incarnation}
+	g.lastIncarnation++
+	b := boot{ID: c.BootId, Incarnation: g.lastIncarnation, Former: h.Incarnation}
 	h.Zone, h.CallerAddress, h.PeerAddress, h.Control = c.Zone, c.CallerAddress, c.PeerAddress, c.Control
-	h.Incarnation, h.Removed = g.last, false
+	h.Incarnation, h.Removed = g.lastIncarnation, false
 	h.Boots = append(h.Boots, b)
-	if len(h.Boots) > bootsKept {
+	if len(h.Boots) > maxBoots {
 		h.Boots = slices.Delete(h.Boots, 0, 1)
 	}
-	g.open[g.last] = &incarnation{Number: g.last, Host: h.Name, Contact: now, Confirmed: now}
+	g.unrecovered[g.lastIncarnation] = &incarnation{Number: g.lastIncarnation, Host: h.Name, LastContact: now, Confirmed: now}
 	return b
 }
 
 func (g *registry) markDead(number uint64) {
-	if inc := g.open[number]; inc != nil {
+	if inc := g.unrecovered[number]; inc != nil {
 		inc.Dead = true
 	}
 }
 
-// RemoveHost marks a host as dead: an operator reports it, or the host says itself
-// that it has left. A host that left in order holds no tokens; if it counted as live,
-// the recovery of any other host would wait for its answer for good.
+// RemoveHost marks a host as dead: an operator reports that it is dead, or the host itself
+// reports that it has left. A host that left cleanly holds no tokens; if it counted as live,
+// the recovery of any other host would wait for its answer forever.
 //
-// The report must be true. A removed host that is only cut off goes on spending the
-// tokens that it holds, and what it spends after its recovery can't be billed any more.
+// The report must be true. A removed host that is only cut off continues to spend the tokens
+// that it holds, and what it spends after its recovery can no longer be billed.
 func (s *State) RemoveHost(c *pb.RemoveHost) error {
 	h := s.registry.hosts[c.Host]
 	if h == nil {
 		return errkind.New(errkind.NotFound, "no host %q", c.Host)
 	}
 	if c.Incarnation != 0 && c.Incarnation != h.Incarnation {
-		return errkind.New(errkind.StaleFence, "incarnation %d of host %q has been followed by %d", c.Incarnation, c.Host, h.Incarnation)
+		return errkind.New(errkind.StaleFence, "incarnation %d of host %q has been replaced by %d", c.Incarnation, c.Host, h.Incarnation)
 	}
 	h.Removed = true
 	s.registry.markDead(h.Incarnation)
 	return nil
 }
 
-// Hosts lists the hosts by name.
-func (s *State) Hosts() []*pb.HostInfo { return s.registry.infos() }
+// Hosts returns the hosts, sorted by name.
+func (s *State) Hosts() []*pb.HostInfo { return s.registry.hostInfos() }
 
-// Live tells whether the holder is its host's present live incarnation.
+// Live returns an error unless the holder is its host's current live incarnation.
 func (s *State) Live(h *pb.Holder) error {
 	_, err := s.registry.live(h)
 	return err
 }
 
-func (g *registry) infos() []*pb.HostInfo {
+func (g *registry) hostInfos() []*pb.HostInfo {
 	unrecovered := make(map[string][]uint64)
-	for _, number := range slices.Sorted(maps.Keys(g.open)) {
-		if inc := g.open[number]; inc.Dead {
+	for _, number := range slices.Sorted(maps.Keys(g.unrecovered)) {
+		if inc := g.unrecovered[number]; inc.Dead {
 			unrecovered[inc.Host] = append(unrecovered[inc.Host], number)
 		}
 	}
@@ -237,16 +239,16 @@
 	return out
 }
 
-// holder names the holder of an open incarnation.
+// holder returns the holder of an incarnation, without its host if it has been recovered.
 func (g *registry) holder(number uint64) *pb.Holder {
 	h := &pb.Holder{Incarnation: number}
-	if inc := g.open[number]; inc != nil {
+	if inc := g.unrecovered[number]; inc != nil {
 		h.Host = inc.Host
 	}
 	return h
 }
 
-// live returns the number of a live holder, or a refusal.
+// live returns the number of a live holder, or an error if the holder is not live.
 func (g *registry) live(h *pb.Holder) (uint64, error) {
 	inc, err := g.find(h)
 	if err != nil {
@@ -258,21 +260,21 @@
 	return inc.Number, nil
 }
 
-// find returns the open incarnation of a holder, nil if it has been recovered, or
-// a refusal if there never was such a holder.
+// find returns the incarnation of a holder, nil if it has been recovered, or an error if
+// there never was such a holder.
 func (g *registry) find(h *pb.Holder) (*incarnation, error) {
-	if h == nil || h.Incarnation == 0 || h.Incarnation > g.last {
+	if h == nil || h.Incarnation == 0 || h.Incarnation > g.lastIncarnation {
 		return nil, errkind.New(errkind.NotFound, "holder %v was never registered", h)
 	}
-	inc := g.open[h.Incarnation]
+	inc := g.unrecovered[h.Incarnation]
 	if inc != nil && inc.Host != h.Host {
-		return nil, errkind.New(errkind.NotFound, "incarnation %d is not of host %q", h.Incarnation, h.Host)
+		return nil, errkind.New(errkind.NotFound, "incarnation %d does not belong to host %q", h.Incarnation, h.Host)
 	}
 	return inc, nil
 }
 
-// missing lists the live holders, but for the dead one, that are not in gathered.
-func (g *registry) missing(gathered []*pb.Holder) []string {
+// notGathered returns the hosts of the live holders that are not in gathered.
+func (g *registry) notGathered(gathered []*pb.Holder) []string {
 	have := make(map[uint64]bool, len(gathered))
 	for _, h := range gathered {
 		have[h.GetIncarnation()] = true
@@ -280,29 +282,29 @@
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(g.hosts)) {
 		number := g.hosts[name].Incarnation
-		if inc := g.open[number]; inc != nil && !inc.Dead && !have[number] {
+		if inc := g.unrecovered[number]; inc != nil && !inc.Dead && !have[number] {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// oldestContact is the earliest time since when some open incarnation that has tokens
-// has not settled. One without tokens has nothing to bill; were it counted, a host
-// that serves nobody would keep every identity from being forgotten.
+// oldestContact returns the earliest LastContact of the unrecovered incarnations that have
+// tokens. One without tokens has nothing to bill; if it counted, a host that serves no
+// requests would keep every identity from being forgotten.
 func (g *registry) oldestContact(now int64) int64 {
 	oldest := now
-	for _, inc := range g.open {
+	for _, inc := range g.unrecovered {
 		if inc.budgets > 0 {
-			oldest = min(oldest, inc.Contact)
+			oldest = min(oldest, inc.LastContact)
 		}
 	}
 	return oldest
 }
 
-// countBudget notes that an incarnation's tokens of one budget changed.
-func (g *registry) countBudget(number, before, after uint64) {
-	inc := g.open[number]
+// updateBudgetCount records that an incarnation's tokens of one budget changed.
+func (g *registry) updateBudgetCount(number, before, after uint64) {
+	inc := g.unrecovered[number]
 	if inc == nil {
 		return
 	}
@@ -315,14 +317,14 @@
 }
 
 func (g *registry) closeIncarnation(r recovery) {
-	delete(g.open, r.Incarnation)
+	delete(g.unrecovered, r.Incarnation)
 	g.recovered = append(g.recovered, r)
-	if len(g.recovered) > recoveriesKept {
+	if len(g.recovered) > maxRecoveries {
 		g.recovered = slices.Delete(g.recovered, 0, 1)
 	}
 }
 
-// recoveryOf returns the remembered result for a recovered incarnation.
+// recoveryOf returns the remembered result of an incarnation's recovery.
 func (g *registry) recoveryOf(number uint64) recovery {
 	for _, r := range g.recovered {
 		if r.Incarnation == number {
--- a/internal/measure/budgets/transfers.go
+++ b/internal/measure/budgets/transfers.go
@@ -26,14 +26,14 @@
 // give is the peer's side: deduct, copy to a third host, answer.
 func (w *demand) give(asker, giver int, req *pb.AskTokensRequest) {
 	h := w.holders[giver]
-	t, state := h.TransferAsked(w.s.virtual(), req)
-	if state != grant.GiveNew {
+	t, state := h.HandleAsk(w.s.virtual(), req)
+	if state != grant.NewTransfer {
 		w.answer(asker, giver, req, t)
 		return
 	}
 	third := w.third(asker, giver)
 	if third < 0 && w.set.NeedThird {
-		w.step(giver, func(h *grant.Holder, now time.Time) grant.Output { return h.GiveUndone(now, req.GetId()) })
+		w.step(giver, func(h *grant.Holder, now time.Time) grant.Output { return h.UndoTransfer(now, req.GetId()) })
 		w.answer(asker, giver, req, nil)
 		return
 	}
@@ -45,7 +45,7 @@
 	w.s.inTransit[account] += t.GetTokens()
 	w.s.count(2, 2*proto.Size(t))
 	w.s.after(trip, func() {
-		h.GiveReady(req.GetId())
+		h.MarkTransferReady(req.GetId())
 		w.answer(asker, giver, req, t)
 	})
 }
