--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -141,7 +141,7 @@
 		event = event.Str("route", x.Route.Name).Time("deadline", x.Deadline)
 	}
 	if !x.Deadline.IsZero() {
-		event = event.Stringer("fingerprint", x.Asked.Fingerprint)
+		event = event.Stringer("fingerprint", x.QuarantineID.Fingerprint)
 	}
 	if x.Pass != nil && x.Pass.Standing().Crashes > 0 {
 		st := x.Pass.Standing()
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -57,8 +57,8 @@
 	Account *routes.Account // nil on routes that need no key
 	// Service that the request goes to, and the table's entry of it.
 	Service *routes.Service
-	// Asked names the request by what it asks: a caller that sends it again has another ID.
-	Asked quarantine.ID
+	// QuarantineID names the request by what it asks: a caller that sends it again has another ID.
+	QuarantineID quarantine.ID
 	// Pass to backend servers; nil: there is no quarantine.
 	Pass filter.Pass
 
--- a/internal/relay/quarantine/quarantine.go
+++ b/internal/relay/quarantine/quarantine.go
@@ -18,11 +18,11 @@
 // ServeHTTP fills the exchange's Asked and Pass.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	x := relay.From(r.Context())
-	x.Asked = quarantine.ID{
+	x.QuarantineID = quarantine.ID{
 		Account:     x.AccountName(),
 		Fingerprint: quarantine.FingerprintOf(x.AccountName(), x.Host, x.Target, x.Body),
 	}
-	pass, err := f.Quarantine.Admit(r.Context(), x.Asked)
+	pass, err := f.Quarantine.Admit(r.Context(), x.QuarantineID)
 	if err != nil {
 		return err
 	}
