--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -59,8 +59,8 @@
 	Service *routes.Service
 	// QuarantineID names the request by what it asks: a caller that sends it again has another ID.
 	QuarantineID quarantine.ID
-	// Pass to backend servers; nil: there is no quarantine.
-	Pass filter.Pass
+	// Admission to backend servers; nil: there is no quarantine.
+	Admission filter.Pass
 
 	// Reserved is how many tokens are set aside. Input is set once the request surely began
 	// to run, with the first part of its answer, or may have done so at a server that did
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -62,8 +62,8 @@
 	note.Took = time.Since(started)
 	note.Failed(out.cause, out.err)
 	lease.Done(out.result)
-	if t.x.Pass != nil && out.cause.CrashLike() {
-		t.x.Pass.Broke(filter.Break{
+	if t.x.Admission != nil && out.cause.CrashLike() {
+		t.x.Admission.Broke(filter.Break{
 			Run: choice.Instance.Incarnation(), Address: choice.Instance.Address, HealthPath: t.x.Service.HealthPath,
 			Began: started, Others: choice.Running, RequestID: t.x.ID,
 		})
@@ -90,8 +90,8 @@
 // reached notes that a server has the request.
 func (t *try) reached() {
 	t.sent++
-	if t.x.Pass != nil {
-		t.x.Pass.Reached()
+	if t.x.Admission != nil {
+		t.x.Admission.Reached()
 	}
 }
 
--- a/internal/relay/forward/forward.go
+++ b/internal/relay/forward/forward.go
@@ -86,8 +86,8 @@
 			return t.giveUp(err)
 		}
 		out := t.attempt(lease)
-		if out.whole && t.x.Pass != nil {
-			t.x.Pass.Answered()
+		if out.whole && t.x.Admission != nil {
+			t.x.Admission.Answered()
 		}
 		if out.err == nil {
 			return nil
@@ -98,10 +98,10 @@
 		if !out.again || !t.mayRepeat() {
 			return t.giveUp(out.err)
 		}
-		if t.x.Pass == nil {
+		if t.x.Admission == nil {
 			continue
 		}
-		if err := t.x.Pass.Again(t.ctx); err != nil {
+		if err := t.x.Admission.Again(t.ctx); err != nil {
 			return t.giveUp(err)
 		}
 	}
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -219,7 +219,7 @@
 
 func (r *run) do() error {
 	r.x = &relay.Exchange{
-		Pass:    r.pass,
+		Admission:    r.pass,
 		Request: &relay.Request{ID: requestID, Method: r.method, Target: "/p", Header: http.Header{}, PromptTokens: 100},
 		Route:   &r.route, Deadline: time.Now().Add(time.Minute),
 		Service: &routes.Service{Name: "pool", Engine: &routes.Engine{TokensPerEvent: 4}},
--- a/internal/relay/quarantine/quarantine.go
+++ b/internal/relay/quarantine/quarantine.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	x.Pass = pass
+	x.Admission = pass
 	defer pass.Close()
 	return next.ServeHTTP(w, r)
 }
