--- a/internal/relay/budget/budget.go
+++ b/internal/relay/budget/budget.go
@@ -47,7 +47,7 @@
 		return 0
 	}
 	tokens := x.Output
-	if x.Input {
+	if x.PromptConsumed {
 		tokens += x.PromptTokens
 	}
 	return min(tokens, x.Reserved)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -69,7 +69,7 @@
 	Reserved uint64
 	// Holder is the host that holds the tokens, or refused them.
 	Holder string
-	Input  bool
+	PromptConsumed  bool
 	Output uint64
 
 	// Attempts made at backend servers.
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -82,7 +82,7 @@
 		t.reached()
 		t.mayHaveRun()
 		result = balance.Broken
-		t.x.Input = t.x.Input || t.ctx.Err() == nil
+		t.x.PromptConsumed = t.x.PromptConsumed || t.ctx.Err() == nil
 	}
 	return t.failed(result, engineclient.CauseOf(err), "%v", err)
 }
@@ -168,7 +168,7 @@
 		// of step: the answer that belongs here would be taken for that of the next request.
 		cancel()
 		t.mayHaveRun()
-		t.x.Input = true
+		t.x.PromptConsumed = true
 		return t.failed(balance.Broken, engineclient.CauseOtherRequest, "the answer names request %q", reply.ID)
 	}
 	t.heardLimit(lease.Choice().Instance.Incarnation(), reply, sent)
@@ -201,11 +201,11 @@
 func (t *try) relayWhole(lease relay.Lease, res *http.Response) outcome {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxWhole+1))
 	if err != nil {
-		t.x.Input = t.x.Input || t.ctx.Err() == nil
+		t.x.PromptConsumed = t.x.PromptConsumed || t.ctx.Err() == nil
 		return t.failed(balance.Broken, engineclient.CauseCutBody, "the answer broke off: %v", err)
 	}
 	lease.First()
-	t.x.Input = true
+	t.x.PromptConsumed = true
 	if res.StatusCode >= http.StatusInternalServerError && t.x.Route.Kind == routes.Idempotent && t.allowNext() {
 		return t.failed(balance.Served, engineclient.CauseFault, "the backend server answered %d", res.StatusCode)
 	}
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -258,7 +258,7 @@
 func TestLostAnswerIsNotSentAgain(t *testing.T) {
 	r := newRun(t, routes.NonIdempotent, fails(errkind.RanUnknown))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
-	if !r.x.Input {
+	if !r.x.PromptConsumed {
 		t.Error("a run that may have been is not billed")
 	}
 }
@@ -285,7 +285,7 @@
 	if errkind.From(err).RetryAfter == 0 {
 		t.Error("the caller is not told when to come back")
 	}
-	if r.x.Input {
+	if r.x.PromptConsumed {
 		t.Error("a request that did not run is billed")
 	}
 }
@@ -465,7 +465,7 @@
 	if fmt.Sprint(r.leases.results) != fmt.Sprint([]balance.Result{balance.Abandoned}) {
 		t.Errorf("results %v", r.leases.results)
 	}
-	if r.x.Input {
+	if r.x.PromptConsumed {
 		t.Error("a prompt is billed that was not read to its end")
 	}
 }
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -25,7 +25,7 @@
 		n, readErr := res.Body.Read(buf)
 		if n > 0 {
 			lease.First()
-			t.x.Input = true
+			t.x.PromptConsumed = true
 			t.pass(res, whole.Take(buf[:n]))
 		}
 		switch {
