--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -149,7 +149,7 @@
 			Str("crash_reporter", st.Reporter).Dur("last_crash_ago", st.LastCrash)
 	}
 	if x.PromptTokens > 0 {
-		event = event.Uint64("reserved", x.Reserved).Str("tokens_of", x.Holder).Uint64("prompt", x.PromptTokens).Uint64("output", x.Output)
+		event = event.Uint64("reserved", x.Reserved).Str("tokens_of", x.Holder).Uint64("prompt", x.PromptTokens).Uint64("output", x.OutputTokens)
 	}
 	for _, a := range x.Attempts {
 		event = event.Str("server", a.Server).Dur("predicted", a.Wait).Uint64("cached", a.Cached).
--- a/internal/relay/budget/budget.go
+++ b/internal/relay/budget/budget.go
@@ -46,7 +46,7 @@
 	if err != nil && !x.Begun {
 		return 0
 	}
-	tokens := x.Output
+	tokens := x.OutputTokens
 	if x.PromptConsumed {
 		tokens += x.PromptTokens
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -70,7 +70,7 @@
 	// Holder is the host that holds the tokens, or refused them.
 	Holder string
 	PromptConsumed  bool
-	Output uint64
+	OutputTokens uint64
 
 	// Attempts made at backend servers.
 	Attempts []Attempt
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -407,8 +407,8 @@
 	if r.w.Header().Get("Seal") != "first" {
 		t.Error("the headers are not those of the first server")
 	}
-	if r.x.Output != 4*4 {
-		t.Errorf("%d tokens of output counted, want 16", r.x.Output)
+	if r.x.OutputTokens != 4*4 {
+		t.Errorf("%d tokens of output counted, want 16", r.x.OutputTokens)
 	}
 	if fmt.Sprint(r.leases.results) != fmt.Sprint([]balance.Result{balance.Broken, balance.Served}) {
 		t.Errorf("results %v", r.leases.results)
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -48,7 +48,7 @@
 	}
 	t.begin(res)
 	t.events.Write(events)
-	t.x.Output = uint64(t.events.Events()) * t.tokensPerEvent()
+	t.x.OutputTokens = uint64(t.events.Events()) * t.tokensPerEvent()
 	t.handOver(events) // a caller who left is noticed by the request's context
 	if f, ok := t.w.(http.Flusher); ok {
 		f.Flush()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -241,7 +241,7 @@
 		x := exchange("/keyed/")
 		x.Key, x.PromptTokens, x.OutputCap = key, 300, 100
 		err := through(x, func(http.ResponseWriter, *http.Request) error {
-			x.PromptConsumed, x.Output = c.input, c.output
+			x.PromptConsumed, x.OutputTokens = c.input, c.output
 			return nil
 		}, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
 		testutil.NoError(t, err)
@@ -267,7 +267,7 @@
 		x := exchange("/keyed/")
 		x.Key, x.PromptTokens, x.OutputCap = key, 300, 100
 		err := through(x, func(http.ResponseWriter, *http.Request) error {
-			x.PromptConsumed, x.Begun, x.Output = true, c.begun, c.output
+			x.PromptConsumed, x.Begun, x.OutputTokens = true, c.begun, c.output
 			return errkind.New(errkind.BackendServerFailed, "reset").WithRan(errkind.RanUnknown)
 		}, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
 		testutil.Refused(t, err, errkind.BackendServerFailed, name)
