--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -131,9 +131,9 @@
 // Finished implements relay.Observer: one line for each request.
 func (g *gateway) Finished(x *relay.Exchange, err error) {
 	g.metrics.finished(x, err)
-	g.traffic.add(time.Now(), len(x.Body)+x.Sent)
+	g.traffic.add(time.Now(), len(x.Body)+x.BytesSent)
 	event := g.d.tel.Log.Info().Str("event", "request").Str("request", x.ID).Int("status", x.Status).
-		Str("ending", string(x.Ending)).Int("sent", x.Sent).Dur("took", time.Since(x.Arrived)).Str("account", x.AccountName())
+		Str("ending", string(x.Ending)).Int("sent", x.BytesSent).Dur("took", time.Since(x.Arrived)).Str("account", x.AccountName())
 	if x.Table != nil {
 		event = event.Uint64("revision", x.Table.Revision())
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -78,8 +78,8 @@
 	// request can still be answered with a status of its own, whatever became of its
 	// attempts; from then on only a broken connection tells the caller of a failure.
 	Begun bool
-	// Sent is how many bytes of the answer's body went to the caller.
-	Sent int
+	// BytesSent is how many bytes of the answer's body went to the caller.
+	BytesSent int
 	// Status that was answered.
 	Status int
 	// Ending is how the caller's side of the request ended.
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -246,7 +246,7 @@
 func (t *try) handOver(b []byte) bool {
 	_, err := t.w.Write(b)
 	t.x.Begun = true
-	t.x.Sent += len(b)
+	t.x.BytesSent += len(b)
 	return err == nil
 }
 
