--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -86,8 +86,8 @@
 	Ending Ending
 }
 
-// Use has the request served under a table: it finds the route, and picks the service.
-func (x *Exchange) Use(table *routes.Index) error {
+// SelectRoute has the request served under a table: it finds the route, and picks the service.
+func (x *Exchange) SelectRoute(table *routes.Index) error {
 	x.Table = table
 	route, err := table.Route(x.Host, x.Path)
 	if err != nil {
--- a/internal/relay/identify/identify.go
+++ b/internal/relay/identify/identify.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			return err
 		}
-		if err := x.Use(table); err != nil {
+		if err := x.SelectRoute(table); err != nil {
 			return err
 		}
 		if !identified(x) {
--- a/internal/relay/match/match.go
+++ b/internal/relay/match/match.go
@@ -20,9 +20,9 @@
 	if err != nil {
 		return err
 	}
-	if err = x.Use(table); errkind.Is(err, errkind.UnknownPath) {
+	if err = x.SelectRoute(table); errkind.Is(err, errkind.UnknownPath) {
 		if table, err = f.Tables.Newest(r.Context()); err == nil {
-			err = x.Use(table)
+			err = x.SelectRoute(table)
 		}
 	}
 	if err != nil {
