--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -114,8 +114,8 @@
 	// EndBrokenOff: the answer had begun and could not be finished; the caller's
 	// connection was closed to tell it.
 	EndBrokenOff Ending = "broken_off"
-	// EndLeft: the caller had left or its time was over while its answer was under way.
-	EndLeft Ending = "left"
+	// EndAbandoned: the caller had left or its time was over while its answer was under way.
+	EndAbandoned Ending = "left"
 )
 
 // Priority of the request, 0 first: that of its client account or else of its route.
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -58,7 +58,7 @@
 	case !x.Begun:
 		return EndRefused
 	case errkind.Is(err, errkind.CallerGone):
-		return EndLeft
+		return EndAbandoned
 	}
 	return EndBrokenOff
 }
