--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -132,7 +132,7 @@
 	Wait    time.Duration // predicted
 	Cached  uint64
 	Shared  uint64
-	Home    time.Duration // wait predicted at the home of the shared parts
+	PreferredWait    time.Duration // wait predicted at the home of the shared parts
 	Running int
 	First   time.Duration // to the answer's first byte
 	Took    time.Duration
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -38,7 +38,7 @@
 	choice := lease.Choice()
 	t.work.Exclude = append(t.work.Exclude, choice.Instance.Incarnation())
 	t.x.Attempts = append(t.x.Attempts, relay.Attempt{
-		Server: choice.Instance.ID, Wait: choice.Wait, Cached: choice.Cached, Shared: choice.Shared, Home: choice.HomeWait,
+		Server: choice.Instance.ID, Wait: choice.Wait, Cached: choice.Cached, Shared: choice.Shared, PreferredWait: choice.HomeWait,
 		Running: choice.Running,
 	})
 	note := &t.x.Attempts[len(t.x.Attempts)-1]
