--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -154,7 +154,7 @@
 	for _, a := range x.Attempts {
 		event = event.Str("server", a.Server).Dur("predicted", a.Wait).Uint64("cached", a.Cached).
 			Uint64("shared", a.Shared).Dur("home_wait", a.PreferredWait).Int("running", a.Running).
-			Dur("first", a.First).Dur("ran", a.Took).Str("outcome", string(a.Cause))
+			Dur("first", a.FirstByte).Dur("ran", a.Took).Str("outcome", string(a.Cause))
 		if a.Limit.Limited() {
 			event = event.Float64("limit", a.Limit.Limit)
 		}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -65,8 +65,8 @@
 		if a.Early {
 			m.early.Add(1)
 		}
-		if h := m.first[kind]; h != nil && a.First > 0 {
-			h.Observe(a.First)
+		if h := m.first[kind]; h != nil && a.FirstByte > 0 {
+			h.Observe(a.FirstByte)
 		}
 	}
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -134,7 +134,7 @@
 	Shared  uint64
 	PreferredWait    time.Duration // wait predicted at the home of the shared parts
 	Running int
-	First   time.Duration // to the answer's first byte
+	FirstByte   time.Duration // to the answer's first byte
 	Took    time.Duration
 	// Cause is what became of the attempt, Detail the error's own words, maxDetail bytes
 	// of them at most.
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		out = t.notAnswered(err)
 	} else {
-		note.First = time.Since(started)
+		note.FirstByte = time.Since(started)
 		out = t.answered(lease, res, started, cancel)
 	}
 	note.Took = time.Since(started)
