--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -153,8 +153,8 @@
 // sent.
 const maxDetail = 200
 
-// Failed notes why the attempt failed.
-func (a *Attempt) Failed(cause engineclient.Cause, err error) {
+// SetOutcome notes why the attempt failed.
+func (a *Attempt) SetOutcome(cause engineclient.Cause, err error) {
 	a.Cause = cause
 	if err == nil {
 		return
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -60,7 +60,7 @@
 		out = t.answered(lease, res, started, cancel)
 	}
 	note.Took = time.Since(started)
-	note.Failed(out.cause, out.err)
+	note.SetOutcome(out.cause, out.err)
 	lease.Done(out.result)
 	if t.x.Admission != nil && out.cause.CrashLike() {
 		t.x.Admission.Broke(filter.Break{
