--- a/internal/relay/deadline/deadline.go
+++ b/internal/relay/deadline/deadline.go
@@ -18,8 +18,8 @@
 func (Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	x := relay.From(r.Context())
 	limit := x.Route.Timeout.Std()
-	if x.Patience > 0 {
-		limit = min(limit, x.Patience)
+	if x.CallerTimeout > 0 {
+		limit = min(limit, x.CallerTimeout)
 	}
 	x.Deadline = x.Arrived.Add(limit)
 	cause := errkind.New(errkind.DeadlineExceeded, "no whole answer within %v", limit)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -31,8 +31,8 @@
 	Body   []byte
 	// Key of the client account; empty: none given.
 	Key string
-	// Patience is how long the caller waits, from the request's arrival; 0: not said.
-	Patience time.Duration
+	// CallerTimeout is how long the caller waits, from the request's arrival; 0: not said.
+	CallerTimeout time.Duration
 	// Model that the request is for; empty for plain services.
 	Model string
 	// Prompt lists the parts of the prompt in order.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -184,7 +184,7 @@
 		0: time.Minute, 10 * time.Second: 10 * time.Second, 2 * time.Minute: time.Minute,
 	} {
 		x := exchange("/keyed/")
-		x.Patience = patience
+		x.CallerTimeout = patience
 		err := through(x, func(_ http.ResponseWriter, r *http.Request) error {
 			if at, ok := r.Context().Deadline(); !ok || !at.Equal(x.Deadline) {
 				t.Errorf("the context ends at %v, the request at %v", at, x.Deadline)
@@ -200,7 +200,7 @@
 
 func TestDeadlinePassedIsNamedAsTheCause(t *testing.T) {
 	x := exchange("/keyed/")
-	x.Patience = time.Millisecond
+	x.CallerTimeout = time.Millisecond
 	err := through(x, func(_ http.ResponseWriter, r *http.Request) error {
 		<-r.Context().Done()
 		return filter.ContextError(r.Context())
