--- a/internal/relay/forward/forward.go
+++ b/internal/relay/forward/forward.go
@@ -163,7 +163,7 @@
 	x := t.x
 	h := x.Header.Clone()
 	out := relay.Outgoing{
-		Instance: choice.Instance.ID, Left: time.Until(x.Deadline), Account: x.AccountName(),
+		Instance: choice.Instance.ID, Remaining: time.Until(x.Deadline), Account: x.AccountName(),
 		Priority: -1, ResumeAfter: x.ResumeAfter,
 	}
 	if t.x.Begun {
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -29,8 +29,8 @@
 type Outgoing struct {
 	// Instance that has to answer; another at its address must not run the request.
 	Instance string
-	// Left is the time until the request's deadline.
-	Left time.Duration
+	// Remaining is the time until the request's deadline.
+	Remaining time.Duration
 	// Account is the client account's name.
 	Account string
 	// Priority of the request among those at the server, 0 first; below 0: not said.
