--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -176,8 +176,8 @@
 
 type exchangeKey struct{}
 
-// With returns ctx with x in it.
-func With(ctx context.Context, x *Exchange) context.Context {
+// WithExchange returns ctx with x in it.
+func WithExchange(ctx context.Context, x *Exchange) context.Context {
 	return context.WithValue(ctx, exchangeKey{}, x)
 }
 
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -228,7 +228,7 @@
 		Dialect: dialect{}, Client: r.servers, Balancer: r.leases, Retries: &r.allowed, Limits: &r.limits,
 		Abort: func(http.ResponseWriter) { r.aborted = true },
 	}
-	req := httptest.NewRequest(http.MethodPost, "/p", nil).WithContext(relay.With(r.ctx, r.x))
+	req := httptest.NewRequest(http.MethodPost, "/p", nil).WithContext(relay.WithExchange(r.ctx, r.x))
 	return f.ServeHTTP(writer{r.w, r}, req, nil)
 }
 
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	x.Request = request
-	return h.chain.ServeHTTP(w, r.WithContext(With(r.Context(), x)))
+	return h.chain.ServeHTTP(w, r.WithContext(WithExchange(r.Context(), x)))
 }
 
 func ending(x *Exchange, err error) Ending {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -71,7 +71,7 @@
 // through sends a request through filters to an end that notes that it came there.
 func through(x *relay.Exchange, end filter.HandlerFunc, filters ...filter.Filter) error {
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
-	return filter.Chain(end, filters...).ServeHTTP(httptest.NewRecorder(), r.WithContext(relay.With(r.Context(), x)))
+	return filter.Chain(end, filters...).ServeHTTP(httptest.NewRecorder(), r.WithContext(relay.WithExchange(r.Context(), x)))
 }
 
 func exchange(path string) *relay.Exchange {
