--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -93,7 +93,7 @@
 }
 
 // requestID is the id under which Finished logs the request.
-func requestID(ctx context.Context) string { return relay.From(ctx).ID }
+func requestID(ctx context.Context) string { return relay.ExchangeFrom(ctx).ID }
 
 func (g *gateway) server(name, address string, h http.Handler) *httpserver.Server {
 	limits := g.d.cfg.Limits
--- a/internal/relay/bandwidth/bandwidth.go
+++ b/internal/relay/bandwidth/bandwidth.go
@@ -64,7 +64,7 @@
 
 // ServeHTTP refuses a request for which the link has no room now.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
-	x := relay.From(r.Context())
+	x := relay.ExchangeFrom(r.Context())
 	if !f.allow(time.Now(), len(x.Body)+overhead, x.Priority()) {
 		return errkind.New(errkind.Overloaded, "this host's link is full").After(retryAfter)
 	}
--- a/internal/relay/budget/budget.go
+++ b/internal/relay/budget/budget.go
@@ -18,7 +18,7 @@
 // as far as it was delivered. A request that fails before any of its answer has reached the
 // caller costs its client account nothing, whatever servers did for it.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
-	x := relay.From(r.Context())
+	x := relay.ExchangeFrom(r.Context())
 	size := x.PromptTokens + x.OutputCap
 	if x.Account == nil || x.Account.Prepaid == nil || size == 0 {
 		return next.ServeHTTP(w, r)
--- a/internal/relay/deadline/deadline.go
+++ b/internal/relay/deadline/deadline.go
@@ -16,7 +16,7 @@
 
 // ServeHTTP sets the exchange's Deadline and ends the request's context with it.
 func (Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
-	x := relay.From(r.Context())
+	x := relay.ExchangeFrom(r.Context())
 	limit := x.Route.Timeout.Std()
 	if x.CallerTimeout > 0 {
 		limit = min(limit, x.CallerTimeout)
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -181,8 +181,8 @@
 	return context.WithValue(ctx, exchangeKey{}, x)
 }
 
-// From returns the Exchange in ctx; nil outside the chain.
-func From(ctx context.Context) *Exchange {
+// ExchangeFrom returns the Exchange in ctx; nil outside the chain.
+func ExchangeFrom(ctx context.Context) *Exchange {
 	x, _ := ctx.Value(exchangeKey{}).(*Exchange)
 	return x
 }
--- a/internal/relay/forward/wire_test.go
+++ b/internal/relay/forward/wire_test.go
@@ -221,7 +221,7 @@
 type routed struct{ route *routes.Route }
 
 func (f routed) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
-	x := relay.From(r.Context())
+	x := relay.ExchangeFrom(r.Context())
 	x.Route, x.Service = f.route, &routes.Service{Name: "pool"}
 	x.Deadline = x.Arrived.Add(f.route.Timeout.Std())
 	ctx, cancel := context.WithDeadline(r.Context(), x.Deadline)
--- a/internal/relay/identify/identify.go
+++ b/internal/relay/identify/identify.go
@@ -16,7 +16,7 @@
 // ServeHTTP fills the exchange's Account. An anonymous route takes any request; a key
 // that an account holds still says whose it is.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
-	x := relay.From(r.Context())
+	x := relay.ExchangeFrom(r.Context())
 	if !identified(x) {
 		table, err := f.Tables.Newest(r.Context())
 		if err != nil {
--- a/internal/relay/match/match.go
+++ b/internal/relay/match/match.go
@@ -15,7 +15,7 @@
 
 // ServeHTTP fills the exchange's Table, Route and Service.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
-	x := relay.From(r.Context())
+	x := relay.ExchangeFrom(r.Context())
 	table, err := f.Tables.Await(r.Context())
 	if err != nil {
 		return err
--- a/internal/relay/quarantine/quarantine.go
+++ b/internal/relay/quarantine/quarantine.go
@@ -17,7 +17,7 @@
 
 // ServeHTTP fills the exchange's Asked and Pass.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
-	x := relay.From(r.Context())
+	x := relay.ExchangeFrom(r.Context())
 	x.QuarantineID = quarantine.ID{
 		Account:     x.AccountName(),
 		Fingerprint: quarantine.FingerprintOf(x.AccountName(), x.Host, x.Target, x.Body),
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -370,7 +370,7 @@
 }
 
 func begunThenFails(w http.ResponseWriter, r *http.Request) error {
-	relay.From(r.Context()).Begun = true
+	relay.ExchangeFrom(r.Context()).Begun = true
 	w.WriteHeader(http.StatusOK)
 	return errkind.New(errkind.BackendServerFailed, "broken off")
 }
