--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -186,8 +186,8 @@
 	return &lease{b: b, choice: choice}, nil
 }
 
-// First implements relay.Retries.
-func (b *Balancer) First(service string) {
+// CountRequest implements relay.Retries.
+func (b *Balancer) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.retries.First(time.Now(), service)
--- a/internal/controller/balancer/balancer_test.go
+++ b/internal/controller/balancer/balancer_test.go
@@ -116,7 +116,7 @@
 func TestRetriesAreSharedBetweenHosts(t *testing.T) {
 	f := newFixture(2)
 	for range 4 {
-		f.First(service)
+		f.CountRequest(service)
 	}
 	allowed := 0
 	for range 10 {
--- a/internal/relay/forward/forward.go
+++ b/internal/relay/forward/forward.go
@@ -33,7 +33,7 @@
 // ServeHTTP sends the request on; next is never called.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, _ filter.Handler) error {
 	x := relay.ExchangeFrom(r.Context())
-	f.Retries.First(x.Service.Name)
+	f.Retries.CountRequest(x.Service.Name)
 	t := &try{f: f, x: x, w: w, ctx: r.Context(), work: workOf(x), ran: errkind.RanNo}
 	return t.run()
 }
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -120,7 +120,7 @@
 // allowance allows so many further attempts.
 type allowance struct{ left int }
 
-func (allowance) First(string) {}
+func (allowance) CountRequest(string) {}
 func (a *allowance) Allow(string) bool {
 	a.left--
 	return a.left >= 0
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -105,8 +105,8 @@
 
 // Retries bounds how many attempts the fleet makes beyond the first.
 type Retries interface {
-	// First counts a request for the service.
-	First(service string)
+	// CountRequest counts a request for the service.
+	CountRequest(service string)
 	// Allow takes one further attempt from the allowance, or says no.
 	Allow(service string) bool
 }
