--- a/internal/controller/assign/assign_test.go
+++ b/internal/controller/assign/assign_test.go
@@ -162,7 +162,7 @@
 		sent := f.acquire(t, "b", w)
 		w = prompt(7, 2, 13_000, 3_000)
 		w.Exclude = []instance.Incarnation{first.Choice().Instance.Incarnation()}
-		sent.First()
+		sent.FirstByte()
 		sent.Done(balance.Served)
 		time.Sleep(time.Second)
 		got := f.acquire(t, "c", w).Choice()
@@ -199,8 +199,8 @@
 			t.Fatalf("%d running at the owner", n)
 		}
 		l.Report(balance.Load{Running: 1, Slots: 64})
-		l.First()
-		l.First()
+		l.FirstByte()
+		l.FirstByte()
 		l.Done(balance.Broken)
 		time.Sleep(2 * reportWait)
 		if n := f.local["a"].Running(); n != 0 {
@@ -310,7 +310,7 @@
 				w.Exclude = exclude
 				l := f.acquire(t, host, w)
 				time.Sleep(600 * time.Millisecond)
-				l.First()
+				l.FirstByte()
 				l.Done(balance.Served)
 				time.Sleep(2 * shareEvery)
 				return l.Choice()
@@ -362,7 +362,7 @@
 				}
 				time.Sleep(time.Duration(end) * 10 * time.Millisecond)
 				if end%2 == 0 {
-					l.First()
+					l.FirstByte()
 				}
 				if end < 6 { // else the host is lost with it
 					l.Done(balance.Result(end % 5))
@@ -410,7 +410,7 @@
 			}
 			before.Wrong()
 			before.Done(balance.Broken)
-			after.First()
+			after.FirstByte()
 			after.Done(balance.Served)
 			time.Sleep(time.Second)
 			for _, host := range heard {
@@ -437,7 +437,7 @@
 		use := func(own uint64) balance.Choice {
 			l := f.acquire(t, "c", prompt(7, own, 13_000, 3_000))
 			time.Sleep(600 * time.Millisecond)
-			l.First()
+			l.FirstByte()
 			l.Done(balance.Served)
 			time.Sleep(2 * shareEvery)
 			return l.Choice()
--- a/internal/controller/assign/lease.go
+++ b/internal/controller/assign/lease.go
@@ -26,8 +26,8 @@
 // Choice implements relay.Lease.
 func (l *remoteLease) Choice() balance.Choice { return l.choice }
 
-// First implements relay.Lease; only the first call counts.
-func (l *remoteLease) First() {
+// FirstByte implements relay.Lease; only the first call counts.
+func (l *remoteLease) FirstByte() {
 	if l.first {
 		return
 	}
--- a/internal/controller/assign/owner.go
+++ b/internal/controller/assign/owner.go
@@ -79,7 +79,7 @@
 		as.lease.Report(balance.Load{Running: int(l.GetRunning()), Waiting: int(l.GetWaiting()), Slots: int(l.GetSlots())})
 	}
 	if r.GetFirst() {
-		as.lease.First()
+		as.lease.FirstByte()
 	}
 	if cooldown := r.GetCooldownMs(); cooldown > 0 {
 		a.cfg.Local.CoolDownElsewhere(as.lease.Choice().Instance.Incarnation(), time.Duration(min(cooldown, retryafter.Longest.Milliseconds()))*time.Millisecond)
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -368,8 +368,8 @@
 // Choice implements relay.Lease.
 func (l *lease) Choice() balance.Choice { return l.choice }
 
-// First implements relay.Lease; only the first call counts.
-func (l *lease) First() {
+// FirstByte implements relay.Lease; only the first call counts.
+func (l *lease) FirstByte() {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
 	if l.first {
--- a/internal/controller/balancer/balancer_test.go
+++ b/internal/controller/balancer/balancer_test.go
@@ -101,8 +101,8 @@
 	testutil.NoError(t, f.Announce(server("s1", 1)))
 	l, err := f.Acquire(t.Context(), &balance.Work{Service: service})
 	testutil.NoError(t, err)
-	l.First()
-	l.First()
+	l.FirstByte()
+	l.FirstByte()
 	l.Report(balance.Load{Running: 1, Slots: 2})
 	if n := f.Running(); n != 1 {
 		t.Errorf("%d running", n)
--- a/internal/controller/balancer/lock_test.go
+++ b/internal/controller/balancer/lock_test.go
@@ -53,9 +53,9 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.First()
+		l.FirstByte()
 	}()
-	l.First()
+	l.FirstByte()
 	<-done
 	l.Done(balance.Served)
 }
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -204,7 +204,7 @@
 		t.x.PromptConsumed = t.x.PromptConsumed || t.ctx.Err() == nil
 		return t.failed(balance.Broken, engineclient.CauseCutBody, "the answer broke off: %v", err)
 	}
-	lease.First()
+	lease.FirstByte()
 	t.x.PromptConsumed = true
 	if res.StatusCode >= http.StatusInternalServerError && t.x.Route.Kind == routes.Idempotent && t.allowNext() {
 		return t.failed(balance.Served, engineclient.CauseFault, "the backend server answered %d", res.StatusCode)
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -112,7 +112,7 @@
 func (l *lease) CoolDown(d time.Duration, _ string) { l.l.cooldowns = append(l.l.cooldowns, d) }
 func (l *lease) Leaving()                           { l.l.leaving = append(l.l.leaving, l.id) }
 func (l *lease) CooldownUnreadable(string)          { l.l.unreadable++ }
-func (l *lease) First()                             {}
+func (l *lease) FirstByte()                             {}
 func (l *lease) Report(balance.Load)                {}
 func (l *lease) Wrong()                             { l.l.wrong = append(l.l.wrong, l.id) }
 func (l *lease) Done(r balance.Result)              { l.l.results = append(l.l.results, r) }
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -24,7 +24,7 @@
 	for {
 		n, readErr := res.Body.Read(buf)
 		if n > 0 {
-			lease.First()
+			lease.FirstByte()
 			t.x.PromptConsumed = true
 			t.pass(res, whole.Take(buf[:n]))
 		}
--- a/internal/relay/forward/wire_test.go
+++ b/internal/relay/forward/wire_test.go
@@ -68,7 +68,7 @@
 type turn struct{ choice balance.Choice }
 
 func (l turn) Choice() balance.Choice       { return l.choice }
-func (turn) First()                         {}
+func (turn) FirstByte()                         {}
 func (turn) Report(balance.Load)            {}
 func (turn) CoolDown(time.Duration, string) {}
 func (turn) Leaving()                       {}
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -88,8 +88,8 @@
 // Lease is the place of one request at a server. Exactly one Done follows.
 type Lease interface {
 	Choice() balance.Choice
-	// First tells that the first part of the answer has come.
-	First()
+	// FirstByte tells that the first part of the answer has come.
+	FirstByte()
 	// Report tells the load that the server named.
 	Report(balance.Load)
 	// Cooldown tells that the server wants nothing from this host for so long, by its answer to a
