--- a/internal/controller/assign/assign_test.go
+++ b/internal/controller/assign/assign_test.go
@@ -235,7 +235,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, "a", "b")
 		l := f.acquire(t, "b", prompt(7, 1, 100, 100))
-		l.Wrong()
+		l.WrongInstance()
 		l.Done(balance.Served)
 		time.Sleep(time.Second)
 		for name, b := range f.local {
@@ -408,7 +408,7 @@
 			if got := after.Choice(); got.Instance.Started != 200 || got.Cached != 0 || got.Running != 0 {
 				t.Errorf("%s: the new run is taken for %+v", name, got)
 			}
-			before.Wrong()
+			before.WrongInstance()
 			before.Done(balance.Broken)
 			after.FirstByte()
 			after.Done(balance.Served)
--- a/internal/controller/assign/lease.go
+++ b/internal/controller/assign/lease.go
@@ -54,8 +54,8 @@
 	l.a.cfg.Local.CooldownUnreadable(l.choice.Instance.Incarnation(), requestID)
 }
 
-// Wrong implements relay.Lease.
-func (l *remoteLease) Wrong() {
+// WrongInstance implements relay.Lease.
+func (l *remoteLease) WrongInstance() {
 	l.wrong = true
 	_ = l.a.cfg.Local.End(l.choice.Instance.Incarnation())
 }
--- a/internal/controller/assign/owner.go
+++ b/internal/controller/assign/owner.go
@@ -85,7 +85,7 @@
 		a.cfg.Local.CoolDownElsewhere(as.lease.Choice().Instance.Incarnation(), time.Duration(min(cooldown, retryafter.Longest.Milliseconds()))*time.Millisecond)
 	}
 	if r.GetWrong() {
-		as.lease.Wrong()
+		as.lease.WrongInstance()
 	}
 	if result, ended := results[r.GetEnd()]; ended {
 		as.lease.Done(result)
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -399,8 +399,8 @@
 	l.b.CooldownUnreadable(l.choice.Instance.Incarnation(), requestID)
 }
 
-// Wrong implements relay.Lease. Only the run that was asked for has lost its address.
-func (l *lease) Wrong() { _ = l.b.End(l.choice.Instance.Incarnation()) }
+// WrongInstance implements relay.Lease. Only the run that was asked for has lost its address.
+func (l *lease) WrongInstance() { _ = l.b.End(l.choice.Instance.Incarnation()) }
 
 // Done implements relay.Lease.
 func (l *lease) Done(r balance.Result) {
--- a/internal/controller/balancer/balancer_test.go
+++ b/internal/controller/balancer/balancer_test.go
@@ -89,7 +89,7 @@
 	testutil.NoError(t, f.Announce(server("s1", 1)))
 	l, err := f.Acquire(t.Context(), &balance.Work{Service: service})
 	testutil.NoError(t, err)
-	l.Wrong()
+	l.WrongInstance()
 	l.Done(balance.Served)
 	if got := f.chosen(t); got != "" {
 		t.Errorf("chose %q again", got)
@@ -166,7 +166,7 @@
 	testutil.NoError(t, err)
 	testutil.NoError(t, f.Announce(restarted(200, 1)))
 	told := f.told
-	l.Wrong()
+	l.WrongInstance()
 	l.Report(balance.Load{Running: 9, Waiting: 9, Slots: 2})
 	l.Done(balance.Broken)
 	if got := f.chosen(t); got != "s1" || f.told != told {
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -161,7 +161,7 @@
 	}
 	switch {
 	case reply.OtherInstance:
-		lease.Wrong()
+		lease.WrongInstance()
 		return t.failed(balance.Served, engineclient.CauseOtherInstance, "another instance has the server's address")
 	case reply.ID != t.x.ID:
 		// A late answer to another request, or bytes that are no answer. The connection is out
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -114,7 +114,7 @@
 func (l *lease) CooldownUnreadable(string)          { l.l.unreadable++ }
 func (l *lease) FirstByte()                             {}
 func (l *lease) Report(balance.Load)                {}
-func (l *lease) Wrong()                             { l.l.wrong = append(l.l.wrong, l.id) }
+func (l *lease) WrongInstance()                             { l.l.wrong = append(l.l.wrong, l.id) }
 func (l *lease) Done(r balance.Result)              { l.l.results = append(l.l.results, r) }
 
 // allowance allows so many further attempts.
--- a/internal/relay/forward/wire_test.go
+++ b/internal/relay/forward/wire_test.go
@@ -73,7 +73,7 @@
 func (turn) CoolDown(time.Duration, string) {}
 func (turn) Leaving()                       {}
 func (turn) CooldownUnreadable(string)      {}
-func (turn) Wrong()                         {}
+func (turn) WrongInstance()                         {}
 func (turn) Done(balance.Result)            {}
 
 // backend is a server whose connections a test scripts.
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -98,8 +98,8 @@
 	CooldownUnreadable(requestID string)
 	// Leaving tells that the server is about to end.
 	Leaving()
-	// Wrong tells that the address is not that of the instance any more.
-	Wrong()
+	// WrongInstance tells that the address is not that of the instance any more.
+	WrongInstance()
 	Done(balance.Result)
 }
 
