--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -132,7 +132,7 @@
 	if !w.Limited() {
 		w.At = sent
 	}
-	t.f.Limits.Heard(run, w, t.x.ID)
+	t.f.Limits.Observe(run, w, t.x.ID)
 }
 
 // heardCooldown takes that a server wants nothing from this host for a while.
--- a/internal/relay/forward/limits_test.go
+++ b/internal/relay/forward/limits_test.go
@@ -19,7 +19,7 @@
 	sends      []ratelimit.Send
 }
 
-func (h *heardLimits) Heard(_ instance.Incarnation, w ratelimit.Observation, _ string) {
+func (h *heardLimits) Observe(_ instance.Incarnation, w ratelimit.Observation, _ string) {
 	h.words = append(h.words, w)
 }
 
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -113,8 +113,8 @@
 
 // Limits knows the rate limits that servers name for themselves.
 type Limits interface {
-	// Heard takes what a server said with an answer.
-	Heard(run instance.Incarnation, w ratelimit.Observation, requestID string)
+	// Observe takes what a server said with an answer.
+	Observe(run instance.Incarnation, w ratelimit.Observation, requestID string)
 	// Unreadable takes that a server named a limit that is no number.
 	Unreadable(run instance.Incarnation, requestID string)
 	// Sending notes that a request is sent to a server, and returns the server's limit.
