--- a/internal/relay/bandwidth/bandwidth.go
+++ b/internal/relay/bandwidth/bandwidth.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	// share of the link that requests may use; the rest is for what hosts say to each other,
+	// linkShare of the link that requests may use; the rest is for what hosts say to each other,
 	// and for callers' requests that are refused.
-	share = 0.8
+	linkShare = 0.8
 	// burst is how long requests may come faster than that: what then waits before the link
 	// delays everything else by a quarter of a second at most.
 	burst = 250 * time.Millisecond
@@ -34,9 +34,9 @@
 	// overhead is what a request costs beside its body, in bytes: the headers towards the
 	// server and an answer of usual size.
 	overhead = 2 << 10
-	// small requests always pass: what they cost the link is less than refusing them and
+	// smallRequest requests always pass: what they cost the link is less than refusing them and
 	// having them come again.
-	small = 4 << 10
+	smallRequest = 4 << 10
 	// retryAfter is when a caller may come back. Times in which one account's callers send
 	// more than a link carries last for some seconds; callers who come back after a third of
 	// a second sent three times as much again.
@@ -47,8 +47,8 @@
 type Filter struct {
 	// limiter is nil for a link without a bound.
 	limiter *rate.Limiter
-	// reserve is what less urgent requests leave of the burst, in bytes.
-	reserve float64
+	// urgentReserve is what less urgent requests leave of the burst, in bytes.
+	urgentReserve float64
 }
 
 // New makes a filter for a link of so many megabits a second; 0: without a bound.
@@ -57,9 +57,9 @@
 		return &Filter{}
 	}
 	const bytesPerMegabit = 1e6 / 8
-	bytesPerSecond := share * megabits * bytesPerMegabit
+	bytesPerSecond := linkShare * megabits * bytesPerMegabit
 	size := bytesPerSecond * burst.Seconds()
-	return &Filter{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), int(size)), reserve: urgentShare * size}
+	return &Filter{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), int(size)), urgentReserve: urgentShare * size}
 }
 
 // ServeHTTP refuses a request for which the link has no room now.
@@ -76,11 +76,11 @@
 	if f.limiter == nil {
 		return true
 	}
-	if bytes < small {
+	if bytes < smallRequest {
 		f.limiter.AllowN(now, bytes)
 		return true
 	}
-	if rank > 0 && f.limiter.TokensAt(now) < f.reserve {
+	if rank > 0 && f.limiter.TokensAt(now) < f.urgentReserve {
 		return false
 	}
 	// A request larger than the burst is allowed when the burst is whole.
--- a/internal/relay/bandwidth/bandwidth_test.go
+++ b/internal/relay/bandwidth/bandwidth_test.go
@@ -77,7 +77,7 @@
 	if f.allow(start, largeBody, 0) {
 		t.Error("another one passes at once")
 	}
-	if !f.allow(start, small-1, 2) {
+	if !f.allow(start, smallRequest-1, 2) {
 		t.Error("a small one is refused")
 	}
 }
--- a/internal/relay/budget/budget.go
+++ b/internal/relay/budget/budget.go
@@ -33,16 +33,16 @@
 	tokens := size
 	defer func() { f.Budgets.Spend(x.ID, tokens) }()
 	err = next.ServeHTTP(w, r)
-	tokens = used(x, err)
+	tokens = billableTokens(x, err)
 	return err
 }
 
-// used is what a request that ended with err is billed.
+// billableTokens is what a request that ended with err is billed.
 //
 // What goes wrong when a lost answer is billed: a server that resets its connections uses up
 // the budgets of those who get nothing from it, and 402 is answered to accounts that were
 // never served.
-func used(x *relay.Exchange, err error) uint64 {
+func billableTokens(x *relay.Exchange, err error) uint64 {
 	if err != nil && !x.Begun {
 		return 0
 	}
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// maxWhole bounds an answer that is held until it is whole, in bytes. A longer one is
+	// maxBuffered bounds an answer that is held until it is whole, in bytes. A longer one is
 	// passed on as it comes.
-	maxWhole = 1 << 20
-	// shedRetry is when a caller may come back whose request a full server did not take:
+	maxBuffered = 1 << 20
+	// shedRetryAfter is when a caller may come back whose request a full server did not take:
 	// about the time in which a batch of a busy engine ends a request.
-	shedRetry = 300 * time.Millisecond
+	shedRetryAfter = 300 * time.Millisecond
 )
 
 // hopHeaders concern one connection only (RFC 9110, section 7.6.1).
@@ -34,7 +34,7 @@
 }
 
 // attempt sends the request to one server and relays its answer.
-func (t *try) attempt(lease relay.Lease) outcome {
+func (t *task) attempt(lease relay.Lease) outcome {
 	choice := lease.Choice()
 	t.work.Exclude = append(t.work.Exclude, choice.Instance.Incarnation())
 	t.x.Attempts = append(t.x.Attempts, relay.Attempt{
@@ -43,7 +43,7 @@
 	})
 	note := &t.x.Attempts[len(t.x.Attempts)-1]
 	note.CooldownLeft = choice.CooldownLeft
-	note.Limit = t.f.Limits.Sending(choice.Instance.Incarnation(), t.sendOf())
+	note.Limit = t.f.Limits.Sending(choice.Instance.Incarnation(), t.sendReason())
 	started := time.Now()
 	// The context ends the exchange with the server: its connection is closed unless the
 	// answer was read to its end.
@@ -54,10 +54,10 @@
 	res, err := t.f.Client.Forward(ctx, outgoing)
 	note.Early = outgoing.Early
 	if err != nil {
-		out = t.notAnswered(err)
+		out = t.handleNoAnswer(err)
 	} else {
 		note.FirstByte = time.Since(started)
-		out = t.answered(lease, res, started, cancel)
+		out = t.handleAnswer(lease, res, started, cancel)
 	}
 	note.Took = time.Since(started)
 	note.SetOutcome(out.cause, out.err)
@@ -75,43 +75,43 @@
 // can't, the answer of a server that crashes looks whole.
 func framed(res *http.Response) bool { return res.ContentLength >= 0 || len(res.TransferEncoding) > 0 }
 
-// notAnswered takes an attempt without an answer.
-func (t *try) notAnswered(err error) outcome {
+// handleNoAnswer takes an attempt without an answer.
+func (t *task) handleNoAnswer(err error) outcome {
 	result := balance.Unreachable
 	if e, ok := err.(*engineclient.Error); !ok || e.Ran != errkind.RanNo {
-		t.reached()
-		t.mayHaveRun()
+		t.markReached()
+		t.markMayHaveRun()
 		result = balance.Broken
 		t.x.PromptConsumed = t.x.PromptConsumed || t.ctx.Err() == nil
 	}
-	return t.failed(result, engineclient.CauseOf(err), "%v", err)
+	return t.failure(result, engineclient.CauseOf(err), "%v", err)
 }
 
-// reached notes that a server has the request.
-func (t *try) reached() {
-	t.sent++
+// markReached notes that a server has the request.
+func (t *task) markReached() {
+	t.serversReached++
 	if t.x.Admission != nil {
 		t.x.Admission.Reached()
 	}
 }
 
-// failed is the outcome of an attempt that another server may make good.
-func (t *try) failed(result balance.Result, cause engineclient.Cause, format string, args ...any) outcome {
+// failure is the outcome of an attempt that another server may make good.
+func (t *task) failure(result balance.Result, cause engineclient.Cause, format string, args ...any) outcome {
 	if t.ctx.Err() != nil {
 		result, cause = balance.Abandoned, engineclient.CauseLeft // the request's own end caused it
 	}
 	err := errkind.New(errkind.BackendServerFailed, format, args...).WithRan(t.ran)
-	return outcome{err: err, cause: cause, result: result, again: true}
+	return outcome{err: err, cause: cause, result: result, retryable: true}
 }
 
-// served is the outcome of an attempt whose answer is with the caller.
-func served(res *http.Response) outcome {
+// servedOutcome is the outcome of an attempt whose answer is with the caller.
+func servedOutcome(res *http.Response) outcome {
 	whole := framed(res) && res.StatusCode < http.StatusInternalServerError
-	return outcome{cause: engineclient.CauseAnswered, result: balance.Served, whole: whole}
+	return outcome{cause: engineclient.CauseAnswered, result: balance.Served, complete: whole}
 }
 
-// sendOf is why the request is sent to one more server.
-func (t *try) sendOf() ratelimit.Send {
+// sendReason is why the request is sent to one more server.
+func (t *task) sendReason() ratelimit.Send {
 	switch {
 	case t.x.Begun:
 		return ratelimit.SendResume
@@ -121,9 +121,9 @@
 	return ratelimit.SendFirst
 }
 
-// heardLimit takes what a server says of its rate limit with the answer to a request that was
+// observeLimit takes what a server says of its rate limit with the answer to a request that was
 // sent at a time.
-func (t *try) heardLimit(run instance.Incarnation, reply relay.Reply, sent time.Time) {
+func (t *task) observeLimit(run instance.Incarnation, reply relay.Reply, sent time.Time) {
 	if reply.LimitUnreadable {
 		t.f.Limits.Unreadable(run, t.x.ID)
 		return
@@ -135,8 +135,8 @@
 	t.f.Limits.Observe(run, w, t.x.ID)
 }
 
-// heardCooldown takes that a server wants nothing from this host for a while.
-func (t *try) heardCooldown(lease relay.Lease, reply relay.Reply) {
+// observeCooldown takes that a server wants nothing from this host for a while.
+func (t *task) observeCooldown(lease relay.Lease, reply relay.Reply) {
 	switch {
 	case reply.CooldownUnreadable:
 		lease.CooldownUnreadable(t.x.ID)
@@ -146,15 +146,15 @@
 	}
 }
 
-// answered takes a server's answer to a request that was sent at a time. cancel gives its
+// handleAnswer takes a server's answer to a request that was sent at a time. cancel gives its
 // connection up.
-func (t *try) answered(lease relay.Lease, res *http.Response, sent time.Time, cancel context.CancelFunc) outcome {
+func (t *task) handleAnswer(lease relay.Lease, res *http.Response, sent time.Time, cancel context.CancelFunc) outcome {
 	defer func() { _ = res.Body.Close() }() // an error means that the connection is given up
 	reply := t.f.Dialect.Reply(res)
 	if reply.OtherInstance {
-		t.sent++
+		t.serversReached++
 	} else {
-		t.reached()
+		t.markReached()
 	}
 	if reply.Load != nil {
 		lease.Report(*reply.Load)
@@ -162,108 +162,108 @@
 	switch {
 	case reply.OtherInstance:
 		lease.WrongInstance()
-		return t.failed(balance.Served, engineclient.CauseOtherInstance, "another instance has the server's address")
+		return t.failure(balance.Served, engineclient.CauseOtherInstance, "another instance has the server's address")
 	case reply.ID != t.x.ID:
 		// A late answer to another request, or bytes that are no answer. The connection is out
 		// of step: the answer that belongs here would be taken for that of the next request.
 		cancel()
-		t.mayHaveRun()
+		t.markMayHaveRun()
 		t.x.PromptConsumed = true
-		return t.failed(balance.Broken, engineclient.CauseOtherRequest, "the answer names request %q", reply.ID)
+		return t.failure(balance.Broken, engineclient.CauseOtherRequest, "the answer names request %q", reply.ID)
 	}
-	t.heardLimit(lease.Choice().Instance.Incarnation(), reply, sent)
-	t.heardCooldown(lease, reply)
+	t.observeLimit(lease.Choice().Instance.Incarnation(), reply, sent)
+	t.observeCooldown(lease, reply)
 	if reply.Leaving {
 		lease.Leaving()
 	}
 	if reply.NotRun {
-		out := t.failed(balance.Shed, engineclient.CauseShed, "the backend server did not take the request")
+		out := t.failure(balance.Shed, engineclient.CauseShed, "the backend server did not take the request")
 		if t.ran == errkind.RanNo {
-			out.err = errkind.New(errkind.Overloaded, "the backend server did not take the request: status %d", res.StatusCode).After(shedRetry)
+			out.err = errkind.New(errkind.Overloaded, "the backend server did not take the request: status %d", res.StatusCode).After(shedRetryAfter)
 		}
 		return out
 	}
-	t.mayHaveRun()
+	t.markMayHaveRun()
 	if res.StatusCode == http.StatusSwitchingProtocols {
-		return t.failed(balance.Broken, engineclient.CauseSwitched, "the backend server switched protocols unasked")
+		return t.failure(balance.Broken, engineclient.CauseSwitched, "the backend server switched protocols unasked")
 	}
 	if res.StatusCode < http.StatusMultipleChoices && isEventStream(res) {
 		return t.relayStream(lease, res)
 	}
 	if t.x.Begun {
-		return t.failed(balance.Broken, engineclient.CauseNoStream, "status %d in place of the rest of a stream", res.StatusCode)
+		return t.failure(balance.Broken, engineclient.CauseNoStream, "status %d in place of the rest of a stream", res.StatusCode)
 	}
-	return t.relayWhole(lease, res)
+	return t.relayBuffered(lease, res)
 }
 
-// relayWhole passes on an answer that is no stream, once it is whole: the caller never
+// relayBuffered passes on an answer that is no stream, once it is whole: the caller never
 // sees half of it, and another server may be asked when it breaks off.
-func (t *try) relayWhole(lease relay.Lease, res *http.Response) outcome {
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxWhole+1))
+func (t *task) relayBuffered(lease relay.Lease, res *http.Response) outcome {
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBuffered+1))
 	if err != nil {
 		t.x.PromptConsumed = t.x.PromptConsumed || t.ctx.Err() == nil
-		return t.failed(balance.Broken, engineclient.CauseCutBody, "the answer broke off: %v", err)
+		return t.failure(balance.Broken, engineclient.CauseCutBody, "the answer broke off: %v", err)
 	}
 	lease.FirstByte()
 	t.x.PromptConsumed = true
-	if res.StatusCode >= http.StatusInternalServerError && t.x.Route.Kind == routes.Idempotent && t.allowNext() {
-		return t.failed(balance.Served, engineclient.CauseFault, "the backend server answered %d", res.StatusCode)
+	if res.StatusCode >= http.StatusInternalServerError && t.x.Route.Kind == routes.Idempotent && t.takeRetryEarly() {
+		return t.failure(balance.Served, engineclient.CauseFault, "the backend server answered %d", res.StatusCode)
 	}
 	t.writeHeader(res)
-	if length := t.lengthOf(res, body); length != "" {
+	if length := t.contentLength(res, body); length != "" {
 		t.w.Header().Set("Content-Length", length)
 	}
 	t.w.WriteHeader(res.StatusCode)
-	if !t.handOver(body) || len(body) <= maxWhole {
-		return served(res) // a caller who left is noticed by the request's context
+	if !t.writeToCaller(body) || len(body) <= maxBuffered {
+		return servedOutcome(res) // a caller who left is noticed by the request's context
 	}
 	return t.copyRest(res)
 }
 
 // copyRest passes on what follows of an answer that is too long to be held.
-func (t *try) copyRest(res *http.Response) outcome {
+func (t *task) copyRest(res *http.Response) outcome {
 	buf := make([]byte, copyBuffer)
 	for {
 		n, err := res.Body.Read(buf)
-		if n > 0 && !t.handOver(buf[:n]) {
-			out := t.failed(balance.Abandoned, engineclient.CauseLeft, "the caller's connection is closed")
-			out.again = false
+		if n > 0 && !t.writeToCaller(buf[:n]) {
+			out := t.failure(balance.Abandoned, engineclient.CauseLeft, "the caller's connection is closed")
+			out.retryable = false
 			return out
 		}
 		if err == io.EOF {
-			return served(res)
+			return servedOutcome(res)
 		}
 		if err != nil {
-			out := t.failed(balance.Broken, engineclient.CauseCutStream, "the answer broke off: %v", err)
-			out.again = false
+			out := t.failure(balance.Broken, engineclient.CauseCutStream, "the answer broke off: %v", err)
+			out.retryable = false
 			return out
 		}
 	}
 }
 
-// handOver gives bytes of the answer to the caller's connection, its head before the
+// writeToCaller gives bytes of the answer to the caller's connection, its head before the
 // first; false: the connection is closed.
-func (t *try) handOver(b []byte) bool {
+func (t *task) writeToCaller(b []byte) bool {
 	_, err := t.w.Write(b)
 	t.x.Begun = true
 	t.x.BytesSent += len(b)
 	return err == nil
 }
 
-// lengthOf is the Content-Length that goes with an answer; empty: none. An answer to HEAD
+// contentLength is the Content-Length that goes with an answer; empty: none. An answer to HEAD
 // names the length of a body that it does not have.
-func (t *try) lengthOf(res *http.Response, body []byte) string {
+func (t *task) contentLength(res *http.Response, body []byte) string {
 	switch {
 	case t.x.Method == http.MethodHead:
 		return res.Header.Get("Content-Length")
-	case res.StatusCode == http.StatusNoContent || res.StatusCode == http.StatusNotModified || len(body) > maxWhole:
+	case res.StatusCode == http.StatusNoContent || res.StatusCode == http.StatusNotModified || len(body) > maxBuffered:
 		return ""
 	}
 	return strconv.Itoa(len(body))
 }
 
 // writeHeader copies the server's headers.
-func (t *try) writeHeader(res *http.Response) {
+func (t *task) writeHeader(res *http.Response) {
 	h := t.w.Header()
 	for key, values := range res.Header {
 		h[key] = values
--- a/internal/relay/forward/forward.go
+++ b/internal/relay/forward/forward.go
@@ -34,7 +34,7 @@
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, _ filter.Handler) error {
 	x := relay.ExchangeFrom(r.Context())
 	f.Retries.CountRequest(x.Service.Name)
-	t := &try{f: f, x: x, w: w, ctx: r.Context(), work: workOf(x), ran: errkind.RanNo}
+	t := &task{f: f, x: x, w: w, ctx: r.Context(), work: workOf(x), ran: errkind.RanNo}
 	return t.run()
 }
 
@@ -48,8 +48,8 @@
 	return w
 }
 
-// try is one request with all its attempts.
-type try struct {
+// task is one request with all its attempts.
+type task struct {
 	f    *Filter
 	x    *relay.Exchange
 	w    http.ResponseWriter
@@ -57,10 +57,10 @@
 	work *balance.Work
 	// ran is what is known of the attempts so far: whether any of them may have run.
 	ran errkind.Ran
-	// sent counts the servers that the request has reached.
-	sent int
-	// allowed: the next attempt was taken from the allowance already.
-	allowed bool
+	// serversReached counts the servers that the request has reached.
+	serversReached int
+	// retryTaken: the next attempt was taken from the allowance already.
+	retryTaken bool
 	// events are those of a stream that the caller has.
 	events sse.Counter
 }
@@ -73,20 +73,20 @@
 	cause engineclient.Cause
 	// result says what the attempt tells of the server.
 	result balance.Result
-	// again: another server may do better.
-	again bool
-	// whole: a server gave its whole answer, and did not fail.
-	whole bool
+	// retryable: another server may do better.
+	retryable bool
+	// complete: a server gave its complete answer, and did not fail.
+	complete bool
 }
 
-func (t *try) run() error {
+func (t *task) run() error {
 	for {
 		lease, err := t.f.Balancer.Acquire(t.ctx, t.work)
 		if err != nil {
 			return t.giveUp(err)
 		}
 		out := t.attempt(lease)
-		if out.whole && t.x.Admission != nil {
+		if out.complete && t.x.Admission != nil {
 			t.x.Admission.Answered()
 		}
 		if out.err == nil {
@@ -95,7 +95,7 @@
 		if t.ctx.Err() != nil {
 			return t.giveUp(filter.ContextError(t.ctx))
 		}
-		if !out.again || !t.mayRepeat() {
+		if !out.retryable || !t.takeRetry() {
 			return t.giveUp(out.err)
 		}
 		if t.x.Admission == nil {
@@ -107,38 +107,38 @@
 	}
 }
 
-// mayRepeat tells whether a further attempt is allowed, and takes it from the allowance.
-func (t *try) mayRepeat() bool {
+// takeRetry tells whether a further attempt is allowed, and takes it from the allowance.
+func (t *task) takeRetry() bool {
 	if t.x.Begun && !t.mayResume() {
 		return false
 	}
 	if t.ran != errkind.RanNo && !t.x.Route.Repeatable() {
 		return false
 	}
-	if t.sent == 0 || t.allowed {
-		t.allowed = false
+	if t.serversReached == 0 || t.retryTaken {
+		t.retryTaken = false
 		return true // nothing reached a server yet
 	}
-	return t.sent < t.x.Route.MaxAttempts && t.f.Retries.Allow(t.x.Service.Name)
+	return t.serversReached < t.x.Route.MaxAttempts && t.f.Retries.Allow(t.x.Service.Name)
 }
 
 // mayResume tells whether another server can go on with an answer that has begun.
-func (t *try) mayResume() bool {
+func (t *task) mayResume() bool {
 	return t.x.Route.Kind == routes.Stream && t.x.Route.Resumable && t.events.LastID() != ""
 }
 
-// allowNext is mayRepeat ahead of time: the attempt that it allows is made.
-func (t *try) allowNext() bool {
-	t.allowed = t.mayRepeat()
-	return t.allowed
+// takeRetryEarly is mayRepeat ahead of time: the attempt that it allows is made.
+func (t *task) takeRetryEarly() bool {
+	t.retryTaken = t.takeRetry()
+	return t.retryTaken
 }
 
 // giveUp ends the request with an error that is true of all its attempts. An answer that
 // has begun is broken off: only a connection without its proper end tells the caller.
-func (t *try) giveUp(err error) error {
+func (t *task) giveUp(err error) error {
 	if t.x.Begun {
 		t.f.Abort(t.w)
-		return brokenOff(errkind.From(err))
+		return truncatedError(errkind.From(err))
 	}
 	e := *errkind.From(err)
 	if t.ran != errkind.RanNo && e.Ran() == errkind.RanNo {
@@ -148,9 +148,9 @@
 	return &e
 }
 
-// brokenOff is the error of an answer that had begun. Its kind tells a server's failure
+// truncatedError is the error of an answer that had begun. Its kind tells a server's failure
 // from the end that the caller or the deadline set.
-func brokenOff(e *errkind.Error) error {
+func truncatedError(e *errkind.Error) error {
 	kind := errkind.BackendServerFailed
 	if e.Kind == errkind.CallerGone || e.Kind == errkind.DeadlineExceeded {
 		kind = e.Kind
@@ -159,7 +159,7 @@
 }
 
 // outgoing is the request as the chosen server gets it.
-func (t *try) outgoing(choice balance.Choice) *engineclient.Forward {
+func (t *task) outgoing(choice balance.Choice) *engineclient.Forward {
 	x := t.x
 	h := x.Header.Clone()
 	out := relay.Outgoing{
@@ -175,5 +175,5 @@
 	}
 }
 
-// mayHaveRun notes that a server may have begun to work on the request.
-func (t *try) mayHaveRun() { t.ran = errkind.RanUnknown }
+// markMayHaveRun notes that a server may have begun to work on the request.
+func (t *task) markMayHaveRun() { t.ran = errkind.RanUnknown }
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -521,7 +521,7 @@
 // Cause: a failure to write to the caller, or the request's own end, taken for the
 // server's failure.
 func TestCallerLeavesLongAnswer(t *testing.T) {
-	long := strings.Repeat("x", 2*maxWhole)
+	long := strings.Repeat("x", 2*maxBuffered)
 	ctx, cancel := context.WithCancelCause(t.Context())
 	res := answer(200, long)
 	res.Body.(*body).err = errReset
@@ -541,7 +541,7 @@
 }
 
 func TestLongAnswerBreaksOff(t *testing.T) {
-	res := answer(200, strings.Repeat("x", 2*maxWhole))
+	res := answer(200, strings.Repeat("x", 2*maxBuffered))
 	res.Body.(*body).err = errReset
 	r := newRun(t, routes.Idempotent, gives(res))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanYes)
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -18,7 +18,7 @@
 //
 // The status line waits for the first event. A stream that breaks off before it can be
 // made good by another server with headers of its own.
-func (t *try) relayStream(lease relay.Lease, res *http.Response) outcome {
+func (t *task) relayStream(lease relay.Lease, res *http.Response) outcome {
 	var whole sse.Splitter
 	buf := make([]byte, copyBuffer)
 	for {
@@ -26,45 +26,45 @@
 		if n > 0 {
 			lease.FirstByte()
 			t.x.PromptConsumed = true
-			t.pass(res, whole.Take(buf[:n]))
+			t.writeEvents(res, whole.Take(buf[:n]))
 		}
 		switch {
 		case readErr == io.EOF:
-			t.pass(res, whole.Rest())
-			t.begin(res) // a stream without events
-			return served(res)
+			t.writeEvents(res, whole.Rest())
+			t.writeStatus(res) // a stream without events
+			return servedOutcome(res)
 		case t.ctx.Err() != nil:
-			return t.failed(balance.Abandoned, engineclient.CauseLeft, "%v", t.ctx.Err())
+			return t.failure(balance.Abandoned, engineclient.CauseLeft, "%v", t.ctx.Err())
 		case readErr != nil:
-			return t.failed(balance.Broken, t.cutCause(), "the stream broke off: %v", readErr)
+			return t.failure(balance.Broken, t.cutCause(), "the stream broke off: %v", readErr)
 		}
 	}
 }
 
-// pass sends whole events to the caller.
-func (t *try) pass(res *http.Response, events []byte) {
+// writeEvents sends whole events to the caller.
+func (t *task) writeEvents(res *http.Response, events []byte) {
 	if len(events) == 0 {
 		return
 	}
-	t.begin(res)
+	t.writeStatus(res)
 	t.events.Write(events)
 	t.x.OutputTokens = uint64(t.events.Events()) * t.tokensPerEvent()
-	t.handOver(events) // a caller who left is noticed by the request's context
+	t.writeToCaller(events) // a caller who left is noticed by the request's context
 	if f, ok := t.w.(http.Flusher); ok {
 		f.Flush()
 	}
 }
 
 // cutCause is the cause of a stream that broke off.
-func (t *try) cutCause() engineclient.Cause {
+func (t *task) cutCause() engineclient.Cause {
 	if t.x.Begun {
 		return engineclient.CauseCutStream
 	}
 	return engineclient.CauseCutBody
 }
 
-// begin sets the status line and the headers, those of the first server with an event.
-func (t *try) begin(res *http.Response) {
+// writeStatus sets the status line and the headers, those of the first server with an event.
+func (t *task) writeStatus(res *http.Response) {
 	if t.x.Begun {
 		return
 	}
@@ -72,7 +72,7 @@
 	t.w.WriteHeader(res.StatusCode)
 }
 
-func (t *try) tokensPerEvent() uint64 {
+func (t *task) tokensPerEvent() uint64 {
 	if t.x.Service.Engine == nil {
 		return 0
 	}
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -26,7 +26,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	w = forHead(w, r.Method)
+	w = writerFor(w, r.Method)
 	x := &Exchange{Arrived: time.Now(), Request: &Request{}}
 	err := h.serve(w, r, x)
 	if err != nil && !x.Begun {
--- a/internal/relay/identify/identify.go
+++ b/internal/relay/identify/identify.go
@@ -17,7 +17,7 @@
 // that an account holds still says whose it is.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	x := relay.ExchangeFrom(r.Context())
-	if !identified(x) {
+	if !findAccount(x) {
 		table, err := f.Tables.Newest(r.Context())
 		if err != nil {
 			return err
@@ -25,16 +25,16 @@
 		if err := x.SelectRoute(table); err != nil {
 			return err
 		}
-		if !identified(x) {
+		if !findAccount(x) {
 			return errkind.New(errkind.Unauthenticated, "no key, or a key that no client account has")
 		}
 	}
 	return next.ServeHTTP(w, r)
 }
 
-// identified finds the account by the exchange's table; false if the request needs one and
+// findAccount finds the account by the exchange's table; false if the request needs one and
 // the table has none for its key.
-func identified(x *relay.Exchange) bool {
+func findAccount(x *relay.Exchange) bool {
 	account, needed := x.Table.Account(x.Key)
 	x.Account = account
 	return account != nil || !needed || x.Route.Anonymous
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -68,8 +68,8 @@
 	return t.index, t.unconfirmed
 }
 
-// through sends a request through filters to an end that notes that it came there.
-func through(x *relay.Exchange, end filter.HandlerFunc, filters ...filter.Filter) error {
+// runFilters sends a request runFilters filters to an end that notes that it came there.
+func runFilters(x *relay.Exchange, end filter.HandlerFunc, filters ...filter.Filter) error {
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
 	return filter.Chain(end, filters...).ServeHTTP(httptest.NewRecorder(), r.WithContext(relay.WithExchange(r.Context(), x)))
 }
@@ -78,7 +78,7 @@
 	return &relay.Exchange{Arrived: time.Now(), Request: &relay.Request{ID: "r1", Host: "H:80", Path: path}}
 }
 
-func pass(http.ResponseWriter, *http.Request) error { return nil }
+func accept(http.ResponseWriter, *http.Request) error { return nil }
 
 func never(t *testing.T) filter.HandlerFunc {
 	return func(http.ResponseWriter, *http.Request) error {
@@ -89,19 +89,19 @@
 
 func TestMatchFindsRouteAndService(t *testing.T) {
 	x := exchange("/keyed/a")
-	testutil.NoError(t, through(x, pass, &match.Filter{Tables: tables{index: index(t)}}))
+	testutil.NoError(t, runFilters(x, accept, &match.Filter{Tables: tables{index: index(t)}}))
 	if x.Route.Name != "keyed" || x.Service.Name != "pool" || x.Table.Revision() != 3 {
 		t.Errorf("matched %+v", x)
 	}
-	testutil.Refused(t, through(exchange("/none/"), never(t), &match.Filter{Tables: tables{index: index(t)}}), errkind.UnknownPath, "no route")
+	testutil.Refused(t, runFilters(exchange("/none/"), never(t), &match.Filter{Tables: tables{index: index(t)}}), errkind.UnknownPath, "no route")
 	notReady := errkind.New(errkind.HostNotReady, "no table")
-	testutil.Refused(t, through(exchange("/keyed/"), never(t), &match.Filter{Tables: tables{err: notReady}}), errkind.HostNotReady, "no table")
+	testutil.Refused(t, runFilters(exchange("/keyed/"), never(t), &match.Filter{Tables: tables{err: notReady}}), errkind.HostNotReady, "no table")
 }
 
 // A route or key that the table in force does not have is unknown only if a quorum confirmed
 // that there is no newer table; else the caller would be told not to come back for something
 // that other hosts serve.
-func TestUnknownIsSaidByTheNewestTable(t *testing.T) {
+func TestUnknownRouteOrKeyNeedsTheNewestTable(t *testing.T) {
 	b, err := json.Marshal(routes.Table{Keyed: true})
 	testutil.NoError(t, err)
 	older, err := routes.Decode(2, b)
@@ -119,7 +119,7 @@
 	} {
 		x := exchange(c.path)
 		x.Key = key
-		err := through(x, pass, &match.Filter{Tables: c.tables}, &identify.Filter{Tables: c.tables})
+		err := runFilters(x, accept, &match.Filter{Tables: c.tables}, &identify.Filter{Tables: c.tables})
 		if c.kind != "" {
 			testutil.Refused(t, err, c.kind, name)
 		} else if err != nil || x.Route.Name != "keyed" || x.AccountName() != "school" {
@@ -136,7 +136,7 @@
 	} {
 		x := exchange("/keyed/")
 		x.Key = "other"
-		testutil.Refused(t, through(x, never(t), &match.Filter{Tables: c.tables}, &identify.Filter{Tables: c.tables}), c.kind, name)
+		testutil.Refused(t, runFilters(x, never(t), &match.Filter{Tables: c.tables}, &identify.Filter{Tables: c.tables}), c.kind, name)
 	}
 }
 
@@ -145,7 +145,7 @@
 	f := &match.Filter{Tables: tables{index: index(t)}}
 	for range 4000 {
 		x := exchange("/split/")
-		testutil.NoError(t, through(x, pass, f))
+		testutil.NoError(t, runFilters(x, accept, f))
 		got[x.Service.Name]++
 	}
 	if got["pool"] < 2700 || got["pool"] > 3300 {
@@ -168,7 +168,7 @@
 	} {
 		x := exchange(c.path)
 		x.Key = c.key
-		err := through(x, pass, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}})
+		err := runFilters(x, accept, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}})
 		if c.kind != "" {
 			testutil.Refused(t, err, c.kind, name)
 			continue
@@ -185,7 +185,7 @@
 	} {
 		x := exchange("/keyed/")
 		x.CallerTimeout = patience
-		err := through(x, func(_ http.ResponseWriter, r *http.Request) error {
+		err := runFilters(x, func(_ http.ResponseWriter, r *http.Request) error {
 			if at, ok := r.Context().Deadline(); !ok || !at.Equal(x.Deadline) {
 				t.Errorf("the context ends at %v, the request at %v", at, x.Deadline)
 			}
@@ -201,30 +201,30 @@
 func TestDeadlinePassedIsNamedAsTheCause(t *testing.T) {
 	x := exchange("/keyed/")
 	x.CallerTimeout = time.Millisecond
-	err := through(x, func(_ http.ResponseWriter, r *http.Request) error {
+	err := runFilters(x, func(_ http.ResponseWriter, r *http.Request) error {
 		<-r.Context().Done()
 		return filter.ContextError(r.Context())
 	}, &match.Filter{Tables: tables{index: index(t)}}, deadline.Filter{})
 	testutil.Refused(t, err, errkind.DeadlineExceeded, "after the deadline")
 }
 
-// purse notes what is set aside and spent.
-type purse struct {
+// fakeBudgets notes what is set aside and spent.
+type fakeBudgets struct {
 	refuse   error
 	reserved map[string]uint64
 	spent    map[string]uint64
 }
 
-func newPurse() *purse { return &purse{reserved: map[string]uint64{}, spent: map[string]uint64{}} }
+func newFakeBudgets() *fakeBudgets { return &fakeBudgets{reserved: map[string]uint64{}, spent: map[string]uint64{}} }
 
-func (p *purse) Reserve(_ context.Context, budget, id string, tokens uint64) (string, error) {
+func (p *fakeBudgets) Reserve(_ context.Context, budget, id string, tokens uint64) (string, error) {
 	if p.refuse == nil {
 		p.reserved[budget+"/"+id] += tokens
 	}
 	return "holder", p.refuse
 }
 
-func (p *purse) Spend(id string, tokens uint64) { p.spent[id] += tokens + 1 } // 1: it was called
+func (p *fakeBudgets) Spend(id string, tokens uint64) { p.spent[id] += tokens + 1 } // 1: it was called
 
 func TestBudgetBillsWhatWasUsed(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -237,10 +237,10 @@
 		"ran":                {true, 60, 360},
 		"longer than capped": {true, 900, 400},
 	} {
-		p := newPurse()
+		p := newFakeBudgets()
 		x := exchange("/keyed/")
 		x.Key, x.PromptTokens, x.OutputCap = key, 300, 100
-		err := through(x, func(http.ResponseWriter, *http.Request) error {
+		err := runFilters(x, func(http.ResponseWriter, *http.Request) error {
 			x.PromptConsumed, x.OutputTokens = c.input, c.output
 			return nil
 		}, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
@@ -263,10 +263,10 @@
 		"answer lost before any of it came": {false, 0, 0},
 		"stream broken off":                 {true, 60, 360},
 	} {
-		p := newPurse()
+		p := newFakeBudgets()
 		x := exchange("/keyed/")
 		x.Key, x.PromptTokens, x.OutputCap = key, 300, 100
-		err := through(x, func(http.ResponseWriter, *http.Request) error {
+		err := runFilters(x, func(http.ResponseWriter, *http.Request) error {
 			x.PromptConsumed, x.Begun, x.OutputTokens = true, c.begun, c.output
 			return errkind.New(errkind.BackendServerFailed, "reset").WithRan(errkind.RanUnknown)
 		}, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
@@ -278,11 +278,11 @@
 }
 
 func TestBudgetRefusalEndsTheRequest(t *testing.T) {
-	p := newPurse()
+	p := newFakeBudgets()
 	p.refuse = errkind.New(errkind.BudgetExhausted, "nothing is left")
 	x := exchange("/keyed/")
 	x.Key, x.PromptTokens = key, 300
-	err := through(x, never(t), &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
+	err := runFilters(x, never(t), &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
 	testutil.Refused(t, err, errkind.BudgetExhausted, "without tokens")
 	if len(p.spent) != 0 {
 		t.Errorf("spent %v", p.spent)
@@ -295,28 +295,28 @@
 		"no account":               func(x *relay.Exchange) { x.Path = "/open/"; x.PromptTokens = 5 },
 		"no tokens":                func(x *relay.Exchange) { x.Key = key },
 	} {
-		p := newPurse()
+		p := newFakeBudgets()
 		x := exchange("/keyed/")
 		change(x)
-		err := through(x, pass, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
+		err := runFilters(x, accept, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
 		if err != nil || len(p.reserved)+len(p.spent) != 0 {
 			t.Errorf("%s: %v, reserved %v", name, err, p.reserved)
 		}
 	}
 }
 
-// translator is a Dialect that decodes nothing but the path.
-type translator struct {
+// fakeDialect is a Dialect that decodes nothing but the path.
+type fakeDialect struct {
 	relay.Dialect
 	fault   error
 	refused error
 }
 
-func (d *translator) Decode(r *http.Request, body []byte) (*relay.Request, error) {
+func (d *fakeDialect) Decode(r *http.Request, body []byte) (*relay.Request, error) {
 	return &relay.Request{ID: "r1", Path: r.URL.Path, Body: body}, d.fault
 }
 
-func (d *translator) Refuse(w http.ResponseWriter, _ *relay.Exchange, err error) {
+func (d *fakeDialect) Refuse(w http.ResponseWriter, _ *relay.Exchange, err error) {
 	d.refused = err
 	w.WriteHeader(errkind.From(err).Status())
 }
@@ -350,7 +350,7 @@
 		"answered":       {chain: func(w http.ResponseWriter, _ *http.Request) error { w.WriteHeader(204); return nil }, want: 204},
 		"nobody answers": {want: 500},
 	} {
-		d, o := &translator{fault: c.decode}, &observer{}
+		d, o := &fakeDialect{fault: c.decode}, &observer{}
 		var filters []filter.Filter
 		if c.chain != nil {
 			filters = append(filters, c.chain)
