--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestDeadlineIsTheSoonerOfPatienceAndTimeout(t *testing.T) {
+func TestDeadlineIsTheSoonerOfCallerAndRouteTimeout(t *testing.T) {
 	for patience, want := range map[time.Duration]time.Duration{
 		0: time.Minute, 10 * time.Second: 10 * time.Second, 2 * time.Minute: time.Minute,
 	} {
