--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -198,7 +198,7 @@
 	}
 }
 
-func TestDeadlinePassedIsNamedAsTheCause(t *testing.T) {
+func TestDeadlineExceededIsTheCause(t *testing.T) {
 	x := exchange("/keyed/")
 	x.CallerTimeout = time.Millisecond
 	err := runFilters(x, func(_ http.ResponseWriter, r *http.Request) error {
