--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -335,7 +335,7 @@
 	return f(w, r)
 }
 
-func TestHandlerRefusesOnceAndTells(t *testing.T) {
+func TestHandlerRefusesOnceAndNotifiesObserver(t *testing.T) {
 	fault := errkind.New(errkind.BadRequest, "it can't be read")
 	full := errkind.New(errkind.Overloaded, "full")
 	for name, c := range map[string]struct {
