--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -289,7 +289,7 @@
 	}
 }
 
-func TestBudgetLeavesOthersAlone(t *testing.T) {
+func TestBudgetSkipsRequestsWithoutBudgetOrTokens(t *testing.T) {
 	for name, change := range map[string]func(x *relay.Exchange){
 		"account without a budget": func(x *relay.Exchange) { x.Key = "key-of-free"; x.PromptTokens = 5 },
 		"no account":               func(x *relay.Exchange) { x.Path = "/open/"; x.PromptTokens = 5 },
