--- a/internal/relay/bandwidth/bandwidth_test.go
+++ b/internal/relay/bandwidth/bandwidth_test.go
@@ -13,9 +13,9 @@
 	largeBody = 17_000
 )
 
-// offered sends requests evenly for a time and returns how many bytes were let through,
+// offerLoad sends requests evenly for a time and returns how many bytes were let through,
 // and of each rank the share.
-func offered(f *Filter, perSecond float64, bytes int, ranks []int, length time.Duration) (passed float64, share map[int]float64) {
+func offerLoad(f *Filter, perSecond float64, bytes int, ranks []int, length time.Duration) (passed float64, share map[int]float64) {
 	share = make(map[int]float64)
 	each := time.Duration(float64(time.Second) / perSecond)
 	sent := make(map[int]float64)
@@ -41,7 +41,7 @@
 // over a link of 10.
 // Cause: all of it was taken, so that everything waited for the link.
 func TestFullLinkIsNotFilledFurther(t *testing.T) {
-	passed, _ := offered(New(narrow), 120, largeBody, []int{1}, 6*time.Second)
+	passed, _ := offerLoad(New(narrow), 120, largeBody, []int{1}, 6*time.Second)
 	const carries = narrow * 1e6 / 8 * 6
 	if passed > 0.9*carries || passed < 0.75*carries {
 		t.Errorf("%.0f bytes were let through, the link carries %.0f", passed, carries)
@@ -49,18 +49,18 @@
 }
 
 func TestUsualTrafficPasses(t *testing.T) {
-	if _, share := offered(New(narrow), 50, largeBody, []int{0, 1, 2}, 6*time.Second); share[0] < 1 || share[1] < 1 || share[2] < 1 {
+	if _, share := offerLoad(New(narrow), 50, largeBody, []int{0, 1, 2}, 6*time.Second); share[0] < 1 || share[1] < 1 || share[2] < 1 {
 		t.Errorf("shares let through: %v", share)
 	}
-	if _, share := offered(New(0), 10_000, largeBody, []int{2}, time.Second); share[2] < 1 {
+	if _, share := offerLoad(New(0), 10_000, largeBody, []int{2}, time.Second); share[2] < 1 {
 		t.Errorf("without a bound: %v", share)
 	}
 }
 
 // Symptom: urgent requests are refused while less urgent ones are served, or a kind of
 // request is not served at all.
-func TestUrgentGoFirstAndNobodyStarves(t *testing.T) {
-	_, share := offered(New(narrow), 150, largeBody, []int{0, 1, 2, 2, 1}, 6*time.Second)
+func TestUrgentRequestsGoFirstAndNoRankStarves(t *testing.T) {
+	_, share := offerLoad(New(narrow), 150, largeBody, []int{0, 1, 2, 2, 1}, 6*time.Second)
 	if share[0] < 0.99 {
 		t.Errorf("%.2f of the most urgent pass", share[0])
 	}
