--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -162,8 +162,8 @@
 	return res
 }
 
-// gives is a server that gives an answer.
-func gives(res *http.Response) func(context.Context, *engineclient.Forward) (*http.Response, error) {
+// answers is a server that answers an answer.
+func answers(res *http.Response) func(context.Context, *engineclient.Forward) (*http.Response, error) {
 	return func(context.Context, *engineclient.Forward) (*http.Response, error) { return res, nil }
 }
 
@@ -240,7 +240,7 @@
 }
 
 func TestAnswerPassesUnchanged(t *testing.T) {
-	r := newRun(t, routes.NonIdempotent, gives(answer(http.StatusInternalServerError, "its own words", "Seal", "s", "Keep-Alive", "timeout=10")))
+	r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusInternalServerError, "its own words", "Seal", "s", "Keep-Alive", "timeout=10")))
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
@@ -264,7 +264,7 @@
 }
 
 func TestUnreachableServerCountsAsNoAttempt(t *testing.T) {
-	r := newRun(t, routes.NonIdempotent, fails(errkind.RanNo), fails(errkind.RanNo), gives(answer(200, "ok")))
+	r := newRun(t, routes.NonIdempotent, fails(errkind.RanNo), fails(errkind.RanNo), answers(answer(200, "ok")))
 	r.route.MaxAttempts = 1
 	r.allowed.left = 0
 	if err := r.do(); err != nil || r.w.Body.String() != "ok" {
@@ -274,11 +274,11 @@
 
 func TestFullServer(t *testing.T) {
 	full := func() *http.Response { return answer(http.StatusServiceUnavailable, "", hNotRun, "1") }
-	r := newRun(t, routes.NonIdempotent, gives(full()), gives(answer(200, "ok")))
+	r := newRun(t, routes.NonIdempotent, answers(full()), answers(answer(200, "ok")))
 	if err := r.do(); err != nil || r.w.Body.String() != "ok" {
 		t.Errorf("got %v, %q", err, r.w.Body)
 	}
-	r = newRun(t, routes.NonIdempotent, gives(full()))
+	r = newRun(t, routes.NonIdempotent, answers(full()))
 	r.route.MaxAttempts = 1
 	err := r.do()
 	wantKind(t, err, errkind.Overloaded, errkind.RanNo)
@@ -293,8 +293,8 @@
 // Symptom: a caller is told that its request did not run, sends it again, and it runs twice.
 // Sequence: the first server's answer is lost; the second one is full and says so.
 // Cause: the last attempt's word taken for that of all.
-func TestRefusalSpeaksForAllAttempts(t *testing.T) {
-	r := newRun(t, routes.Idempotent, fails(errkind.RanUnknown), gives(answer(http.StatusServiceUnavailable, "", hNotRun, "1")))
+func TestRefusalCoversAllAttempts(t *testing.T) {
+	r := newRun(t, routes.Idempotent, fails(errkind.RanUnknown), answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1")))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 	r = newRun(t, routes.Idempotent, fails(errkind.RanUnknown))
 	r.leases.servers = r.leases.servers[:1]
@@ -324,14 +324,14 @@
 		late.Body = closeCheck{late.Body, func() { ended = ctx.Err() != nil }}
 		return late, nil
 	}
-	r := newRun(t, routes.Idempotent, first, gives(answer(200, "for this one")))
+	r := newRun(t, routes.Idempotent, first, answers(answer(200, "for this one")))
 	if err := r.do(); err != nil || r.w.Body.String() != "for this one" {
 		t.Errorf("got %v, %q", err, r.w.Body)
 	}
 	if !ended {
 		t.Error("the connection was kept")
 	}
-	r = newRun(t, routes.NonIdempotent, gives(answer(200, "for another", hID, "r0")))
+	r = newRun(t, routes.NonIdempotent, answers(answer(200, "for another", hID, "r0")))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 }
 
@@ -348,13 +348,13 @@
 func TestAnswerCutShort(t *testing.T) {
 	short := answer(200, "hal")
 	short.Body.(*body).err = io.ErrUnexpectedEOF
-	r := newRun(t, routes.Idempotent, gives(short), gives(answer(200, "half and half")))
+	r := newRun(t, routes.Idempotent, answers(short), answers(answer(200, "half and half")))
 	if err := r.do(); err != nil || r.w.Body.String() != "half and half" {
 		t.Errorf("got %v, %q", err, r.w.Body)
 	}
 	short = answer(200, "hal")
 	short.Body.(*body).err = io.ErrUnexpectedEOF
-	r = newRun(t, routes.NonIdempotent, gives(short))
+	r = newRun(t, routes.NonIdempotent, answers(short))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 	if r.w.Body.Len() > 0 {
 		t.Errorf("the caller got half an answer, %q", r.w.Body)
@@ -362,18 +362,18 @@
 }
 
 func TestServerFaultOfIdempotentRequest(t *testing.T) {
-	r := newRun(t, routes.Idempotent, gives(answer(500, "")), gives(answer(200, "ok")))
+	r := newRun(t, routes.Idempotent, answers(answer(500, "")), answers(answer(200, "ok")))
 	if err := r.do(); err != nil || r.w.Code != 200 {
 		t.Errorf("got %v, %d", err, r.w.Code)
 	}
-	r = newRun(t, routes.Idempotent, gives(answer(500, "first")), gives(answer(500, "second")))
+	r = newRun(t, routes.Idempotent, answers(answer(500, "first")), answers(answer(500, "second")))
 	if err := r.do(); err != nil || r.w.Code != 500 || r.w.Body.String() != "second" {
 		t.Errorf("got %v, %d %q", err, r.w.Code, r.w.Body)
 	}
 }
 
 func TestOtherInstanceAtTheAddress(t *testing.T) {
-	r := newRun(t, routes.NonIdempotent, gives(answer(http.StatusMisdirectedRequest, "", hID, "")), gives(answer(200, "ok")))
+	r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusMisdirectedRequest, "", hID, "")), answers(answer(200, "ok")))
 	if err := r.do(); err != nil || r.w.Body.String() != "ok" {
 		t.Errorf("got %v, %q", err, r.w.Body)
 	}
@@ -392,8 +392,8 @@
 // Cause: half an event passed on, or the stream not resumed behind the last whole one.
 func TestBrokenStreamGoesOn(t *testing.T) {
 	r := newRun(t, routes.Stream,
-		gives(stream(event(1)+event(2)+"id: 3\nda", errReset, "Seal", "first")),
-		gives(stream(event(3)+event(4), nil, "Seal", "second")))
+		answers(stream(event(1)+event(2)+"id: 3\nda", errReset, "Seal", "first")),
+		answers(stream(event(3)+event(4), nil, "Seal", "second")))
 	r.route.Resumable = true
 	if err := r.do(); err != nil {
 		t.Fatal(err)
@@ -416,7 +416,7 @@
 }
 
 func TestStreamBrokenBeforeItsFirstEvent(t *testing.T) {
-	r := newRun(t, routes.Stream, gives(stream("id: 1\nda", errReset, "Seal", "first")), gives(stream(event(1), nil, "Seal", "second")))
+	r := newRun(t, routes.Stream, answers(stream("id: 1\nda", errReset, "Seal", "first")), answers(stream(event(1), nil, "Seal", "second")))
 	r.route.Resumable = true
 	if err := r.do(); err != nil {
 		t.Fatal(err)
@@ -430,12 +430,12 @@
 // Sequence: the server of a stream that may not be resumed crashes.
 // Cause: the caller's connection ended in the regular way.
 func TestBrokenStreamIsAborted(t *testing.T) {
-	r := newRun(t, routes.Stream, gives(stream(event(1)+"id: 2\n", errReset)))
+	r := newRun(t, routes.Stream, answers(stream(event(1)+"id: 2\n", errReset)))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanYes)
 	if !r.aborted || r.w.Body.String() != event(1) {
 		t.Errorf("aborted %v, the caller got %q", r.aborted, r.w.Body)
 	}
-	r = newRun(t, routes.Stream, gives(stream(event(1), errReset)), gives(answer(500, "")))
+	r = newRun(t, routes.Stream, answers(stream(event(1), errReset)), answers(answer(500, "")))
 	r.route.Resumable = true
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanYes)
 	if !r.aborted {
@@ -444,7 +444,7 @@
 }
 
 func TestStreamWithoutEvents(t *testing.T) {
-	r := newRun(t, routes.Stream, gives(stream("", nil, "Seal", "s")))
+	r := newRun(t, routes.Stream, answers(stream("", nil, "Seal", "s")))
 	if err := r.do(); err != nil || r.w.Code != 200 || r.w.Header().Get("Seal") != "s" {
 		t.Errorf("got %v, %d %v", err, r.w.Code, r.w.Header())
 	}
@@ -488,7 +488,7 @@
 		if c.length != "" {
 			res.Header.Set("Content-Length", c.length)
 		}
-		r := newRun(t, routes.Idempotent, gives(res))
+		r := newRun(t, routes.Idempotent, answers(res))
 		r.method = c.method
 		if err := r.do(); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -500,7 +500,7 @@
 }
 
 func TestHeadersOfTheServersConnectionStay(t *testing.T) {
-	r := newRun(t, routes.Idempotent, gives(answer(http.StatusOK, "x", "Connection", "close, X-Hop", "X-Hop", "1", "X-End", "2")))
+	r := newRun(t, routes.Idempotent, answers(answer(http.StatusOK, "x", "Connection", "close, X-Hop", "X-Hop", "1", "X-End", "2")))
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
@@ -511,7 +511,7 @@
 }
 
 func TestUnaskedSwitchOfProtocols(t *testing.T) {
-	r := newRun(t, routes.NonIdempotent, gives(answer(http.StatusSwitchingProtocols, "")))
+	r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusSwitchingProtocols, "")))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 }
 
@@ -525,14 +525,14 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	res := answer(200, long)
 	res.Body.(*body).err = errReset
-	r := newRun(t, routes.Idempotent, gives(res))
+	r := newRun(t, routes.Idempotent, answers(res))
 	r.ctx = ctx
 	r.onWrite = func() { cancel(errkind.New(errkind.CallerGone, "gone")) }
 	wantKind(t, r.do(), errkind.CallerGone, errkind.RanYes)
 	if fmt.Sprint(r.leases.results) != fmt.Sprint([]balance.Result{balance.Abandoned}) {
 		t.Errorf("results %v", r.leases.results)
 	}
-	r = newRun(t, routes.Idempotent, gives(answer(200, long)))
+	r = newRun(t, routes.Idempotent, answers(answer(200, long)))
 	r.writeErr = errReset
 	_ = r.do()
 	if r.x.Attempts[0].Cause == engineclient.CauseCutStream || fmt.Sprint(r.leases.results) == fmt.Sprint([]balance.Result{balance.Broken}) {
@@ -543,7 +543,7 @@
 func TestLongAnswerBreaksOff(t *testing.T) {
 	res := answer(200, strings.Repeat("x", 2*maxBuffered))
 	res.Body.(*body).err = errReset
-	r := newRun(t, routes.Idempotent, gives(res))
+	r := newRun(t, routes.Idempotent, answers(res))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanYes)
 	if !r.aborted || r.x.Attempts[0].Cause != engineclient.CauseCutStream {
 		t.Errorf("aborted %v, cause %s", r.aborted, r.x.Attempts[0].Cause)
@@ -552,7 +552,7 @@
 
 // Begun is a fact of bytes handed over: until then the caller can be given a status.
 func TestBegunMeansBytesHandedOver(t *testing.T) {
-	r := newRun(t, routes.Stream, gives(stream(event(1), nil)))
+	r := newRun(t, routes.Stream, answers(stream(event(1), nil)))
 	before := true
 	r.onWrite = func() { before = before && !r.x.Begun }
 	if err := r.do(); err != nil || !before || !r.x.Begun {
@@ -563,12 +563,12 @@
 // Each way in which an answer fails leaves a cause of its own in the log.
 func TestCausesOfAnswers(t *testing.T) {
 	for want, step := range map[engineclient.Cause]func(context.Context, *engineclient.Forward) (*http.Response, error){
-		engineclient.CauseShed:          gives(answer(http.StatusServiceUnavailable, "", hNotRun, "1")),
-		engineclient.CauseOtherInstance: gives(answer(http.StatusMisdirectedRequest, "", hID, "")),
-		engineclient.CauseOtherRequest:  gives(answer(200, "", hID, "r0")),
-		engineclient.CauseSwitched:      gives(answer(http.StatusSwitchingProtocols, "")),
-		engineclient.CauseCutBody:       gives(stream("id: 1\nda", errReset)),
-		engineclient.CauseCutStream:     gives(stream(event(1), errReset)),
+		engineclient.CauseShed:          answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1")),
+		engineclient.CauseOtherInstance: answers(answer(http.StatusMisdirectedRequest, "", hID, "")),
+		engineclient.CauseOtherRequest:  answers(answer(200, "", hID, "r0")),
+		engineclient.CauseSwitched:      answers(answer(http.StatusSwitchingProtocols, "")),
+		engineclient.CauseCutBody:       answers(stream("id: 1\nda", errReset)),
+		engineclient.CauseCutStream:     answers(stream(event(1), errReset)),
 		engineclient.CauseReset: func(context.Context, *engineclient.Forward) (*http.Response, error) {
 			return nil, &engineclient.Error{Ran: errkind.RanUnknown, Cause: engineclient.CauseReset, Message: strings.Repeat("é", 1<<10)}
 		},
@@ -581,13 +581,13 @@
 			t.Errorf("cause %s, want %s, %d bytes of detail", a.Cause, want, len(a.Detail))
 		}
 	}
-	r := newRun(t, routes.Stream, gives(stream(event(1), errReset)), gives(answer(500, "")))
+	r := newRun(t, routes.Stream, answers(stream(event(1), errReset)), answers(answer(500, "")))
 	r.route.Resumable = true
 	_ = r.do()
 	if a := r.x.Attempts[1]; a.Cause != engineclient.CauseNoStream {
 		t.Errorf("cause %s, want %s", a.Cause, engineclient.CauseNoStream)
 	}
-	r = newRun(t, routes.Idempotent, gives(answer(500, "")), gives(answer(200, "ok")))
+	r = newRun(t, routes.Idempotent, answers(answer(500, "")), answers(answer(200, "ok")))
 	_ = r.do()
 	if a := r.x.Attempts; a[0].Cause != engineclient.CauseFault || a[1].Cause != engineclient.CauseAnswered || a[1].Detail != "" {
 		t.Errorf("causes %s and %s", a[0].Cause, a[1].Cause)
--- a/internal/relay/forward/limits_test.go
+++ b/internal/relay/forward/limits_test.go
@@ -32,7 +32,7 @@
 
 func TestServersLimitIsHeardWithEachAnswer(t *testing.T) {
 	r := newRun(t, routes.Idempotent,
-		gives(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLimit, "2.5")), gives(answer(200, "ok")))
+		answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLimit, "2.5")), answers(answer(200, "ok")))
 	began := time.Now()
 	if err := r.do(); err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 func TestLimitInAnotherRequestsAnswerIsNotHeard(t *testing.T) {
 	other := answer(200, "", hLimit, "1")
 	other.Header.Set(hID, "another")
-	r := newRun(t, routes.NonIdempotent, gives(other))
+	r := newRun(t, routes.NonIdempotent, answers(other))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 	if len(r.limits.words) != 0 {
 		t.Errorf("heard %v", r.limits.words)
@@ -61,7 +61,7 @@
 
 // Guards against a limit that is lifted by a header that can't be read.
 func TestUnreadableLimitLiftsNone(t *testing.T) {
-	r := newRun(t, routes.NonIdempotent, gives(answer(200, "ok", hLimit, "some")))
+	r := newRun(t, routes.NonIdempotent, answers(answer(200, "ok", hLimit, "some")))
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
@@ -74,13 +74,13 @@
 // run.
 func TestServersRestIsHeardWithEachRefusal(t *testing.T) {
 	for _, headers := range [][]string{{hNotRun, "1", hCooldown, "3"}, {hCooldown, "0.5"}} {
-		r := newRun(t, routes.NonIdempotent, gives(answer(http.StatusServiceUnavailable, "", headers...)), gives(answer(200, "ok")))
+		r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusServiceUnavailable, "", headers...)), answers(answer(200, "ok")))
 		_ = r.do() // whether it is sent again depends on whether it may have run
 		if len(r.leases.cooldowns) != 1 || r.x.Attempts[0].Cooldown != r.leases.cooldowns[0] {
 			t.Errorf("%v: cooldowns %v, in the log %v", headers, r.leases.cooldowns, r.x.Attempts[0].Cooldown)
 		}
 	}
-	r := newRun(t, routes.NonIdempotent, gives(answer(http.StatusServiceUnavailable, "", hCooldown, "soon")))
+	r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusServiceUnavailable, "", hCooldown, "soon")))
 	_ = r.do()
 	if len(r.leases.cooldowns) != 0 || r.leases.unreadable != 1 {
 		t.Errorf("cooldowns %v, %d unreadable", r.leases.cooldowns, r.leases.unreadable)
@@ -91,7 +91,7 @@
 // believed of another server's late answer.
 func TestServersLeavingIsHeardWithEachAnswer(t *testing.T) {
 	r := newRun(t, routes.Idempotent,
-		gives(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLeaving, "1")), gives(answer(200, "ok", hLeaving, "1")))
+		answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLeaving, "1")), answers(answer(200, "ok", hLeaving, "1")))
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	}
 	other := answer(200, "", hLeaving, "1")
 	other.Header.Set(hID, "another")
-	r = newRun(t, routes.NonIdempotent, gives(other))
+	r = newRun(t, routes.NonIdempotent, answers(other))
 	_ = r.do()
 	if len(r.leases.leaving) != 0 {
 		t.Errorf("leaving %v, by an answer to another request", r.leases.leaving)
