--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -390,7 +390,7 @@
 // runs are joined.
 // Sequence: the server crashes in the middle of its third event.
 // Cause: half an event passed on, or the stream not resumed behind the last whole one.
-func TestBrokenStreamGoesOn(t *testing.T) {
+func TestInterruptedStreamIsResumed(t *testing.T) {
 	r := newRun(t, routes.Stream,
 		answers(stream(event(1)+event(2)+"id: 3\nda", errReset, "Seal", "first")),
 		answers(stream(event(3)+event(4), nil, "Seal", "second")))
