--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -415,7 +415,7 @@
 	}
 }
 
-func TestStreamBrokenBeforeItsFirstEvent(t *testing.T) {
+func TestStreamInterruptedBeforeItsFirstEvent(t *testing.T) {
 	r := newRun(t, routes.Stream, answers(stream("id: 1\nda", errReset, "Seal", "first")), answers(stream(event(1), nil, "Seal", "second")))
 	r.route.Resumable = true
 	if err := r.do(); err != nil {
