--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -429,7 +429,7 @@
 // Symptom: a stream that broke off looks complete to the caller.
 // Sequence: the server of a stream that may not be resumed crashes.
 // Cause: the caller's connection ended in the regular way.
-func TestBrokenStreamIsAborted(t *testing.T) {
+func TestStreamThatIsNotResumedIsAborted(t *testing.T) {
 	r := newRun(t, routes.Stream, answers(stream(event(1)+"id: 2\n", errReset)))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanYes)
 	if !r.aborted || r.w.Body.String() != event(1) {
