--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -499,7 +499,7 @@
 	}
 }
 
-func TestHeadersOfTheServersConnectionStay(t *testing.T) {
+func TestConnectionHeadersAreNotForwarded(t *testing.T) {
 	r := newRun(t, routes.Idempotent, answers(answer(http.StatusOK, "x", "Connection", "close, X-Hop", "X-Hop", "1", "X-End", "2")))
 	if err := r.do(); err != nil {
 		t.Fatal(err)
