--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -510,7 +510,7 @@
 	}
 }
 
-func TestUnaskedSwitchOfProtocols(t *testing.T) {
+func TestUnrequestedProtocolSwitch(t *testing.T) {
 	r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusSwitchingProtocols, "")))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 }
