--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -540,7 +540,7 @@
 	}
 }
 
-func TestLongAnswerBreaksOff(t *testing.T) {
+func TestLongAnswerIsTruncated(t *testing.T) {
 	res := answer(200, strings.Repeat("x", 2*maxBuffered))
 	res.Body.(*body).err = errReset
 	r := newRun(t, routes.Idempotent, answers(res))
