--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -551,7 +551,7 @@
 }
 
 // Begun is a fact of bytes handed over: until then the caller can be given a status.
-func TestBegunMeansBytesHandedOver(t *testing.T) {
+func TestBegunMeansBytesWritten(t *testing.T) {
 	r := newRun(t, routes.Stream, answers(stream(event(1), nil)))
 	before := true
 	r.onWrite = func() { before = before && !r.x.Begun }
