--- a/internal/relay/forward/early_test.go
+++ b/internal/relay/forward/early_test.go
@@ -63,7 +63,7 @@
 // closes; the request is still being written.
 // Cause: the failure to write taken for the end of the exchange, though its answer had
 // come.
-func TestEarlyRefusalIsHeard(t *testing.T) {
+func TestEarlyRejectionIsRead(t *testing.T) {
 	const rounds = 30 // the order of the two events varies
 	full := newBackend(t, func(*backend) serve {
 		return func(_ int, c net.Conn, r *bufio.Reader) bool {
