--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -178,7 +178,7 @@
 type run struct {
 	servers *servers
 	leases  *leases
-	limits  heardLimits
+	limits  recordedLimits
 	allowed allowance
 	route   routes.Route
 	w       *httptest.ResponseRecorder
--- a/internal/relay/forward/limits_test.go
+++ b/internal/relay/forward/limits_test.go
@@ -12,35 +12,35 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// heardLimits notes what is told of servers' limits.
-type heardLimits struct {
-	words      []ratelimit.Observation
+// recordedLimits notes what is told of servers' limits.
+type recordedLimits struct {
+	observed      []ratelimit.Observation
 	unreadable int
 	sends      []ratelimit.Send
 }
 
-func (h *heardLimits) Observe(_ instance.Incarnation, w ratelimit.Observation, _ string) {
-	h.words = append(h.words, w)
+func (h *recordedLimits) Observe(_ instance.Incarnation, w ratelimit.Observation, _ string) {
+	h.observed = append(h.observed, w)
 }
 
-func (h *heardLimits) Unreadable(instance.Incarnation, string) { h.unreadable++ }
+func (h *recordedLimits) Unreadable(instance.Incarnation, string) { h.unreadable++ }
 
-func (h *heardLimits) Sending(_ instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
+func (h *recordedLimits) Sending(_ instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
 	h.sends = append(h.sends, why)
 	return ratelimit.Observation{}
 }
 
-func TestServersLimitIsHeardWithEachAnswer(t *testing.T) {
+func TestRateLimitIsObservedInEachAnswer(t *testing.T) {
 	r := newRun(t, routes.Idempotent,
 		answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLimit, "2.5")), answers(answer(200, "ok")))
 	began := time.Now()
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
-	if len(r.limits.words) != 2 || r.limits.words[0].Limit != 2.5 || r.limits.words[1].Limited() {
-		t.Fatalf("heard %v", r.limits.words)
+	if len(r.limits.observed) != 2 || r.limits.observed[0].Limit != 2.5 || r.limits.observed[1].Limited() {
+		t.Fatalf("heard %v", r.limits.observed)
 	}
-	if at := r.limits.words[1].At; at.Before(began) || at.After(time.Now()) {
+	if at := r.limits.observed[1].At; at.Before(began) || at.After(time.Now()) {
 		t.Errorf("the second word is of %v", at)
 	}
 	if want := []ratelimit.Send{ratelimit.SendFirst, ratelimit.SendRepeat}; !slices.Equal(r.limits.sends, want) {
@@ -54,8 +54,8 @@
 	other.Header.Set(hID, "another")
 	r := newRun(t, routes.NonIdempotent, answers(other))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
-	if len(r.limits.words) != 0 {
-		t.Errorf("heard %v", r.limits.words)
+	if len(r.limits.observed) != 0 {
+		t.Errorf("heard %v", r.limits.observed)
 	}
 }
 
@@ -65,8 +65,8 @@
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
-	if len(r.limits.words) != 0 || r.limits.unreadable != 1 {
-		t.Errorf("heard %v, %d unreadable", r.limits.words, r.limits.unreadable)
+	if len(r.limits.observed) != 0 || r.limits.unreadable != 1 {
+		t.Errorf("heard %v, %d unreadable", r.limits.observed, r.limits.unreadable)
 	}
 }
 
