--- a/internal/relay/forward/limits_test.go
+++ b/internal/relay/forward/limits_test.go
@@ -49,7 +49,7 @@
 }
 
 // Guards against a limit that a late answer to another request names or lifts.
-func TestLimitInAnotherRequestsAnswerIsNotHeard(t *testing.T) {
+func TestRateLimitInAnotherRequestsAnswerIsIgnored(t *testing.T) {
 	other := answer(200, "", hLimit, "1")
 	other.Header.Set(hID, "another")
 	r := newRun(t, routes.NonIdempotent, answers(other))
