--- a/internal/relay/forward/limits_test.go
+++ b/internal/relay/forward/limits_test.go
@@ -60,7 +60,7 @@
 }
 
 // Guards against a limit that is lifted by a header that can't be read.
-func TestUnreadableLimitLiftsNone(t *testing.T) {
+func TestUnreadableRateLimitLiftsNone(t *testing.T) {
 	r := newRun(t, routes.NonIdempotent, answers(answer(200, "ok", hLimit, "some")))
 	if err := r.do(); err != nil {
 		t.Fatal(err)
