--- a/internal/relay/forward/limits_test.go
+++ b/internal/relay/forward/limits_test.go
@@ -72,7 +72,7 @@
 
 // Guards against a cooldown that is overlooked since the answer does not say that the request has not
 // run.
-func TestServersRestIsHeardWithEachRefusal(t *testing.T) {
+func TestCooldownIsObservedInEachRejection(t *testing.T) {
 	for _, headers := range [][]string{{hNotRun, "1", hCooldown, "3"}, {hCooldown, "0.5"}} {
 		r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusServiceUnavailable, "", headers...)), answers(answer(200, "ok")))
 		_ = r.do() // whether it is sent again depends on whether it may have run
