--- a/internal/relay/forward/limits_test.go
+++ b/internal/relay/forward/limits_test.go
@@ -89,7 +89,7 @@
 
 // Guards against a server's leaving that is overlooked since the answer refuses the request, or
 // believed of another server's late answer.
-func TestServersLeavingIsHeardWithEachAnswer(t *testing.T) {
+func TestLeavingIsObservedInEachAnswer(t *testing.T) {
 	r := newRun(t, routes.Idempotent,
 		answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLeaving, "1")), answers(answer(200, "ok", hLeaving, "1")))
 	if err := r.do(); err != nil {
