--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -186,8 +186,8 @@
 	method  string
 	x       *relay.Exchange
 	ctx     context.Context
-	// pass is the request's; nil: there is no quarantine.
-	pass filter.Pass
+	// admission is the request's; nil: there is no quarantine.
+	admission filter.Pass
 	// onWrite is called ahead of each write to the caller, which fails with writeErr.
 	onWrite  func()
 	writeErr error
@@ -219,7 +219,7 @@
 
 func (r *run) do() error {
 	r.x = &relay.Exchange{
-		Admission:    r.pass,
+		Admission:    r.admission,
 		Request: &relay.Request{ID: requestID, Method: r.method, Target: "/p", Header: http.Header{}, PromptTokens: 100},
 		Route:   &r.route, Deadline: time.Now().Add(time.Minute),
 		Service: &routes.Service{Name: "pool", Engine: &routes.Engine{TokensPerEvent: 4}},
--- a/internal/relay/forward/matrix_test.go
+++ b/internal/relay/forward/matrix_test.go
@@ -14,8 +14,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// death is where a server's kept connection ends under its second request.
-type death struct {
+// connDeath is where a server's kept connection ends under its second request.
+type connDeath struct {
 	name string
 	// request is handed the connection in place of an answer; nil: the connection ends
 	// before the request.
@@ -33,8 +33,8 @@
 // the head of each answer here.
 const cutAnswer = 0.85
 
-func deaths() []death {
-	return []death{
+func connDeaths() []connDeath {
+	return []connDeath{
 		{name: "before the request", served: true},
 		{name: "after half of the request", causes: []engineclient.Cause{engineclient.CauseHalfSent, engineclient.CauseReset, engineclient.CauseClosed},
 			request: func(_ *backend, c net.Conn, r *bufio.Reader) {
@@ -63,9 +63,9 @@
 	}
 }
 
-// dying answers the first request of a connection and lets the connection end at the
+// script answers the first request of a connection and lets the connection end at the
 // second one; ended is closed once the first connection has ended.
-func (d death) dying(ended chan struct{}, answered <-chan struct{}) func(b *backend) serve {
+func (d connDeath) script(ended chan struct{}, answered <-chan struct{}) func(b *backend) serve {
 	return func(b *backend) serve {
 		whole := sound(b)
 		var died atomic.Bool
@@ -98,15 +98,15 @@
 		"resumable stream": {Kind: routes.Stream, Resumable: true},
 	}
 	for name, route := range kinds {
-		for _, d := range deaths() {
-			t.Run(name+"/"+d.name, func(t *testing.T) { testDeath(t, route, d) })
+		for _, d := range connDeaths() {
+			t.Run(name+"/"+d.name, func(t *testing.T) { testConnDeath(t, route, d) })
 		}
 	}
 }
 
-func testDeath(t *testing.T, route routes.Route, d death) {
+func testConnDeath(t *testing.T, route routes.Route, d connDeath) {
 	answered, ended := make(chan struct{}), make(chan struct{})
-	first, second := newBackend(t, d.dying(ended, answered)), newBackend(t, sound)
+	first, second := newBackend(t, d.script(ended, answered)), newBackend(t, sound)
 	address, log := entryHost(t, route, first, second)
 	path, want := "/whole", wholeBody
 	if route.Kind == routes.Stream {
@@ -129,7 +129,7 @@
 	case d.served || route.Repeatable():
 		wantServed(t, g, x, want)
 	case route.Kind == routes.Stream && d.begins:
-		wantBrokenOff(t, g, x, want)
+		wantTruncated(t, g, x, want)
 		return // its connection is gone
 	default:
 		wantUnknown(t, g, x)
@@ -151,8 +151,8 @@
 	}
 }
 
-// wantBrokenOff: the caller has the beginning, and can see that the end is missing.
-func wantBrokenOff(t *testing.T, g got, x *relay.Exchange, want string) {
+// wantTruncated: the caller has the beginning, and can see that the end is missing.
+func wantTruncated(t *testing.T, g got, x *relay.Exchange, want string) {
 	t.Helper()
 	if g.status != http.StatusOK || g.whole || g.body == "" || !strings.HasPrefix(want, g.body) || x.Ending != relay.EndBrokenOff {
 		t.Errorf("the caller got %+v, ending %s; want a part that doesn't look whole", g, x.Ending)
@@ -175,7 +175,7 @@
 }
 
 // wantCause: the log tells the first attempt's failure from the others.
-func wantCause(t *testing.T, d death, x *relay.Exchange) {
+func wantCause(t *testing.T, d connDeath, x *relay.Exchange) {
 	t.Helper()
 	cause := x.Attempts[0].Cause
 	if d.request == nil {
--- a/internal/relay/forward/pass_test.go
+++ b/internal/relay/forward/pass_test.go
@@ -13,19 +13,19 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// pass notes what it is told.
-type pass struct {
+// admission notes what it is told.
+type admission struct {
 	reached, broke, answered int
-	// refuses further attempts.
-	refuses error
+	// retryErr further attempts.
+	retryErr error
 }
 
-func (p *pass) Reached()                      { p.reached++ }
-func (p *pass) Broke(filter.Break)            { p.broke++ }
-func (p *pass) Again(context.Context) error   { return p.refuses }
-func (p *pass) Answered()                     { p.answered++ }
-func (p *pass) Standing() quarantine.Standing { return quarantine.Standing{} }
-func (p *pass) Close()                        {}
+func (p *admission) Reached()                      { p.reached++ }
+func (p *admission) Broke(filter.Break)            { p.broke++ }
+func (p *admission) Again(context.Context) error   { return p.retryErr }
+func (p *admission) Answered()                     { p.answered++ }
+func (p *admission) Standing() quarantine.Standing { return quarantine.Standing{} }
+func (p *admission) Close()                        {}
 
 // breaks is a server whose side ends the connection with a cause.
 func breaks(cause engineclient.Cause, ran errkind.Ran) func(context.Context, *engineclient.Forward) (*http.Response, error) {
@@ -43,7 +43,7 @@
 
 // Guards against a crash that is not noted, and against requests that are blamed, or cleared, by
 // attempts which tell nothing of them.
-func TestQuarantineIsToldOfAttempts(t *testing.T) {
+func TestAttemptsAreReportedToQuarantine(t *testing.T) {
 	cut := func() *http.Response { return stream("id: 1\n", io.ErrUnexpectedEOF) }
 	chunked := stream("id: 1\n\n", nil)
 	chunked.TransferEncoding = []string{"chunked"}
@@ -51,28 +51,28 @@
 	endless.ContentLength = -1
 	for name, c := range map[string]struct {
 		step func(context.Context, *engineclient.Forward) (*http.Response, error)
-		want pass
+		want admission
 	}{
-		"reset before the answer": {breaks(engineclient.CauseReset, errkind.RanUnknown), pass{reached: 1, broke: 1}},
-		"closed before it":        {breaks(engineclient.CauseClosed, errkind.RanUnknown), pass{reached: 1, broke: 1}},
-		"cut in its head":         {breaks(engineclient.CauseCutHead, errkind.RanUnknown), pass{reached: 1, broke: 1}},
-		"cut in its body":         {answers(cut()), pass{reached: 1, broke: 1}},
-		"half sent":               {breaks(engineclient.CauseHalfSent, errkind.RanUnknown), pass{reached: 1}},
-		"silent":                  {breaks(engineclient.CauseSilent, errkind.RanUnknown), pass{reached: 1}},
-		"garbled":                 {breaks(engineclient.CauseGarbled, errkind.RanUnknown), pass{reached: 1}},
-		"refused":                 {breaks(engineclient.CauseRefused, errkind.RanNo), pass{}},
-		"another instance":        {answers(answer(http.StatusMisdirectedRequest, "")), pass{}},
-		"full":                    {answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1")), pass{reached: 1}},
-		"another's answer":        {answers(answer(200, "ok", hID, "other")), pass{reached: 1}},
-		"answered":                {answers(framedAnswer(200)), pass{reached: 1, answered: 1}},
-		"answered that it is bad": {answers(framedAnswer(400)), pass{reached: 1, answered: 1}},
-		"failed":                  {answers(framedAnswer(500)), pass{reached: 1}},
-		"answered without an end": {answers(endless), pass{reached: 1}},
-		"a whole stream":          {answers(chunked), pass{reached: 1, answered: 1}},
+		"reset before the answer": {breaks(engineclient.CauseReset, errkind.RanUnknown), admission{reached: 1, broke: 1}},
+		"closed before it":        {breaks(engineclient.CauseClosed, errkind.RanUnknown), admission{reached: 1, broke: 1}},
+		"cut in its head":         {breaks(engineclient.CauseCutHead, errkind.RanUnknown), admission{reached: 1, broke: 1}},
+		"cut in its body":         {answers(cut()), admission{reached: 1, broke: 1}},
+		"half sent":               {breaks(engineclient.CauseHalfSent, errkind.RanUnknown), admission{reached: 1}},
+		"silent":                  {breaks(engineclient.CauseSilent, errkind.RanUnknown), admission{reached: 1}},
+		"garbled":                 {breaks(engineclient.CauseGarbled, errkind.RanUnknown), admission{reached: 1}},
+		"refused":                 {breaks(engineclient.CauseRefused, errkind.RanNo), admission{}},
+		"another instance":        {answers(answer(http.StatusMisdirectedRequest, "")), admission{}},
+		"full":                    {answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1")), admission{reached: 1}},
+		"another's answer":        {answers(answer(200, "ok", hID, "other")), admission{reached: 1}},
+		"answered":                {answers(framedAnswer(200)), admission{reached: 1, answered: 1}},
+		"answered that it is bad": {answers(framedAnswer(400)), admission{reached: 1, answered: 1}},
+		"failed":                  {answers(framedAnswer(500)), admission{reached: 1}},
+		"answered without an end": {answers(endless), admission{reached: 1}},
+		"a whole stream":          {answers(chunked), admission{reached: 1, answered: 1}},
 	} {
-		got := &pass{}
+		got := &admission{}
 		r := newRun(t, routes.NonIdempotent, c.step)
-		r.route.MaxAttempts, r.leases.servers, r.pass = 1, []string{"a"}, got
+		r.route.MaxAttempts, r.leases.servers, r.admission = 1, []string{"a"}, got
 		_ = r.do() // what the caller is told is looked at elsewhere
 		if *got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, *got, c.want)
@@ -85,9 +85,9 @@
 func TestQuarantineRefusesFurtherAttempts(t *testing.T) {
 	refusal := errkind.New(errkind.RequestQuarantined, "crashed").After(1)
 	r := newRun(t, routes.Idempotent, breaks(engineclient.CauseReset, errkind.RanUnknown))
-	r.pass = &pass{refuses: refusal}
+	r.admission = &admission{retryErr: refusal}
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 	r = newRun(t, routes.Idempotent, breaks(engineclient.CauseRefused, errkind.RanNo))
-	r.pass = &pass{refuses: refusal}
+	r.admission = &admission{retryErr: refusal}
 	wantKind(t, r.do(), errkind.RequestQuarantined, errkind.RanNo)
 }
