--- a/internal/relay/forward/pass_test.go
+++ b/internal/relay/forward/pass_test.go
@@ -82,7 +82,7 @@
 
 // Guards against a further attempt that the quarantine refuses, and against a refusal that says
 // "did not run" after one that may have.
-func TestQuarantineRefusesFurtherAttempts(t *testing.T) {
+func TestQuarantineRejectsRetry(t *testing.T) {
 	refusal := errkind.New(errkind.RequestQuarantined, "crashed").After(1)
 	r := newRun(t, routes.Idempotent, breaks(engineclient.CauseReset, errkind.RanUnknown))
 	r.admission = &admission{retryErr: refusal}
