--- a/internal/relay/forward/property_test.go
+++ b/internal/relay/forward/property_test.go
@@ -130,7 +130,7 @@
 // However servers cut, split and end their answers, a caller has a whole answer, a part
 // that doesn't look whole, or a status that is true; its kept connection is closed in no
 // other way; events come in order, once each; and what may run once runs once.
-func TestAnswersAreWholeBrokenOrTrue(t *testing.T) {
+func TestAnswersAreCompleteTruncatedOrTrue(t *testing.T) {
 	for name, route := range map[string]routes.Route{
 		"idempotent":       {Kind: routes.Idempotent},
 		"non-idempotent":   {Kind: routes.NonIdempotent},
