--- a/internal/relay/bandwidth/bandwidth.go
+++ b/internal/relay/bandwidth/bandwidth.go
@@ -1,14 +1,13 @@
-// Package bandwidth is the filter that refuses routed requests which this host's link can
-// not carry.
+// Package bandwidth is the filter that rejects routed requests that this host's network link can't
+// carry.
 //
-// What goes wrong without it: callers of one client account go to the same host and send
-// three times their usual. Its link of 10 Mbit/s is full, and packets wait for seconds. All
-// that the host asks of others times out: it takes the owners of budgets and of servers for
-// lost, one after the other, and each of them sets tokens aside for requests that are given
-// up. One notices requests that fail after their deadline at a host whose processor is idle,
-// and a budget half of which lies at hosts that have no use for it.
+// Without it a host whose callers send three times their usual load over its link of 10 Mbit/s
+// fills the link, and packets wait for seconds. All that the host asks of other hosts times out: it
+// considers the owners of budgets and of servers unreachable, one after the other, and each of them
+// reserves tokens for requests that are then given up. Requests fail after their deadline at a host
+// whose processor is idle, and half of a budget is held by hosts that have no use for it.
 //
-// What is refused here costs the link one pass, not two, and the caller goes to another host.
+// A rejected request crosses the link once instead of twice, and the caller turns to another host.
 package bandwidth
 
 import (
@@ -23,35 +22,34 @@
 )
 
 const (
-	// linkShare of the link that requests may use; the rest is for what hosts say to each other,
-	// and for callers' requests that are refused.
+	// linkShare is the share of the link that requests may use. The rest is for traffic between
+	// hosts and for the requests of callers that are rejected.
 	linkShare = 0.8
-	// burst is how long requests may come faster than that: what then waits before the link
-	// delays everything else by a quarter of a second at most.
+	// burst is how long requests may exceed that rate. The backlog that builds up on the link
+	// meanwhile delays other traffic by at most a quarter of a second.
 	burst = 250 * time.Millisecond
-	// urgentShare of the burst is left to requests of the highest rank.
+	// urgentShare is the share of the burst reserved for requests of the highest priority.
 	urgentShare = 0.25
-	// overhead is what a request costs beside its body, in bytes: the headers towards the
-	// server and an answer of usual size.
+	// overhead is what a request adds to the link in addition to its body, in bytes: the headers
+	// sent to the server and an answer of usual size.
 	overhead = 2 << 10
-	// smallRequest requests always pass: what they cost the link is less than refusing them and
-	// having them come again.
+	// smallRequest is the size in bytes below which requests always pass: they cost the link less
+	// than rejecting them and receiving them again.
 	smallRequest = 4 << 10
-	// retryAfter is when a caller may come back. Times in which one account's callers send
-	// more than a link carries last for some seconds; callers who come back after a third of
-	// a second sent three times as much again.
+	// retryAfter is when a caller may retry. Overload by one account's callers lasts for some
+	// seconds; callers told to retry after a third of a second sent three times as much again.
 	retryAfter = 2 * time.Second
 )
 
 // Filter implements filter.Filter. It is safe for concurrent use.
 type Filter struct {
-	// limiter is nil for a link without a bound.
+	// limiter is nil if the link has no limit.
 	limiter *rate.Limiter
-	// urgentReserve is what less urgent requests leave of the burst, in bytes.
+	// urgentReserve is the part of the burst that less urgent requests may not use, in bytes.
 	urgentReserve float64
 }
 
-// New makes a filter for a link of so many megabits a second; 0: without a bound.
+// New makes a filter for a link of the given capacity in megabits per second; 0 means no limit.
 func New(megabits float64) *Filter {
 	if megabits <= 0 {
 		return &Filter{}
@@ -62,16 +60,17 @@
 	return &Filter{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), int(size)), urgentReserve: urgentShare * size}
 }
 
-// ServeHTTP refuses a request for which the link has no room now.
+// ServeHTTP rejects a request for which the link has no capacity now.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	x := relay.ExchangeFrom(r.Context())
 	if !f.allow(time.Now(), len(x.Body)+overhead, x.Priority()) {
-		return errkind.New(errkind.Overloaded, "this host's link is full").After(retryAfter)
+		return errkind.New(errkind.Overloaded, "the network link of this host has no capacity for the request").After(retryAfter)
 	}
 	return next.ServeHTTP(w, r)
 }
 
-// allow takes the bytes of a request off the burst. rank 0 is the most urgent.
+// allow takes the bytes of a request from the burst and reports whether they fit. Rank 0 is the
+// most urgent.
 func (f *Filter) allow(now time.Time, bytes, rank int) bool {
 	if f.limiter == nil {
 		return true
@@ -83,6 +82,6 @@
 	if rank > 0 && f.limiter.TokensAt(now) < f.urgentReserve {
 		return false
 	}
-	// A request larger than the burst is allowed when the burst is whole.
+	// A request larger than the burst is allowed when the burst is unused.
 	return f.limiter.AllowN(now, min(bytes, f.limiter.Burst()))
 }
--- a/internal/relay/bodiless.go
+++ b/internal/relay/bodiless.go
@@ -2,15 +2,15 @@
 
 import "net/http"
 
-// headWriter answers a HEAD request: whatever is written of a body stays here.
+// headWriter answers a HEAD request: it drops the body that handlers write.
 //
-// What goes wrong without it: the server below takes an answer without a Content-Length
-// for a chunked one and sends the last chunk, and it sends a refusal's words. The caller
-// expects the next answer at that point of its kept connection; one would notice
-// malformed answers after HEAD requests.
+// Without it the HTTP server would take an answer without a Content-Length for a chunked one and
+// send the terminating chunk, and it would send the body of a refusal. The caller expects the next
+// answer at that point of its kept-alive connection and sees malformed answers after HEAD requests.
 type headWriter struct{ http.ResponseWriter }
 
-// writerFor is w for an answer to a request with the method.
+// writerFor returns the writer for an answer to a request with the given method: w, or a headWriter
+// for HEAD.
 func writerFor(w http.ResponseWriter, method string) http.ResponseWriter {
 	if method != http.MethodHead {
 		return w
@@ -18,11 +18,11 @@
 	return headWriter{w}
 }
 
-// Unwrap gives the ResponseWriter below, as http.ResponseController expects.
+// Unwrap returns the underlying ResponseWriter, as http.ResponseController expects.
 func (b headWriter) Unwrap() http.ResponseWriter { return b.ResponseWriter }
 
-// WriteHeader sends status. An answer whose length nobody knows gets one of 0, since the
-// server below can't send a head without one that is not chunked.
+// WriteHeader sends the status. An answer of unknown length gets a Content-Length of 0, since the
+// HTTP server would otherwise send it as chunked.
 func (b headWriter) WriteHeader(status int) {
 	h := b.Header()
 	if h.Get("Content-Length") == "" && status != http.StatusNoContent && status != http.StatusNotModified {
@@ -31,10 +31,10 @@
 	b.ResponseWriter.WriteHeader(status)
 }
 
-// Write drops p.
+// Write discards p.
 func (headWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-// Flush sends the head.
+// Flush sends the headers.
 func (b headWriter) Flush() {
 	if f, ok := b.ResponseWriter.(http.Flusher); ok {
 		f.Flush()
--- a/internal/relay/budget/budget.go
+++ b/internal/relay/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget is the filter that sets the tokens of a routed request aside before it
-// is sent anywhere, and bills what it used when it has ended.
+// Package budget is the filter that reserves the tokens of a routed request before it is sent
+// anywhere, and bills the tokens used when it has ended.
 package budget
 
 import (
@@ -12,11 +12,11 @@
 // Filter implements filter.Filter.
 type Filter struct{ Budgets relay.Budgets }
 
-// ServeHTTP reserves the greatest size of the request: its prompt and its output cap.
-// Without that a request that runs longer than expected could spend what another one
-// was promised. The prompt is billed once, however often the request was sent on; the output
-// as far as it was delivered. A request that fails before any of its answer has reached the
-// caller costs its client account nothing, whatever servers did for it.
+// ServeHTTP reserves the maximum size of the request: its prompt and its output cap. Without the
+// reservation a request that runs longer than expected could spend tokens promised to another one.
+// The prompt is billed once, however many attempts were made, and the output as far as it was
+// delivered. A request that fails before any of its answer has reached the caller costs its client
+// account nothing, whatever work servers did for it.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	x := relay.ExchangeFrom(r.Context())
 	size := x.PromptTokens + x.OutputCap
@@ -29,7 +29,8 @@
 		return err
 	}
 	x.Reserved = size
-	// A panic further in bills the whole, for what was delivered is not known then.
+	// A panic in an inner filter bills the whole reservation, since the delivered output is unknown
+	// then.
 	tokens := size
 	defer func() { f.Budgets.Spend(x.ID, tokens) }()
 	err = next.ServeHTTP(w, r)
@@ -37,11 +38,10 @@
 	return err
 }
 
-// billableTokens is what a request that ended with err is billed.
+// billableTokens returns the number of tokens billed for a request that ended with err.
 //
-// What goes wrong when a lost answer is billed: a server that resets its connections uses up
-// the budgets of those who get nothing from it, and 402 is answered to accounts that were
-// never served.
+// If lost answers were billed, a server that resets its connections would use up the budgets of
+// callers who receive nothing from it, and accounts that were never served would be answered 402.
 func billableTokens(x *relay.Exchange, err error) uint64 {
 	if err != nil && !x.Begun {
 		return 0
--- a/internal/relay/deadline/deadline.go
+++ b/internal/relay/deadline/deadline.go
@@ -1,5 +1,5 @@
-// Package deadline is the filter that bounds a routed request by the caller's patience
-// and the route's timeout, whichever ends first.
+// Package deadline is the filter that bounds a routed request by the caller's timeout and the
+// route's timeout, whichever is shorter.
 package deadline
 
 import (
@@ -14,7 +14,7 @@
 // Filter implements filter.Filter.
 type Filter struct{}
 
-// ServeHTTP sets the exchange's Deadline and ends the request's context with it.
+// ServeHTTP sets the exchange's Deadline and cancels the request's context when it passes.
 func (Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	x := relay.ExchangeFrom(r.Context())
 	limit := x.Route.Timeout.Std()
@@ -22,7 +22,7 @@
 		limit = min(limit, x.CallerTimeout)
 	}
 	x.Deadline = x.Arrived.Add(limit)
-	cause := errkind.New(errkind.DeadlineExceeded, "no whole answer within %v", limit)
+	cause := errkind.New(errkind.DeadlineExceeded, "the answer was not complete within %v", limit)
 	ctx, cancel := context.WithDeadlineCause(r.Context(), x.Deadline, cause)
 	defer cancel()
 	return next.ServeHTTP(w, r.WithContext(ctx))
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,9 +1,10 @@
-// Package relay is the frame of the chain for routed requests: those that a routing
-// table sends on to a service as they are. Its filters are packages of their own below
-// it, with the types of package filter; this package holds what they share, the
-// Exchange, and the ports through which they reach the host's state.
+// Package relay defines the filter chain for routed requests: requests that a routing table
+// forwards to a service unchanged. Each filter is a package of its own below this one and
+// implements the types of package filter. This package holds what the filters share: the Exchange,
+// and the interfaces through which they reach the host's state.
 //
-// Order of the chain, outermost first: match (is there a table, and a route), identify
-// (whose request it is), deadline, quarantine (have servers crashed under it), budget, forward. Whoever may not ask at all is
-// refused before anything is spent on the request.
+// The chain, outermost first: callergone (from package filter), match (is there a routing table,
+// and a route for the request), identify (which client account sends it), deadline, quarantine
+// (have servers crashed while they ran it), bandwidth, budget, forward. A request that may not be
+// served is rejected before any tokens are reserved for it.
 package relay
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -16,37 +16,37 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// Request is what a caller asked, decoded by the Dialect.
+// Request is a caller's request, decoded by the Dialect.
 type Request struct {
-	// ID is the caller's name for this try; no other try has the same.
+	// ID is the caller's ID for this try; no other try has the same.
 	ID string
-	// Method, Target (path and query), Host and Header as they came; Header without those
-	// that concern one connection only, and without those that the Dialect decodes and
-	// writes anew.
+	// Method, Target (path and query) and Host are as received. Header lacks the headers that
+	// concern a single connection and those that the Dialect decodes and writes anew.
 	Method string
 	Target string
 	Path   string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Key of the client account; empty: none given.
+	// Key is the key of the client account; empty if none was given.
 	Key string
-	// CallerTimeout is how long the caller waits, from the request's arrival; 0: not said.
+	// CallerTimeout is how long the caller waits for the answer, counted from the request's
+	// arrival; 0 if the caller did not say.
 	CallerTimeout time.Duration
-	// Model that the request is for; empty for plain services.
+	// Model is the model that the request is for; empty for plain services.
 	Model string
 	// Prompt lists the parts of the prompt in order.
 	Prompt []balance.Part
-	// PromptTokens and OutputCap are the size of the request at most, in tokens.
+	// PromptTokens and OutputCap are upper bounds of the request's prompt and output, in tokens.
 	PromptTokens, OutputCap uint64
-	// OutputHint is the caller's guess of the output's size in tokens; 0: none.
+	// OutputHint is the caller's estimate of the output's size in tokens; 0 if none.
 	OutputHint uint64
-	// ResumeAfter is the last event that the caller has of a stream; empty: none.
+	// ResumeAfter is the ID of the last event of a stream that the caller has; empty if none.
 	ResumeAfter string
 }
 
-// Exchange is a request on its way through the chain. Filters fill it from the outside
-// in; it belongs to the request's goroutine.
+// Exchange is a request on its way through the chain. The filters fill it in, from the outermost to
+// the innermost. It is used by the request's goroutine only.
 type Exchange struct {
 	*Request
 	Arrived  time.Time
@@ -55,38 +55,39 @@
 	Table   *routes.Index
 	Route   *routes.Route
 	Account *routes.Account // nil on routes that need no key
-	// Service that the request goes to, and the table's entry of it.
+	// Service is the routing table's entry of the service that the request is forwarded to.
 	Service *routes.Service
-	// QuarantineID names the request by what it asks: a caller that sends it again has another ID.
+	// QuarantineID identifies the request by its content. A caller that sends the same request
+	// again uses another ID but gets the same QuarantineID.
 	QuarantineID quarantine.ID
-	// Admission to backend servers; nil: there is no quarantine.
+	// Admission reports the attempts to the quarantine; nil if there is no quarantine.
 	Admission filter.Pass
 
-	// Reserved is how many tokens are set aside. Input is set once the request surely began
-	// to run, with the first part of its answer, or may have done so at a server that did
-	// not answer; a request that its caller or its deadline ended before has not run.
-	// Output counts what was delivered.
+	// Reserved is the number of reserved tokens. PromptConsumed is set once the request has
+	// certainly begun to run, with the first part of its answer, or once it may have begun to run
+	// at a server that did not answer. A request that was ended by its caller or its deadline
+	// before that counts as not run. OutputTokens counts the tokens delivered to the caller.
 	Reserved uint64
-	// Holder is the host that holds the tokens, or refused them.
-	Holder string
-	PromptConsumed  bool
-	OutputTokens uint64
+	// Holder is the host that holds the reservation, or that refused it.
+	Holder         string
+	PromptConsumed bool
+	OutputTokens   uint64
 
-	// Attempts made at backend servers.
+	// Attempts lists the attempts made at backend servers.
 	Attempts []Attempt
-	// Begun: bytes of the answer were handed to the caller's connection. Until then the
-	// request can still be answered with a status of its own, whatever became of its
-	// attempts; from then on only a broken connection tells the caller of a failure.
+	// Begun is set once bytes of the answer were written to the caller's connection. Until then the
+	// request can still be answered with a status of its own, whatever the outcome of its attempts.
+	// From then on the caller can only be told of a failure by breaking the connection.
 	Begun bool
-	// BytesSent is how many bytes of the answer's body went to the caller.
+	// BytesSent is the number of bytes of the answer's body sent to the caller.
 	BytesSent int
-	// Status that was answered.
+	// Status is the HTTP status sent to the caller.
 	Status int
-	// Ending is how the caller's side of the request ended.
+	// Ending is how the request ended for the caller.
 	Ending Ending
 }
 
-// SelectRoute has the request served under a table: it finds the route, and picks the service.
+// SelectRoute serves the request under a table: it finds the route and picks the service.
 func (x *Exchange) SelectRoute(table *routes.Index) error {
 	x.Table = table
 	route, err := table.Route(x.Host, x.Path)
@@ -102,23 +103,25 @@
 	return nil
 }
 
-// Ending says how the caller's side of a request ended. The list is closed.
+// Ending is how a request ended for its caller. The list is closed.
 type Ending string
 
 // Endings.
 const (
-	// EndAnswered: the caller was given a server's whole answer.
+	// EndAnswered means that the caller received a server's whole answer.
 	EndAnswered Ending = "answered"
-	// EndRefused: the caller was given a refusal, which is an answer too.
+	// EndRefused means that the caller received a refusal, which is an answer too.
 	EndRefused Ending = "refused"
-	// EndBrokenOff: the answer had begun and could not be finished; the caller's
-	// connection was closed to tell it.
+	// EndBrokenOff means that the answer was begun and could not be completed; the caller's
+	// connection was closed to signal this.
 	EndBrokenOff Ending = "broken_off"
-	// EndAbandoned: the caller had left or its time was over while its answer was under way.
+	// EndAbandoned means that the caller left or the deadline passed while the answer was being
+	// sent.
 	EndAbandoned Ending = "left"
 )
 
-// Priority of the request, 0 first: that of its client account or else of its route.
+// Priority returns the request's priority, 0 being the highest: that of its client account or else
+// that of its route.
 func (x *Exchange) Priority() int {
 	if x.Account != nil && x.Account.Priority != nil {
 		return *x.Account.Priority
@@ -126,34 +129,33 @@
 	return x.Route.Priority
 }
 
-// Attempt is one try at a backend server, for the log.
+// Attempt describes one attempt at a backend server, for the log.
 type Attempt struct {
-	Server  string
-	Wait    time.Duration // predicted
-	Cached  uint64
-	Shared  uint64
-	PreferredWait    time.Duration // wait predicted at the home of the shared parts
-	Running int
-	FirstByte   time.Duration // to the answer's first byte
-	Took    time.Duration
-	// Cause is what became of the attempt, Detail the error's own words, maxDetail bytes
-	// of them at most.
+	Server        string
+	Wait          time.Duration // predicted
+	Cached        uint64
+	Shared        uint64
+	PreferredWait time.Duration // wait predicted at the preferred server of the shared parts
+	Running       int
+	FirstByte     time.Duration // time to the answer's first byte
+	Took          time.Duration
+	// Cause is the outcome of the attempt. Detail is the text of its error, at most maxDetail
+	// bytes.
 	Cause  engineclient.Cause
 	Detail string
-	// Limit is the rate limit that the server had named when the request was sent.
+	// Limit is the rate limit that the server had advertised when the request was sent.
 	Limit ratelimit.Observation
-	// CooldownLeft is how much longer the server wanted nothing from this host when the request was
-	// sent; Cooldown the time for which it does so with its answer.
+	// CooldownLeft is the rest of the server's cooldown at the time the request was sent. Cooldown
+	// is the cooldown that the server's answer asked for.
 	CooldownLeft, Cooldown time.Duration
-	// Early: the server answered before it was sent the whole request.
+	// Early is set if the server answered before the whole request was sent to it.
 	Early bool
 }
 
-// maxDetail bounds an error's words in the log, in bytes: they may quote what a server
-// sent.
+// maxDetail bounds an error's text in the log, in bytes: it may quote what a server sent.
 const maxDetail = 200
 
-// SetOutcome notes why the attempt failed.
+// SetOutcome records the attempt's outcome and, if it failed, the error.
 func (a *Attempt) SetOutcome(cause engineclient.Cause, err error) {
 	a.Cause = cause
 	if err == nil {
@@ -166,7 +168,7 @@
 	a.Detail = detail
 }
 
-// AccountName is the client account's name; empty without one.
+// AccountName returns the name of the client account; empty without one.
 func (x *Exchange) AccountName() string {
 	if x.Account == nil {
 		return ""
@@ -176,12 +178,12 @@
 
 type exchangeKey struct{}
 
-// WithExchange returns ctx with x in it.
+// WithExchange returns a copy of ctx that carries x.
 func WithExchange(ctx context.Context, x *Exchange) context.Context {
 	return context.WithValue(ctx, exchangeKey{}, x)
 }
 
-// ExchangeFrom returns the Exchange in ctx; nil outside the chain.
+// ExchangeFrom returns the Exchange carried by ctx; nil outside the chain.
 func ExchangeFrom(ctx context.Context) *Exchange {
 	x, _ := ctx.Value(exchangeKey{}).(*Exchange)
 	return x
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	// maxBuffered bounds an answer that is held until it is whole, in bytes. A longer one is
-	// passed on as it comes.
+	// maxBuffered bounds an answer that is buffered until it is complete, in bytes. A longer one is
+	// passed on as it arrives.
 	maxBuffered = 1 << 20
-	// shedRetryAfter is when a caller may come back whose request a full server did not take:
-	// about the time in which a batch of a busy engine ends a request.
+	// shedRetryAfter is when a caller may retry a request that a full server did not take: about
+	// the time in which one request of a busy engine's batch finishes.
 	shedRetryAfter = 300 * time.Millisecond
 )
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
+// hopHeaders are the headers that apply to a single connection only (RFC 9110, section 7.6.1).
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
@@ -45,8 +45,8 @@
 	note.CooldownLeft = choice.CooldownLeft
 	note.Limit = t.f.Limits.Sending(choice.Instance.Incarnation(), t.sendReason())
 	started := time.Now()
-	// The context ends the exchange with the server: its connection is closed unless the
-	// answer was read to its end.
+	// Canceling the context ends the exchange with the server: its connection is closed unless the
+	// answer was read completely.
 	ctx, cancel := context.WithCancel(t.ctx)
 	defer cancel()
 	var out outcome
@@ -71,11 +71,11 @@
 	return out
 }
 
-// framed tells whether an answer's end can be told from the end of its connection. Where it
-// can't, the answer of a server that crashes looks whole.
+// framed reports whether the end of an answer can be distinguished from the end of its connection.
+// Where it can't, the truncated answer of a server that crashes looks complete.
 func framed(res *http.Response) bool { return res.ContentLength >= 0 || len(res.TransferEncoding) > 0 }
 
-// handleNoAnswer takes an attempt without an answer.
+// handleNoAnswer returns the outcome of an attempt that received no answer.
 func (t *task) handleNoAnswer(err error) outcome {
 	result := balance.Unreachable
 	if e, ok := err.(*engineclient.Error); !ok || e.Ran != errkind.RanNo {
@@ -87,7 +87,7 @@
 	return t.failure(result, engineclient.CauseOf(err), "%v", err)
 }
 
-// markReached notes that a server has the request.
+// markReached records that a server has received the request.
 func (t *task) markReached() {
 	t.serversReached++
 	if t.x.Admission != nil {
@@ -95,22 +95,22 @@
 	}
 }
 
-// failure is the outcome of an attempt that another server may make good.
+// failure returns the outcome of a failed attempt that may be retried at another server.
 func (t *task) failure(result balance.Result, cause engineclient.Cause, format string, args ...any) outcome {
 	if t.ctx.Err() != nil {
-		result, cause = balance.Abandoned, engineclient.CauseLeft // the request's own end caused it
+		result, cause = balance.Abandoned, engineclient.CauseLeft // caused by the end of the request's own context
 	}
 	err := errkind.New(errkind.BackendServerFailed, format, args...).WithRan(t.ran)
 	return outcome{err: err, cause: cause, result: result, retryable: true}
 }
 
-// servedOutcome is the outcome of an attempt whose answer is with the caller.
+// servedOutcome returns the outcome of an attempt whose answer was sent to the caller.
 func servedOutcome(res *http.Response) outcome {
 	whole := framed(res) && res.StatusCode < http.StatusInternalServerError
 	return outcome{cause: engineclient.CauseAnswered, result: balance.Served, complete: whole}
 }
 
-// sendReason is why the request is sent to one more server.
+// sendReason returns why the request is sent to a server: first attempt, repeat, or resumed stream.
 func (t *task) sendReason() ratelimit.Send {
 	switch {
 	case t.x.Begun:
@@ -121,8 +121,8 @@
 	return ratelimit.SendFirst
 }
 
-// observeLimit takes what a server says of its rate limit with the answer to a request that was
-// sent at a time.
+// observeLimit records the rate limit that a server advertises, or no longer advertises, in its
+// answer to a request that was sent at the given time.
 func (t *task) observeLimit(run instance.Incarnation, reply relay.Reply, sent time.Time) {
 	if reply.LimitUnreadable {
 		t.f.Limits.Unreadable(run, t.x.ID)
@@ -132,10 +132,10 @@
 	if !w.Limited() {
 		w.At = sent
 	}
-	t.f.Limits.Observe(run, w, t.x.ID)
+	t.f.Limits.Heard(run, w, t.x.ID)
 }
 
-// observeCooldown takes that a server wants nothing from this host for a while.
+// observeCooldown records the cooldown that a server asks for in its answer.
 func (t *task) observeCooldown(lease relay.Lease, reply relay.Reply) {
 	switch {
 	case reply.CooldownUnreadable:
@@ -146,10 +146,10 @@
 	}
 }
 
-// handleAnswer takes a server's answer to a request that was sent at a time. cancel gives its
-// connection up.
+// handleAnswer processes a server's answer to a request that was sent at the given time. cancel
+// closes the connection.
 func (t *task) handleAnswer(lease relay.Lease, res *http.Response, sent time.Time, cancel context.CancelFunc) outcome {
-	defer func() { _ = res.Body.Close() }() // an error means that the connection is given up
+	defer func() { _ = res.Body.Close() }() // on an error the connection is dropped
 	reply := t.f.Dialect.Reply(res)
 	if reply.OtherInstance {
 		t.serversReached++
@@ -162,14 +162,15 @@
 	switch {
 	case reply.OtherInstance:
 		lease.WrongInstance()
-		return t.failure(balance.Served, engineclient.CauseOtherInstance, "another instance has the server's address")
+		return t.failure(balance.Served, engineclient.CauseOtherInstance, "the server's address now belongs to another instance")
 	case reply.ID != t.x.ID:
-		// A late answer to another request, or bytes that are no answer. The connection is out
-		// of step: the answer that belongs here would be taken for that of the next request.
+		// This is a late answer to another request, or not an answer at all. The connection is out
+		// of step: if it were kept, the answer to this request would be taken for the answer to the
+		// next one.
 		cancel()
 		t.markMayHaveRun()
 		t.x.PromptConsumed = true
-		return t.failure(balance.Broken, engineclient.CauseOtherRequest, "the answer names request %q", reply.ID)
+		return t.failure(balance.Broken, engineclient.CauseOtherRequest, "the answer is for request %q", reply.ID)
 	}
 	t.observeLimit(lease.Choice().Instance.Incarnation(), reply, sent)
 	t.observeCooldown(lease, reply)
@@ -177,32 +178,32 @@
 		lease.Leaving()
 	}
 	if reply.NotRun {
-		out := t.failure(balance.Shed, engineclient.CauseShed, "the backend server did not take the request")
+		out := t.failure(balance.Shed, engineclient.CauseShed, "the backend server rejected the request without running it")
 		if t.ran == errkind.RanNo {
-			out.err = errkind.New(errkind.Overloaded, "the backend server did not take the request: status %d", res.StatusCode).After(shedRetryAfter)
+			out.err = errkind.New(errkind.Overloaded, "the backend server rejected the request without running it: status %d", res.StatusCode).After(shedRetryAfter)
 		}
 		return out
 	}
 	t.markMayHaveRun()
 	if res.StatusCode == http.StatusSwitchingProtocols {
-		return t.failure(balance.Broken, engineclient.CauseSwitched, "the backend server switched protocols unasked")
+		return t.failure(balance.Broken, engineclient.CauseSwitched, "the backend server switched protocols without a request to do so")
 	}
 	if res.StatusCode < http.StatusMultipleChoices && isEventStream(res) {
 		return t.relayStream(lease, res)
 	}
 	if t.x.Begun {
-		return t.failure(balance.Broken, engineclient.CauseNoStream, "status %d in place of the rest of a stream", res.StatusCode)
+		return t.failure(balance.Broken, engineclient.CauseNoStream, "the backend server answered %d instead of resuming the stream", res.StatusCode)
 	}
 	return t.relayBuffered(lease, res)
 }
 
-// relayBuffered passes on an answer that is no stream, once it is whole: the caller never
-// sees half of it, and another server may be asked when it breaks off.
+// relayBuffered passes on an answer that is not a stream once it is complete: the caller never
+// receives half of it, and another server may be asked if it is truncated.
 func (t *task) relayBuffered(lease relay.Lease, res *http.Response) outcome {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxBuffered+1))
 	if err != nil {
 		t.x.PromptConsumed = t.x.PromptConsumed || t.ctx.Err() == nil
-		return t.failure(balance.Broken, engineclient.CauseCutBody, "the answer broke off: %v", err)
+		return t.failure(balance.Broken, engineclient.CauseCutBody, "the answer was truncated: %v", err)
 	}
 	lease.FirstByte()
 	t.x.PromptConsumed = true
@@ -215,12 +216,12 @@
 	}
 	t.w.WriteHeader(res.StatusCode)
 	if !t.writeToCaller(body) || len(body) <= maxBuffered {
-		return servedOutcome(res) // a caller who left is noticed by the request's context
+		return servedOutcome(res) // the request's context detects that the caller left
 	}
 	return t.copyRest(res)
 }
 
-// copyRest passes on what follows of an answer that is too long to be held.
+// copyRest passes on the rest of an answer that is too long to be buffered.
 func (t *task) copyRest(res *http.Response) outcome {
 	buf := make([]byte, copyBuffer)
 	for {
@@ -234,15 +235,15 @@
 			return servedOutcome(res)
 		}
 		if err != nil {
-			out := t.failure(balance.Broken, engineclient.CauseCutStream, "the answer broke off: %v", err)
+			out := t.failure(balance.Broken, engineclient.CauseCutStream, "the answer was truncated: %v", err)
 			out.retryable = false
 			return out
 		}
 	}
 }
 
-// writeToCaller gives bytes of the answer to the caller's connection, its head before the
-// first; false: the connection is closed.
+// writeToCaller writes bytes of the answer to the caller's connection, preceded by the headers on
+// the first call. It returns false if the connection is closed.
 func (t *task) writeToCaller(b []byte) bool {
 	_, err := t.w.Write(b)
 	t.x.Begun = true
@@ -250,8 +251,8 @@
 	return err == nil
 }
 
-// contentLength is the Content-Length that goes with an answer; empty: none. An answer to HEAD
-// names the length of a body that it does not have.
+// contentLength returns the Content-Length of an answer; empty if it has none. The answer to a HEAD
+// request states the length of a body that is not sent.
 func (t *task) contentLength(res *http.Response, body []byte) string {
 	switch {
 	case t.x.Method == http.MethodHead:
@@ -262,7 +263,7 @@
 	return strconv.Itoa(len(body))
 }
 
-// writeHeader copies the server's headers.
+// writeHeader copies the server's headers except those that apply to its connection.
 func (t *task) writeHeader(res *http.Response) {
 	h := t.w.Header()
 	for key, values := range res.Header {
--- a/internal/relay/forward/bodiless_test.go
+++ b/internal/relay/forward/bodiless_test.go
@@ -12,11 +12,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// Symptom: a caller on a kept connection reads the end of one answer as the next one's
-// beginning.
-// Sequence: a HEAD request, or one answered without content, and another request on the
+// Guards against sending bytes of a body after an answer that has none, to a HEAD request or
+// without content: the caller would read them as the beginning of the next answer on its kept-alive
 // connection.
-// Cause: bytes of a body after an answer that has none.
 func TestAnswersWithoutContentLeaveNoBytes(t *testing.T) {
 	for name, c := range map[string]struct{ method, answer string }{
 		"HEAD with a length":    {http.MethodHead, "HTTP/1.1 200 OK\r\nId: r1\r\nContent-Length: 9\r\n\r\n"},
--- a/internal/relay/forward/early_test.go
+++ b/internal/relay/forward/early_test.go
@@ -13,14 +13,12 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// longBody is more than the sockets between two ends hold, in bytes.
+// longBody exceeds what the socket buffers between two ends hold, in bytes.
 const longBody = 4 << 20
 
-// Symptom: a server that answers before it has read a long body, and reads on later,
-// takes the beginning of the next request for the rest of that body.
-// Sequence: the server answers on the head alone, keeps its connection, and reads on
-// once the caller has its answer and has sent another request.
-// Cause: the connection is used again before the body was written to its end.
+// Guards against reusing a connection before the request's body was written completely. A server
+// that answers on the headers alone, keeps its connection and reads on later would take the
+// beginning of the next request for the rest of that body.
 func TestEarlyAnswerKeepsBodiesApart(t *testing.T) {
 	readOn, rest := make(chan struct{}), make(chan []byte, 1)
 	b := newBackend(t, func(b *backend) serve {
@@ -36,7 +34,7 @@
 			}
 			_, _ = io.WriteString(c, answerTo(req))
 			<-readOn
-			got, _ := io.ReadAll(r) // until the connection ends
+			got, _ := io.ReadAll(r) // until the connection is closed
 			rest <- got
 			return false
 		}
@@ -46,7 +44,7 @@
 	if g := caller.ask("r1", "/early", strings.Repeat("x", longBody)); g.status != http.StatusOK || g.body != wholeBody {
 		t.Errorf("the caller got %+v", g)
 	}
-	if x := log.of(t, "r1"); !x.Attempts[0].Early || x.Ending != relay.EndAnswered {
+	if x := log.wait(t, "r1"); !x.Attempts[0].Early || x.Ending != relay.EndAnswered {
 		t.Errorf("attempt %+v, ending %s", x.Attempts[0], x.Ending)
 	}
 	if g := caller.ask("r2", "/whole", "y"); g.status != http.StatusOK || g.body != wholeBody {
@@ -54,17 +52,15 @@
 	}
 	close(readOn)
 	if got := <-rest; strings.Trim(string(got), "x") != "" {
-		t.Errorf("other bytes came where the rest of the body was due")
+		t.Errorf("the server read other bytes in place of the rest of the body")
 	}
 }
 
-// Symptom: a caller is told 502 for a request that a full server had refused at once.
-// Sequence: the server answers on the head alone that it does not run the request, and
-// closes; the request is still being written.
-// Cause: the failure to write taken for the end of the exchange, though its answer had
-// come.
+// Guards against taking a failure to write the request for the end of the exchange although the
+// answer has arrived. A full server that rejects a request on its headers alone and closes the
+// connection, while the request is still being written, would cause a 502.
 func TestEarlyRejectionIsRead(t *testing.T) {
-	const rounds = 30 // the order of the two events varies
+	const rounds = 30 // the order of the answer and the write error varies
 	full := newBackend(t, func(*backend) serve {
 		return func(_ int, c net.Conn, r *bufio.Reader) bool {
 			req, err := http.ReadRequest(r)
@@ -86,6 +82,6 @@
 		}
 	}
 	if lost > 0 {
-		t.Errorf("%d of %d requests that a server refused early were not served by the other one", lost, rounds)
+		t.Errorf("%d of %d requests that a server rejected early were not served by the other one", lost, rounds)
 	}
 }
--- a/internal/relay/forward/forward.go
+++ b/internal/relay/forward/forward.go
@@ -1,7 +1,6 @@
-// Package forward is the last filter of the chain for routed requests: it sends a
-// request to a backend server, again to another one where that is allowed, and relays
-// the answer. A stream that breaks off goes on at another server, if its route says that
-// it may.
+// Package forward is the last filter of the chain for routed requests. It sends a request to a
+// backend server, retries it at another one where that is allowed, and relays the answer. A stream
+// that is interrupted is resumed at another server if its route allows that.
 package forward
 
 import (
@@ -25,12 +24,12 @@
 	Balancer relay.Balancer
 	Retries  relay.Retries
 	Limits   relay.Limits
-	// Abort breaks the caller's connection: the answer that has begun stays without its
-	// end.
+	// Abort breaks the caller's connection, so that the caller sees that a begun answer is
+	// incomplete.
 	Abort func(w http.ResponseWriter)
 }
 
-// ServeHTTP sends the request on; next is never called.
+// ServeHTTP forwards the request. It never calls next.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, _ filter.Handler) error {
 	x := relay.ExchangeFrom(r.Context())
 	f.Retries.CountRequest(x.Service.Name)
@@ -55,27 +54,27 @@
 	w    http.ResponseWriter
 	ctx  context.Context
 	work *balance.Work
-	// ran is what is known of the attempts so far: whether any of them may have run.
+	// ran is whether any attempt so far may have run the request.
 	ran errkind.Ran
-	// serversReached counts the servers that the request has reached.
+	// serversReached counts the servers that have received the request.
 	serversReached int
-	// retryTaken: the next attempt was taken from the allowance already.
+	// retryTaken is set if the next attempt was already taken from the allowance.
 	retryTaken bool
-	// events are those of a stream that the caller has.
+	// events counts the events of a stream that the caller has received.
 	events sse.Counter
 }
 
-// outcome of one attempt.
+// outcome is the result of one attempt.
 type outcome struct {
-	// err is nil when the answer is with the caller.
+	// err is nil if the answer was sent to the caller.
 	err error
-	// cause is what became of the attempt.
+	// cause classifies the attempt for the log.
 	cause engineclient.Cause
-	// result says what the attempt tells of the server.
+	// result is what the attempt shows about the server.
 	result balance.Result
-	// retryable: another server may do better.
+	// retryable is set if another server may succeed.
 	retryable bool
-	// complete: a server gave its complete answer, and did not fail.
+	// complete is set if a server sent its whole answer and the answer is not a server error.
 	complete bool
 }
 
@@ -107,7 +106,7 @@
 	}
 }
 
-// takeRetry tells whether a further attempt is allowed, and takes it from the allowance.
+// takeRetry reports whether a further attempt is allowed, and takes it from the allowance.
 func (t *task) takeRetry() bool {
 	if t.x.Begun && !t.mayResume() {
 		return false
@@ -117,24 +116,25 @@
 	}
 	if t.serversReached == 0 || t.retryTaken {
 		t.retryTaken = false
-		return true // nothing reached a server yet
+		return true // no server has received the request yet, or the retry was already taken
 	}
 	return t.serversReached < t.x.Route.MaxAttempts && t.f.Retries.Allow(t.x.Service.Name)
 }
 
-// mayResume tells whether another server can go on with an answer that has begun.
+// mayResume reports whether another server can continue an answer that has begun.
 func (t *task) mayResume() bool {
 	return t.x.Route.Kind == routes.Stream && t.x.Route.Resumable && t.events.LastID() != ""
 }
 
-// takeRetryEarly is mayRepeat ahead of time: the attempt that it allows is made.
+// takeRetryEarly is takeRetry called before the attempt fails. The attempt that it allows has to be
+// made.
 func (t *task) takeRetryEarly() bool {
 	t.retryTaken = t.takeRetry()
 	return t.retryTaken
 }
 
-// giveUp ends the request with an error that is true of all its attempts. An answer that
-// has begun is broken off: only a connection without its proper end tells the caller.
+// giveUp ends the request with an error that holds for all its attempts. An answer that has begun
+// is aborted: only a connection without a proper end tells the caller that it is incomplete.
 func (t *task) giveUp(err error) error {
 	if t.x.Begun {
 		t.f.Abort(t.w)
@@ -142,23 +142,23 @@
 	}
 	e := *errkind.From(err)
 	if t.ran != errkind.RanNo && e.Ran() == errkind.RanNo {
-		// A caller that is told "did not run" may send the request again.
+		// A caller that is told that its request did not run may send it again.
 		return errkind.New(errkind.BackendServerFailed, "after an attempt that may have run: %s", e.Message).WithRan(t.ran)
 	}
 	return &e
 }
 
-// truncatedError is the error of an answer that had begun. Its kind tells a server's failure
-// from the end that the caller or the deadline set.
+// truncatedError returns the error for an answer that had begun. Its kind distinguishes a server's
+// failure from an end by the caller or the deadline.
 func truncatedError(e *errkind.Error) error {
 	kind := errkind.BackendServerFailed
 	if e.Kind == errkind.CallerGone || e.Kind == errkind.DeadlineExceeded {
 		kind = e.Kind
 	}
-	return errkind.New(kind, "the answer broke off: %s", e.Message).WithRan(errkind.RanYes)
+	return errkind.New(kind, "the answer was truncated: %s", e.Message).WithRan(errkind.RanYes)
 }
 
-// outgoing is the request as the chosen server gets it.
+// outgoing returns the request to send to the chosen server.
 func (t *task) outgoing(choice balance.Choice) *engineclient.Forward {
 	x := t.x
 	h := x.Header.Clone()
@@ -175,5 +175,5 @@
 	}
 }
 
-// markMayHaveRun notes that a server may have begun to work on the request.
+// markMayHaveRun records that a server may have begun to run the request.
 func (t *task) markMayHaveRun() { t.ran = errkind.RanUnknown }
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -24,7 +24,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Headers of the tests' dialect.
+// Headers of the test dialect.
 const (
 	hID       = "Id"
 	hNotRun   = "Not-Run"
@@ -62,7 +62,7 @@
 
 func (dialect) Refuse(http.ResponseWriter, *relay.Exchange, error) {}
 
-// servers answer in turn: each step is one attempt.
+// servers answers attempts in turn: each step is one attempt.
 type servers struct {
 	t     *testing.T
 	steps []func(ctx context.Context, f *engineclient.Forward) (*http.Response, error)
@@ -78,21 +78,21 @@
 	return s.steps[n](ctx, f)
 }
 
-// leases hands out servers a, b, c and notes how each lease ended.
+// leases assigns the servers a, b and c in turn and records how each lease ended.
 type leases struct {
 	servers   []string
 	results   []balance.Result
 	wrong     []string
 	leaving   []string
 	cooldowns []time.Duration
-	// unreadable counts cooldowns that could not be read.
+	// unreadable counts the cooldowns that could not be parsed.
 	unreadable int
 	n          int
 }
 
 func (l *leases) Acquire(_ context.Context, w *balance.Work) (relay.Lease, error) {
 	if l.n >= len(l.servers) {
-		return nil, errkind.New(errkind.NoBackendServer, "none is left").After(time.Second)
+		return nil, errkind.New(errkind.NoBackendServer, "no server is left").After(time.Second)
 	}
 	if len(w.Exclude) != l.n {
 		return nil, errkind.New(errkind.Internal, "%d servers excluded at attempt %d", len(w.Exclude), l.n+1)
@@ -112,12 +112,12 @@
 func (l *lease) CoolDown(d time.Duration, _ string) { l.l.cooldowns = append(l.l.cooldowns, d) }
 func (l *lease) Leaving()                           { l.l.leaving = append(l.l.leaving, l.id) }
 func (l *lease) CooldownUnreadable(string)          { l.l.unreadable++ }
-func (l *lease) FirstByte()                             {}
+func (l *lease) FirstByte()                         {}
 func (l *lease) Report(balance.Load)                {}
-func (l *lease) WrongInstance()                             { l.l.wrong = append(l.l.wrong, l.id) }
+func (l *lease) WrongInstance()                     { l.l.wrong = append(l.l.wrong, l.id) }
 func (l *lease) Done(r balance.Result)              { l.l.results = append(l.l.results, r) }
 
-// allowance allows so many further attempts.
+// allowance allows a fixed number of retries.
 type allowance struct{ left int }
 
 func (allowance) CountRequest(string) {}
@@ -126,7 +126,7 @@
 	return a.left >= 0
 }
 
-// body is an answer's body that ends with err after its content.
+// body is an answer's body that returns err in place of io.EOF, if err is set.
 type body struct {
 	io.Reader
 	err    error
@@ -162,19 +162,19 @@
 	return res
 }
 
-// answers is a server that answers an answer.
+// answers returns a step in which the server sends an answer.
 func answers(res *http.Response) func(context.Context, *engineclient.Forward) (*http.Response, error) {
 	return func(context.Context, *engineclient.Forward) (*http.Response, error) { return res, nil }
 }
 
-// fails is a server that gives none.
+// fails returns a step in which the server sends no answer.
 func fails(ran errkind.Ran) func(context.Context, *engineclient.Forward) (*http.Response, error) {
 	return func(context.Context, *engineclient.Forward) (*http.Response, error) {
 		return nil, &engineclient.Error{Ran: ran, Message: "connection reset"}
 	}
 }
 
-// run is one request through the filter.
+// run is one request sent through the filter.
 type run struct {
 	servers *servers
 	leases  *leases
@@ -186,14 +186,15 @@
 	method  string
 	x       *relay.Exchange
 	ctx     context.Context
-	// admission is the request's; nil: there is no quarantine.
+	// admission is the request's; nil if there is no quarantine.
 	admission filter.Pass
-	// onWrite is called ahead of each write to the caller, which fails with writeErr.
+	// onWrite is called before each write to the caller. If writeErr is set, the writes fail with
+	// it.
 	onWrite  func()
 	writeErr error
 }
 
-// writer is the caller's side of a run.
+// writer is the ResponseWriter of a run.
 type writer struct {
 	*httptest.ResponseRecorder
 	r *run
@@ -219,9 +220,9 @@
 
 func (r *run) do() error {
 	r.x = &relay.Exchange{
-		Admission:    r.admission,
-		Request: &relay.Request{ID: requestID, Method: r.method, Target: "/p", Header: http.Header{}, PromptTokens: 100},
-		Route:   &r.route, Deadline: time.Now().Add(time.Minute),
+		Admission: r.admission,
+		Request:   &relay.Request{ID: requestID, Method: r.method, Target: "/p", Header: http.Header{}, PromptTokens: 100},
+		Route:     &r.route, Deadline: time.Now().Add(time.Minute),
 		Service: &routes.Service{Name: "pool", Engine: &routes.Engine{TokensPerEvent: 4}},
 	}
 	f := &Filter{
@@ -240,11 +241,11 @@
 }
 
 func TestAnswerPassesUnchanged(t *testing.T) {
-	r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusInternalServerError, "its own words", "Seal", "s", "Keep-Alive", "timeout=10")))
+	r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusInternalServerError, "the server's text", "Seal", "s", "Keep-Alive", "timeout=10")))
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
-	if r.w.Code != http.StatusInternalServerError || r.w.Body.String() != "its own words" || r.w.Header().Get("Seal") != "s" {
+	if r.w.Code != http.StatusInternalServerError || r.w.Body.String() != "the server's text" || r.w.Header().Get("Seal") != "s" {
 		t.Errorf("the caller got %d %q %v", r.w.Code, r.w.Body, r.w.Header())
 	}
 	if r.w.Header().Get("Keep-Alive") != "" {
@@ -252,14 +253,13 @@
 	}
 }
 
-// Symptom: a payment is made twice.
-// Sequence: the connection breaks after the request was sent; another server is asked.
-// Cause: no answer taken for "did not run".
+// Guards against retrying a non-idempotent request, say a payment, after its connection broke: that
+// no answer came does not mean that it did not run.
 func TestLostAnswerIsNotSentAgain(t *testing.T) {
 	r := newRun(t, routes.NonIdempotent, fails(errkind.RanUnknown))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 	if !r.x.PromptConsumed {
-		t.Error("a run that may have been is not billed")
+		t.Error("the prompt of a request that may have run is not marked as consumed")
 	}
 }
 
@@ -283,16 +283,16 @@
 	err := r.do()
 	wantKind(t, err, errkind.Overloaded, errkind.RanNo)
 	if errkind.From(err).RetryAfter == 0 {
-		t.Error("the caller is not told when to come back")
+		t.Error("the refusal has no retry-after time")
 	}
 	if r.x.PromptConsumed {
-		t.Error("a request that did not run is billed")
+		t.Error("the prompt of a request that did not run is marked as consumed")
 	}
 }
 
-// Symptom: a caller is told that its request did not run, sends it again, and it runs twice.
-// Sequence: the first server's answer is lost; the second one is full and says so.
-// Cause: the last attempt's word taken for that of all.
+// Guards against a refusal that reports only what the last attempt did: the first server's answer
+// is lost, the second server rejects the request as full, and a caller told "did not run" would
+// send it again and have it run twice.
 func TestRefusalCoversAllAttempts(t *testing.T) {
 	r := newRun(t, routes.Idempotent, fails(errkind.RanUnknown), answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1")))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
@@ -312,10 +312,9 @@
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 }
 
-// Symptom: a caller gets another caller's answer.
-// Sequence: a server sends an answer a second time, where the next one is expected.
-// Cause: answers matched by their order on the connection. And if the connection were
-// used again, the answer that belongs here would go to the next request on it.
+// Guards against matching answers to requests by their order on the connection: a server may send
+// an answer twice. The connection must not be reused either, since the answer to this request would
+// then be taken for the answer to the next one.
 func TestAnswerOfAnotherRequest(t *testing.T) {
 	late := answer(200, "for another", hID, "r0")
 	ended := false
@@ -329,7 +328,7 @@
 		t.Errorf("got %v, %q", err, r.w.Body)
 	}
 	if !ended {
-		t.Error("the connection was kept")
+		t.Error("the connection was kept open")
 	}
 	r = newRun(t, routes.NonIdempotent, answers(answer(200, "for another", hID, "r0")))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
@@ -378,7 +377,7 @@
 		t.Errorf("got %v, %q", err, r.w.Body)
 	}
 	if fmt.Sprint(r.leases.wrong) != "[a]" {
-		t.Errorf("known to be wrong: %v", r.leases.wrong)
+		t.Errorf("instances reported as wrong: %v, want [a]", r.leases.wrong)
 	}
 }
 
@@ -386,10 +385,9 @@
 
 var errReset = errors.New("connection reset")
 
-// Symptom: a stream ends in its middle, though it may go on elsewhere; or pieces of two
-// runs are joined.
-// Sequence: the server crashes in the middle of its third event.
-// Cause: half an event passed on, or the stream not resumed behind the last whole one.
+// Guards against forwarding half an event and against resuming a stream anywhere but after its last
+// whole event, when the server crashes in the middle of its third event. The caller would miss the
+// rest of the stream or get pieces of two runs joined.
 func TestInterruptedStreamIsResumed(t *testing.T) {
 	r := newRun(t, routes.Stream,
 		answers(stream(event(1)+event(2)+"id: 3\nda", errReset, "Seal", "first")),
@@ -426,9 +424,8 @@
 	}
 }
 
-// Symptom: a stream that broke off looks complete to the caller.
-// Sequence: the server of a stream that may not be resumed crashes.
-// Cause: the caller's connection ended in the regular way.
+// Guards against ending the caller's connection regularly when the server of a stream that can't be
+// resumed crashes: the truncated stream would look complete.
 func TestStreamThatIsNotResumedIsAborted(t *testing.T) {
 	r := newRun(t, routes.Stream, answers(stream(event(1)+"id: 2\n", errReset)))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanYes)
@@ -450,13 +447,12 @@
 	}
 }
 
-// Symptom: a server loses its good name because callers are impatient.
-// Sequence: the caller leaves while the request waits at the server.
-// Cause: the exchange that the caller's end broke counted against the server.
+// Guards against counting an exchange that the caller aborted, while the request waited at the
+// server, as a failure of the server.
 func TestCallerLeaves(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(t.Context())
 	r := newRun(t, routes.Stream, func(inner context.Context, _ *engineclient.Forward) (*http.Response, error) {
-		cancel(errkind.New(errkind.CallerGone, "gone"))
+		cancel(errkind.New(errkind.CallerGone, "the caller left"))
 		<-inner.Done()
 		return nil, &engineclient.Error{Ran: errkind.RanUnknown, Message: "canceled"}
 	})
@@ -466,7 +462,7 @@
 		t.Errorf("results %v", r.leases.results)
 	}
 	if r.x.PromptConsumed {
-		t.Error("a prompt is billed that was not read to its end")
+		t.Error("a prompt that may not have been read is marked as consumed")
 	}
 }
 
@@ -476,7 +472,7 @@
 	for name, c := range map[string]struct {
 		method string
 		status int
-		length string // what the server says
+		length string // sent by the server
 		want   string
 	}{
 		"HEAD":         {http.MethodHead, http.StatusOK, "800", "800"},
@@ -515,11 +511,9 @@
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 }
 
-// Symptom: a server loses its good name because callers leave in the middle of long
-// answers.
-// Sequence: an answer too long to be held is passed on as it comes; the caller closes.
-// Cause: a failure to write to the caller, or the request's own end, taken for the
-// server's failure.
+// Guards against taking a failure to write to the caller, or the end of the request's own context,
+// for a failure of the server, when a caller leaves during an answer that is too long to be
+// buffered.
 func TestCallerLeavesLongAnswer(t *testing.T) {
 	long := strings.Repeat("x", 2*maxBuffered)
 	ctx, cancel := context.WithCancelCause(t.Context())
@@ -527,7 +521,7 @@
 	res.Body.(*body).err = errReset
 	r := newRun(t, routes.Idempotent, answers(res))
 	r.ctx = ctx
-	r.onWrite = func() { cancel(errkind.New(errkind.CallerGone, "gone")) }
+	r.onWrite = func() { cancel(errkind.New(errkind.CallerGone, "the caller left")) }
 	wantKind(t, r.do(), errkind.CallerGone, errkind.RanYes)
 	if fmt.Sprint(r.leases.results) != fmt.Sprint([]balance.Result{balance.Abandoned}) {
 		t.Errorf("results %v", r.leases.results)
@@ -550,17 +544,18 @@
 	}
 }
 
-// Begun is a fact of bytes handed over: until then the caller can be given a status.
+// Begun is set only once bytes of the answer were written: until then the caller can be given a
+// status.
 func TestBegunMeansBytesWritten(t *testing.T) {
 	r := newRun(t, routes.Stream, answers(stream(event(1), nil)))
 	before := true
 	r.onWrite = func() { before = before && !r.x.Begun }
 	if err := r.do(); err != nil || !before || !r.x.Begun {
-		t.Errorf("got %v; begun before the first write: %v, after it: %v", err, !before, r.x.Begun)
+		t.Errorf("got %v; Begun before the first write: %v, after it: %v", err, !before, r.x.Begun)
 	}
 }
 
-// Each way in which an answer fails leaves a cause of its own in the log.
+// Each way in which an answer can fail has its own cause in the log.
 func TestCausesOfAnswers(t *testing.T) {
 	for want, step := range map[engineclient.Cause]func(context.Context, *engineclient.Forward) (*http.Response, error){
 		engineclient.CauseShed:          answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1")),
--- a/internal/relay/forward/limits_test.go
+++ b/internal/relay/forward/limits_test.go
@@ -12,14 +12,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// recordedLimits notes what is told of servers' limits.
+// recordedLimits records the calls to relay.Limits.
 type recordedLimits struct {
-	observed      []ratelimit.Observation
+	observed   []ratelimit.Observation
 	unreadable int
 	sends      []ratelimit.Send
 }
 
-func (h *recordedLimits) Observe(_ instance.Incarnation, w ratelimit.Observation, _ string) {
+func (h *recordedLimits) Heard(_ instance.Incarnation, w ratelimit.Observation, _ string) {
 	h.observed = append(h.observed, w)
 }
 
@@ -38,44 +38,44 @@
 		t.Fatal(err)
 	}
 	if len(r.limits.observed) != 2 || r.limits.observed[0].Limit != 2.5 || r.limits.observed[1].Limited() {
-		t.Fatalf("heard %v", r.limits.observed)
+		t.Fatalf("observed %v", r.limits.observed)
 	}
 	if at := r.limits.observed[1].At; at.Before(began) || at.After(time.Now()) {
-		t.Errorf("the second word is of %v", at)
+		t.Errorf("the second observation is of %v", at)
 	}
 	if want := []ratelimit.Send{ratelimit.SendFirst, ratelimit.SendRepeat}; !slices.Equal(r.limits.sends, want) {
 		t.Errorf("sends %v, want %v", r.limits.sends, want)
 	}
 }
 
-// Guards against a limit that a late answer to another request names or lifts.
+// Guards against observing a rate limit in a late answer to another request.
 func TestRateLimitInAnotherRequestsAnswerIsIgnored(t *testing.T) {
 	other := answer(200, "", hLimit, "1")
 	other.Header.Set(hID, "another")
 	r := newRun(t, routes.NonIdempotent, answers(other))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 	if len(r.limits.observed) != 0 {
-		t.Errorf("heard %v", r.limits.observed)
+		t.Errorf("observed %v", r.limits.observed)
 	}
 }
 
-// Guards against a limit that is lifted by a header that can't be read.
+// Guards against lifting a rate limit because of a header that can't be parsed.
 func TestUnreadableRateLimitLiftsNone(t *testing.T) {
 	r := newRun(t, routes.NonIdempotent, answers(answer(200, "ok", hLimit, "some")))
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
 	if len(r.limits.observed) != 0 || r.limits.unreadable != 1 {
-		t.Errorf("heard %v, %d unreadable", r.limits.observed, r.limits.unreadable)
+		t.Errorf("observed %v, %d unreadable", r.limits.observed, r.limits.unreadable)
 	}
 }
 
-// Guards against a cooldown that is overlooked since the answer does not say that the request has not
+// Guards against ignoring the cooldown in an answer that does not state that the request did not
 // run.
 func TestCooldownIsObservedInEachRejection(t *testing.T) {
 	for _, headers := range [][]string{{hNotRun, "1", hCooldown, "3"}, {hCooldown, "0.5"}} {
 		r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusServiceUnavailable, "", headers...)), answers(answer(200, "ok")))
-		_ = r.do() // whether it is sent again depends on whether it may have run
+		_ = r.do() // a retry depends on whether the request may have run
 		if len(r.leases.cooldowns) != 1 || r.x.Attempts[0].Cooldown != r.leases.cooldowns[0] {
 			t.Errorf("%v: cooldowns %v, in the log %v", headers, r.leases.cooldowns, r.x.Attempts[0].Cooldown)
 		}
@@ -87,8 +87,8 @@
 	}
 }
 
-// Guards against a server's leaving that is overlooked since the answer refuses the request, or
-// believed of another server's late answer.
+// Guards against ignoring that a server is leaving if its answer rejects the request, and against
+// observing it in a late answer to another request.
 func TestLeavingIsObservedInEachAnswer(t *testing.T) {
 	r := newRun(t, routes.Idempotent,
 		answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLeaving, "1")), answers(answer(200, "ok", hLeaving, "1")))
--- a/internal/relay/forward/matrix_test.go
+++ b/internal/relay/forward/matrix_test.go
@@ -14,23 +14,24 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// connDeath is where a server's kept connection ends under its second request.
+// connDeath is the point at which a server's kept-alive connection ends during its second request.
 type connDeath struct {
 	name string
-	// request is handed the connection in place of an answer; nil: the connection ends
-	// before the request.
+	// request handles the connection in place of an answer; nil if the connection ends before the
+	// request.
 	request func(b *backend, c net.Conn, r *bufio.Reader)
-	// causes that the log may name; a request that was written in part may have been read
-	// in whole.
+	// causes are the causes that may be logged. A request that was written in part may have been
+	// read completely.
 	causes []engineclient.Cause
-	// served: even a request that may run once only is served, since it surely has not run.
+	// served is set if the request certainly did not run, so that even a non-idempotent one is
+	// retried.
 	served bool
-	// begins: the caller of a stream has events by then.
+	// begins is set if the caller of a stream has received events by then.
 	begins bool
 }
 
-// cutAnswer is the share of an answer that a server sends before it breaks off: more than
-// the head of each answer here.
+// cutAnswer is the share of an answer that a server sends before it breaks the connection; it
+// covers the headers of each answer used here.
 const cutAnswer = 0.85
 
 func connDeaths() []connDeath {
@@ -38,7 +39,7 @@
 		{name: "before the request", served: true},
 		{name: "after half of the request", causes: []engineclient.Cause{engineclient.CauseHalfSent, engineclient.CauseReset, engineclient.CauseClosed},
 			request: func(_ *backend, c net.Conn, r *bufio.Reader) {
-				_, _ = http.ReadRequest(r) // its head
+				_, _ = http.ReadRequest(r) // its headers
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}},
 		{name: "after all of the request", causes: []engineclient.Cause{engineclient.CauseClosed},
@@ -63,8 +64,8 @@
 	}
 }
 
-// script answers the first request of a connection and lets the connection end at the
-// second one; ended is closed once the first connection has ended.
+// script returns a server script that answers the first request of a connection and ends the first
+// connection at its second request. It closes ended once that connection has ended.
 func (d connDeath) script(ended chan struct{}, answered <-chan struct{}) func(b *backend) serve {
 	return func(b *backend) serve {
 		whole := sound(b)
@@ -85,11 +86,10 @@
 	}
 }
 
-// Symptom: a caller's kept connection is closed without an answer, a request runs twice,
-// or a caller that is told "did not run" sends a request again that has run.
-// Sequence: a server's kept connection ends under a request, at any point of it.
-// Cause: an answer that counts as begun before the caller has a byte of it; a repeat of
-// what may have run; a promise that rests on the last attempt alone.
+// Guards against three faults when a server's kept-alive connection ends at any point of a request:
+// an answer that counts as begun before the caller has a byte of it, so that the caller's own
+// connection is closed without an answer; a retry of a request that may have run; and a "did not
+// run" that only holds for the last attempt.
 func TestServersConnectionDies(t *testing.T) {
 	kinds := map[string]routes.Route{
 		"idempotent":       {Kind: routes.Idempotent},
@@ -121,7 +121,7 @@
 		<-ended
 	}
 	g := caller.ask("r2", path, strings.Repeat("x", 64<<10))
-	x := log.of(t, "r2")
+	x := log.wait(t, "r2")
 	if g.status == 0 {
 		t.Fatalf("the caller's connection was closed without an answer: %+v", x)
 	}
@@ -130,7 +130,7 @@
 		wantServed(t, g, x, want)
 	case route.Kind == routes.Stream && d.begins:
 		wantTruncated(t, g, x, want)
-		return // its connection is gone
+		return // the caller's connection is closed
 	default:
 		wantUnknown(t, g, x)
 	}
@@ -151,19 +151,20 @@
 	}
 }
 
-// wantTruncated: the caller has the beginning, and can see that the end is missing.
+// wantTruncated checks that the caller received the beginning of the answer and can see that it is
+// incomplete.
 func wantTruncated(t *testing.T, g got, x *relay.Exchange, want string) {
 	t.Helper()
 	if g.status != http.StatusOK || g.whole || g.body == "" || !strings.HasPrefix(want, g.body) || x.Ending != relay.EndBrokenOff {
-		t.Errorf("the caller got %+v, ending %s; want a part that doesn't look whole", g, x.Ending)
+		t.Errorf("the caller got %+v, ending %s; want an answer that is visibly truncated", g, x.Ending)
 	}
 }
 
-// wantUnknown: an answer that promises nothing.
+// wantUnknown checks that the refusal states that it is unknown whether the request ran.
 func wantUnknown(t *testing.T, g got, x *relay.Exchange) {
 	t.Helper()
 	if g.status != http.StatusBadGateway || !g.whole || g.header.Get("Ran") != "unknown" || x.Ending != relay.EndRefused {
-		t.Errorf("the caller got %+v, ending %s; want 502 that says unknown", g, x.Ending)
+		t.Errorf("the caller got %+v, ending %s; want a 502 with Ran: unknown", g, x.Ending)
 	}
 }
 
@@ -174,13 +175,13 @@
 	}
 }
 
-// wantCause: the log tells the first attempt's failure from the others.
+// wantCause checks the logged cause of the first attempt.
 func wantCause(t *testing.T, d connDeath, x *relay.Exchange) {
 	t.Helper()
 	cause := x.Attempts[0].Cause
 	if d.request == nil {
 		if len(x.Attempts) != 1 || cause != engineclient.CauseAnswered {
-			t.Errorf("attempts %+v; a kept connection that ended is no attempt", x.Attempts)
+			t.Errorf("attempts %+v; an idle connection that ended must not count as an attempt", x.Attempts)
 		}
 		return
 	}
--- a/internal/relay/forward/pass_test.go
+++ b/internal/relay/forward/pass_test.go
@@ -13,10 +13,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// admission notes what it is told.
+// admission counts the calls to filter.Admission.
 type admission struct {
 	reached, broke, answered int
-	// retryErr further attempts.
+	// retryErr is returned by AllowRetry.
 	retryErr error
 }
 
@@ -27,22 +27,23 @@
 func (p *admission) Standing() quarantine.Standing { return quarantine.Standing{} }
 func (p *admission) Close()                        {}
 
-// breaks is a server whose side ends the connection with a cause.
+// breaks returns a step in which the server's side ends the connection with a cause.
 func breaks(cause engineclient.Cause, ran errkind.Ran) func(context.Context, *engineclient.Forward) (*http.Response, error) {
 	return func(context.Context, *engineclient.Forward) (*http.Response, error) {
 		return nil, &engineclient.Error{Ran: ran, Cause: cause, Message: string(cause)}
 	}
 }
 
-// framedAnswer has a length, by which its end is told from that of its connection.
+// framedAnswer returns an answer with a length, so that its end differs from that of its
+// connection.
 func framedAnswer(status int) *http.Response {
 	res := answer(status, "ok")
 	res.ContentLength = 2
 	return res
 }
 
-// Guards against a crash that is not noted, and against requests that are blamed, or cleared, by
-// attempts which tell nothing of them.
+// Guards against not recording a crash, and against blaming or clearing a request because of
+// attempts that say nothing about it.
 func TestAttemptsAreReportedToQuarantine(t *testing.T) {
 	cut := func() *http.Response { return stream("id: 1\n", io.ErrUnexpectedEOF) }
 	chunked := stream("id: 1\n\n", nil)
@@ -73,15 +74,15 @@
 		got := &admission{}
 		r := newRun(t, routes.NonIdempotent, c.step)
 		r.route.MaxAttempts, r.leases.servers, r.admission = 1, []string{"a"}, got
-		_ = r.do() // what the caller is told is looked at elsewhere
+		_ = r.do() // other tests check what the caller receives
 		if *got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, *got, c.want)
 		}
 	}
 }
 
-// Guards against a further attempt that the quarantine refuses, and against a refusal that says
-// "did not run" after one that may have.
+// Guards against a retry that the quarantine rejects, and against a refusal that states "did not
+// run" after an attempt that may have run.
 func TestQuarantineRejectsRetry(t *testing.T) {
 	refusal := errkind.New(errkind.RequestQuarantined, "crashed").After(1)
 	r := newRun(t, routes.Idempotent, breaks(engineclient.CauseReset, errkind.RanUnknown))
--- a/internal/relay/forward/property_test.go
+++ b/internal/relay/forward/property_test.go
@@ -24,15 +24,15 @@
 
 // arrival is what a server does with one arrival of a request.
 type arrival struct {
-	// unread: the connection ends before the request's body was read.
+	// unread is set if the connection ends before the request's body was read.
 	unread bool
-	// unframed: the answer has neither a length nor chunks and ends with its connection.
+	// unframed is set if the answer has neither a length nor chunks and ends with its connection.
 	unframed bool
-	// sent is how much of the answer is sent, in thousandths; whole is all of it.
+	// sent is how much of the answer is sent, in thousandths of it.
 	sent int
 	// piece is how much is written at a time, in bytes.
 	piece int
-	// reset: a connection that ends early ends with a reset.
+	// reset is set if a connection that ends early ends with a reset.
 	reset bool
 }
 
@@ -49,13 +49,13 @@
 			a.sent = whole
 		}
 		if a.unframed && a.sent < whole {
-			a.reset = true // an end in order would be the answer's end
+			a.reset = true // a regular close would mark the end of the answer
 		}
 		return a
 	}), 2, 2).Draw(t, "arrivals")
 }
 
-// plans tells servers what to do with the arrivals of each request.
+// plans holds what servers do with the arrivals of each request.
 type plans struct {
 	mu   sync.Mutex
 	left map[string][]arrival
@@ -67,7 +67,7 @@
 	p.left[id] = all
 }
 
-// next is what to do with this arrival; a request without a plan is answered.
+// next returns what to do with this arrival. A request without a plan is answered.
 func (p *plans) next(id string) arrival {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +79,7 @@
 	return all[0]
 }
 
-// scripted follows the plans.
+// scripted returns a server script that follows the plans.
 func (p *plans) scripted(b *backend) serve {
 	return func(_ int, c net.Conn, r *bufio.Reader) bool {
 		req, err := http.ReadRequest(r)
@@ -113,7 +113,7 @@
 	}
 }
 
-// unframed is answerTo a request, ended by its connection.
+// unframed returns the answer to a request in a form that ends with its connection.
 func unframed(req *http.Request) string {
 	head := "HTTP/1.1 200 OK\r\n" + hID + ": " + req.Header.Get(hID) + "\r\nConnection: close\r\n"
 	if req.URL.Path != "/stream" {
@@ -127,9 +127,9 @@
 	return head + "Content-Type: text/event-stream\r\n\r\n" + events.String()
 }
 
-// However servers cut, split and end their answers, a caller has a whole answer, a part
-// that doesn't look whole, or a status that is true; its kept connection is closed in no
-// other way; events come in order, once each; and what may run once runs once.
+// However servers truncate, split and end their answers, a caller receives a whole answer, a
+// visibly truncated one or a true status, and its kept-alive connection is closed in no other case.
+// Stream events arrive in order and once each, and a non-idempotent request runs at most once.
 func TestAnswersAreCompleteTruncatedOrTrue(t *testing.T) {
 	for name, route := range map[string]routes.Route{
 		"idempotent":       {Kind: routes.Idempotent},
@@ -155,9 +155,9 @@
 		id := fmt.Sprintf("q%d", requests)
 		p.set(id, arrivals(rt))
 		g := caller.ask(id, path, strings.Repeat("x", rapid.IntRange(0, 10_000).Draw(rt, "body")))
-		x := log.of(t, id)
+		x := log.wait(t, id)
 		runs := servers[0].ran(id) + servers[1].ran(id)
-		if fault := judge(route, g, x, want, runs); fault != "" {
+		if fault := checkAnswer(route, g, x, want, runs); fault != "" {
 			rt.Errorf("%s: the caller got %d, whole %v, %q; %d runs, ending %s, attempts %+v", fault, g.status, g.whole, g.body, runs, x.Ending, x.Attempts)
 		}
 		if !g.whole {
@@ -166,28 +166,28 @@
 	})
 }
 
-// judge says what is wrong with an answer; empty: nothing.
-func judge(route routes.Route, g got, x *relay.Exchange, want string, runs int) string {
+// checkAnswer returns what is wrong with an answer; empty if nothing is.
+func checkAnswer(route routes.Route, g got, x *relay.Exchange, want string, runs int) string {
 	switch {
 	case g.status == 0:
 		return "closed without an answer"
 	case runs > 1 && !route.Repeatable(), runs > maxAttempts:
-		return "runs too often"
+		return "the request ran too often"
 	case g.status == http.StatusOK && g.whole:
 		if g.body != want || x.Ending != relay.EndAnswered {
-			return "looks whole and is not"
+			return "the answer looks complete but is not"
 		}
 	case g.status == http.StatusOK:
 		if route.Kind != routes.Stream || !strings.HasPrefix(want, g.body) || !strings.HasSuffix(g.body, "\n\n") || x.Ending != relay.EndBrokenOff {
-			return "not a part of the answer"
+			return "the truncated answer is not a prefix of whole events"
 		}
 	case g.status == http.StatusBadGateway:
 		if g.header.Get("Ran") != "unknown" || !g.whole {
-			return "says more than is known"
+			return "the refusal does not state Ran: unknown"
 		}
 	default:
 		if g.header.Get("Ran") != "no" || runs > 0 || !g.whole {
-			return "a promise that is not true"
+			return "the refusal states that the request did not run, which is false"
 		}
 	}
 	return ""
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -10,14 +10,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/sse"
 )
 
-// copyBuffer is how much of a stream is read at a time, in bytes.
+// copyBuffer is the size of the reads from a stream, in bytes.
 const copyBuffer = 8 << 10
 
-// relayStream passes a stream of events on as they come, whole ones only: a server may
-// stop in the middle of one, and another server that goes on sends the whole event.
+// relayStream passes on the events of a stream as they arrive, whole events only: a server may stop
+// in the middle of an event, and the server that resumes the stream sends the whole event.
 //
-// The status line waits for the first event. A stream that breaks off before it can be
-// made good by another server with headers of its own.
+// The status line is sent with the first event, so that a stream that is interrupted before its
+// first event can be replaced by that of another server, with headers of its own.
 func (t *task) relayStream(lease relay.Lease, res *http.Response) outcome {
 	var whole sse.Splitter
 	buf := make([]byte, copyBuffer)
@@ -31,12 +31,12 @@
 		switch {
 		case readErr == io.EOF:
 			t.writeEvents(res, whole.Rest())
-			t.writeStatus(res) // a stream without events
+			t.writeStatus(res) // the status line of a stream without events
 			return servedOutcome(res)
 		case t.ctx.Err() != nil:
 			return t.failure(balance.Abandoned, engineclient.CauseLeft, "%v", t.ctx.Err())
 		case readErr != nil:
-			return t.failure(balance.Broken, t.cutCause(), "the stream broke off: %v", readErr)
+			return t.failure(balance.Broken, t.cutCause(), "the stream was truncated: %v", readErr)
 		}
 	}
 }
@@ -49,13 +49,13 @@
 	t.writeStatus(res)
 	t.events.Write(events)
 	t.x.OutputTokens = uint64(t.events.Events()) * t.tokensPerEvent()
-	t.writeToCaller(events) // a caller who left is noticed by the request's context
+	t.writeToCaller(events) // the request's context detects that the caller left
 	if f, ok := t.w.(http.Flusher); ok {
 		f.Flush()
 	}
 }
 
-// cutCause is the cause of a stream that broke off.
+// cutCause returns the cause to log for a truncated stream.
 func (t *task) cutCause() engineclient.Cause {
 	if t.x.Begun {
 		return engineclient.CauseCutStream
@@ -63,7 +63,7 @@
 	return engineclient.CauseCutBody
 }
 
-// writeStatus sets the status line and the headers, those of the first server with an event.
+// writeStatus sends the status line and the headers, those of the first server that sent an event.
 func (t *task) writeStatus(res *http.Response) {
 	if t.x.Begun {
 		return
--- a/internal/relay/forward/wire_test.go
+++ b/internal/relay/forward/wire_test.go
@@ -25,16 +25,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// Of the tests over sockets: what a server answers, and how long a caller waits at most.
+// Answers of the servers and bounds in the tests over sockets.
 const (
 	wholeBody    = "a whole answer"
 	wholeEvents  = 6
 	testPatience = 10 * time.Second
-	// maxAttempts of every route.
+	// maxAttempts is the maximum number of attempts of every route.
 	maxAttempts = 2
 )
 
-// wireDialect is the tests' dialect for requests that come over a socket.
+// wireDialect is the test dialect for requests that arrive over a socket.
 type wireDialect struct{ dialect }
 
 func (wireDialect) Decode(r *http.Request, body []byte) (*relay.Request, error) {
@@ -55,12 +55,12 @@
 	w.WriteHeader(e.Status())
 }
 
-// inTurn chooses the first server that was not asked yet.
+// inTurn chooses the first server that was not tried yet.
 type inTurn []instance.Announcement
 
 func (s inTurn) Acquire(_ context.Context, w *balance.Work) (relay.Lease, error) {
 	if len(w.Exclude) >= len(s) {
-		return nil, errkind.New(errkind.NoBackendServer, "none is left").After(time.Second)
+		return nil, errkind.New(errkind.NoBackendServer, "no server is left").After(time.Second)
 	}
 	return turn{choice: balance.Choice{Instance: s[len(w.Exclude)]}}, nil
 }
@@ -68,24 +68,24 @@
 type turn struct{ choice balance.Choice }
 
 func (l turn) Choice() balance.Choice       { return l.choice }
-func (turn) FirstByte()                         {}
+func (turn) FirstByte()                     {}
 func (turn) Report(balance.Load)            {}
 func (turn) CoolDown(time.Duration, string) {}
 func (turn) Leaving()                       {}
 func (turn) CooldownUnreadable(string)      {}
-func (turn) WrongInstance()                         {}
+func (turn) WrongInstance()                 {}
 func (turn) Done(balance.Result)            {}
 
-// backend is a server whose connections a test scripts.
+// backend is a server whose connections are scripted by a test.
 type backend struct {
 	t       *testing.T
 	address string
 	mu      sync.Mutex
-	// runs counts the requests read whole, by id.
+	// runs counts the requests read completely, by ID.
 	runs map[string]int
 }
 
-// serve handles the n-th request of a connection; false closes it.
+// serve handles the n-th request of a connection. It returns false to close the connection.
 type serve func(n int, c net.Conn, r *bufio.Reader) bool
 
 func newBackend(t *testing.T, script func(b *backend) serve) *backend {
@@ -115,7 +115,7 @@
 	return b
 }
 
-// read reads a whole request, which then counts as run.
+// read reads a whole request and counts it as run.
 func (b *backend) read(r *bufio.Reader) (*http.Request, bool) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -140,8 +140,8 @@
 	return b.runs[id]
 }
 
-// answerTo is the whole answer to a request: on the path of streams, the events after the
-// one that it names.
+// answerTo returns the whole answer to a request. On the stream path it consists of the events
+// after the one given in the request.
 func answerTo(req *http.Request) string {
 	head := "HTTP/1.1 200 OK\r\n" + hID + ": " + req.Header.Get(hID) + "\r\n"
 	if req.URL.Path != "/stream" {
@@ -155,7 +155,7 @@
 	return head + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks.String() + "0\r\n\r\n"
 }
 
-// sound answers every request.
+// sound returns a server script that answers every request.
 func sound(b *backend) serve {
 	return func(_ int, c net.Conn, r *bufio.Reader) bool {
 		req, ok := b.read(r)
@@ -167,20 +167,20 @@
 	}
 }
 
-// finished collects what the log is told.
-type finished struct {
+// exchangeLog collects the finished exchanges.
+type exchangeLog struct {
 	mu  sync.Mutex
 	all map[string]*relay.Exchange
 }
 
-func (f *finished) Finished(x *relay.Exchange, _ error) {
+func (f *exchangeLog) Finished(x *relay.Exchange, _ error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.all[x.ID] = x
 }
 
-// of waits for what the log is told of a request; the caller may have its answer before.
-func (f *finished) of(t *testing.T, id string) *relay.Exchange {
+// wait returns the finished exchange of a request. It may finish after the caller has its answer.
+func (f *exchangeLog) wait(t *testing.T, id string) *relay.Exchange {
 	t.Helper()
 	for deadline := time.Now().Add(testPatience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		f.mu.Lock()
@@ -190,19 +190,19 @@
 			return x
 		}
 	}
-	t.Fatalf("no line of request %s", id)
+	t.Fatalf("the exchange of request %s did not finish", id)
 	return nil
 }
 
-// entryHost serves a route over the backends.
-func entryHost(t *testing.T, route routes.Route, backends ...*backend) (string, *finished) {
+// entryHost starts a host that serves a route with the given backends.
+func entryHost(t *testing.T, route routes.Route, backends ...*backend) (string, *exchangeLog) {
 	t.Helper()
 	var servers inTurn
 	for i, b := range backends {
 		servers = append(servers, instance.Announcement{ID: "s" + strconv.Itoa(i), Address: b.address})
 	}
 	route.MaxAttempts, route.Timeout = maxAttempts, settings.Duration(testPatience)
-	seen := &finished{all: map[string]*relay.Exchange{}}
+	seen := &exchangeLog{all: map[string]*relay.Exchange{}}
 	client := engineclient.New(engineclient.Config{})
 	s := httpserver.New(httpserver.Config{Address: "127.0.0.1:0", Handler: relay.NewHandler(wireDialect{}, seen,
 		routed{&route},
@@ -217,7 +217,7 @@
 	return s.Address(), seen
 }
 
-// routed stands for the filters ahead of this one.
+// routed replaces the filters that precede forward.
 type routed struct{ route *routes.Route }
 
 func (f routed) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
@@ -229,7 +229,7 @@
 	return next.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// keptCaller sends its requests over one connection.
+// keptCaller sends its requests over one kept-alive connection.
 type keptCaller struct {
 	t *testing.T
 	c net.Conn
@@ -244,13 +244,13 @@
 	return &keptCaller{t: t, c: c, r: bufio.NewReader(c)}
 }
 
-// got is what a caller saw of an answer.
+// got is an answer as a caller received it.
 type got struct {
-	// status 0: the connection ended without an answer.
+	// status is 0 if the connection ended without an answer.
 	status int
 	header http.Header
 	body   string
-	// whole: the answer had its proper end.
+	// whole is set if the answer had its proper end.
 	whole bool
 }
 
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -16,10 +16,10 @@
 	observer Observer
 }
 
-// NewHandler makes a handler; the last of filters answers.
+// NewHandler makes a handler. The last of filters has to answer the request.
 func NewHandler(d Dialect, o Observer, filters ...filter.Filter) *Handler {
 	end := filter.HandlerFunc(func(http.ResponseWriter, *http.Request) error {
-		return errkind.New(errkind.Internal, "no filter answered the request")
+		return errkind.New(errkind.Internal, "no filter of the chain answered the request")
 	})
 	return &Handler{dialect: d, chain: filter.Chain(end, filters...), observer: o}
 }
--- a/internal/relay/identify/identify.go
+++ b/internal/relay/identify/identify.go
@@ -1,5 +1,4 @@
-// Package identify is the filter that finds out which client account a routed request
-// is of.
+// Package identify is the filter that determines the client account of a routed request.
 package identify
 
 import (
@@ -13,8 +12,8 @@
 // Filter implements filter.Filter.
 type Filter struct{ Tables relay.Tables }
 
-// ServeHTTP fills the exchange's Account. An anonymous route takes any request; a key
-// that an account holds still says whose it is.
+// ServeHTTP sets the exchange's Account. An anonymous route accepts any request; a valid key still
+// identifies the account.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	x := relay.ExchangeFrom(r.Context())
 	if !findAccount(x) {
@@ -32,8 +31,8 @@
 	return next.ServeHTTP(w, r)
 }
 
-// findAccount finds the account by the exchange's table; false if the request needs one and
-// the table has none for its key.
+// findAccount sets the exchange's account from its table. It returns false if the route requires an
+// account and the table has none for the key.
 func findAccount(x *relay.Exchange) bool {
 	account, needed := x.Table.Account(x.Key)
 	x.Account = account
--- a/internal/relay/match/match.go
+++ b/internal/relay/match/match.go
@@ -1,5 +1,5 @@
-// Package match is the filter that finds the routing table in force and a request's
-// route and service in it.
+// Package match is the filter that gets the routing table in force and finds the route and the
+// service of a request in it.
 package match
 
 import (
@@ -13,7 +13,7 @@
 // Filter implements filter.Filter.
 type Filter struct{ Tables relay.Tables }
 
-// ServeHTTP fills the exchange's Table, Route and Service.
+// ServeHTTP sets the exchange's Table, Route and Service.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	x := relay.ExchangeFrom(r.Context())
 	table, err := f.Tables.Await(r.Context())
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -12,70 +12,76 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// Dialect translates between HTTP as callers and backend servers speak it and the types
-// of this package. It decides nothing.
+// Dialect translates between HTTP as callers and backend servers use it and the types of this
+// package. It makes no decisions.
 type Dialect interface {
-	// Decode reads a caller's request; an error is an *errkind.Error.
+	// Decode reads a caller's request. Its errors are of type *errkind.Error.
 	Decode(r *http.Request, body []byte) (*Request, error)
-	// Encode writes the headers of one attempt into h, which holds those to pass on.
+	// Encode writes the headers of one attempt into h, which already holds the headers to pass on.
 	Encode(h http.Header, x *Exchange, out Outgoing)
-	// Reply reads what a backend server says with its answer.
+	// Reply reads the headers of a backend server's answer.
 	Reply(res *http.Response) Reply
-	// Refuse answers err to a caller.
+	// Refuse writes err to the caller as a refusal.
 	Refuse(w http.ResponseWriter, x *Exchange, err error)
 }
 
-// Outgoing is what an attempt tells a backend server besides the caller's request.
+// Outgoing holds what an attempt sends to a backend server in addition to the caller's request.
 type Outgoing struct {
-	// Instance that has to answer; another at its address must not run the request.
+	// Instance is the ID of the instance that has to answer. Another instance at its address must
+	// not run the request.
 	Instance string
 	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// Account is the client account's name.
+	// Account is the name of the client account.
 	Account string
-	// Priority of the request among those at the server, 0 first; below 0: not said.
+	// Priority is the priority of the request among those at the server, 0 being the highest.
+	// Negative means that no priority is sent.
 	Priority int
-	// ResumeAfter asks for the events after this one.
+	// ResumeAfter is the ID of the stream event after which the server is asked to resume.
 	ResumeAfter string
 }
 
-// Reply is what a backend server's answer says beside its content.
+// Reply is what a backend server's answer says in its headers.
 type Reply struct {
-	// ID of the request that it answers.
+	// ID is the ID of the request that the server answers.
 	ID string
-	// NotRun: the server says that it did not run the request.
+	// NotRun is set if the server reports that it did not run the request.
 	NotRun bool
-	// OtherInstance: the answer is of another instance than the one addressed.
+	// OtherInstance is set if another instance than the one addressed answered.
 	OtherInstance bool
-	// Leaving: the server is about to end and takes no new requests.
+	// Leaving is set if the server is about to stop and takes no new requests.
 	Leaving bool
-	// Load is set if the server told it.
+	// Load is the load that the server reports; nil if it reports none.
 	Load *balance.Load
-	// Limit is how many requests a second the server takes from all hosts together,
-	// ratelimit.None if it names none. LimitUnreadable: it names one that is no number.
+	// Limit is the rate limit that the server advertises, in requests per second from all hosts
+	// together; ratelimit.None if it advertises none. LimitUnreadable is set if the advertised
+	// limit is not a number.
 	Limit           float64
 	LimitUnreadable bool
-	// Cooldown is how long the server wants nothing from this host; 0: not said. CooldownUnreadable: it
-	// names a time that can't be read.
+	// Cooldown is the time for which the server asks this host to send it nothing; 0 if it does not
+	// ask for a cooldown. CooldownUnreadable is set if the advertised time can't be parsed.
 	Cooldown           time.Duration
 	CooldownUnreadable bool
 }
 
-// Tables gives the routing table in force.
+// Tables provides the routing table in force.
 type Tables interface {
-	// Await is the table, or the refusal if there is none to serve under, nor in a moment.
+	// Await returns the table in force, after a short wait while the host is starting. It returns a
+	// refusal if there is no table to serve under.
 	Await(ctx context.Context) (*routes.Index, error)
-	// Newest is the table, confirmed lately to be the newest, by which a request may be refused
-	// for what the table does not have. It may be newer than that of Await.
+	// Newest returns the table in force after confirming recently that no newer one exists, so that
+	// a request may be rejected for what the table lacks. It may be newer than the table that Await
+	// returned.
 	Newest(ctx context.Context) (*routes.Index, error)
 }
 
-// Budgets sets tokens aside and bills what was used.
+// Budgets reserves tokens and bills those used.
 type Budgets interface {
-	// Reserve blocks until tokens of the budget are set aside for the request, or refuses,
-	// at the latest when ctx ends. It names the host that holds them, or refused.
+	// Reserve blocks until tokens of the budget are reserved for the request, or returns a refusal,
+	// at the latest when ctx ends. It returns the host that holds the reservation, or that refused
+	// it.
 	Reserve(ctx context.Context, budget, requestID string, tokens uint64) (holder string, err error)
-	// Spend bills tokens out of the request's reservation and frees the rest.
+	// Spend bills tokens from the request's reservation and frees the rest.
 	Spend(requestID string, tokens uint64)
 }
 
@@ -85,39 +91,39 @@
 	Acquire(ctx context.Context, w *balance.Work) (Lease, error)
 }
 
-// Lease is the place of one request at a server. Exactly one Done follows.
+// Lease is the assignment of one request to a server. Done must be called exactly once.
 type Lease interface {
 	Choice() balance.Choice
-	// FirstByte tells that the first part of the answer has come.
+	// FirstByte records that the first part of the answer has arrived.
 	FirstByte()
-	// Report tells the load that the server named.
+	// Report records the load that the server reported.
 	Report(balance.Load)
-	// Cooldown tells that the server wants nothing from this host for so long, by its answer to a
-	// request; CooldownUnreadable that it names a time which can't be read.
+	// CoolDown records that the server's answer to a request asked this host to send it nothing for
+	// d. CooldownUnreadable records that the time in such an answer can't be parsed.
 	CoolDown(d time.Duration, requestID string)
 	CooldownUnreadable(requestID string)
-	// Leaving tells that the server is about to end.
+	// Leaving records that the server is about to stop.
 	Leaving()
-	// WrongInstance tells that the address is not that of the instance any more.
+	// WrongInstance records that the address no longer belongs to the instance.
 	WrongInstance()
 	Done(balance.Result)
 }
 
-// Retries bounds how many attempts the fleet makes beyond the first.
+// Retries limits how many attempts the fleet makes beyond the first of each request.
 type Retries interface {
 	// CountRequest counts a request for the service.
 	CountRequest(service string)
-	// Allow takes one further attempt from the allowance, or says no.
+	// Allow takes one further attempt from the allowance and reports whether there was one.
 	Allow(service string) bool
 }
 
-// Limits knows the rate limits that servers name for themselves.
+// Limits tracks the rate limits that backend servers advertise.
 type Limits interface {
-	// Observe takes what a server said with an answer.
-	Observe(run instance.Incarnation, w ratelimit.Observation, requestID string)
-	// Unreadable takes that a server named a limit that is no number.
+	// Observe records the rate limit observed in an answer.
+	Heard(run instance.Incarnation, w ratelimit.Observation, requestID string)
+	// Unreadable records that a server advertised a limit that is not a number.
 	Unreadable(run instance.Incarnation, requestID string)
-	// Sending notes that a request is sent to a server, and returns the server's limit.
+	// Sending records that a request is sent to a server, and returns the server's rate limit.
 	Sending(run instance.Incarnation, why ratelimit.Send) ratelimit.Observation
 }
 
@@ -126,7 +132,7 @@
 	Forward(ctx context.Context, f *engineclient.Forward) (*http.Response, error)
 }
 
-// Observer is told of each finished exchange.
+// Observer is notified of each finished exchange.
 type Observer interface {
 	Finished(x *Exchange, err error)
 }
--- a/internal/relay/quarantine/quarantine.go
+++ b/internal/relay/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine is the filter that keeps routed requests from backend servers that crash
-// the servers which run them.
+// Package quarantine is the filter that keeps routed requests that crash servers away from backend
+// servers.
 //
-// It stands before the budget: a request that is refused here sets no tokens aside.
+// It comes before the budget filter, so that a request rejected here reserves no tokens.
 package quarantine
 
 import (
@@ -15,7 +15,7 @@
 // Filter implements filter.Filter.
 type Filter struct{ Quarantine filter.Quarantine }
 
-// ServeHTTP fills the exchange's Asked and Pass.
+// ServeHTTP sets the exchange's QuarantineID and Admission.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	x := relay.ExchangeFrom(r.Context())
 	x.QuarantineID = quarantine.ID{
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,7 +25,7 @@
 
 func prepaid(n uint64) *uint64 { return &n }
 
-// index is a table with a keyed, an anonymous and a split route.
+// index returns a routing table with a keyed, an anonymous and a split route.
 func index(t *testing.T) *routes.Index {
 	t.Helper()
 	table := routes.Table{
@@ -54,7 +54,8 @@
 type tables struct {
 	index *routes.Index
 	err   error
-	// newest is the confirmed table; nil: index. unconfirmed: there is none.
+	// newest is the confirmed table; nil means index. unconfirmed is the error if no table is
+	// confirmed.
 	newest      *routes.Index
 	unconfirmed error
 }
@@ -68,7 +69,7 @@
 	return t.index, t.unconfirmed
 }
 
-// runFilters sends a request runFilters filters to an end that notes that it came there.
+// runFilters sends a request through filters to end.
 func runFilters(x *relay.Exchange, end filter.HandlerFunc, filters ...filter.Filter) error {
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
 	return filter.Chain(end, filters...).ServeHTTP(httptest.NewRecorder(), r.WithContext(relay.WithExchange(r.Context(), x)))
@@ -82,7 +83,7 @@
 
 func never(t *testing.T) filter.HandlerFunc {
 	return func(http.ResponseWriter, *http.Request) error {
-		t.Error("the request went on")
+		t.Error("the request passed the filters")
 		return nil
 	}
 }
@@ -98,9 +99,9 @@
 	testutil.Refused(t, runFilters(exchange("/keyed/"), never(t), &match.Filter{Tables: tables{err: notReady}}), errkind.HostNotReady, "no table")
 }
 
-// A route or key that the table in force does not have is unknown only if a quorum confirmed
-// that there is no newer table; else the caller would be told not to come back for something
-// that other hosts serve.
+// A route or key that the table in force lacks is reported as unknown only if a quorum confirmed
+// that there is no newer table. Otherwise the caller would be told not to retry a request that
+// other hosts serve.
 func TestUnknownRouteOrKeyNeedsTheNewestTable(t *testing.T) {
 	b, err := json.Marshal(routes.Table{Keyed: true})
 	testutil.NoError(t, err)
@@ -149,7 +150,7 @@
 		got[x.Service.Name]++
 	}
 	if got["pool"] < 2700 || got["pool"] > 3300 {
-		t.Errorf("3 to 1 became %v", got)
+		t.Errorf("weights of 3 to 1 gave %v", got)
 	}
 }
 
@@ -187,13 +188,13 @@
 		x.CallerTimeout = patience
 		err := runFilters(x, func(_ http.ResponseWriter, r *http.Request) error {
 			if at, ok := r.Context().Deadline(); !ok || !at.Equal(x.Deadline) {
-				t.Errorf("the context ends at %v, the request at %v", at, x.Deadline)
+				t.Errorf("the context's deadline is %v, the exchange's %v", at, x.Deadline)
 			}
 			return nil
 		}, &match.Filter{Tables: tables{index: index(t)}}, deadline.Filter{})
 		testutil.NoError(t, err)
 		if got := x.Deadline.Sub(x.Arrived); got != want {
-			t.Errorf("patience %v: ends after %v", patience, got)
+			t.Errorf("caller timeout %v: the deadline is after %v", patience, got)
 		}
 	}
 }
@@ -208,14 +209,16 @@
 	testutil.Refused(t, err, errkind.DeadlineExceeded, "after the deadline")
 }
 
-// fakeBudgets notes what is set aside and spent.
+// fakeBudgets records the tokens reserved and spent.
 type fakeBudgets struct {
 	refuse   error
 	reserved map[string]uint64
 	spent    map[string]uint64
 }
 
-func newFakeBudgets() *fakeBudgets { return &fakeBudgets{reserved: map[string]uint64{}, spent: map[string]uint64{}} }
+func newFakeBudgets() *fakeBudgets {
+	return &fakeBudgets{reserved: map[string]uint64{}, spent: map[string]uint64{}}
+}
 
 func (p *fakeBudgets) Reserve(_ context.Context, budget, id string, tokens uint64) (string, error) {
 	if p.refuse == nil {
@@ -224,7 +227,7 @@
 	return "holder", p.refuse
 }
 
-func (p *fakeBudgets) Spend(id string, tokens uint64) { p.spent[id] += tokens + 1 } // 1: it was called
+func (p *fakeBudgets) Spend(id string, tokens uint64) { p.spent[id] += tokens + 1 } // the 1 shows that Spend was called
 
 func TestBudgetBillsWhatWasUsed(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -251,9 +254,9 @@
 	}
 }
 
-// Symptom: an account is answered 402 though callers were given little of what it paid for.
-// Sequence: servers read its prompts and reset the connections; each caller gets a failure.
-// Cause: a prompt that may have been read was billed, whether or not anything came of it.
+// Guards against billing a prompt of which no answer reached the caller. Servers that read prompts
+// and then reset the connections would use up an account's budget, and its callers would be
+// answered 402.
 func TestFailedRequestsBillWhatReachedTheCaller(t *testing.T) {
 	for name, c := range map[string]struct {
 		begun  bool
@@ -279,11 +282,11 @@
 
 func TestBudgetRefusalEndsTheRequest(t *testing.T) {
 	p := newFakeBudgets()
-	p.refuse = errkind.New(errkind.BudgetExhausted, "nothing is left")
+	p.refuse = errkind.New(errkind.BudgetExhausted, "no tokens are left")
 	x := exchange("/keyed/")
 	x.Key, x.PromptTokens = key, 300
 	err := runFilters(x, never(t), &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
-	testutil.Refused(t, err, errkind.BudgetExhausted, "without tokens")
+	testutil.Refused(t, err, errkind.BudgetExhausted, "no tokens left")
 	if len(p.spent) != 0 {
 		t.Errorf("spent %v", p.spent)
 	}
@@ -305,15 +308,15 @@
 	}
 }
 
-// fakeDialect is a Dialect that decodes nothing but the path.
+// fakeDialect is a Dialect that decodes nothing but the path and the body.
 type fakeDialect struct {
 	relay.Dialect
-	fault   error
-	refused error
+	decodeErr error
+	refused   error
 }
 
 func (d *fakeDialect) Decode(r *http.Request, body []byte) (*relay.Request, error) {
-	return &relay.Request{ID: "r1", Path: r.URL.Path, Body: body}, d.fault
+	return &relay.Request{ID: "r1", Path: r.URL.Path, Body: body}, d.decodeErr
 }
 
 func (d *fakeDialect) Refuse(w http.ResponseWriter, _ *relay.Exchange, err error) {
@@ -328,7 +331,7 @@
 
 func (o *observer) Finished(x *relay.Exchange, err error) { o.x, o.err = x, err }
 
-// filterFunc is a filter.Filter that answers by itself.
+// filterFunc is a filter.Filter that answers the request itself.
 type filterFunc func(w http.ResponseWriter, r *http.Request) error
 
 func (f filterFunc) ServeHTTP(w http.ResponseWriter, r *http.Request, _ filter.Handler) error {
@@ -336,7 +339,7 @@
 }
 
 func TestHandlerRefusesOnceAndNotifiesObserver(t *testing.T) {
-	fault := errkind.New(errkind.BadRequest, "it can't be read")
+	fault := errkind.New(errkind.BadRequest, "the request can't be decoded")
 	full := errkind.New(errkind.Overloaded, "full")
 	for name, c := range map[string]struct {
 		decode error
@@ -350,7 +353,7 @@
 		"answered":       {chain: func(w http.ResponseWriter, _ *http.Request) error { w.WriteHeader(204); return nil }, want: 204},
 		"nobody answers": {want: 500},
 	} {
-		d, o := &fakeDialect{fault: c.decode}, &observer{}
+		d, o := &fakeDialect{decodeErr: c.decode}, &observer{}
 		var filters []filter.Filter
 		if c.chain != nil {
 			filters = append(filters, c.chain)
@@ -361,10 +364,10 @@
 			t.Errorf("%s: %d, want %d", name, w.Code, c.want)
 		}
 		if o.x == nil || (o.err == nil) != (c.want < 400 && name != "already begun") {
-			t.Errorf("%s: the observer was told %v", name, o.err)
+			t.Errorf("%s: the observer received %v", name, o.err)
 		}
 		if name == "already begun" && d.refused != nil {
-			t.Errorf("%s: refused on top of the answer", name)
+			t.Errorf("%s: a refusal was sent after the answer had begun", name)
 		}
 	}
 }
