--- a/internal/controller/assign/assign_test.go
+++ b/internal/controller/assign/assign_test.go
@@ -162,7 +162,7 @@
 		sent := f.acquire(t, "b", w)
 		w = prompt(7, 2, 13_000, 3_000)
 		w.Exclude = []instance.Incarnation{first.Choice().Instance.Incarnation()}
-		sent.First()
+		sent.FirstByte()
 		sent.Done(balance.Served)
 		time.Sleep(time.Second)
 		got := f.acquire(t, "c", w).Choice()
@@ -198,8 +198,8 @@
 			t.Fatalf("%d running at the owner", n)
 		}
 		l.Report(balance.Load{Running: 1, Slots: 64})
-		l.First()
-		l.First()
+		l.FirstByte()
+		l.FirstByte()
 		l.Done(balance.Broken)
 		time.Sleep(2 * reportDelay)
 		if n := f.local["a"].Running(); n != 0 {
@@ -233,7 +233,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, "a", "b")
 		l := f.acquire(t, "b", prompt(7, 1, 100, 100))
-		l.Wrong()
+		l.WrongInstance()
 		l.Done(balance.Served)
 		time.Sleep(time.Second)
 		for name, b := range f.local {
@@ -307,7 +307,7 @@
 				w.Exclude = exclude
 				l := f.acquire(t, host, w)
 				time.Sleep(600 * time.Millisecond)
-				l.First()
+				l.FirstByte()
 				l.Done(balance.Served)
 				time.Sleep(2 * shareEvery)
 				return l.Choice()
@@ -359,7 +359,7 @@
 				}
 				time.Sleep(time.Duration(end) * 10 * time.Millisecond)
 				if end%2 == 0 {
-					l.First()
+					l.FirstByte()
 				}
 				if end < 6 { // else the host fails and reports no end
 					l.Done(balance.Result(end % 5))
@@ -404,9 +404,9 @@
 			if got := after.Choice(); got.Instance.Started != 200 || got.Cached != 0 || got.Running != 0 {
 				t.Errorf("%s: got %+v for the new incarnation", name, got)
 			}
-			before.Wrong()
+			before.WrongInstance()
 			before.Done(balance.Broken)
-			after.First()
+			after.FirstByte()
 			after.Done(balance.Served)
 			time.Sleep(time.Second)
 			for _, host := range informed {
@@ -430,7 +430,7 @@
 		use := func(own uint64) balance.Choice {
 			l := f.acquire(t, "c", prompt(7, own, 13_000, 3_000))
 			time.Sleep(600 * time.Millisecond)
-			l.First()
+			l.FirstByte()
 			l.Done(balance.Served)
 			time.Sleep(2 * shareEvery)
 			return l.Choice()
--- a/internal/controller/assign/lease.go
+++ b/internal/controller/assign/lease.go
@@ -26,8 +26,8 @@
 // Choice implements relay.Lease.
 func (l *remoteLease) Choice() balance.Choice { return l.choice }
 
-// First implements relay.Lease; only the first call counts.
-func (l *remoteLease) First() {
+// FirstByte implements relay.Lease; only the first call counts.
+func (l *remoteLease) FirstByte() {
 	if l.firstReported {
 		return
 	}
@@ -54,8 +54,8 @@
 	l.a.cfg.Local.CooldownUnreadable(l.choice.Instance.Incarnation(), requestID)
 }
 
-// Wrong implements relay.Lease.
-func (l *remoteLease) Wrong() {
+// WrongInstance implements relay.Lease.
+func (l *remoteLease) WrongInstance() {
 	l.wrongInstance = true
 	_ = l.a.cfg.Local.End(l.choice.Instance.Incarnation())
 }
--- a/internal/controller/assign/owner.go
+++ b/internal/controller/assign/owner.go
@@ -79,13 +79,13 @@
 		as.lease.Report(balance.Load{Running: int(l.GetRunning()), Waiting: int(l.GetWaiting()), Slots: int(l.GetSlots())})
 	}
 	if r.GetFirst() {
-		as.lease.First()
+		as.lease.FirstByte()
 	}
 	if cooldown := r.GetCooldownMs(); cooldown > 0 {
 		a.cfg.Local.CoolDownForPeer(as.lease.Choice().Instance.Incarnation(), time.Duration(min(cooldown, retryafter.Longest.Milliseconds()))*time.Millisecond)
 	}
 	if r.GetWrong() {
-		as.lease.Wrong()
+		as.lease.WrongInstance()
 	}
 	if result, ended := results[r.GetEnd()]; ended {
 		as.lease.Done(result)
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -188,8 +188,8 @@
 	return &lease{b: b, choice: choice}, nil
 }
 
-// First implements relay.Retries.
-func (b *Balancer) First(service string) {
+// CountRequest implements relay.Retries.
+func (b *Balancer) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.retries.CountFirst(time.Now(), service)
@@ -370,8 +370,8 @@
 // Choice implements relay.Lease.
 func (l *lease) Choice() balance.Choice { return l.choice }
 
-// First implements relay.Lease; only the first call counts.
-func (l *lease) First() {
+// FirstByte implements relay.Lease; only the first call counts.
+func (l *lease) FirstByte() {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
 	if l.firstReported {
@@ -401,9 +401,9 @@
 	l.b.CooldownUnreadable(l.choice.Instance.Incarnation(), requestID)
 }
 
-// Wrong implements relay.Lease. Only the incarnation to which the request was sent has lost the
+// WrongInstance implements relay.Lease. Only the incarnation to which the request was sent has lost the
 // address.
-func (l *lease) Wrong() { _ = l.b.End(l.choice.Instance.Incarnation()) }
+func (l *lease) WrongInstance() { _ = l.b.End(l.choice.Instance.Incarnation()) }
 
 // Done implements relay.Lease.
 func (l *lease) Done(r balance.Result) {
--- a/internal/controller/balancer/balancer_test.go
+++ b/internal/controller/balancer/balancer_test.go
@@ -89,7 +89,7 @@
 	testutil.NoError(t, f.Announce(server("s1", 1)))
 	l, err := f.Acquire(t.Context(), &balance.Work{Service: service})
 	testutil.NoError(t, err)
-	l.Wrong()
+	l.WrongInstance()
 	l.Done(balance.Served)
 	if got := f.chosen(t); got != "" {
 		t.Errorf("chose %q again", got)
@@ -101,8 +101,8 @@
 	testutil.NoError(t, f.Announce(server("s1", 1)))
 	l, err := f.Acquire(t.Context(), &balance.Work{Service: service})
 	testutil.NoError(t, err)
-	l.First()
-	l.First()
+	l.FirstByte()
+	l.FirstByte()
 	l.Report(balance.Load{Running: 1, Slots: 2})
 	if n := f.Running(); n != 1 {
 		t.Errorf("%d running", n)
@@ -116,7 +116,7 @@
 func TestRetriesAreSharedBetweenHosts(t *testing.T) {
 	f := newFixture(2)
 	for range 4 {
-		f.First(service)
+		f.CountRequest(service)
 	}
 	allowed := 0
 	for range 10 {
@@ -164,7 +164,7 @@
 	testutil.NoError(t, err)
 	testutil.NoError(t, f.Announce(incarnation(200, 1)))
 	before := f.notified
-	l.Wrong()
+	l.WrongInstance()
 	l.Report(balance.Load{Running: 9, Waiting: 9, Slots: 2})
 	l.Done(balance.Broken)
 	if got := f.chosen(t); got != "s1" || f.notified != before {
--- a/internal/controller/balancer/lock_test.go
+++ b/internal/controller/balancer/lock_test.go
@@ -49,9 +49,9 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.First()
+		l.FirstByte()
 	}()
-	l.First()
+	l.FirstByte()
 	<-done
 	l.Done(balance.Served)
 }
--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -93,7 +93,7 @@
 }
 
 // requestID is the id under which Finished logs the request.
-func requestID(ctx context.Context) string { return relay.From(ctx).ID }
+func requestID(ctx context.Context) string { return relay.ExchangeFrom(ctx).ID }
 
 func (g *gateway) server(name, address string, h http.Handler) *httpserver.Server {
 	limits := g.d.cfg.Limits
@@ -131,9 +131,9 @@
 // Finished implements relay.Observer: one line for each request.
 func (g *gateway) Finished(x *relay.Exchange, err error) {
 	g.metrics.finished(x, err)
-	g.traffic.add(time.Now(), len(x.Body)+x.Sent)
+	g.traffic.add(time.Now(), len(x.Body)+x.BytesSent)
 	event := g.d.tel.Log.Info().Str("event", "request").Str("request", x.ID).Int("status", x.Status).
-		Str("ending", string(x.Ending)).Int("sent", x.Sent).Dur("took", time.Since(x.Arrived)).Str("account", x.AccountName())
+		Str("ending", string(x.Ending)).Int("sent", x.BytesSent).Dur("took", time.Since(x.Arrived)).Str("account", x.AccountName())
 	if x.Table != nil {
 		event = event.Uint64("revision", x.Table.Revision())
 	}
@@ -141,20 +141,20 @@
 		event = event.Str("route", x.Route.Name).Time("deadline", x.Deadline)
 	}
 	if !x.Deadline.IsZero() {
-		event = event.Stringer("fingerprint", x.Asked.Fingerprint)
+		event = event.Stringer("fingerprint", x.QuarantineID.Fingerprint)
 	}
-	if x.Pass != nil && x.Pass.Standing().Crashes > 0 {
-		st := x.Pass.Standing()
+	if x.Admission != nil && x.Admission.Standing().Crashes > 0 {
+		st := x.Admission.Standing()
 		event = event.Str("level", string(st.Level)).Int("crashes", st.Crashes).Int("trials", st.Trials).
 			Str("crash_reporter", st.Reporter).Dur("last_crash_ago", st.LastCrash)
 	}
 	if x.PromptTokens > 0 {
-		event = event.Uint64("reserved", x.Reserved).Str("tokens_of", x.Holder).Uint64("prompt", x.PromptTokens).Uint64("output", x.Output)
+		event = event.Uint64("reserved", x.Reserved).Str("tokens_of", x.Holder).Uint64("prompt", x.PromptTokens).Uint64("output", x.OutputTokens)
 	}
 	for _, a := range x.Attempts {
 		event = event.Str("server", a.Server).Dur("predicted", a.Wait).Uint64("cached", a.Cached).
-			Uint64("shared", a.Shared).Dur("home_wait", a.Home).Int("running", a.Running).
-			Dur("first", a.First).Dur("ran", a.Took).Str("outcome", string(a.Cause))
+			Uint64("shared", a.Shared).Dur("home_wait", a.PreferredWait).Int("running", a.Running).
+			Dur("first", a.FirstByte).Dur("ran", a.Took).Str("outcome", string(a.Cause))
 		if a.Limit.Limited() {
 			event = event.Float64("limit", a.Limit.Limit)
 		}
--- a/internal/relay/forward/forward.go
+++ b/internal/relay/forward/forward.go
@@ -1,7 +1,6 @@
-// Package forward is the last filter of the chain for routed requests: it sends a
-// request to a backend server, again to another one where that is allowed, and relays
-// the answer. A stream that breaks off goes on at another server, if its route says that
-// it may.
+// Package forward is the last filter of the chain for routed requests. It sends a request to a
+// backend server, retries it at another one where that is allowed, and relays the answer. A stream
+// that is interrupted is resumed at another server if its route allows that.
 package forward
 
 import (
@@ -25,16 +24,16 @@
 	Balancer relay.Balancer
 	Retries  relay.Retries
 	Limits   relay.Limits
-	// Abort breaks the caller's connection: the answer that has begun stays without its
-	// end.
+	// Abort breaks the caller's connection, so that the caller sees that a begun answer is
+	// incomplete.
 	Abort func(w http.ResponseWriter)
 }
 
-// ServeHTTP sends the request on; next is never called.
+// ServeHTTP forwards the request. It never calls next.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, _ filter.Handler) error {
-	x := relay.From(r.Context())
-	f.Retries.First(x.Service.Name)
-	t := &try{f: f, x: x, w: w, ctx: r.Context(), work: workOf(x), ran: errkind.RanNo}
+	x := relay.ExchangeFrom(r.Context())
+	f.Retries.CountRequest(x.Service.Name)
+	t := &task{f: f, x: x, w: w, ctx: r.Context(), work: workOf(x), ran: errkind.RanNo}
 	return t.run()
 }
 
@@ -48,46 +47,46 @@
 	return w
 }
 
-// try is one request with all its attempts.
-type try struct {
+// task is one request with all its attempts.
+type task struct {
 	f    *Filter
 	x    *relay.Exchange
 	w    http.ResponseWriter
 	ctx  context.Context
 	work *balance.Work
-	// ran is what is known of the attempts so far: whether any of them may have run.
+	// ran is whether any attempt so far may have run the request.
 	ran errkind.Ran
-	// sent counts the servers that the request has reached.
-	sent int
-	// allowed: the next attempt was taken from the allowance already.
-	allowed bool
-	// events are those of a stream that the caller has.
+	// serversReached counts the servers that have received the request.
+	serversReached int
+	// retryTaken is set if the next attempt was already taken from the allowance.
+	retryTaken bool
+	// events counts the events of a stream that the caller has received.
 	events sse.Counter
 }
 
-// outcome of one attempt.
+// outcome is the result of one attempt.
 type outcome struct {
-	// err is nil when the answer is with the caller.
+	// err is nil if the answer was sent to the caller.
 	err error
-	// cause is what became of the attempt.
+	// cause classifies the attempt for the log.
 	cause engineclient.Cause
-	// result says what the attempt tells of the server.
+	// result is what the attempt shows about the server.
 	result balance.Result
-	// again: another server may do better.
-	again bool
-	// whole: a server gave its whole answer, and did not fail.
-	whole bool
+	// retryable is set if another server may succeed.
+	retryable bool
+	// complete is set if a server sent its whole answer and the answer is not a server error.
+	complete bool
 }
 
-func (t *try) run() error {
+func (t *task) run() error {
 	for {
 		lease, err := t.f.Balancer.Acquire(t.ctx, t.work)
 		if err != nil {
 			return t.giveUp(err)
 		}
 		out := t.attempt(lease)
-		if out.whole && t.x.Pass != nil {
-			t.x.Pass.Answered()
+		if out.complete && t.x.Admission != nil {
+			t.x.Admission.Answered()
 		}
 		if out.err == nil {
 			return nil
@@ -95,75 +94,76 @@
 		if t.ctx.Err() != nil {
 			return t.giveUp(filter.ContextError(t.ctx))
 		}
-		if !out.again || !t.mayRepeat() {
+		if !out.retryable || !t.takeRetry() {
 			return t.giveUp(out.err)
 		}
-		if t.x.Pass == nil {
+		if t.x.Admission == nil {
 			continue
 		}
-		if err := t.x.Pass.Again(t.ctx); err != nil {
+		if err := t.x.Admission.Again(t.ctx); err != nil {
 			return t.giveUp(err)
 		}
 	}
 }
 
-// mayRepeat tells whether a further attempt is allowed, and takes it from the allowance.
-func (t *try) mayRepeat() bool {
+// takeRetry reports whether a further attempt is allowed, and takes it from the allowance.
+func (t *task) takeRetry() bool {
 	if t.x.Begun && !t.mayResume() {
 		return false
 	}
 	if t.ran != errkind.RanNo && !t.x.Route.Repeatable() {
 		return false
 	}
-	if t.sent == 0 || t.allowed {
-		t.allowed = false
-		return true // nothing reached a server yet
+	if t.serversReached == 0 || t.retryTaken {
+		t.retryTaken = false
+		return true // no server has received the request yet, or the retry was already taken
 	}
-	return t.sent < t.x.Route.MaxAttempts && t.f.Retries.Allow(t.x.Service.Name)
+	return t.serversReached < t.x.Route.MaxAttempts && t.f.Retries.Allow(t.x.Service.Name)
 }
 
-// mayResume tells whether another server can go on with an answer that has begun.
-func (t *try) mayResume() bool {
+// mayResume reports whether another server can continue an answer that has begun.
+func (t *task) mayResume() bool {
 	return t.x.Route.Kind == routes.Stream && t.x.Route.Resumable && t.events.LastID() != ""
 }
 
-// allowNext is mayRepeat ahead of time: the attempt that it allows is made.
-func (t *try) allowNext() bool {
-	t.allowed = t.mayRepeat()
-	return t.allowed
+// takeRetryEarly is takeRetry called before the attempt fails. The attempt that it allows has to be
+// made.
+func (t *task) takeRetryEarly() bool {
+	t.retryTaken = t.takeRetry()
+	return t.retryTaken
 }
 
-// giveUp ends the request with an error that is true of all its attempts. An answer that
-// has begun is broken off: only a connection without its proper end tells the caller.
-func (t *try) giveUp(err error) error {
+// giveUp ends the request with an error that holds for all its attempts. An answer that has begun
+// is aborted: only a connection without a proper end tells the caller that it is incomplete.
+func (t *task) giveUp(err error) error {
 	if t.x.Begun {
 		t.f.Abort(t.w)
-		return brokenOff(errkind.From(err))
+		return truncatedError(errkind.From(err))
 	}
 	e := *errkind.From(err)
 	if t.ran != errkind.RanNo && e.Ran() == errkind.RanNo {
-		// A caller that is told "did not run" may send the request again.
+		// A caller that is told that its request did not run may send it again.
 		return errkind.New(errkind.BackendServerFailed, "after an attempt that may have run: %s", e.Message).WithRan(t.ran)
 	}
 	return &e
 }
 
-// brokenOff is the error of an answer that had begun. Its kind tells a server's failure
-// from the end that the caller or the deadline set.
-func brokenOff(e *errkind.Error) error {
+// truncatedError returns the error for an answer that had begun. Its kind distinguishes a server's
+// failure from an end by the caller or the deadline.
+func truncatedError(e *errkind.Error) error {
 	kind := errkind.BackendServerFailed
 	if e.Kind == errkind.CallerGone || e.Kind == errkind.DeadlineExceeded {
 		kind = e.Kind
 	}
-	return errkind.New(kind, "the answer broke off: %s", e.Message).WithRan(errkind.RanYes)
+	return errkind.New(kind, "the answer was truncated: %s", e.Message).WithRan(errkind.RanYes)
 }
 
-// outgoing is the request as the chosen server gets it.
-func (t *try) outgoing(choice balance.Choice) *engineclient.Forward {
+// outgoing returns the request to send to the chosen server.
+func (t *task) outgoing(choice balance.Choice) *engineclient.Forward {
 	x := t.x
 	h := x.Header.Clone()
 	out := relay.Outgoing{
-		Instance: choice.Instance.ID, Left: time.Until(x.Deadline), Account: x.AccountName(),
+		Instance: choice.Instance.ID, Remaining: time.Until(x.Deadline), Account: x.AccountName(),
 		Priority: -1, ResumeAfter: x.ResumeAfter,
 	}
 	if t.x.Begun {
@@ -175,5 +175,5 @@
 	}
 }
 
-// mayHaveRun notes that a server may have begun to work on the request.
-func (t *try) mayHaveRun() { t.ran = errkind.RanUnknown }
+// markMayHaveRun records that a server may have begun to run the request.
+func (t *task) markMayHaveRun() { t.ran = errkind.RanUnknown }
--- a/internal/relay/forward/limits_test.go
+++ b/internal/relay/forward/limits_test.go
@@ -12,86 +12,86 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// heardLimits notes what is told of servers' limits.
-type heardLimits struct {
-	words      []ratelimit.Observation
+// recordedLimits records the calls to relay.Limits.
+type recordedLimits struct {
+	observed   []ratelimit.Observation
 	unreadable int
 	sends      []ratelimit.Send
 }
 
-func (h *heardLimits) Heard(_ instance.Incarnation, w ratelimit.Observation, _ string) {
-	h.words = append(h.words, w)
+func (h *recordedLimits) Heard(_ instance.Incarnation, w ratelimit.Observation, _ string) {
+	h.observed = append(h.observed, w)
 }
 
-func (h *heardLimits) Unreadable(instance.Incarnation, string) { h.unreadable++ }
+func (h *recordedLimits) Unreadable(instance.Incarnation, string) { h.unreadable++ }
 
-func (h *heardLimits) Sending(_ instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
+func (h *recordedLimits) Sending(_ instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
 	h.sends = append(h.sends, why)
 	return ratelimit.Observation{}
 }
 
-func TestServersLimitIsHeardWithEachAnswer(t *testing.T) {
+func TestRateLimitIsObservedInEachAnswer(t *testing.T) {
 	r := newRun(t, routes.Idempotent,
-		gives(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLimit, "2.5")), gives(answer(200, "ok")))
+		answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLimit, "2.5")), answers(answer(200, "ok")))
 	began := time.Now()
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
-	if len(r.limits.words) != 2 || r.limits.words[0].Limit != 2.5 || r.limits.words[1].Limited() {
-		t.Fatalf("heard %v", r.limits.words)
+	if len(r.limits.observed) != 2 || r.limits.observed[0].Limit != 2.5 || r.limits.observed[1].Limited() {
+		t.Fatalf("observed %v", r.limits.observed)
 	}
-	if at := r.limits.words[1].At; at.Before(began) || at.After(time.Now()) {
-		t.Errorf("the second word is of %v", at)
+	if at := r.limits.observed[1].At; at.Before(began) || at.After(time.Now()) {
+		t.Errorf("the second observation is of %v", at)
 	}
 	if want := []ratelimit.Send{ratelimit.SendFirst, ratelimit.SendRepeat}; !slices.Equal(r.limits.sends, want) {
 		t.Errorf("sends %v, want %v", r.limits.sends, want)
 	}
 }
 
-// Guards against a limit that a late answer to another request names or lifts.
-func TestLimitInAnotherRequestsAnswerIsNotHeard(t *testing.T) {
+// Guards against observing a rate limit in a late answer to another request.
+func TestRateLimitInAnotherRequestsAnswerIsIgnored(t *testing.T) {
 	other := answer(200, "", hLimit, "1")
 	other.Header.Set(hID, "another")
-	r := newRun(t, routes.NonIdempotent, gives(other))
+	r := newRun(t, routes.NonIdempotent, answers(other))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
-	if len(r.limits.words) != 0 {
-		t.Errorf("heard %v", r.limits.words)
+	if len(r.limits.observed) != 0 {
+		t.Errorf("observed %v", r.limits.observed)
 	}
 }
 
-// Guards against a limit that is lifted by a header that can't be read.
-func TestUnreadableLimitLiftsNone(t *testing.T) {
-	r := newRun(t, routes.NonIdempotent, gives(answer(200, "ok", hLimit, "some")))
+// Guards against lifting a rate limit because of a header that can't be parsed.
+func TestUnreadableRateLimitLiftsNone(t *testing.T) {
+	r := newRun(t, routes.NonIdempotent, answers(answer(200, "ok", hLimit, "some")))
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
-	if len(r.limits.words) != 0 || r.limits.unreadable != 1 {
-		t.Errorf("heard %v, %d unreadable", r.limits.words, r.limits.unreadable)
+	if len(r.limits.observed) != 0 || r.limits.unreadable != 1 {
+		t.Errorf("observed %v, %d unreadable", r.limits.observed, r.limits.unreadable)
 	}
 }
 
-// Guards against a cooldown that is overlooked since the answer does not say that the request has not
+// Guards against ignoring the cooldown in an answer that does not state that the request did not
 // run.
-func TestServersRestIsHeardWithEachRefusal(t *testing.T) {
+func TestCooldownIsObservedInEachRejection(t *testing.T) {
 	for _, headers := range [][]string{{hNotRun, "1", hCooldown, "3"}, {hCooldown, "0.5"}} {
-		r := newRun(t, routes.NonIdempotent, gives(answer(http.StatusServiceUnavailable, "", headers...)), gives(answer(200, "ok")))
-		_ = r.do() // whether it is sent again depends on whether it may have run
+		r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusServiceUnavailable, "", headers...)), answers(answer(200, "ok")))
+		_ = r.do() // a retry depends on whether the request may have run
 		if len(r.leases.cooldowns) != 1 || r.x.Attempts[0].Cooldown != r.leases.cooldowns[0] {
 			t.Errorf("%v: cooldowns %v, in the log %v", headers, r.leases.cooldowns, r.x.Attempts[0].Cooldown)
 		}
 	}
-	r := newRun(t, routes.NonIdempotent, gives(answer(http.StatusServiceUnavailable, "", hCooldown, "soon")))
+	r := newRun(t, routes.NonIdempotent, answers(answer(http.StatusServiceUnavailable, "", hCooldown, "soon")))
 	_ = r.do()
 	if len(r.leases.cooldowns) != 0 || r.leases.unreadable != 1 {
 		t.Errorf("cooldowns %v, %d unreadable", r.leases.cooldowns, r.leases.unreadable)
 	}
 }
 
-// Guards against a server's leaving that is overlooked since the answer refuses the request, or
-// believed of another server's late answer.
-func TestServersLeavingIsHeardWithEachAnswer(t *testing.T) {
+// Guards against ignoring that a server is leaving if its answer rejects the request, and against
+// observing it in a late answer to another request.
+func TestLeavingIsObservedInEachAnswer(t *testing.T) {
 	r := newRun(t, routes.Idempotent,
-		gives(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLeaving, "1")), gives(answer(200, "ok", hLeaving, "1")))
+		answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1", hLeaving, "1")), answers(answer(200, "ok", hLeaving, "1")))
 	if err := r.do(); err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	}
 	other := answer(200, "", hLeaving, "1")
 	other.Header.Set(hID, "another")
-	r = newRun(t, routes.NonIdempotent, gives(other))
+	r = newRun(t, routes.NonIdempotent, answers(other))
 	_ = r.do()
 	if len(r.leases.leaving) != 0 {
 		t.Errorf("leaving %v, by an answer to another request", r.leases.leaving)
--- a/internal/relay/forward/matrix_test.go
+++ b/internal/relay/forward/matrix_test.go
@@ -14,31 +14,32 @@
 	"github.com/bluebellsail/bluebellsail/internal/routes"
 )
 
-// death is where a server's kept connection ends under its second request.
-type death struct {
+// connDeath is the point at which a server's kept-alive connection ends during its second request.
+type connDeath struct {
 	name string
-	// request is handed the connection in place of an answer; nil: the connection ends
-	// before the request.
+	// request handles the connection in place of an answer; nil if the connection ends before the
+	// request.
 	request func(b *backend, c net.Conn, r *bufio.Reader)
-	// causes that the log may name; a request that was written in part may have been read
-	// in whole.
+	// causes are the causes that may be logged. A request that was written in part may have been
+	// read completely.
 	causes []engineclient.Cause
-	// served: even a request that may run once only is served, since it surely has not run.
+	// served is set if the request certainly did not run, so that even a non-idempotent one is
+	// retried.
 	served bool
-	// begins: the caller of a stream has events by then.
+	// begins is set if the caller of a stream has received events by then.
 	begins bool
 }
 
-// cutAnswer is the share of an answer that a server sends before it breaks off: more than
-// the head of each answer here.
+// cutAnswer is the share of an answer that a server sends before it breaks the connection; it
+// covers the headers of each answer used here.
 const cutAnswer = 0.85
 
-func deaths() []death {
-	return []death{
+func connDeaths() []connDeath {
+	return []connDeath{
 		{name: "before the request", served: true},
 		{name: "after half of the request", causes: []engineclient.Cause{engineclient.CauseHalfSent, engineclient.CauseReset, engineclient.CauseClosed},
 			request: func(_ *backend, c net.Conn, r *bufio.Reader) {
-				_, _ = http.ReadRequest(r) // its head
+				_, _ = http.ReadRequest(r) // its headers
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}},
 		{name: "after all of the request", causes: []engineclient.Cause{engineclient.CauseClosed},
@@ -63,9 +64,9 @@
 	}
 }
 
-// dying answers the first request of a connection and lets the connection end at the
-// second one; ended is closed once the first connection has ended.
-func (d death) dying(ended chan struct{}, answered <-chan struct{}) func(b *backend) serve {
+// script returns a server script that answers the first request of a connection and ends the first
+// connection at its second request. It closes ended once that connection has ended.
+func (d connDeath) script(ended chan struct{}, answered <-chan struct{}) func(b *backend) serve {
 	return func(b *backend) serve {
 		whole := sound(b)
 		var died atomic.Bool
@@ -85,11 +86,10 @@
 	}
 }
 
-// Symptom: a caller's kept connection is closed without an answer, a request runs twice,
-// or a caller that is told "did not run" sends a request again that has run.
-// Sequence: a server's kept connection ends under a request, at any point of it.
-// Cause: an answer that counts as begun before the caller has a byte of it; a repeat of
-// what may have run; a promise that rests on the last attempt alone.
+// Guards against three faults when a server's kept-alive connection ends at any point of a request:
+// an answer that counts as begun before the caller has a byte of it, so that the caller's own
+// connection is closed without an answer; a retry of a request that may have run; and a "did not
+// run" that only holds for the last attempt.
 func TestServersConnectionDies(t *testing.T) {
 	kinds := map[string]routes.Route{
 		"idempotent":       {Kind: routes.Idempotent},
@@ -98,15 +98,15 @@
 		"resumable stream": {Kind: routes.Stream, Resumable: true},
 	}
 	for name, route := range kinds {
-		for _, d := range deaths() {
-			t.Run(name+"/"+d.name, func(t *testing.T) { testDeath(t, route, d) })
+		for _, d := range connDeaths() {
+			t.Run(name+"/"+d.name, func(t *testing.T) { testConnDeath(t, route, d) })
 		}
 	}
 }
 
-func testDeath(t *testing.T, route routes.Route, d death) {
+func testConnDeath(t *testing.T, route routes.Route, d connDeath) {
 	answered, ended := make(chan struct{}), make(chan struct{})
-	first, second := newBackend(t, d.dying(ended, answered)), newBackend(t, sound)
+	first, second := newBackend(t, d.script(ended, answered)), newBackend(t, sound)
 	address, log := entryHost(t, route, first, second)
 	path, want := "/whole", wholeBody
 	if route.Kind == routes.Stream {
@@ -121,7 +121,7 @@
 		<-ended
 	}
 	g := caller.ask("r2", path, strings.Repeat("x", 64<<10))
-	x := log.of(t, "r2")
+	x := log.wait(t, "r2")
 	if g.status == 0 {
 		t.Fatalf("the caller's connection was closed without an answer: %+v", x)
 	}
@@ -129,8 +129,8 @@
 	case d.served || route.Repeatable():
 		wantServed(t, g, x, want)
 	case route.Kind == routes.Stream && d.begins:
-		wantBrokenOff(t, g, x, want)
-		return // its connection is gone
+		wantTruncated(t, g, x, want)
+		return // the caller's connection is closed
 	default:
 		wantUnknown(t, g, x)
 	}
@@ -151,19 +151,20 @@
 	}
 }
 
-// wantBrokenOff: the caller has the beginning, and can see that the end is missing.
-func wantBrokenOff(t *testing.T, g got, x *relay.Exchange, want string) {
+// wantTruncated checks that the caller received the beginning of the answer and can see that it is
+// incomplete.
+func wantTruncated(t *testing.T, g got, x *relay.Exchange, want string) {
 	t.Helper()
 	if g.status != http.StatusOK || g.whole || g.body == "" || !strings.HasPrefix(want, g.body) || x.Ending != relay.EndBrokenOff {
-		t.Errorf("the caller got %+v, ending %s; want a part that doesn't look whole", g, x.Ending)
+		t.Errorf("the caller got %+v, ending %s; want an answer that is visibly truncated", g, x.Ending)
 	}
 }
 
-// wantUnknown: an answer that promises nothing.
+// wantUnknown checks that the refusal states that it is unknown whether the request ran.
 func wantUnknown(t *testing.T, g got, x *relay.Exchange) {
 	t.Helper()
 	if g.status != http.StatusBadGateway || !g.whole || g.header.Get("Ran") != "unknown" || x.Ending != relay.EndRefused {
-		t.Errorf("the caller got %+v, ending %s; want 502 that says unknown", g, x.Ending)
+		t.Errorf("the caller got %+v, ending %s; want a 502 with Ran: unknown", g, x.Ending)
 	}
 }
 
@@ -174,13 +175,13 @@
 	}
 }
 
-// wantCause: the log tells the first attempt's failure from the others.
-func wantCause(t *testing.T, d death, x *relay.Exchange) {
+// wantCause checks the logged cause of the first attempt.
+func wantCause(t *testing.T, d connDeath, x *relay.Exchange) {
 	t.Helper()
 	cause := x.Attempts[0].Cause
 	if d.request == nil {
 		if len(x.Attempts) != 1 || cause != engineclient.CauseAnswered {
-			t.Errorf("attempts %+v; a kept connection that ended is no attempt", x.Attempts)
+			t.Errorf("attempts %+v; an idle connection that ended must not count as an attempt", x.Attempts)
 		}
 		return
 	}
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -10,61 +10,61 @@
 	"github.com/bluebellsail/bluebellsail/internal/sse"
 )
 
-// copyBuffer is how much of a stream is read at a time, in bytes.
+// copyBuffer is the size of the reads from a stream, in bytes.
 const copyBuffer = 8 << 10
 
-// relayStream passes a stream of events on as they come, whole ones only: a server may
-// stop in the middle of one, and another server that goes on sends the whole event.
+// relayStream passes on the events of a stream as they arrive, whole events only: a server may stop
+// in the middle of an event, and the server that resumes the stream sends the whole event.
 //
-// The status line waits for the first event. A stream that breaks off before it can be
-// made good by another server with headers of its own.
-func (t *try) relayStream(lease relay.Lease, res *http.Response) outcome {
+// The status line is sent with the first event, so that a stream that is interrupted before its
+// first event can be replaced by that of another server, with headers of its own.
+func (t *task) relayStream(lease relay.Lease, res *http.Response) outcome {
 	var whole sse.Splitter
 	buf := make([]byte, copyBuffer)
 	for {
 		n, readErr := res.Body.Read(buf)
 		if n > 0 {
-			lease.First()
-			t.x.Input = true
-			t.pass(res, whole.Take(buf[:n]))
+			lease.FirstByte()
+			t.x.PromptConsumed = true
+			t.writeEvents(res, whole.Take(buf[:n]))
 		}
 		switch {
 		case readErr == io.EOF:
-			t.pass(res, whole.Rest())
-			t.begin(res) // a stream without events
-			return served(res)
+			t.writeEvents(res, whole.Rest())
+			t.writeStatus(res) // the status line of a stream without events
+			return servedOutcome(res)
 		case t.ctx.Err() != nil:
-			return t.failed(balance.Abandoned, engineclient.CauseLeft, "%v", t.ctx.Err())
+			return t.failure(balance.Abandoned, engineclient.CauseLeft, "%v", t.ctx.Err())
 		case readErr != nil:
-			return t.failed(balance.Broken, t.cutCause(), "the stream broke off: %v", readErr)
+			return t.failure(balance.Broken, t.cutCause(), "the stream was truncated: %v", readErr)
 		}
 	}
 }
 
-// pass sends whole events to the caller.
-func (t *try) pass(res *http.Response, events []byte) {
+// writeEvents sends whole events to the caller.
+func (t *task) writeEvents(res *http.Response, events []byte) {
 	if len(events) == 0 {
 		return
 	}
-	t.begin(res)
+	t.writeStatus(res)
 	t.events.Write(events)
-	t.x.Output = uint64(t.events.Events()) * t.tokensPerEvent()
-	t.handOver(events) // a caller who left is noticed by the request's context
+	t.x.OutputTokens = uint64(t.events.Events()) * t.tokensPerEvent()
+	t.writeToCaller(events) // the request's context detects that the caller left
 	if f, ok := t.w.(http.Flusher); ok {
 		f.Flush()
 	}
 }
 
-// cutCause is the cause of a stream that broke off.
-func (t *try) cutCause() engineclient.Cause {
+// cutCause returns the cause to log for a truncated stream.
+func (t *task) cutCause() engineclient.Cause {
 	if t.x.Begun {
 		return engineclient.CauseCutStream
 	}
 	return engineclient.CauseCutBody
 }
 
-// begin sets the status line and the headers, those of the first server with an event.
-func (t *try) begin(res *http.Response) {
+// writeStatus sends the status line and the headers, those of the first server that sent an event.
+func (t *task) writeStatus(res *http.Response) {
 	if t.x.Begun {
 		return
 	}
@@ -72,7 +72,7 @@
 	t.w.WriteHeader(res.StatusCode)
 }
 
-func (t *try) tokensPerEvent() uint64 {
+func (t *task) tokensPerEvent() uint64 {
 	if t.x.Service.Engine == nil {
 		return 0
 	}
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -16,17 +16,17 @@
 	observer Observer
 }
 
-// NewHandler makes a handler; the last of filters answers.
+// NewHandler makes a handler. The last of filters has to answer the request.
 func NewHandler(d Dialect, o Observer, filters ...filter.Filter) *Handler {
 	end := filter.HandlerFunc(func(http.ResponseWriter, *http.Request) error {
-		return errkind.New(errkind.Internal, "no filter answered the request")
+		return errkind.New(errkind.Internal, "no filter of the chain answered the request")
 	})
 	return &Handler{dialect: d, chain: filter.Chain(end, filters...), observer: o}
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	w = forHead(w, r.Method)
+	w = writerFor(w, r.Method)
 	x := &Exchange{Arrived: time.Now(), Request: &Request{}}
 	err := h.serve(w, r, x)
 	if err != nil && !x.Begun {
@@ -48,7 +48,7 @@
 		return err
 	}
 	x.Request = request
-	return h.chain.ServeHTTP(w, r.WithContext(With(r.Context(), x)))
+	return h.chain.ServeHTTP(w, r.WithContext(WithExchange(r.Context(), x)))
 }
 
 func ending(x *Exchange, err error) Ending {
@@ -58,7 +58,7 @@
 	case !x.Begun:
 		return EndRefused
 	case errkind.Is(err, errkind.CallerGone):
-		return EndLeft
+		return EndAbandoned
 	}
 	return EndBrokenOff
 }
--- a/internal/relay/identify/identify.go
+++ b/internal/relay/identify/identify.go
@@ -1,5 +1,4 @@
-// Package identify is the filter that finds out which client account a routed request
-// is of.
+// Package identify is the filter that determines the client account of a routed request.
 package identify
 
 import (
@@ -13,28 +12,28 @@
 // Filter implements filter.Filter.
 type Filter struct{ Tables relay.Tables }
 
-// ServeHTTP fills the exchange's Account. An anonymous route takes any request; a key
-// that an account holds still says whose it is.
+// ServeHTTP sets the exchange's Account. An anonymous route accepts any request; a valid key still
+// identifies the account.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
-	x := relay.From(r.Context())
-	if !identified(x) {
+	x := relay.ExchangeFrom(r.Context())
+	if !findAccount(x) {
 		table, err := f.Tables.Newest(r.Context())
 		if err != nil {
 			return err
 		}
-		if err := x.Use(table); err != nil {
+		if err := x.SelectRoute(table); err != nil {
 			return err
 		}
-		if !identified(x) {
+		if !findAccount(x) {
 			return errkind.New(errkind.Unauthenticated, "no key, or a key that no client account has")
 		}
 	}
 	return next.ServeHTTP(w, r)
 }
 
-// identified finds the account by the exchange's table; false if the request needs one and
-// the table has none for its key.
-func identified(x *relay.Exchange) bool {
+// findAccount sets the exchange's account from its table. It returns false if the route requires an
+// account and the table has none for the key.
+func findAccount(x *relay.Exchange) bool {
 	account, needed := x.Table.Account(x.Key)
 	x.Account = account
 	return account != nil || !needed || x.Route.Anonymous
--- a/internal/relay/match/match.go
+++ b/internal/relay/match/match.go
@@ -1,5 +1,5 @@
-// Package match is the filter that finds the routing table in force and a request's
-// route and service in it.
+// Package match is the filter that gets the routing table in force and finds the route and the
+// service of a request in it.
 package match
 
 import (
@@ -13,16 +13,16 @@
 // Filter implements filter.Filter.
 type Filter struct{ Tables relay.Tables }
 
-// ServeHTTP fills the exchange's Table, Route and Service.
+// ServeHTTP sets the exchange's Table, Route and Service.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
-	x := relay.From(r.Context())
+	x := relay.ExchangeFrom(r.Context())
 	table, err := f.Tables.Await(r.Context())
 	if err != nil {
 		return err
 	}
-	if err = x.Use(table); errkind.Is(err, errkind.UnknownPath) {
+	if err = x.SelectRoute(table); errkind.Is(err, errkind.UnknownPath) {
 		if table, err = f.Tables.Newest(r.Context()); err == nil {
-			err = x.Use(table)
+			err = x.SelectRoute(table)
 		}
 	}
 	if err != nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,7 +25,7 @@
 
 func prepaid(n uint64) *uint64 { return &n }
 
-// index is a table with a keyed, an anonymous and a split route.
+// index returns a routing table with a keyed, an anonymous and a split route.
 func index(t *testing.T) *routes.Index {
 	t.Helper()
 	table := routes.Table{
@@ -54,7 +54,8 @@
 type tables struct {
 	index *routes.Index
 	err   error
-	// newest is the confirmed table; nil: index. unconfirmed: there is none.
+	// newest is the confirmed table; nil means index. unconfirmed is the error if no table is
+	// confirmed.
 	newest      *routes.Index
 	unconfirmed error
 }
@@ -68,40 +69,40 @@
 	return t.index, t.unconfirmed
 }
 
-// through sends a request through filters to an end that notes that it came there.
-func through(x *relay.Exchange, end filter.HandlerFunc, filters ...filter.Filter) error {
+// runFilters sends a request through filters to end.
+func runFilters(x *relay.Exchange, end filter.HandlerFunc, filters ...filter.Filter) error {
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
-	return filter.Chain(end, filters...).ServeHTTP(httptest.NewRecorder(), r.WithContext(relay.With(r.Context(), x)))
+	return filter.Chain(end, filters...).ServeHTTP(httptest.NewRecorder(), r.WithContext(relay.WithExchange(r.Context(), x)))
 }
 
 func exchange(path string) *relay.Exchange {
 	return &relay.Exchange{Arrived: time.Now(), Request: &relay.Request{ID: "r1", Host: "H:80", Path: path}}
 }
 
-func pass(http.ResponseWriter, *http.Request) error { return nil }
+func accept(http.ResponseWriter, *http.Request) error { return nil }
 
 func never(t *testing.T) filter.HandlerFunc {
 	return func(http.ResponseWriter, *http.Request) error {
-		t.Error("the request went on")
+		t.Error("the request passed the filters")
 		return nil
 	}
 }
 
 func TestMatchFindsRouteAndService(t *testing.T) {
 	x := exchange("/keyed/a")
-	testutil.NoError(t, through(x, pass, &match.Filter{Tables: tables{index: index(t)}}))
+	testutil.NoError(t, runFilters(x, accept, &match.Filter{Tables: tables{index: index(t)}}))
 	if x.Route.Name != "keyed" || x.Service.Name != "pool" || x.Table.Revision() != 3 {
 		t.Errorf("matched %+v", x)
 	}
-	testutil.Refused(t, through(exchange("/none/"), never(t), &match.Filter{Tables: tables{index: index(t)}}), errkind.UnknownPath, "no route")
+	testutil.Refused(t, runFilters(exchange("/none/"), never(t), &match.Filter{Tables: tables{index: index(t)}}), errkind.UnknownPath, "no route")
 	notReady := errkind.New(errkind.HostNotReady, "no table")
-	testutil.Refused(t, through(exchange("/keyed/"), never(t), &match.Filter{Tables: tables{err: notReady}}), errkind.HostNotReady, "no table")
+	testutil.Refused(t, runFilters(exchange("/keyed/"), never(t), &match.Filter{Tables: tables{err: notReady}}), errkind.HostNotReady, "no table")
 }
 
-// A route or key that the table in force does not have is unknown only if a quorum confirmed
-// that there is no newer table; else the caller would be told not to come back for something
-// that other hosts serve.
-func TestUnknownIsSaidByTheNewestTable(t *testing.T) {
+// A route or key that the table in force lacks is reported as unknown only if a quorum confirmed
+// that there is no newer table. Otherwise the caller would be told not to retry a request that
+// other hosts serve.
+func TestUnknownRouteOrKeyNeedsTheNewestTable(t *testing.T) {
 	b, err := json.Marshal(routes.Table{Keyed: true})
 	testutil.NoError(t, err)
 	older, err := routes.Decode(2, b)
@@ -119,7 +120,7 @@
 	} {
 		x := exchange(c.path)
 		x.Key = key
-		err := through(x, pass, &match.Filter{Tables: c.tables}, &identify.Filter{Tables: c.tables})
+		err := runFilters(x, accept, &match.Filter{Tables: c.tables}, &identify.Filter{Tables: c.tables})
 		if c.kind != "" {
 			testutil.Refused(t, err, c.kind, name)
 		} else if err != nil || x.Route.Name != "keyed" || x.AccountName() != "school" {
@@ -136,7 +137,7 @@
 	} {
 		x := exchange("/keyed/")
 		x.Key = "other"
-		testutil.Refused(t, through(x, never(t), &match.Filter{Tables: c.tables}, &identify.Filter{Tables: c.tables}), c.kind, name)
+		testutil.Refused(t, runFilters(x, never(t), &match.Filter{Tables: c.tables}, &identify.Filter{Tables: c.tables}), c.kind, name)
 	}
 }
 
@@ -145,11 +146,11 @@
 	f := &match.Filter{Tables: tables{index: index(t)}}
 	for range 4000 {
 		x := exchange("/split/")
-		testutil.NoError(t, through(x, pass, f))
+		testutil.NoError(t, runFilters(x, accept, f))
 		got[x.Service.Name]++
 	}
 	if got["pool"] < 2700 || got["pool"] > 3300 {
-		t.Errorf("3 to 1 became %v", got)
+		t.Errorf("weights of 3 to 1 gave %v", got)
 	}
 }
 
@@ -168,7 +169,7 @@
 	} {
 		x := exchange(c.path)
 		x.Key = c.key
-		err := through(x, pass, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}})
+		err := runFilters(x, accept, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}})
 		if c.kind != "" {
 			testutil.Refused(t, err, c.kind, name)
 			continue
@@ -179,52 +180,54 @@
 	}
 }
 
-func TestDeadlineIsTheSoonerOfPatienceAndTimeout(t *testing.T) {
+func TestDeadlineIsTheSoonerOfCallerAndRouteTimeout(t *testing.T) {
 	for patience, want := range map[time.Duration]time.Duration{
 		0: time.Minute, 10 * time.Second: 10 * time.Second, 2 * time.Minute: time.Minute,
 	} {
 		x := exchange("/keyed/")
-		x.Patience = patience
-		err := through(x, func(_ http.ResponseWriter, r *http.Request) error {
+		x.CallerTimeout = patience
+		err := runFilters(x, func(_ http.ResponseWriter, r *http.Request) error {
 			if at, ok := r.Context().Deadline(); !ok || !at.Equal(x.Deadline) {
-				t.Errorf("the context ends at %v, the request at %v", at, x.Deadline)
+				t.Errorf("the context's deadline is %v, the exchange's %v", at, x.Deadline)
 			}
 			return nil
 		}, &match.Filter{Tables: tables{index: index(t)}}, deadline.Filter{})
 		testutil.NoError(t, err)
 		if got := x.Deadline.Sub(x.Arrived); got != want {
-			t.Errorf("patience %v: ends after %v", patience, got)
+			t.Errorf("caller timeout %v: the deadline is after %v", patience, got)
 		}
 	}
 }
 
-func TestDeadlinePassedIsNamedAsTheCause(t *testing.T) {
+func TestDeadlineExceededIsTheCause(t *testing.T) {
 	x := exchange("/keyed/")
-	x.Patience = time.Millisecond
-	err := through(x, func(_ http.ResponseWriter, r *http.Request) error {
+	x.CallerTimeout = time.Millisecond
+	err := runFilters(x, func(_ http.ResponseWriter, r *http.Request) error {
 		<-r.Context().Done()
 		return filter.ContextError(r.Context())
 	}, &match.Filter{Tables: tables{index: index(t)}}, deadline.Filter{})
 	testutil.Refused(t, err, errkind.DeadlineExceeded, "after the deadline")
 }
 
-// purse notes what is set aside and spent.
-type purse struct {
+// fakeBudgets records the tokens reserved and spent.
+type fakeBudgets struct {
 	refuse   error
 	reserved map[string]uint64
 	spent    map[string]uint64
 }
 
-func newPurse() *purse { return &purse{reserved: map[string]uint64{}, spent: map[string]uint64{}} }
+func newFakeBudgets() *fakeBudgets {
+	return &fakeBudgets{reserved: map[string]uint64{}, spent: map[string]uint64{}}
+}
 
-func (p *purse) Reserve(_ context.Context, budget, id string, tokens uint64) (string, error) {
+func (p *fakeBudgets) Reserve(_ context.Context, budget, id string, tokens uint64) (string, error) {
 	if p.refuse == nil {
 		p.reserved[budget+"/"+id] += tokens
 	}
 	return "holder", p.refuse
 }
 
-func (p *purse) Spend(id string, tokens uint64) { p.spent[id] += tokens + 1 } // 1: it was called
+func (p *fakeBudgets) Spend(id string, tokens uint64) { p.spent[id] += tokens + 1 } // the 1 shows that Spend was called
 
 func TestBudgetBillsWhatWasUsed(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -237,11 +240,11 @@
 		"ran":                {true, 60, 360},
 		"longer than capped": {true, 900, 400},
 	} {
-		p := newPurse()
+		p := newFakeBudgets()
 		x := exchange("/keyed/")
 		x.Key, x.PromptTokens, x.OutputCap = key, 300, 100
-		err := through(x, func(http.ResponseWriter, *http.Request) error {
-			x.Input, x.Output = c.input, c.output
+		err := runFilters(x, func(http.ResponseWriter, *http.Request) error {
+			x.PromptConsumed, x.OutputTokens = c.input, c.output
 			return nil
 		}, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
 		testutil.NoError(t, err)
@@ -251,9 +254,9 @@
 	}
 }
 
-// Symptom: an account is answered 402 though callers were given little of what it paid for.
-// Sequence: servers read its prompts and reset the connections; each caller gets a failure.
-// Cause: a prompt that may have been read was billed, whether or not anything came of it.
+// Guards against billing a prompt of which no answer reached the caller. Servers that read prompts
+// and then reset the connections would use up an account's budget, and its callers would be
+// answered 402.
 func TestFailedRequestsBillWhatReachedTheCaller(t *testing.T) {
 	for name, c := range map[string]struct {
 		begun  bool
@@ -263,11 +266,11 @@
 		"answer lost before any of it came": {false, 0, 0},
 		"stream broken off":                 {true, 60, 360},
 	} {
-		p := newPurse()
+		p := newFakeBudgets()
 		x := exchange("/keyed/")
 		x.Key, x.PromptTokens, x.OutputCap = key, 300, 100
-		err := through(x, func(http.ResponseWriter, *http.Request) error {
-			x.Input, x.Begun, x.Output = true, c.begun, c.output
+		err := runFilters(x, func(http.ResponseWriter, *http.Request) error {
+			x.PromptConsumed, x.Begun, x.OutputTokens = true, c.begun, c.output
 			return errkind.New(errkind.BackendServerFailed, "reset").WithRan(errkind.RanUnknown)
 		}, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
 		testutil.Refused(t, err, errkind.BackendServerFailed, name)
@@ -278,45 +281,45 @@
 }
 
 func TestBudgetRefusalEndsTheRequest(t *testing.T) {
-	p := newPurse()
-	p.refuse = errkind.New(errkind.BudgetExhausted, "nothing is left")
+	p := newFakeBudgets()
+	p.refuse = errkind.New(errkind.BudgetExhausted, "no tokens are left")
 	x := exchange("/keyed/")
 	x.Key, x.PromptTokens = key, 300
-	err := through(x, never(t), &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
-	testutil.Refused(t, err, errkind.BudgetExhausted, "without tokens")
+	err := runFilters(x, never(t), &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
+	testutil.Refused(t, err, errkind.BudgetExhausted, "no tokens left")
 	if len(p.spent) != 0 {
 		t.Errorf("spent %v", p.spent)
 	}
 }
 
-func TestBudgetLeavesOthersAlone(t *testing.T) {
+func TestBudgetSkipsRequestsWithoutBudgetOrTokens(t *testing.T) {
 	for name, change := range map[string]func(x *relay.Exchange){
 		"account without a budget": func(x *relay.Exchange) { x.Key = "key-of-free"; x.PromptTokens = 5 },
 		"no account":               func(x *relay.Exchange) { x.Path = "/open/"; x.PromptTokens = 5 },
 		"no tokens":                func(x *relay.Exchange) { x.Key = key },
 	} {
-		p := newPurse()
+		p := newFakeBudgets()
 		x := exchange("/keyed/")
 		change(x)
-		err := through(x, pass, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
+		err := runFilters(x, accept, &match.Filter{Tables: tables{index: index(t)}}, &identify.Filter{Tables: tables{index: index(t)}}, &budget.Filter{Budgets: p})
 		if err != nil || len(p.reserved)+len(p.spent) != 0 {
 			t.Errorf("%s: %v, reserved %v", name, err, p.reserved)
 		}
 	}
 }
 
-// translator is a Dialect that decodes nothing but the path.
-type translator struct {
+// fakeDialect is a Dialect that decodes nothing but the path and the body.
+type fakeDialect struct {
 	relay.Dialect
-	fault   error
-	refused error
+	decodeErr error
+	refused   error
 }
 
-func (d *translator) Decode(r *http.Request, body []byte) (*relay.Request, error) {
-	return &relay.Request{ID: "r1", Path: r.URL.Path, Body: body}, d.fault
+func (d *fakeDialect) Decode(r *http.Request, body []byte) (*relay.Request, error) {
+	return &relay.Request{ID: "r1", Path: r.URL.Path, Body: body}, d.decodeErr
 }
 
-func (d *translator) Refuse(w http.ResponseWriter, _ *relay.Exchange, err error) {
+func (d *fakeDialect) Refuse(w http.ResponseWriter, _ *relay.Exchange, err error) {
 	d.refused = err
 	w.WriteHeader(errkind.From(err).Status())
 }
@@ -328,15 +331,15 @@
 
 func (o *observer) Finished(x *relay.Exchange, err error) { o.x, o.err = x, err }
 
-// filterFunc is a filter.Filter that answers by itself.
+// filterFunc is a filter.Filter that answers the request itself.
 type filterFunc func(w http.ResponseWriter, r *http.Request) error
 
 func (f filterFunc) ServeHTTP(w http.ResponseWriter, r *http.Request, _ filter.Handler) error {
 	return f(w, r)
 }
 
-func TestHandlerRefusesOnceAndTells(t *testing.T) {
-	fault := errkind.New(errkind.BadRequest, "it can't be read")
+func TestHandlerRefusesOnceAndNotifiesObserver(t *testing.T) {
+	fault := errkind.New(errkind.BadRequest, "the request can't be decoded")
 	full := errkind.New(errkind.Overloaded, "full")
 	for name, c := range map[string]struct {
 		decode error
@@ -350,7 +353,7 @@
 		"answered":       {chain: func(w http.ResponseWriter, _ *http.Request) error { w.WriteHeader(204); return nil }, want: 204},
 		"nobody answers": {want: 500},
 	} {
-		d, o := &translator{fault: c.decode}, &observer{}
+		d, o := &fakeDialect{decodeErr: c.decode}, &observer{}
 		var filters []filter.Filter
 		if c.chain != nil {
 			filters = append(filters, c.chain)
@@ -361,16 +364,16 @@
 			t.Errorf("%s: %d, want %d", name, w.Code, c.want)
 		}
 		if o.x == nil || (o.err == nil) != (c.want < 400 && name != "already begun") {
-			t.Errorf("%s: the observer was told %v", name, o.err)
+			t.Errorf("%s: the observer received %v", name, o.err)
 		}
 		if name == "already begun" && d.refused != nil {
-			t.Errorf("%s: refused on top of the answer", name)
+			t.Errorf("%s: a refusal was sent after the answer had begun", name)
 		}
 	}
 }
 
 func begunThenFails(w http.ResponseWriter, r *http.Request) error {
-	relay.From(r.Context()).Begun = true
+	relay.ExchangeFrom(r.Context()).Begun = true
 	w.WriteHeader(http.StatusOK)
 	return errkind.New(errkind.BackendServerFailed, "broken off")
 }
