--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -39,9 +39,9 @@
 
 // State is the set of claims.
 type State struct {
-	memory *window.Memory[claim]
-	retentionMs   int64
-	limit    int
+	memory      *window.Memory[claim]
+	retentionMs int64
+	limit       int
 }
 
 // New makes an empty state.
@@ -135,8 +135,8 @@
 
 // Image is a copy of the state, for snapshots.
 type Image struct {
-	RetentionMs   int64               `json:"keep"`
-	Memory window.Image[claim] `json:"memory"`
+	RetentionMs int64               `json:"keep"`
+	Memory      window.Image[claim] `json:"memory"`
 }
 
 // Image copies the state's content.
--- a/internal/controlclient/attempt.go
+++ b/internal/controlclient/attempt.go
@@ -21,8 +21,8 @@
 	value   T
 	refusal *pb.Error
 	// notLeader: the replica did nothing; hint is the leader's address if it knows it.
-	notLeader bool
-	leaderHint      string
+	notLeader  bool
+	leaderHint string
 	// err: no answer came; the request may have been carried out unless it is unsent.
 	err error
 	// notSent: the broken attempt never got a stream on a connection, so that no replica can
--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -59,12 +59,12 @@
 // gatewayHolder bounds the messages of a gateway's holder.
 func gatewayHolder(d *Daemon) grant.Config {
 	return grant.Config{
-		BatchWait:    d.cfg.Timing.SettleEvery.Std(),
+		BatchWait:       d.cfg.Timing.SettleEvery.Std(),
 		ContactInterval: contactEvery,
 		// A batch that a partition held up is sent again soon after it has ended: until two
 		// are answered, the loss of this host would cost what it held in reserve.
 		ResendMax: 400 * time.Millisecond,
-		WallClock:      d.env.Wall,
+		WallClock: d.env.Wall,
 	}
 }
 
@@ -75,11 +75,11 @@
 	Horizon: 2 * time.Second,
 	// A large reserve costs no more than a small one: it opens by its rate, above the demand
 	// that is known, for callers come in bursts.
-	Reserve:         30 * time.Second,
+	Reserve:             30 * time.Second,
 	ReserveRatePermille: 1300,
-	Window:          4 * time.Second,
-	IdleReturn:      30 * time.Second,
-	MinHistory:      2 * time.Second,
+	Window:              4 * time.Second,
+	IdleReturn:          30 * time.Second,
+	MinHistory:          2 * time.Second,
 	// Near the end of a budget the open part shrinks with what is left: the loss of all hosts
 	// strands it, and 402 would be answered to accounts that have tokens.
 	OpenPermille: 400,
--- a/internal/inflight/copies.go
+++ b/internal/inflight/copies.go
@@ -326,7 +326,9 @@
 }
 
 // MarkUnreachable notes that a host didn't answer: it gets nothing for a while.
-func (s *Store) MarkUnreachable(now time.Time, host string) { s.avoidUntil[host] = now.Add(avoidDuration) }
+func (s *Store) MarkUnreachable(now time.Time, host string) {
+	s.avoidUntil[host] = now.Add(avoidDuration)
+}
 
 // HeldBy tells whether a host holds the present version of an own record.
 func (s *Store) HeldBy(requestID, host string) bool {
--- a/internal/inflight/store.go
+++ b/internal/inflight/store.go
@@ -55,8 +55,8 @@
 	dirty map[string]struct{}
 	// avoidUntil says until when a host gets nothing because it could not be reached.
 	avoidUntil map[string]time.Time
-	count int
-	bytes int
+	count      int
+	bytes      int
 }
 
 type holderKey struct {
@@ -70,16 +70,16 @@
 type entry struct {
 	rec *pb.InflightRecord
 	// startedAt is when the request began, by this host's clock.
-	startedAt time.Time
+	startedAt  time.Time
 	finishedAt time.Time // zero while it runs
-	size int
-	removed bool
+	size       int
+	removed    bool
 	// unconfirmed: this host hasn't yet decided whether its record stands or yields to
 	// another host's for the same identity.
 	unconfirmed bool
 	// wantedCopies copies, and what each host that was sent one is known to hold; own records only.
 	wantedCopies int
-	copyHolders   map[string]copyState
+	copyHolders  map[string]copyState
 	// departed is the same of hosts that left the list of live ones.
 	departed map[string]copyState
 	// declined are hosts that refused the record.
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -10,7 +10,7 @@
 const (
 	// initialBackoff and maxResend bound the pause before an unanswered message is sent again.
 	initialBackoff = 200 * time.Millisecond
-	maxBackoff   = time.Second
+	maxBackoff     = time.Second
 	// maxBatch bounds the items in one message.
 	maxBatch = 256
 )
@@ -30,13 +30,13 @@
 type queue[T any] struct {
 	entries []entry[T]
 	// inFlight of them are in the message under way.
-	inFlight  int
-	nextSend  time.Time
-	backoff time.Duration
+	inFlight int
+	nextSend time.Time
+	backoff  time.Duration
 }
 
 type entry[T any] struct {
-	item  T
+	item    T
 	expires time.Time
 }
 
