--- a/internal/controller/repair/classify_test.go
+++ b/internal/controller/repair/classify_test.go
@@ -7,11 +7,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Symptom: a dead host's tokens stay locked for a quarter of an hour after a request of ten
-// seconds, or a call of a plain service, whose end nobody knows.
-// Sequence: the host dies with the request open; its copies say no more than that it runs.
-// Cause: every request was waited for as long as the longest one may run.
-func TestRequestsEndAtTheirOwnDeadline(t *testing.T) {
+// Guards against tokens of a dead host that stay granted for 15 min after a request of 10 s, or a call
+// of a plain service, whose end is unknown: the copies of its record only show that it was running,
+// and recovery waited for every request as long as the longest one may run.
+func TestRequestsExpireAtTheirOwnDeadline(t *testing.T) {
 	const longest, margin = 15 * time.Minute, time.Minute
 	chat := func(age, timeout time.Duration) *pb.InflightRecord {
 		return &pb.InflightRecord{Identity: "a/1", Reserved: 100, Server: "10.0.0.9:80", Path: "/v1/chat/completions",
@@ -36,7 +35,7 @@
 		{"a plain service's call that was not sent", unsent, true},
 	} {
 		p := &plan{requests: []*pb.InflightRecord{c.rec}}
-		p.classify(time.Now(), longest, margin, func(*pb.InflightRecord) fate { return fate{} })
+		p.classify(time.Now(), longest, margin, func(*pb.InflightRecord) outcome { return outcome{} })
 		if waits := len(p.running) == 1; waits != c.waits || len(p.running)+len(p.ended) != 1 {
 			t.Errorf("%s: waits %v, want %v", c.name, waits, c.waits)
 		}
--- a/internal/controller/repair/plan.go
+++ b/internal/controller/repair/plan.go
@@ -10,7 +10,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// plan is what the gathered answers say about one dead incarnation. It is pure.
+// plan is the recovery of one dead incarnation by the gathered replies. It is pure.
 type plan struct {
 	dead          *pb.Holder
 	requests      []*pb.InflightRecord
@@ -18,16 +18,16 @@
 	bills         []*pb.Bill
 	byReservation []string
 	running       []string
-	ended         []ended
+	ended         []endedRequest
 }
 
-// fate is what became of a request that was running when its host died.
-type fate struct {
-	// billedElsewhere: another host took it over, finished it and bills it.
+// outcome is what happened to a request that was running when its host died.
+type outcome struct {
+	// billedElsewhere: another host took the request over, finished it and bills it.
 	billedElsewhere bool
-	// takenOver: another host runs it.
+	// takenOver: another host runs the request.
 	takenOver bool
-	// known: the backend server has finished it with this usage.
+	// known: the backend server has finished the request with this usage.
 	known          bool
 	prompt, output uint64
 }
@@ -40,26 +40,26 @@
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	void := make(map[string]bool)
+	undone := make(map[string]bool)
 	var candidates []*pb.Transfer
 	for _, id := range ids {
 		rec := newest[id]
 		abandoned := rec.GetState() == pb.InflightState_INFLIGHT_STATE_ABANDONED
 		if t := rec.GetTransfer(); t != nil {
-			void[t.GetId()] = abandoned
+			undone[t.GetId()] = abandoned
 			candidates = append(candidates, t)
 			continue
 		}
 		unused := abandoned && !inflight.Billable(rec)
-		if same(rec.GetHolder(), dead) && !unused {
+		if sameHolder(rec.GetHolder(), dead) && !unused {
 			p.requests = append(p.requests, rec)
 		}
 	}
-	p.addTransfers(candidates, void, acceptedBy(replies), live)
+	p.addTransfers(candidates, undone, acceptedBy(replies), live)
 	return p
 }
 
-// newestRecords keeps the newest version of each record, by request id.
+// newestRecords returns the newest version of each record by request ID.
 func newestRecords(replies []*pb.GatherReply) map[string]*pb.InflightRecord {
 	newest := make(map[string]*pb.InflightRecord)
 	for _, reply := range replies {
@@ -73,7 +73,7 @@
 	return newest
 }
 
-// acceptedBy is the transfers that live receivers took, by id.
+// acceptedBy returns the transfers that live receivers accepted by ID.
 func acceptedBy(replies []*pb.GatherReply) map[string]*pb.Transfer {
 	accepted := make(map[string]*pb.Transfer)
 	for _, reply := range replies {
@@ -84,17 +84,18 @@
 	return accepted
 }
 
-// addTransfers decides which transfers the ledger must count before it releases.
+// addTransfers decides which transfers the ledger must count before it releases tokens.
 //
-// To the dead holder: all that were not undone, since the giver has deducted them.
-// From it: a living receiver knows what it accepted, and refuses the rest from now on. Of
-// a receiver that is dead too, all are counted; its own recovery releases them.
-func (p *plan) addTransfers(candidates []*pb.Transfer, void map[string]bool, accepted map[string]*pb.Transfer, live []*pb.Holder) {
+// All transfers to the dead holder that were not undone are counted, since their senders have
+// deducted them. Of the transfers from the dead holder, a live receiver knows those that it
+// accepted, and rejects the others from now on. If the receiver is dead too, all are counted,
+// and its own recovery releases them.
+func (p *plan) addTransfers(candidates []*pb.Transfer, undone map[string]bool, accepted map[string]*pb.Transfer, live []*pb.Holder) {
 	counted := make(map[string]bool)
 	for _, t := range candidates {
-		fromDead := same(t.GetFrom(), p.dead)
+		fromDead := sameHolder(t.GetFrom(), p.dead)
 		_, took := accepted[t.GetId()]
-		if void[t.GetId()] || fromDead && isLive(t.GetTo(), live) && !took {
+		if undone[t.GetId()] || fromDead && isLive(t.GetTo(), live) && !took {
 			continue
 		}
 		counted[t.GetId()] = true
@@ -109,31 +110,31 @@
 }
 
 func isLive(h *pb.Holder, live []*pb.Holder) bool {
-	return slices.ContainsFunc(live, func(l *pb.Holder) bool { return same(l, h) })
+	return slices.ContainsFunc(live, func(l *pb.Holder) bool { return sameHolder(l, h) })
 }
 
-// classify finds out how the dead holder's requests ended, or that some may still run.
-// longest is the longest time that a request may run whose deadline is not known, margin
-// is added to either.
-func (p *plan) classify(now time.Time, longest, margin time.Duration, fateOf func(*pb.InflightRecord) fate) {
+// classify finds out how the dead holder's requests ended, and which may still run. longest is
+// the time that a request without a known deadline may run. margin is added to this time, or to
+// the time until the request's deadline.
+func (p *plan) classify(now time.Time, longest, margin time.Duration, outcomeOf func(*pb.InflightRecord) outcome) {
 	for _, rec := range p.requests {
 		if finished(rec) {
 			p.addFinished(rec)
 			continue
 		}
-		f := fateOf(rec)
+		o := outcomeOf(rec)
 		age := time.Duration(rec.GetAgeMs()) * time.Millisecond
 		switch {
-		case f.billedElsewhere:
-		case f.known && takenOverRun(rec):
-			p.add(rec, readRun, f.prompt, f.output)
-		case f.known:
-			p.add(rec, ownRun, f.prompt, f.output)
-		case f.takenOver:
+		case o.billedElsewhere:
+		case o.known && isTakenOver(rec):
+			p.add(rec, takenOverExecution, o.prompt, o.output)
+		case o.known:
+			p.add(rec, ownExecution, o.prompt, o.output)
+		case o.takenOver:
 			p.running = append(p.running, rec.GetIdentity())
-		case fixedPrice(rec):
+		case hasFixedPrice(rec):
 			p.add(rec, sentToServer, rec.GetReserved(), 0)
-		case age < mayRun(rec, longest)+margin:
+		case age < maxRunTime(rec, longest)+margin:
 			p.running = append(p.running, rec.GetIdentity())
 		case rec.GetServer() != "":
 			p.add(rec, sentToServer, rec.GetReserved(), 0)
@@ -143,90 +144,91 @@
 	}
 }
 
-// mayRun is how long after its arrival a request may run.
-func mayRun(rec *pb.InflightRecord, longest time.Duration) time.Duration {
+// maxRunTime returns how long after its arrival a request may run.
+func maxRunTime(rec *pb.InflightRecord, longest time.Duration) time.Duration {
 	if t := rec.GetTimeoutMs(); t > 0 {
 		return min(longest, time.Duration(t)*time.Millisecond)
 	}
 	return longest
 }
 
-// fixedPrice tells whether the request was sent to a plain service: what it costs does
-// not depend on how it ends.
-func fixedPrice(rec *pb.InflightRecord) bool {
+// hasFixedPrice reports whether the request was sent to a plain service. Its price does not
+// depend on how it ends.
+func hasFixedPrice(rec *pb.InflightRecord) bool {
 	return rec.GetServer() != "" && strings.HasPrefix(rec.GetPath(), parse.PrefixServices)
 }
 
-// knowledge is how well the end of a request is known, the best first. From sentToServer
-// on its usage is not known and it is billed by its reservation: less could let the budget
-// be overspent.
-type knowledge int
+// certainty is how well the end of a request is known, the best first. From sentToServer
+// on, its usage is not known and it is billed by its reservation; billing less could let the
+// budget be overspent.
+type certainty int
 
 const (
-	finishedHere knowledge = iota
-	// ownRun: the backend server tells the usage of a run that this holder started.
-	ownRun
-	// readRun: it tells that of a run which this holder took over to read.
-	readRun
+	finishedRecord certainty = iota
+	// ownExecution: the backend server reports the usage of an execution that this holder started.
+	ownExecution
+	// takenOverExecution: the server reports the usage of an execution whose answer this holder
+	// had taken over.
+	takenOverExecution
 	sentToServer
 	notSent
 )
 
-// ended is a request of the dead holder that runs no more.
-type ended struct {
+// endedRequest is a request of the dead holder that no longer runs.
+type endedRequest struct {
 	rec            *pb.InflightRecord
-	known          knowledge
+	certainty      certainty
 	prompt, output uint64
 }
 
-func (p *plan) add(rec *pb.InflightRecord, known knowledge, prompt, output uint64) {
-	p.ended = append(p.ended, ended{rec, known, prompt, output})
+func (p *plan) add(rec *pb.InflightRecord, c certainty, prompt, output uint64) {
+	p.ended = append(p.ended, endedRequest{rec, c, prompt, output})
 }
 
-// takenOverRun tells whether the record's run was started under another request's id. A record
-// that names no run is of a request that was still looking for a server.
-func takenOverRun(rec *pb.InflightRecord) bool {
+// isTakenOver reports whether the record's execution was started under another request's ID. A
+// record without an execution belongs to a request that was still waiting for a server.
+func isTakenOver(rec *pb.InflightRecord) bool {
 	return rec.GetEngineRequestId() != "" && !strings.HasPrefix(rec.GetEngineRequestId(), rec.GetRequestId())
 }
 
-// certain tells whether no other dead holder can know more of these requests.
+// certain reports whether no other dead holder can know more about these requests.
 func (p *plan) certain() bool {
-	return !slices.ContainsFunc(p.ended, func(e ended) bool { return e.known > ownRun })
+	return !slices.ContainsFunc(p.ended, func(e endedRequest) bool { return e.certainty > ownExecution })
 }
 
-// bestKnown is the best knowledge of each identity over all dead incarnations.
-func bestKnown(plans []*plan) map[string]knowledge {
-	best := make(map[string]knowledge)
-	note := func(identity string, k knowledge) {
-		if known, ok := best[identity]; !ok || k < known {
-			best[identity] = k
+// bestCertainty returns the best certainty of each identity over all dead incarnations.
+func bestCertainty(plans []*plan) map[string]certainty {
+	best := make(map[string]certainty)
+	note := func(identity string, c certainty) {
+		if known, ok := best[identity]; !ok || c < known {
+			best[identity] = c
 		}
 	}
 	for _, p := range plans {
 		for _, e := range p.ended {
-			note(e.rec.GetIdentity(), e.known)
+			note(e.rec.GetIdentity(), e.certainty)
 		}
 		for _, identity := range p.running {
-			note(identity, ownRun) // a later look will know
+			note(identity, ownExecution) // a later Reconcile will know its usage
 		}
 	}
 	return best
 }
 
-// billAll makes the bills, those of the best known first, and none for an identity that
-// another dead holder knows more of.
+// billAll makes the bills, those of the greatest certainty first. It makes none for an identity
+// about which another dead holder knows more.
 //
-// A request that was waiting for tokens when its host died has a record and no
-// reservation. Billed first, it would take the tokens of runs that are known, which would
-// then be billed by less than they used; and if the caller had tried another host before,
-// which is dead too, it would make a duplicate of the bill for the run there.
-func (p *plan) billAll(now time.Time, best map[string]knowledge) {
-	slices.SortStableFunc(p.ended, func(a, b ended) int { return int(a.known - b.known) })
+// A request that was waiting for tokens when its host died has a record and no reservation.
+// If it were billed first, it would take tokens of executions whose usage is known, which
+// would then be billed for less than they used. If the caller had tried another host before,
+// which is dead too, it would also turn the bill for the execution there into a duplicate.
+func (p *plan) billAll(now time.Time, best map[string]certainty) {
+	slices.SortStableFunc(p.ended, func(a, b endedRequest) int { return int(a.certainty - b.certainty) })
 	for _, e := range p.ended {
-		if best[e.rec.GetIdentity()] < e.known {
+		if best[e.rec.GetIdentity()] < e.certainty {
 			continue
 		}
-		if e.known >= sentToServer {
+		if e.certainty >= sentToServer {
 			p.byReservation = append(p.byReservation, e.rec.GetIdentity())
 		}
 		p.bill(now, e.rec, e.prompt, e.output)
@@ -238,8 +240,8 @@
 	return done || rec.GetState() == pb.InflightState_INFLIGHT_STATE_ABANDONED
 }
 
-// addFinished notes the usage; a whole answer without a usage is a plain service's, whose
-// fixed price is its reservation. A refusal without a usage is billed nothing.
+// addFinished adds a finished request with its usage. A complete answer without usage comes
+// from a plain service, whose fixed price is the reservation. A refusal without usage is not billed.
 func (p *plan) addFinished(rec *pb.InflightRecord) {
 	if !inflight.Billable(rec) {
 		return
@@ -248,7 +250,7 @@
 	if prompt+output == 0 {
 		prompt = rec.GetReserved()
 	}
-	p.add(rec, finishedHere, prompt, output)
+	p.add(rec, finishedRecord, prompt, output)
 }
 
 func (p *plan) bill(now time.Time, rec *pb.InflightRecord, prompt, output uint64) {
@@ -260,7 +262,8 @@
 	})
 }
 
-// command is the proposal. A resend is harmless: a holder is recovered once.
+// command returns the command to propose. Proposing it twice is harmless, since a holder is
+// recovered only once.
 func (p *plan) command(gathered []*pb.Holder) *pb.Command {
 	return &pb.Command{
 		Body: &pb.Command_RecoverHolder{RecoverHolder: &pb.RecoverHolder{
--- a/internal/controller/repair/repair.go
+++ b/internal/controller/repair/repair.go
@@ -1,6 +1,6 @@
 // Package repair recovers the tokens of dead incarnations: it gathers their in-flight
-// records from every live host, bills what ran, and has the ledger release the rest.
-// docs/design/recovery.md says what is billed when and why.
+// records from every live host, bills the requests that ran, and has the ledger release the
+// rest. docs/design/recovery.md describes what is billed when and why.
 package repair
 
 import (
@@ -28,10 +28,10 @@
 	Gather(ctx context.Context, host string, req *pb.GatherRequest) (*pb.GatherReply, error)
 }
 
-// Requests tells what became of a dead host's request.
+// Requests finds the records of a dead host's requests.
 type Requests interface {
-	// Find looks for a record of the identity anywhere; a host that took the request over
-	// has one of its own.
+	// Find looks for a record of the identity at all hosts. A host that took the request over
+	// has a record of its own.
 	Find(ctx context.Context, identity string) (*pb.InflightRecord, bool, error)
 }
 
@@ -42,16 +42,16 @@
 	defaultGatherWait     = 2 * time.Second
 )
 
-// Config of a Controller. Zero durations mean the defaults.
+// Config configures a Controller. Zero durations mean the defaults.
 type Config struct {
 	Self     *pb.Holder
 	Control  Control
 	Peers    Peers
 	Requests Requests
-	// EngineUsage asks the backend server of a running record what it used; known is false
-	// while it runs or if the server doesn't say. May be nil.
+	// EngineUsage asks the backend server of a running record for the request's usage; known
+	// is false while the request runs, or if the server does not report it. May be nil.
 	EngineUsage func(ctx context.Context, rec *pb.InflightRecord) (prompt, output uint64, known bool)
-	// LongestRequest is the longest time that a request may run; Margin is added to it
+	// LongestRequest is the longest time that a request may run. Margin is added to it
 	// before a request of unknown usage is billed by its reservation.
 	LongestRequest time.Duration
 	Margin         time.Duration
@@ -59,10 +59,10 @@
 	Log            zerolog.Logger
 }
 
-// Controller is level-triggered: each Reconcile looks at the whole state anew.
+// Controller is level-triggered: each Reconcile examines the whole state again.
 type Controller struct{ cfg Config }
 
-// New makes a controller.
+// New returns a Controller.
 func New(cfg Config) *Controller {
 	defaults.Set(&cfg.LongestRequest, defaultLongestRequest)
 	defaults.Set(&cfg.Margin, defaultMargin)
@@ -70,37 +70,38 @@
 	return &Controller{cfg: cfg}
 }
 
-// Result of one Reconcile.
+// Result is the result of one Reconcile.
 type Result struct {
 	Recovered []Recovered
-	// Waiting lists the dead incarnations whose tokens stay locked, and why.
+	// Waiting lists the dead incarnations whose tokens stay granted, with the reasons.
 	Waiting []Waiting
 }
 
-// Recovered is one dead incarnation that was settled and released.
+// Recovered is one dead incarnation whose tokens were billed or released.
 type Recovered struct {
 	Dead *pb.Holder
-	// Bills were proposed; Billed and Released are tokens as the ledger counted them.
+	// Bills is the number of bills proposed. Billed and Released are the tokens that the ledger
+	// billed and released.
 	Bills            int
 	Billed, Released uint64
 	// ByReservation lists the identities that were billed by their reservation because
-	// their real usage is not known.
+	// their actual usage is not known.
 	ByReservation []string
 }
 
 // Waiting is one dead incarnation that can't be recovered yet.
 type Waiting struct {
 	Dead *pb.Holder
-	// Missing are live hosts that did not answer.
+	// Missing lists the live hosts that did not answer.
 	Missing []string
-	// Running are identities that may still run.
+	// Running lists the identities of requests that may still run.
 	Running []string
-	// Reason is the ledger's refusal, if it refused.
+	// Reason is any other reason, such as the ledger's refusal.
 	Reason string
 }
 
 // Reconcile tries to recover every dead incarnation once. It returns an error only if the
-// hosts can't be read.
+// hosts can't be listed.
 func (c *Controller) Reconcile(ctx context.Context) (Result, error) {
 	var result Result
 	hosts, err := c.cfg.Control.Hosts(ctx)
@@ -111,14 +112,14 @@
 	var plans []*plan
 	dead := deadHolders(hosts)
 	for _, d := range dead {
-		if p := c.look(ctx, d, live, &result); p != nil {
+		if p := c.examine(ctx, d, live, &result); p != nil {
 			plans = append(plans, p)
 		}
 	}
-	best := bestKnown(plans)
+	best := bestCertainty(plans)
 	for _, p := range plans {
 		if len(plans) < len(dead) && !p.certain() {
-			result.Waiting = append(result.Waiting, Waiting{Dead: p.dead, Reason: "another dead incarnation may know more of its requests"})
+			result.Waiting = append(result.Waiting, Waiting{Dead: p.dead, Reason: "another dead incarnation may know more about its requests"})
 			continue
 		}
 		p.billAll(time.Now(), best)
@@ -152,16 +153,16 @@
 	return dead
 }
 
-// look gathers what is known of a dead incarnation; nil: hosts are missing.
-func (c *Controller) look(ctx context.Context, dead *pb.Holder, live []*pb.Holder, result *Result) *plan {
+// examine gathers the records of a dead incarnation. It returns nil if a host did not answer.
+func (c *Controller) examine(ctx context.Context, dead *pb.Holder, live []*pb.Holder, result *Result) *plan {
 	replies, missing := c.gather(ctx, dead, live)
 	if len(missing) > 0 {
 		result.Waiting = append(result.Waiting, Waiting{Dead: dead, Missing: missing})
 		return nil
 	}
 	p := newPlan(dead, live, replies)
-	p.classify(time.Now(), c.cfg.LongestRequest, c.cfg.Margin, func(rec *pb.InflightRecord) fate {
-		return c.fateOf(ctx, dead, live, rec)
+	p.classify(time.Now(), c.cfg.LongestRequest, c.cfg.Margin, func(rec *pb.InflightRecord) outcome {
+		return c.outcomeOf(ctx, dead, live, rec)
 	})
 	return p
 }
@@ -183,8 +184,8 @@
 		Int("bills", r.Bills).Uint64("billed", r.Billed).Uint64("released", r.Released).Strs("by_reservation", r.ByReservation).Send()
 }
 
-// gather asks all live hosts at once, and names those that did not answer as the
-// incarnation that is registered.
+// gather calls all live hosts concurrently. It returns in missing those that did not answer as
+// the registered incarnation.
 func (c *Controller) gather(ctx context.Context, dead *pb.Holder, live []*pb.Holder) (replies []*pb.GatherReply, missing []string) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.GatherWait)
 	defer cancel()
@@ -193,7 +194,7 @@
 	for i, h := range live {
 		wg.Go(func() {
 			reply, err := c.cfg.Peers.Gather(ctx, h.GetHost(), &pb.GatherRequest{Dead: dead, From: c.cfg.Self})
-			if err == nil && reply.GetError() == nil && same(reply.GetSelf(), h) {
+			if err == nil && reply.GetError() == nil && sameHolder(reply.GetSelf(), h) {
 				all[i] = reply
 			}
 		})
@@ -209,28 +210,29 @@
 	return replies, missing
 }
 
-// fateOf finds out what became of a request that ran when its host died.
+// outcomeOf finds out what happened to a request that was running when its host died.
 //
-// A running record of another dead host says nothing of this one's run. Taken for a
-// takeover, it would keep this recovery waiting for a host that never finishes, and the
-// tokens locked, also once that host is recovered. Nor does a finished record that stands
-// for no tokens, such as a refusal of the retry: the run here would be billed nowhere.
-func (c *Controller) fateOf(ctx context.Context, dead *pb.Holder, live []*pb.Holder, rec *pb.InflightRecord) fate {
+// A running record of another dead host proves nothing about this host's execution. If it
+// counted as a takeover, this recovery would wait for a host that never finishes, and the
+// tokens would stay granted even after that host is recovered. A finished record without
+// tokens, such as a refusal of a retry, proves nothing either: the execution here would not be
+// billed at all.
+func (c *Controller) outcomeOf(ctx context.Context, dead *pb.Holder, live []*pb.Holder, rec *pb.InflightRecord) outcome {
 	other, ok, err := c.cfg.Requests.Find(ctx, rec.GetIdentity())
-	if err == nil && ok && !same(other.GetHolder(), dead) {
+	if err == nil && ok && !sameHolder(other.GetHolder(), dead) {
 		done := other.GetState() == pb.InflightState_INFLIGHT_STATE_DONE
 		if done && inflight.Billable(other) {
-			return fate{billedElsewhere: true}
+			return outcome{billedElsewhere: true}
 		}
 		if !done && isLive(other.GetHolder(), live) {
-			return fate{takenOver: true}
+			return outcome{takenOver: true}
 		}
 	}
 	if c.cfg.EngineUsage == nil {
-		return fate{}
+		return outcome{}
 	}
 	prompt, output, known := c.cfg.EngineUsage(ctx, rec)
-	return fate{prompt: prompt, output: output, known: known}
+	return outcome{prompt: prompt, output: output, known: known}
 }
 
 func (c *Controller) propose(ctx context.Context, cmd *pb.Command) (*pb.RecoverHolderResult, error) {
@@ -245,6 +247,6 @@
 	return r.GetRecoverHolder(), nil
 }
 
-func same(a, b *pb.Holder) bool {
+func sameHolder(a, b *pb.Holder) bool {
 	return a.GetHost() == b.GetHost() && a.GetIncarnation() == b.GetIncarnation()
 }
--- a/internal/controller/repair/repair_test.go
+++ b/internal/controller/repair/repair_test.go
@@ -16,14 +16,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// TestHostsDieWithStreamsOpen
-//
-// Symptom: tokens of a dead host spent a second time, a run billed twice or not at all, or
-// tokens locked for good.
-// Sequence: requests at five hosts; calls and answers get lost; the ledger is cut off so
-// that hosts share by transfers, and topped up meanwhile; hosts die one by one with
-// streams open and come back as new incarnations.
-// Cause: a bill, a transfer or a fence left out of the recovery.
+// TestHostsDieWithStreamsOpen guards against a recovery that omits a bill, a transfer or a fence, so
+// that tokens of a dead host are spent twice, an execution is billed twice or not at all, or tokens
+// stay granted for ever. Five hosts run requests while calls and answers get lost. The ledger is
+// unreachable for a time, so that hosts share tokens by transfers, and is topped up meanwhile. Hosts
+// die one by one with streams open and restart as new incarnations.
 func TestHostsDieWithStreamsOpen(t *testing.T) {
 	for seed := range int64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -32,8 +29,8 @@
 	}
 }
 
-// TestHostsDieWithRealLedger is the same against the control group's own state machine: no
-// settlement of an honest host is refused, and the same holds in the end.
+// TestHostsDieWithRealLedger is the same test with the control group's state machine as the ledger. In
+// addition, it must reject no settlement of a correct host.
 func TestHostsDieWithRealLedger(t *testing.T) {
 	for seed := range int64(10) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -56,15 +53,15 @@
 		switch {
 		case i%40 == 20:
 			w.mu.Lock()
-			w.cut = true
+			w.ledgerUnreachable = true
 			w.mu.Unlock()
 		case i%40 == 35:
 			w.mu.Lock()
 			w.topUp(500)
-			w.cut = false
+			w.ledgerUnreachable = false
 			w.mu.Unlock()
 		case i%30 == 29:
-			time.Sleep(3 * time.Second) // copies are made again after the last death
+			time.Sleep(3 * time.Second) // until the records have been copied again after the last death
 			victim := fmt.Sprintf("h%d", 1+rng.Intn(4))
 			w.kill(victim)
 			if _, err := w.repairer("h0").Reconcile(t.Context()); err != nil {
@@ -78,12 +75,10 @@
 	w.check(t)
 }
 
-// TestRecoveryWaits
-//
-// Symptom: tokens released that a host out of reach spends, or a running request billed twice.
-// Sequence: a host dies with a stream open; a peer doesn't answer; it answers again; the
-// longest request's time passes.
-// Cause: recovery without everybody's answer, or before the run's end is known.
+// TestRecoveryWaits guards against a recovery without the answers of all hosts, or before the end of an
+// execution is known: it would release tokens that an unreachable host spends, or bill a running
+// request twice. A host dies with a stream open, a peer does not answer, then answers again, and
+// finally the longest time of a request passes.
 func TestRecoveryWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(5, 1000)
@@ -92,7 +87,7 @@
 		time.Sleep(time.Second)
 		w.kill("h1")
 		w.mu.Lock()
-		w.deaf["h2"] = true
+		w.unreachable["h2"] = true
 		w.mu.Unlock()
 		r := w.repairer("h0")
 		first, _ := r.Reconcile(t.Context())
@@ -100,7 +95,7 @@
 			t.Fatalf("got %+v, want to wait for h2", first)
 		}
 		w.mu.Lock()
-		w.deaf["h2"] = false
+		w.unreachable["h2"] = false
 		w.mu.Unlock()
 		second, _ := r.Reconcile(t.Context())
 		if len(second.Waiting) != 1 || strings.Join(second.Waiting[0].Running, "") != "acc/1" {
@@ -117,13 +112,11 @@
 	})
 }
 
-// TestTakenOverRequestBilledByItsNewHost
-//
-// Symptom: a request that another host took over is billed by the dead host's reservation.
-// Sequence: the owner dies; a peer resumes the stream, finishes and bills; recovery runs
-// before, between and after.
-// Cause: the new host's record not looked for.
-func TestTakenOverRequestBilledByItsNewHost(t *testing.T) {
+// TestTakenOverRequestIsBilledByNewHost guards against a recovery that does not look for the new host's
+// record, so that a request which another host took over is billed by the dead host's reservation. The
+// host of the request dies, a peer resumes the stream, finishes and bills it, and recovery runs before
+// and after the peer has finished.
+func TestTakenOverRequestIsBilledByNewHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(5, 1000)
 		defer w.finish()
@@ -133,7 +126,7 @@
 		n := w.nodes["h2"]
 		old, found, _ := n.records.Find(t.Context(), "acc/1")
 		if !found {
-			t.Fatal("the record is lost")
+			t.Fatal("no host has a copy of the record")
 		}
 		if err := n.grants.Reserve(t.Context(), "x", "again", 100); err != nil {
 			t.Fatal(err)
@@ -161,15 +154,12 @@
 	})
 }
 
-// TestGivenUpRequestWithDeafPeer
-//
-// Symptom: a request that did not run is billed by its reservation, though its host gave it
-// up long before it died.
-// Sequence: a peer takes the record; the host gives the request up; every call that would
-// tell the peer is lost for 6 s; the host dies, and the peer answers the recovery.
-// Cause: only the dead host knew. Had the peer heard before, nothing would be billed.
-func TestGivenUpRequestWithDeafPeer(t *testing.T) {
-	for name, heard := range map[string]bool{"the peer hears nothing": false, "the peer hears of it at last": true} {
+// TestAbandonedRequestWithUnreachablePeer shows that a request that did not run is billed by its
+// reservation if its host could not notify a copy holder before it died. A peer stores the record, the
+// host abandons the request, and every call that would notify the peer is lost for 6 s. Then the host
+// dies, and the peer answers the recovery. If the peer is notified before, nothing may be billed.
+func TestAbandonedRequestWithUnreachablePeer(t *testing.T) {
+	for name, notified := range map[string]bool{"the peer is never notified": false, "the peer is notified in the end": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(5, 1000)
@@ -182,19 +172,19 @@
 				if err := n.grants.Reserve(t.Context(), "x", request, 100); err != nil {
 					t.Fatal(err)
 				}
-				w.deafen(w.holders(request)...)
+				w.setUnreachable(w.holders(request)...)
 				w.notDispatched(n, "acc/1", 100)
 				n.records.Abandon("acc/1", request)
 				time.Sleep(6 * time.Second)
-				if heard {
-					w.deafen()
-					time.Sleep(2 * tellTime)
+				if notified {
+					w.setUnreachable()
+					time.Sleep(2 * notifyTime)
 				}
 				w.kill("h1")
-				w.deafen()
+				w.setUnreachable()
 				time.Sleep(25 * time.Second)
 				got, err := w.repairer("h0").Reconcile(t.Context())
-				if err != nil || len(got.Recovered) != 1 || (got.Recovered[0].Bills == 0) != heard {
+				if err != nil || len(got.Recovered) != 1 || (got.Recovered[0].Bills == 0) != notified {
 					t.Fatalf("got %+v, %v", got, err)
 				}
 				w.settleAll(t)
@@ -204,39 +194,40 @@
 	}
 }
 
-// TestMayBeBilled tells the bills of requests that did not run which a recovery can't avoid
-// from those that it, or the host before its death, is to blame for.
-func TestMayBeBilled(t *testing.T) {
+// TestMayBeBilledByReservation checks that mayBeBilled accepts only those bills for requests that did
+// not run which a recovery can't avoid, not those caused by a fault of the recovery or of the host
+// before it died.
+func TestMayBeBilledByReservation(t *testing.T) {
 	start := time.Now()
 	peer := &node{self: &pb.Holder{Host: "peer"}}
 	lost := func(n int) []time.Time { return slices.Repeat([]time.Time{start.Add(time.Second)}, n) }
 	cases := []struct {
 		name   string
-		copies map[*node]bool // whether the peer heard that the request was given up
+		copies map[*node]bool // whether the peer was notified that the request was abandoned
 		lost   []time.Time
-		lived  time.Duration // of the host after it gave the request up; 0: it lives
+		lived  time.Duration // time from abandoning the request to the host's death; 0 if it is alive
 		billed uint64
 		want   bool
 	}{
-		{"the host died before it could tell", map[*node]bool{peer: false}, nil, time.Millisecond, 100, true},
+		{"the host died before it could notify", map[*node]bool{peer: false}, nil, time.Millisecond, 100, true},
 		{"every call was lost", map[*node]bool{peer: false}, lost(4), 5 * time.Second, 100, true},
-		{"it did not go on telling", map[*node]bool{peer: false}, lost(3), 5 * time.Second, 100, false},
-		{"the peer had heard", map[*node]bool{peer: true}, lost(4), 5 * time.Second, 100, false},
+		{"the host stopped notifying", map[*node]bool{peer: false}, lost(3), 5 * time.Second, 100, false},
+		{"the peer was notified", map[*node]bool{peer: true}, lost(4), 5 * time.Second, 100, false},
 		{"no peer had the record", nil, lost(4), 5 * time.Second, 100, false},
 		{"more than the reservation", map[*node]bool{peer: false}, lost(4), 5 * time.Second, 101, false},
-		{"the host lives", map[*node]bool{peer: false}, lost(4), 0, 100, false},
+		{"the host is alive", map[*node]bool{peer: false}, lost(4), 0, 100, false},
 	}
 	for _, tc := range cases {
 		host := &node{}
 		if tc.lived > 0 {
 			host.killed = start.Add(tc.lived)
 		}
-		p := puts{
+		c := callLog{
 			copies: map[string]map[*node]bool{"r": tc.copies},
 			lost:   map[route][]time.Time{{host, "peer"}: tc.lost},
 		}
 		r := notRun{host: host, requestID: "r", tokens: 100, at: start}
-		if got := p.mayBeBilled(r, tc.billed); got != tc.want {
+		if got := c.mayBeBilled(r, tc.billed); got != tc.want {
 			t.Errorf("%s: got %t", tc.name, got)
 		}
 	}
--- a/internal/controller/repair/world_test.go
+++ b/internal/controller/repair/world_test.go
@@ -23,26 +23,26 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// world is hosts with their real grants and records controllers, a fake ledger, and calls
-// in memory. Its lock guards the fields; handlers run outside it.
+// world is a fleet of hosts with their real grants and records controllers, a fake ledger, and calls
+// in memory. Its lock guards the fields; handlers run without it.
 type world struct {
-	mu     sync.Mutex
-	ledger *fakeledger.Ledger
-	infos  map[string]*pb.HostInfo
-	nodes  map[string]*node
-	cut    bool // no host reaches the ledger
-	deaf   map[string]bool
-	used   map[string]uint64 // identity -> tokens that its run took
-	// notRun holds the requests that were recorded and not dispatched.
+	mu                sync.Mutex
+	ledger            *fakeledger.Ledger
+	infos             map[string]*pb.HostInfo
+	nodes             map[string]*node
+	ledgerUnreachable bool // no host reaches the ledger
+	unreachable       map[string]bool
+	used              map[string]uint64 // identity -> tokens that its execution used
+	// notRun holds the requests that were recorded but not dispatched.
 	notRun map[string]notRun
-	puts   puts
+	calls  callLog
 	loss   *rand.Rand // loses one call in ten if set
 
-	// real, if set, is the control group's own state machine in place of the fake ledger;
-	// refused are settlements that it refused.
-	real    *apply.State
-	index   uint64
-	refused []string
+	// stateMachine, if set, is the control group's state machine, used in place of the fake
+	// ledger; refused holds the messages of settlements that it rejected.
+	stateMachine *apply.State
+	index        uint64
+	refused      []string
 }
 
 type node struct {
@@ -52,7 +52,7 @@
 	records *records.Controller
 	stop    context.CancelFunc
 	done    chan struct{}
-	killed  time.Time // zero: it lives
+	killed  time.Time // zero while it is alive
 }
 
 // notRun is a request that its host did not dispatch.
@@ -63,42 +63,42 @@
 	at        time.Time
 }
 
-// tellTime is how long a host that gave a request up may take for each try to tell a peer
-// that holds the record: a peer that did not answer is left alone for a second, then the
-// next round of updates goes out, and may wait for another peer.
-const tellTime = 1250 * time.Millisecond
+// notifyTime is how long a host that abandoned a request may take for each try to notify a peer
+// that holds the record. A peer that did not answer is not called for 1 s; then the next round of
+// updates is sent, which may wait for another peer.
+const notifyTime = 1250 * time.Millisecond
 
-// route is the way of calls from a host's incarnation to a peer.
+// route is the path of calls from a host's incarnation to a peer.
 type route struct {
 	from *node
 	to   string
 }
 
-// puts is what the network saw of the copies of records.
-type puts struct {
-	// copies tells of each request which peers got its record, and whether they heard that
-	// it was given up.
+// callLog records the calls that carried copies of records.
+type callLog struct {
+	// copies maps each request to the peers that got its record, and whether they were notified
+	// that it was abandoned.
 	copies map[string]map[*node]bool
 	// lost are the times of the calls that did not arrive.
 	lost map[route][]time.Time
 }
 
-// arrive notes records that reached a peer.
-func (p *puts) arrive(at *node, records []*pb.InflightRecord) {
+// arrive logs records that reached a peer.
+func (c *callLog) arrive(at *node, records []*pb.InflightRecord) {
 	for _, rec := range records {
 		request := rec.GetRequestId()
-		if p.copies[request] == nil {
-			p.copies[request] = make(map[*node]bool)
+		if c.copies[request] == nil {
+			c.copies[request] = make(map[*node]bool)
 		}
 		givenUp := rec.GetState() == pb.InflightState_INFLIGHT_STATE_ABANDONED
-		p.copies[request][at] = p.copies[request][at] || givenUp
+		c.copies[request][at] = c.copies[request][at] || givenUp
 	}
 }
 
 // lostBetween counts the lost calls of a route from one time to another.
-func (p *puts) lostBetween(r route, from, to time.Time) int {
+func (c *callLog) lostBetween(r route, from, to time.Time) int {
 	n := 0
-	for _, at := range p.lost[r] {
+	for _, at := range c.lost[r] {
 		if !at.Before(from) && !at.After(to) {
 			n++
 		}
@@ -106,17 +106,17 @@
 	return n
 }
 
-// mayBeBilled tells whether a request that did not run may have been billed by its
-// reservation. Its host must have died while a peer held its record and had not heard that
-// it was given up: nobody else can know that it did not run. For all the time between, the
-// host must have tried to tell that peer, and each call must have been lost.
-func (p *puts) mayBeBilled(r notRun, tokens uint64) bool {
+// mayBeBilled reports whether a request that did not run may have been billed by its
+// reservation. Its host must have died while a peer held its record and had not been notified
+// that it was abandoned, since no other host can know that it did not run. The host must have
+// tried to notify that peer all the time until its death, and each call must have been lost.
+func (c *callLog) mayBeBilled(r notRun, tokens uint64) bool {
 	if r.host == nil || r.host.killed.IsZero() || tokens > r.tokens {
 		return false
 	}
-	tries := int(r.host.killed.Sub(r.at) / tellTime)
-	for peer, heard := range p.copies[r.requestID] {
-		if !heard && p.lostBetween(route{r.host, peer.self.GetHost()}, r.at, r.host.killed) >= tries {
+	tries := int(r.host.killed.Sub(r.at) / notifyTime)
+	for peer, notified := range c.copies[r.requestID] {
+		if !notified && c.lostBetween(route{r.host, peer.self.GetHost()}, r.at, r.host.killed) >= tries {
 			return true
 		}
 	}
@@ -125,15 +125,15 @@
 
 func newWorld(hosts int, funds uint64) *world { return makeWorld(hosts, funds, nil) }
 
-func makeWorld(hosts int, funds uint64, real *apply.State) *world {
+func makeWorld(hosts int, funds uint64, stateMachine *apply.State) *world {
 	w := &world{
-		real:   real,
-		ledger: fakeledger.New(), infos: make(map[string]*pb.HostInfo), nodes: make(map[string]*node),
-		deaf: make(map[string]bool), used: make(map[string]uint64), notRun: make(map[string]notRun),
-		puts: puts{copies: make(map[string]map[*node]bool), lost: make(map[route][]time.Time)},
+		stateMachine: stateMachine,
+		ledger:       fakeledger.New(), infos: make(map[string]*pb.HostInfo), nodes: make(map[string]*node),
+		unreachable: make(map[string]bool), used: make(map[string]uint64), notRun: make(map[string]notRun),
+		calls: callLog{copies: make(map[string]map[*node]bool), lost: make(map[route][]time.Time)},
 	}
 	w.ledger.Fund("x", funds)
-	if real != nil {
+	if stateMachine != nil {
 		w.applied(&pb.Command{OpId: "create", Body: &pb.Command_CreateBudget{CreateBudget: &pb.CreateBudget{Name: "x", Tokens: funds}}})
 	}
 	for i := range hosts {
@@ -145,14 +145,14 @@
 	return w
 }
 
-// applied commits a command in the ledger in use; w.mu is held, or nothing runs yet.
+// applied applies a command to the ledger in use; w.mu is held, or no host runs yet.
 func (w *world) applied(cmd *pb.Command) *pb.CommandResult {
-	if w.real == nil {
+	if w.stateMachine == nil {
 		return w.ledger.Apply(cmd)
 	}
 	w.index++
 	cmd.TimeMs = time.Now().UnixMilli()
-	r := w.real.Apply(w.index, cmd)
+	r := w.stateMachine.Apply(w.index, cmd)
 	kind := errkind.Kind(r.GetError().GetKind())
 	if cmd.GetSettle() != nil && r.GetError() != nil && kind != errkind.VersionConflict && kind != errkind.StaleFence {
 		w.refused = append(w.refused, r.GetError().GetMessage())
@@ -163,7 +163,7 @@
 // topUp adds to the budget; w.mu is held.
 func (w *world) topUp(tokens uint64) {
 	w.ledger.Fund("x", tokens)
-	if w.real != nil {
+	if w.stateMachine != nil {
 		op := fmt.Sprintf("top-up %d", w.index)
 		w.applied(&pb.Command{OpId: op, Body: &pb.Command_TopUp{TopUp: &pb.TopUp{Budget: "x", Tokens: tokens}}})
 	}
@@ -171,7 +171,7 @@
 
 // register gives a host its next incarnation; w.mu is held.
 func (w *world) register(info *pb.HostInfo) {
-	if w.real == nil {
+	if w.stateMachine == nil {
 		info.Incarnation++
 		return
 	}
@@ -181,7 +181,7 @@
 	info.Incarnation = r.GetRegisterHost().GetHolder().GetIncarnation()
 }
 
-// start gives a host a new incarnation and runs it.
+// start starts a new incarnation of a host.
 func (w *world) start(name string) {
 	w.mu.Lock()
 	info := w.infos[name]
@@ -196,7 +196,7 @@
 	n.records.SetGrants(n.grants)
 	w.nodes[name] = n
 	w.mu.Unlock()
-	w.tellHosts()
+	w.updateHosts()
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	var wg sync.WaitGroup
@@ -205,28 +205,28 @@
 	go func() { wg.Wait(); close(n.done) }()
 }
 
-// deafen has calls to these peers get lost, and calls to all others arrive.
-func (w *world) deafen(hosts ...string) {
+// setUnreachable makes calls to these peers get lost, and calls to all others arrive.
+func (w *world) setUnreachable(hosts ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.deaf = make(map[string]bool)
+	w.unreachable = make(map[string]bool)
 	for _, host := range hosts {
-		w.deaf[host] = true
+		w.unreachable[host] = true
 	}
 }
 
-// holders are the peers that got a request's record.
+// holders returns the peers that got a request's record.
 func (w *world) holders(requestID string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var hosts []string
-	for peer := range w.puts.copies[requestID] {
+	for peer := range w.calls.copies[requestID] {
 		hosts = append(hosts, peer.self.GetHost())
 	}
 	return hosts
 }
 
-// kill ends a host at once: nothing is returned or settled any more.
+// kill terminates a host at once: it returns and settles nothing more.
 func (w *world) kill(name string) {
 	w.mu.Lock()
 	n := w.nodes[name]
@@ -235,13 +235,13 @@
 	info := w.infos[name]
 	info.Unrecovered = append(info.Unrecovered, info.Incarnation)
 	info.Removed = true
-	if w.real != nil {
+	if w.stateMachine != nil {
 		w.applied(&pb.Command{Body: &pb.Command_RemoveHost{RemoveHost: &pb.RemoveHost{Host: name}}})
 	}
 	w.mu.Unlock()
 	n.stop()
 	<-n.done
-	w.tellHosts()
+	w.updateHosts()
 }
 
 func (w *world) restart(name string) {
@@ -251,7 +251,7 @@
 	w.start(name)
 }
 
-func (w *world) tellHosts() {
+func (w *world) updateHosts() {
 	w.mu.Lock()
 	var hosts []inflight.Host
 	var nodes []*node
@@ -285,7 +285,7 @@
 		return nil, errLost
 	}
 	n.w.mu.Lock()
-	if n.w.cut {
+	if n.w.ledgerUnreachable {
 		n.w.mu.Unlock()
 		return nil, errLost
 	}
@@ -334,13 +334,14 @@
 	return peers
 }
 
-// to reaches a live host; answered false: the call took effect, its answer is lost.
+// to returns the target of a call to a host. If answered is false, the call arrives but its answer is
+// lost.
 func (n *node) to(host string) (target *node, answered bool, err error) {
 	time.Sleep(time.Millisecond)
 	n.w.mu.Lock()
-	target, deaf := n.w.nodes[host], n.w.deaf[host]
+	target, unreachable := n.w.nodes[host], n.w.unreachable[host]
 	n.w.mu.Unlock()
-	if target == nil || deaf || !n.w.alive(n) || n.w.lose() {
+	if target == nil || unreachable || !n.w.alive(n) || n.w.lose() {
 		return nil, false, errLost
 	}
 	return target, !n.w.lose(), nil
@@ -383,7 +384,7 @@
 
 func (l link) PutRecords(_ context.Context, in *pb.PutRecordsRequest, _ ...grpc.CallOption) (*pb.PutRecordsReply, error) {
 	target, answered, err := l.from.to(l.host)
-	l.from.w.notePut(l, target, in.GetRecords())
+	l.from.w.logPut(l, target, in.GetRecords())
 	if err != nil {
 		return nil, err
 	}
@@ -394,16 +395,16 @@
 	return reply, nil
 }
 
-// notePut notes a call that carries copies; target is nil if it is lost.
-func (w *world) notePut(l link, target *node, records []*pb.InflightRecord) {
+// logPut logs a call that carries copies; target is nil if the call is lost.
+func (w *world) logPut(l link, target *node, records []*pb.InflightRecord) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if target == nil {
 		r := route{l.from, l.host}
-		w.puts.lost[r] = append(w.puts.lost[r], time.Now())
+		w.calls.lost[r] = append(w.calls.lost[r], time.Now())
 		return
 	}
-	w.puts.arrive(target, records)
+	w.calls.arrive(target, records)
 }
 
 func (l link) FindRecord(_ context.Context, in *pb.FindRecordRequest, _ ...grpc.CallOption) (*pb.FindRecordReply, error) {
@@ -414,7 +415,7 @@
 	return target.records.HandleFind(in), nil
 }
 
-// request runs one request at a host as the chain does: record, reserve, run, record, bill.
+// request runs one request at a host as the filter chain does: record, reserve, run, record, bill.
 func (w *world) request(name, identity string, tokens uint64, took time.Duration) {
 	w.mu.Lock()
 	n := w.nodes[name]
@@ -444,7 +445,7 @@
 	n.grants.Settle(&pb.Bill{Budget: "x", Identity: identity, RequestId: rec.RequestId, Tokens: tokens / 2})
 }
 
-// requestID is that of an identity's request at a host.
+// requestID returns the ID of an identity's request at a host.
 func requestID(identity, host string) string { return identity + "@" + host }
 
 func (w *world) repairer(name string) *Controller {
@@ -463,12 +464,12 @@
 	}
 }
 
-// check is the oracle: the ledger's rules held, every run was billed once and at least what
-// it took, and nothing is left granted.
+// check verifies that the ledger's rules held, that every execution was billed once and for at least
+// the tokens that it used, and that no tokens are still granted.
 func (w *world) check(t *testing.T) {
 	t.Helper()
-	if w.real != nil {
-		w.readReal(t)
+	if w.stateMachine != nil {
+		w.copyFromStateMachine(t)
 	}
 	if len(w.ledger.Faults) > 0 {
 		t.Errorf("ledger: %v", w.ledger.Faults)
@@ -477,29 +478,29 @@
 	for identity, tokens := range w.used {
 		sum += tokens
 		if billed, ok := w.ledger.Bills[identity]; !ok || billed < tokens || billed > 2*tokens+1 {
-			t.Errorf("%s took %d tokens, billed %d (%v)", identity, tokens, billed, ok)
+			t.Errorf("%s used %d tokens, billed %d (%v)", identity, tokens, billed, ok)
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for identity, billed := range w.ledger.Bills {
-		if _, ran := w.used[identity]; !ran && !w.puts.mayBeBilled(w.notRun[identity], billed) {
-			t.Errorf("%s did not run and is billed %d", identity, billed)
+		if _, ran := w.used[identity]; !ran && !w.calls.mayBeBilled(w.notRun[identity], billed) {
+			t.Errorf("%s did not run but was billed %d", identity, billed)
 		}
 	}
 	b := w.ledger.Budgets["x"]
 	if sum > b.Funded || b.Outstanding() != 0 {
-		t.Errorf("took %d of %d, %d still granted", sum, b.Funded, b.Outstanding())
+		t.Errorf("used %d of %d, %d still granted", sum, b.Funded, b.Outstanding())
 	}
 }
 
-// dispatch starts a run unless its host has died, or has no tokens for it. The two are
-// one step: a host that dies in between has dispatched nothing.
+// dispatch starts an execution unless its host has died or has no tokens for it. Check and start are
+// one step, so a host that dies in between has dispatched nothing.
 func (w *world) dispatch(n *node, identity string, tokens uint64, reserved bool) bool {
 	w.mu.Lock()
 	dispatched := reserved && w.nodes[n.self.Host] == n
 	if dispatched {
-		w.used[identity] = tokens / 2 // the engine goes on whatever becomes of the host
+		w.used[identity] = tokens / 2 // the engine goes on even if the host dies
 	}
 	w.mu.Unlock()
 	if !dispatched {
@@ -514,32 +515,33 @@
 	w.notRun[identity] = notRun{host: n, requestID: requestID(identity, n.self.GetHost()), tokens: tokens, at: time.Now()}
 }
 
-// readReal puts what the real ledger has into the fake one, for the same checks.
-func (w *world) readReal(t *testing.T) {
+// copyFromStateMachine copies the state machine's budget and bills into the fake ledger, so that the
+// same checks apply.
+func (w *world) copyFromStateMachine(t *testing.T) {
 	t.Helper()
 	for _, refusal := range w.refused {
-		t.Errorf("an honest settlement was refused: %s", refusal)
+		t.Errorf("a correct settlement was rejected: %s", refusal)
 	}
-	q := w.real.Query(&pb.Query{Body: &pb.Query_Budget{Budget: &pb.BudgetQuery{Name: "x"}}})
+	q := w.stateMachine.Query(&pb.Query{Body: &pb.Query_Budget{Budget: &pb.BudgetQuery{Name: "x"}}})
 	b := w.ledger.Budgets["x"]
 	b.Funded, b.Billed = q.GetBudgets()[0].GetFunded(), q.GetBudgets()[0].GetBilled()
 	for _, g := range q.GetBudgets()[0].GetGranted() {
 		b.Granted[fakeledger.KeyOf(g.GetHolder())] = &fakeledger.Grant{Tokens: g.GetTokens()}
 	}
 	for _, identity := range append(slices.Collect(maps.Keys(w.used)), slices.Collect(maps.Keys(w.notRun))...) {
-		r := w.real.Query(&pb.Query{Body: &pb.Query_Identity{Identity: &pb.IdentityQuery{Identity: identity}}})
+		r := w.stateMachine.Query(&pb.Query{Body: &pb.Query_Identity{Identity: &pb.IdentityQuery{Identity: identity}}})
 		if r.GetError() == nil {
 			w.ledger.Bills[identity] = r.GetBill().GetTokens()
 		}
 	}
 }
 
-// settleAll heals everything, recovers all dead holders and drains the living.
+// settleAll ends all faults, recovers all dead holders and drains the live hosts.
 func (w *world) settleAll(t *testing.T) {
 	t.Helper()
 	w.mu.Lock()
-	w.cut, w.loss = false, nil
-	w.deaf = make(map[string]bool)
+	w.ledgerUnreachable, w.loss = false, nil
+	w.unreachable = make(map[string]bool)
 	w.mu.Unlock()
 	time.Sleep(30 * time.Second)
 	for range 5 {
