--- a/internal/controller/assign/assign.go
+++ b/internal/controller/assign/assign.go
@@ -138,8 +138,8 @@
 	return nil, a.withCooldownRetryAfter(err, w.Service)
 }
 
-// withCooldownRetryAfter sets the retry time of a refusal by shard owners, which do not know how
-// long servers are cooling down for this host.
+// withCooldownRetryAfter adapts the Retry-After of a refusal by shard owners to the cooldowns at this
+// host, which the owners do not know.
 func (a *Assigner) withCooldownRetryAfter(err error, service string) error {
 	cooling, shortest, all := a.cfg.Local.Cooling(service)
 	refusal, ok := err.(*errkind.Error)
--- a/internal/controller/assign/run.go
+++ b/internal/controller/assign/run.go
@@ -39,7 +39,7 @@
 func (a *Assigner) send(ctx context.Context) {
 	for _, m := range a.dueReports() {
 		a.sends.Go(func() {
-			defer panics.Log(a.cfg.Log, "reporting runs")
+			defer panics.Log(a.cfg.Log, "sending reports of attempts")
 			a.sendOne(ctx, m)
 		})
 	}
--- a/internal/controller/assign/share.go
+++ b/internal/controller/assign/share.go
@@ -44,7 +44,7 @@
 	lastAssigned time.Time
 }
 
-// share sends the prompt parts that servers have been sent since the last call.
+// share sends the next host in rank the prompt parts that this host's servers got since the last call.
 func (a *Assigner) share(ctx context.Context) {
 	now := time.Now()
 	updates := make(map[shardKey][]balance.Known)
--- a/internal/controller/quarantine/quarantine_test.go
+++ b/internal/controller/quarantine/quarantine_test.go
@@ -30,8 +30,8 @@
 	*Guard
 	fleet *fleet
 	name  string
-	// cut is set while the host is partitioned from all others.
-	cut atomic.Bool
+	// partitioned is set while the host can't reach any other.
+	partitioned atomic.Bool
 }
 
 type fleet struct {
@@ -84,7 +84,7 @@
 
 func (h *host) broadcast(s *pb.Suspect) {
 	for _, other := range h.fleet.hosts {
-		if other != h && !h.cut.Load() && !other.cut.Load() {
+		if other != h && !h.partitioned.Load() && !other.partitioned.Load() {
 			other.HandleUpdates([]*pb.Suspect{s}, h.name)
 		}
 	}
@@ -99,35 +99,35 @@
 	return nil
 }
 
-// client reaches another host.
+// client calls another host.
 type client struct {
 	pb.PeerClient
 	from, to *host
 }
 
-func (c client) reach() error {
-	if c.from.cut.Load() || c.to.cut.Load() {
-		return errors.New("cut off")
+func (c client) checkReachable() error {
+	if c.from.partitioned.Load() || c.to.partitioned.Load() {
+		return errors.New("host is partitioned")
 	}
 	return nil
 }
 
 func (c client) FetchSuspects(_ context.Context, r *pb.FetchSuspectsRequest, _ ...grpc.CallOption) (*pb.FetchSuspectsReply, error) {
-	if err := c.reach(); err != nil {
+	if err := c.checkReachable(); err != nil {
 		return nil, err
 	}
 	return c.to.HandleFetch(r), nil
 }
 
 func (c client) AdmitSuspect(_ context.Context, r *pb.AdmitSuspectRequest, _ ...grpc.CallOption) (*pb.AdmitSuspectReply, error) {
-	if err := c.reach(); err != nil {
+	if err := c.checkReachable(); err != nil {
 		return nil, err
 	}
 	return c.to.HandleAdmit(r), nil
 }
 
 func (c client) EndSuspect(_ context.Context, r *pb.EndSuspectRequest, _ ...grpc.CallOption) (*pb.EndSuspectReply, error) {
-	if err := c.reach(); err != nil {
+	if err := c.checkReachable(); err != nil {
 		return nil, err
 	}
 	return c.to.HandleEnd(r), nil
@@ -224,7 +224,7 @@
 	f := newFleet(t, 2)
 	other := f.hosts[1]
 	other.crash(poisonID, 1)
-	f.hosts[0].cut.Store(true)
+	f.hosts[0].partitioned.Store(true)
 	if err := other.admitted(poisonID); err != nil {
 		t.Errorf("suspected: %v", err)
 	}
@@ -238,14 +238,14 @@
 // Guards against a host that never learns of crashes that it missed in a partition.
 func TestPartitionedHostCatchesUp(t *testing.T) {
 	f := newFleet(t, 2)
-	f.hosts[1].cut.Store(true)
+	f.hosts[1].partitioned.Store(true)
 	for n := range quarantine.MaxCrashes {
 		f.hosts[0].crash(poisonID, n)
 	}
 	if got := f.hosts[1].level(poisonID); got != quarantine.Free {
 		t.Fatal(got)
 	}
-	f.hosts[1].cut.Store(false)
+	f.hosts[1].partitioned.Store(false)
 	f.hosts[1].syncWithPeer(t.Context())
 	if got := f.hosts[1].level(poisonID); got != quarantine.Quarantined {
 		t.Error(got)
@@ -259,7 +259,7 @@
 	for n := range quarantine.MaxCrashes {
 		f.hosts[0].crash(poisonID, n)
 	}
-	f.hosts[0].cut.Store(true)
+	f.hosts[0].partitioned.Store(true)
 	a, b := f.add(t, "a", nil), f.add(t, "b", nil)
 	for range 20 {
 		a.syncWithPeer(t.Context())
@@ -267,7 +267,7 @@
 	if a.Synced() {
 		t.Fatal("synced with a host that has just started")
 	}
-	f.hosts[0].cut.Store(false)
+	f.hosts[0].partitioned.Store(false)
 	for range 100 {
 		a.syncWithPeer(t.Context())
 		b.syncWithPeer(t.Context())
--- a/internal/controller/quarantine/sync.go
+++ b/internal/controller/quarantine/sync.go
@@ -24,7 +24,7 @@
 	expireEvery = time.Minute
 	// maxFetched bounds the requests in one reply to about 70 KB.
 	maxFetched = 512
-	// fetchTimeout bounds one call that fetches another host's table, or reports an end to it.
+	// fetchTimeout bounds one call that fetches another host's table, or reports the end of an execution.
 	fetchTimeout = 500 * time.Millisecond
 )
 
--- a/internal/controller/routes/controller.go
+++ b/internal/controller/routes/controller.go
@@ -27,7 +27,7 @@
 	// asked every 100 ms and answers within 400 ms, so by then the quorum is unreachable, and
 	// the table of the other hosts is the best available.
 	//
-	// The time since the start would not do instead: after a power failure of the whole fleet
+	// The time since the start can't be used instead: after a power failure of the whole fleet
 	// the quorum is reachable but has no leader yet. Hosts then served under a table older than
 	// the newest confirmed one and rejected as unknown what the newest one allows.
 	unconfirmedGrace = 2 * time.Second
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -199,10 +199,10 @@
 	g.limits = d.newLimiter(g.owners, func(l *pb.ServerLimit) { g.news.Limit(l) })
 	g.balancer = balancer.New(balancer.Config{
 		Host: cfg.Host, Zone: cfg.Zone, Log: d.tel.Log,
-		Retry:   retry.Bounds{Window: retries.Window.Std(), Share: retries.Share, Extra: retries.Extra},
-		Hosts:   g.gateways,
+		Retry:    retry.Bounds{Window: retries.Window.Std(), Share: retries.Share, Extra: retries.Extra},
+		Hosts:    g.gateways,
 		OnChange: g.serverChanged,
-		Limits:  g.limits,
+		Limits:   g.limits,
 	})
 	interval := cfg.Timing.Heartbeat.Std()
 	g.members = members.New(members.Config{
