--- a/internal/controller/assign/assign.go
+++ b/internal/controller/assign/assign.go
@@ -96,13 +96,14 @@
 	attempt atomic.Uint64
 
 	mu sync.Mutex
-	// reports are the reports to send about attempts that other hosts have assigned.
+	// reports holds the reports to send about this host's attempts at servers that other hosts
+	// assigned.
 	reports *outbox.Outbox[*pb.RunReport]
 	// reportDue wakes Run when there is something to report.
 	reportDue chan struct{}
 	// assigned holds the attempts of other hosts at servers of this host's shards.
 	assigned map[attemptKey]assignment
-	// unacknowledged are the shards for which a ShareParts call failed.
+	// unacknowledged holds the shards for which a ShareParts call failed.
 	unacknowledged []shardKey
 	sends          sync.WaitGroup
 
--- a/internal/controller/budgets/await.go
+++ b/internal/controller/budgets/await.go
@@ -17,8 +17,8 @@
 	// reserveWait bounds how long a request waits for its owner's reserve to open. It is the
 	// time from when an owner has used up its free tokens until its reserve starts to open.
 	reserveWait = 2 * time.Second
-	// waitDivisor limits the wait for tokens to this fraction of a request's remaining time; the
-	// rest is left for its answer.
+	// A request may wait for tokens for at most 1/waitDivisor of its remaining time; the rest is
+	// left for its answer.
 	waitDivisor = 2
 )
 
--- a/internal/controller/budgets/run.go
+++ b/internal/controller/budgets/run.go
@@ -60,8 +60,8 @@
 	r.cfg.Log.Debug().Str("event", "spend-unanswered").Str("owner", m.To.Host).Int("requests", len(m.Items)).Err(err).Send()
 }
 
-// settleDivisor keeps this fraction of the time left for the settlement of the reservations that
-// Drain bills itself.
+// Drain keeps 1/settleDivisor of the time left for the settlement of the reservations that it bills
+// itself.
 const settleDivisor = 3
 
 // Drain waits until the owners have acknowledged the ends of all this host's requests and all
--- a/internal/controller/repair/plan.go
+++ b/internal/controller/repair/plan.go
@@ -10,7 +10,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// plan is the recovery of one dead incarnation by the gathered replies. It is pure.
+// plan is the recovery plan for one dead incarnation, made from the gathered replies. It is pure.
 type plan struct {
 	dead          *pb.Holder
 	requests      []*pb.InflightRecord
@@ -59,7 +59,7 @@
 	return p
 }
 
-// newestRecords returns the newest version of each record by request ID.
+// newestRecords returns the newest version of each record, keyed by request ID.
 func newestRecords(replies []*pb.GatherReply) map[string]*pb.InflightRecord {
 	newest := make(map[string]*pb.InflightRecord)
 	for _, reply := range replies {
@@ -73,7 +73,7 @@
 	return newest
 }
 
-// acceptedBy returns the transfers that live receivers accepted by ID.
+// acceptedBy returns the transfers that live receivers accepted, keyed by transfer ID.
 func acceptedBy(replies []*pb.GatherReply) map[string]*pb.Transfer {
 	accepted := make(map[string]*pb.Transfer)
 	for _, reply := range replies {
@@ -114,8 +114,8 @@
 }
 
 // classify finds out how the dead holder's requests ended, and which may still run. longest is
-// the time that a request without a known deadline may run. margin is added to this time, or to
-// the time until the request's deadline.
+// the time that a request without a known timeout may run. margin is added to this time, or to the
+// request's own timeout.
 func (p *plan) classify(now time.Time, longest, margin time.Duration, outcomeOf func(*pb.InflightRecord) outcome) {
 	for _, rec := range p.requests {
 		if finished(rec) {
--- a/internal/controller/repair/repair_test.go
+++ b/internal/controller/repair/repair_test.go
@@ -154,8 +154,8 @@
 	})
 }
 
-// TestAbandonedRequestWithUnreachablePeer shows that a request that did not run is billed by its
-// reservation if its host could not notify a copy holder before it died. A peer stores the record, the
+// TestAbandonedRequestWithUnreachablePeer checks that a request that did not run is billed by its
+// reservation only if its host could not notify a copy holder before it died. A peer stores the record, the
 // host abandons the request, and every call that would notify the peer is lost for 6 s. Then the host
 // dies, and the peer answers the recovery. If the peer is notified before, nothing may be billed.
 func TestAbandonedRequestWithUnreachablePeer(t *testing.T) {
