--- a/internal/controller/assign/assign.go
+++ b/internal/controller/assign/assign.go
@@ -96,13 +96,14 @@
 	attempt atomic.Uint64
 
 	mu sync.Mutex
-	// reports are the reports to send about attempts that other hosts have assigned.
+	// reports holds the reports to send about this host's attempts at servers that other hosts
+	// assigned.
 	reports *outbox.Outbox[*pb.RunReport]
 	// reportDue wakes Run when there is something to report.
 	reportDue chan struct{}
 	// assigned holds the attempts of other hosts at servers of this host's shards.
 	assigned map[attemptKey]assignment
-	// unacknowledged are the shards for which a ShareParts call failed.
+	// unacknowledged holds the shards for which a ShareParts call failed.
 	unacknowledged []shardKey
 	sends          sync.WaitGroup
 
@@ -138,8 +139,8 @@
 	return nil, a.withCooldownRetryAfter(err, w.Service)
 }
 
-// withCooldownRetryAfter sets the retry time of a refusal by shard owners, which do not know how
-// long servers are cooling down for this host.
+// withCooldownRetryAfter adapts the Retry-After of a refusal by shard owners to the cooldowns at this
+// host, which the owners do not know.
 func (a *Assigner) withCooldownRetryAfter(err error, service string) error {
 	cooling, shortest, all := a.cfg.Local.Cooling(service)
 	refusal, ok := err.(*errkind.Error)
