--- a/internal/backend/cache.go
+++ b/internal/backend/cache.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// Confidence in cache knowledge.
+// Confidence in the estimate of a server's cache.
 const (
-	// gapConfidence is what remains of the confidence in a block after one gap in the events.
+	// gapConfidence is the factor by which each gap in the events reduces the confidence in a block.
 	gapConfidence = 0.5
-	// assumedConfidence holds for blocks that no event confirmed: this host sent the prompt.
+	// assumedConfidence is the confidence in a block that this host sent, but no event confirmed.
 	assumedConfidence = 0.8
-	// maxGaps after which a block is no longer believed in.
+	// maxGaps is the number of gaps after which a block counts as not cached.
 	maxGaps = 3
 )
 
-// CacheEvent says what a server's prefix cache gained and lost. Events are
-// numbered per incarnation of the server, from 1.
+// CacheEvent reports changes of a server's prefix cache. Events are numbered from 1 for each
+// incarnation of the server.
 type CacheEvent struct {
 	Server      string
 	Incarnation uint64
@@ -23,15 +23,15 @@
 	Cleared     bool
 }
 
-// cache is what is known of one server's prefix cache. A gap in the numbered
-// events makes the knowledge less certain: a lost event may have removed blocks.
+// cache is the estimate of one server's prefix cache. A gap in the numbered events makes the
+// estimate less certain: a lost event may have removed blocks.
 type cache struct {
 	limit  int
 	blocks map[uint64]block
 	order  []uint64 // oldest first; may hold hashes removed since
 	gaps   uint32
 	seq    uint64
-	// announcedSeq is the last event number that the server announced.
+	// announcedSeq is the number of the last event according to the server's announcements.
 	announcedSeq uint64
 }
 
@@ -42,7 +42,8 @@
 
 func newCache(limit int) cache { return cache{limit: limit} }
 
-// CacheEvent applies an event; one that was applied or passed over is ignored.
+// CacheEvent applies an event. An event that was already applied, or that is older than a gap
+// already counted, is ignored.
 func (r *Registry) CacheEvent(ev CacheEvent) {
 	s := r.servers[ev.Server]
 	if s == nil || s.state.GetIncarnation() != ev.Incarnation || ev.Seq <= s.cache.seq {
@@ -64,8 +65,8 @@
 	}
 }
 
-// announced takes the event number in an announcement. Events may come a little
-// later than the announcement, so the number of the one before is what counts.
+// announced records the event number of an announcement. Events may arrive slightly later than the
+// announcement, so the number of the previous announcement is compared.
 func (c *cache) announced(seq uint64) {
 	if c.announcedSeq > c.seq {
 		c.gaps++
@@ -90,7 +91,7 @@
 	}
 }
 
-// Assume notes that a prompt with these prefix blocks was sent to s.
+// AssumeCached records that a prompt with these prefix blocks was sent to s.
 func (s *Server) Assume(hashes []uint64) {
 	for _, h := range hashes {
 		if b, ok := s.cache.blocks[h]; ok && b.gaps == s.cache.gaps {
@@ -100,8 +101,8 @@
 	}
 }
 
-// CachedShare is the expected share, 0 to 1, of a prompt with these successive
-// prefix blocks that s need not compute.
+// CachedShare returns the expected share, 0 to 1, of a prompt with these consecutive prefix blocks
+// that s has cached.
 func (s *Server) CachedShare(hashes []uint64) float64 {
 	if len(hashes) == 0 || len(s.cache.blocks) == 0 {
 		return 0
@@ -121,5 +122,5 @@
 	return sum / float64(len(hashes))
 }
 
-// CacheBlocks is the number of prefix blocks remembered for s.
+// CacheBlocks returns the number of prefix blocks kept for s.
 func (s *Server) CacheBlocks() int { return len(s.cache.blocks) }
--- a/internal/backend/leave_test.go
+++ b/internal/backend/leave_test.go
@@ -15,12 +15,12 @@
 	return &pb.ServerState{Address: "s1", Incarnation: 1, Seq: seq, Models: []string{"m"}, Slots: 16, Running: 4}
 }
 
-// bus carries replies between hosts with a delay; cut pairs lose them.
-type bus struct {
-	now   time.Time
-	hosts []*Registry
-	cut   [][]bool
-	mail  []reply
+// network carries replies between hosts with a delay; partitioned pairs get none.
+type network struct {
+	now         time.Time
+	hosts       []*Registry
+	partitioned [][]bool
+	inTransit   []reply
 }
 
 type reply struct {
@@ -28,36 +28,36 @@
 	sent    time.Time
 	arrives time.Time
 	states  []*pb.ServerState
-	// pushed: a heartbeat sent unasked, whose time on the way nobody knows.
+	// pushed marks a heartbeat that was sent unasked, whose transit time is unknown.
 	pushed bool
 }
 
-func newBus(n int) *bus {
-	b := &bus{now: t0, cut: make([][]bool, n)}
+func newNetwork(n int) *network {
+	b := &network{now: t0, partitioned: make([][]bool, n)}
 	for i := range n {
 		b.hosts = append(b.hosts, New(Config{}))
-		b.cut[i] = make([]bool, n)
+		b.partitioned[i] = make([]bool, n)
 	}
 	return b
 }
 
-// exchange lets host i ask host j; the reply is on its way for up to 5 s.
-func (b *bus) exchange(rng *rand.Rand, i, j int) {
-	if b.cut[i][j] {
+// exchange sends host j's snapshot to host i; it is in transit for up to 5 s.
+func (b *network) exchange(rng *rand.Rand, i, j int) {
+	if b.partitioned[i][j] {
 		return
 	}
 	delay := time.Duration(rng.Intn(300)) * time.Millisecond
 	if rng.Intn(2) == 0 {
 		delay = time.Duration(rng.Intn(5000)) * time.Millisecond
 	}
-	b.mail = append(b.mail, reply{
+	b.inTransit = append(b.inTransit, reply{
 		to: i, sent: b.now, arrives: b.now.Add(delay), states: b.hosts[j].Snapshot(b.now), pushed: rng.Intn(3) == 0,
 	})
 }
 
-func (b *bus) deliver() {
-	keep := b.mail[:0]
-	for _, m := range b.mail {
+func (b *network) deliver() {
+	keep := b.inTransit[:0]
+	for _, m := range b.inTransit {
 		if m.arrives.After(b.now) {
 			keep = append(keep, m)
 			continue
@@ -68,32 +68,31 @@
 		}
 		b.hosts[m.to].Merge(b.now, transit, m.states)
 	}
-	b.mail = keep
+	b.inTransit = keep
 }
 
-// Symptom: a host sends new work to a server that left seconds ago.
-// Sequence: the server tells one host that it leaves, or dies; hosts are cut from
-// each other at random; replies are late by up to 5 s and overtake each other.
-// Cause: late news of an old announcement taken for a fresh one.
-func TestLeavingServerGetsNothingAfterTwoSeconds(t *testing.T) {
+// Guards against new requests to a server that left seconds ago, because a late update with an old
+// announcement counts as fresh. The server announces to one host that it is leaving, or dies; hosts are
+// partitioned at random, and replies are delayed by up to 5 s and arrive out of order.
+func TestLeavingServerGetsNoRequestsAfterTwoSeconds(t *testing.T) {
 	const n, step = 7, 50 * time.Millisecond
 	for seed := range int64(40) {
 		rng := rand.New(rand.NewSource(seed))
-		b := newBus(n)
+		b := newNetwork(n)
 		leavesAt := t0.Add(10 * time.Second)
-		says := seed%2 == 0
+		announces := seed%2 == 0
 		seq, sawUse := uint64(0), 0
 		for tick := 0; b.now.Before(t0.Add(20 * time.Second)); tick++ {
 			b.now = b.now.Add(step)
 			left := !b.now.Before(leavesAt)
-			if tick%10 == 0 && (!left || says) {
+			if tick%10 == 0 && (!left || announces) {
 				seq++
 				st := server(seq)
 				st.Leaving = left
 				b.hosts[rng.Intn(n)].Announce(b.now, st)
 			}
 			i, j := rng.Intn(n), rng.Intn(n)
-			b.cut[i][j] = rng.Intn(3) > 0
+			b.partitioned[i][j] = rng.Intn(3) > 0
 			for range 4 {
 				b.exchange(rng, rng.Intn(n), rng.Intn(n))
 			}
@@ -109,15 +108,14 @@
 			}
 		}
 		if sawUse < 500 {
-			t.Errorf("seed %d: the server was usable at only %d looks before it left", seed, sawUse)
+			t.Errorf("seed %d: the server was usable in only %d checks before it left", seed, sawUse)
 		}
 	}
 }
 
-// Symptom: a server that leaves gets work again.
-// Sequence: its announcement that it leaves is overtaken by an earlier one, or comes
-// after a later one that was sent by mistake without the flag.
-// Cause: the flag taken from the newest announcement alone.
+// Guards against a leaving server that gets requests again. Its leaving announcement is followed by one
+// with a lower number that arrives late, or by one with a higher number that was sent by mistake without
+// the flag. Once the flag of the newest announcement alone counted.
 func TestLeavingIsFinalWithinAnIncarnation(t *testing.T) {
 	leaving := server(5)
 	leaving.Leaving = true
@@ -133,7 +131,7 @@
 	r.Announce(t0, server(6))
 	r.Merge(t0, TransitUnknown, []*pb.ServerState{leaving})
 	if r.Usable(t0, "s1") {
-		t.Error("usable although a peer heard that it leaves")
+		t.Error("usable although a peer reported that it is leaving")
 	}
 	restarted := server(1)
 	restarted.Incarnation = 2
@@ -142,11 +140,11 @@
 		t.Error("not usable after its restart")
 	}
 	if r.Announce(t0, server(9)) {
-		t.Error("an announcement of the former incarnation was taken")
+		t.Error("an announcement of the former incarnation was applied")
 	}
 }
 
-func TestGapInCacheEventsMakesKnowledgeStale(t *testing.T) {
+func TestGapInCacheEventsReducesConfidence(t *testing.T) {
 	r := New(Config{CacheBlocks: 8})
 	r.Announce(t0, server(1))
 	s, _ := r.Server("s1")
@@ -164,19 +162,19 @@
 		s.Assume([]uint64{h})
 	}
 	if s.CacheBlocks() > 8 {
-		t.Errorf("%d blocks remembered, the bound is 8", s.CacheBlocks())
+		t.Errorf("%d blocks kept, the maximum is 8", s.CacheBlocks())
 	}
 	st := server(2)
 	st.Incarnation = 2
 	r.Announce(t0, st)
 	if s.CacheBlocks() != 0 {
-		t.Error("a restarted server's cache is believed to hold blocks")
+		t.Error("a restarted server's cache is estimated to hold blocks")
 	}
 }
 
-// Symptom: a server looks idle while it is full, or full while it is idle.
-// Sequence: a report is 5 s old; since then this host and a peer began and ended work.
-// Cause: own work counted twice, or not at all, against the late report.
+// Guards against a server that looks idle while it is full, or the reverse. The load report is 5 s old,
+// and since then requests of this host and of a peer began and ended. The host's own requests must count
+// once, neither twice nor not at all.
 func TestLateReportIsCorrected(t *testing.T) {
 	at := func(s int) time.Time { return t0.Add(time.Duration(s) * time.Second) }
 	r := New(Config{Lapse: time.Minute})
@@ -187,7 +185,7 @@
 	}
 	st := server(2)
 	st.Running, st.LoadAgeMs = 10, 5000
-	r.Announce(at(7), st) // measured at 2 s: ours are 3 of the 10
+	r.Announce(at(7), st) // measured at 2 s: 3 of the 10 are this host's
 	s.End(at(8), 0)
 	s.Begin(at(8), 7, 100)
 	r.MergeRecent(at(8), "h2", []*pb.RecentWork{{Server: "s1", Requests: 2}})
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -7,40 +7,40 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// maxEnded bounds the ended runs remembered between two load reports of a server.
+// maxEnded bounds the ended requests kept between two load reports of a server.
 const maxEnded = 1024
 
-// Run is one request of this host at a server.
+// InFlight is one request of this host at a server.
 type Run struct {
 	Ticket uint64
-	// Tokens of the prompt that the server has to compute.
-	Tokens uint64
-	start  time.Time
-	first  bool
+	// Tokens is the number of prompt tokens that the server has to prefill.
+	Tokens      uint64
+	start       time.Time
+	prefillDone bool
 }
 
-// load corrects a server's reported load, which is late, by what this host and
+// load corrects the reported load of a server, which is outdated, by the requests that this host and
 // its peers sent since the report.
 //
-// Symptom this prevents: between two reports every host sees the same idle server
-// and sends all its work there.
+// Without it, between two reports every host sees the same idle server and sends all its requests
+// there.
 type load struct {
-	at       time.Time // when the server measured
-	reported int       // running and waiting by the report
+	at       time.Time // when the server measured the load
+	reported int       // running and waiting requests in the report
 	own      []Run
 	ended    []span
 	peers    map[string]peerWork
 
-	// Sums kept for quick decisions.
+	// Cached sums.
 	ownAtReport  int // how many of the reported requests were this host's
 	peerRequests int
 	peerTokens   uint64
 }
 
-// span is an ended run of this host.
+// span is the duration of an ended request of this host.
 type span struct{ start, end time.Time }
 
-// peerWork is what a peer says it has in flight since the server's last report.
+// peerWork is what a peer reports as in flight since the server's last report.
 type peerWork struct {
 	at       time.Time
 	requests int
@@ -63,8 +63,8 @@
 	l.sumPeers()
 }
 
-// countOwnAtReport counts the requests of this host that were at the server when it
-// measured: those still there and those that ended since. It changes with a report only.
+// countOwnAtReport counts the requests of this host that were at the server when it measured its
+// load: those still there and those that ended since. The count changes only with a report.
 func (l *load) countOwnAtReport() {
 	n := 0
 	for i := range l.own {
@@ -88,21 +88,21 @@
 	}
 }
 
-// Begin counts a request of this host as sent to s. prompt is in tokens to be computed.
+// Begin counts a request as sent to s. prompt is the number of tokens to prefill.
 func (s *Server) Begin(now time.Time, ticket, prompt uint64) {
 	s.load.own = append(s.load.own, Run{Ticket: ticket, Tokens: prompt, start: now})
 }
 
-// Computed notes that the prompt of a run was computed: its first token came.
+// PrefillDone records that the prompt of a request was prefilled, as its first token has arrived.
 func (s *Server) Computed(ticket uint64) {
 	for i := range s.load.own {
 		if s.load.own[i].Ticket == ticket {
-			s.load.own[i].first = true
+			s.load.own[i].prefillDone = true
 		}
 	}
 }
 
-// End counts a request of this host as ended; false if it was not counted.
+// End counts a request as ended. It returns false if the request was not counted.
 func (s *Server) End(now time.Time, ticket uint64) bool {
 	i := slices.IndexFunc(s.load.own, func(r Run) bool { return r.Ticket == ticket })
 	if i < 0 {
@@ -115,52 +115,52 @@
 	return true
 }
 
-// Own is this host's number of requests in flight at s.
+// OwnInFlight returns the number of this host's requests in flight at s.
 func (s *Server) Own() int { return len(s.load.own) }
 
-// SinceReport is by how many requests of this host s has more than when it measured
-// its reported load; negative if more ended than began.
+// OwnSinceReport returns the change in the number of this host's requests at s since s measured its
+// reported load; it is negative if more requests ended than began.
 func (s *Server) SinceReport() int { return s.Own() - s.load.ownAtReport }
 
-// Others estimates the requests of other hosts at s now.
+// OthersInFlight estimates the number of other hosts' requests at s.
 func (s *Server) Others() int {
 	return max(s.load.reported-s.load.ownAtReport, 0) + s.load.peerRequests
 }
 
-// Corrected estimates all requests at s now.
+// CorrectedLoad estimates the number of all requests at s.
 func (s *Server) Corrected() int { return s.Others() + s.Own() }
 
-// Reported is the load as the server last reported it.
+// ReportedLoad returns the load as last reported by the server.
 func (s *Server) Reported() int { return s.load.reported }
 
-// LoadAge is how long ago s measured its reported load.
+// LoadAge returns the time since s measured its reported load.
 func (s *Server) LoadAge(now time.Time) time.Duration { return now.Sub(s.load.at) }
 
-// PendingPrompt estimates the prompt tokens sent to s and not yet computed.
+// PendingPrompt estimates the number of prompt tokens that were sent to s and are not yet prefilled.
 func (s *Server) PendingPrompt() uint64 {
 	n := s.load.peerTokens
 	for i := range s.load.own {
-		if !s.load.own[i].first {
+		if !s.load.own[i].prefillDone {
 			n += s.load.own[i].Tokens
 		}
 	}
 	return n
 }
 
-// RecentWork is what this host has in flight at each server that the server's
-// last report can't contain yet; peers add it to the reported load. Tokens are
-// those of prompts not yet computed.
+// RecentWork returns the requests of this host in flight at each server that the server's last
+// report cannot include yet; peers add them to the reported load. Tokens are those of prompts not
+// yet prefilled.
 func (r *Registry) RecentWork() []*pb.RecentWork {
 	var out []*pb.RecentWork
 	for addr, s := range r.servers {
 		w := &pb.RecentWork{Server: addr}
 		for i := range s.load.own {
-			run := &s.load.own[i]
-			if run.start.After(s.load.at) {
+			req := &s.load.own[i]
+			if req.start.After(s.load.at) {
 				w.Requests++
 			}
-			if !run.first {
-				w.Tokens += run.Tokens
+			if !req.prefillDone {
+				w.Tokens += req.Tokens
 			}
 		}
 		if w.Requests > 0 || w.Tokens > 0 {
@@ -176,7 +176,7 @@
 	return out
 }
 
-// MergeRecent replaces what is known of a peer's recent work.
+// MergeRecentWork replaces the recent work of a peer.
 func (r *Registry) MergeRecent(now time.Time, host string, work []*pb.RecentWork) {
 	for _, s := range r.servers {
 		if _, ok := s.load.peers[host]; ok {
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -1,8 +1,7 @@
-// Package backend is a host's registry of backend servers. Servers announce
-// themselves to any host; hosts pass on what they heard in their heartbeats. The
-// registry says which servers may get new work, how busy each one is, how fast
-// it runs and which prompt prefixes it has cached. It is pure: the caller passes
-// the time in and serialises the calls.
+// Package backend is a host's registry of backend servers. Servers announce themselves to any
+// host, and hosts forward the announcements in their heartbeats. The registry tracks which servers
+// may get new requests, how loaded each one is, how fast it runs and which prompt prefixes it has
+// cached. The package is pure: the caller passes the time in and serializes the calls.
 package backend
 
 import (
@@ -13,26 +12,26 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	// DefaultLapse leaves half a second of the two seconds in which no host may send
-	// new work to a server that left, for clocks and scheduling.
+	// DefaultLapse leaves half a second, for differences between clocks and for scheduling, of the
+	// two seconds after which no host may send new requests to a server that left.
 	DefaultLapse       = 1500 * time.Millisecond
 	DefaultForget      = time.Minute
 	DefaultCacheBlocks = 1024
 )
 
-// TransitUnknown is passed to Merge when nothing bounds how long the states were
-// on their way, as with those in a heartbeat that a peer sent by itself.
+// TransitUnknown is the transit time for Merge when nothing bounds it, as for the states in a
+// heartbeat that a peer sent unasked.
 const TransitUnknown time.Duration = -1
 
-// Config bounds the registry; zero fields get the defaults.
+// Config configures the registry; zero fields get the defaults.
 type Config struct {
-	// Lapse is the age at which an announcement no longer lets a server get work.
+	// Lapse is the age at which an announcement lapses: the server gets no new requests.
 	Lapse time.Duration
-	// Forget is the age at which a server is dropped from memory.
+	// Forget is the age of the last announcement at which a server is dropped from memory.
 	Forget time.Duration
-	// CacheBlocks bounds the prefix blocks remembered per server.
+	// CacheBlocks bounds the prefix blocks kept per server.
 	CacheBlocks int
 }
 
@@ -43,10 +42,10 @@
 	return c
 }
 
-// Kind is what a target is.
+// Kind is the kind of a target.
 type Kind uint8
 
-// Kinds of targets.
+// Target kinds.
 const (
 	Model Kind = iota
 	Service
@@ -64,12 +63,12 @@
 	servers  map[string]*Server
 	byTarget map[Target][]*Server
 	changes  uint64
-	// dirty: byTarget is out of date. It is rebuilt when next read, so that a burst of
-	// new servers, as when a host starts, costs one rebuild.
+	// dirty reports that byTarget is outdated. It is rebuilt at the next read, so that a burst of
+	// new servers, for example at the start of a host, causes one rebuild.
 	dirty bool
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New(cfg Config) *Registry {
 	return &Registry{
 		cfg:      cfg.withDefaults(),
@@ -78,18 +77,18 @@
 	}
 }
 
-// Announce takes an announcement that a server sent to this host. It returns
-// false if it is older than what is known of the server.
+// Announce applies an announcement that a server sent to this host. It returns false if it is not
+// newer than the known one.
 func (r *Registry) Announce(now time.Time, st *pb.ServerState) bool {
-	return r.take(now, st)
+	return r.apply(now, st)
 }
 
-// Merge takes what a peer knows. transit is an upper bound of the time the states
-// were on their way: for those in a reply the whole round trip. With TransitUnknown
-// only what can't be wrong when late is taken: that a server leaves.
+// Merge applies the states that a peer reports. transit is an upper bound of their transit time: for
+// states in a reply the whole round trip. With TransitUnknown only the information that a server is
+// leaving is applied, which cannot be wrong when it is late.
 //
-// Symptom this prevents: a heartbeat held up in the network makes a server that
-// left seconds ago look fresh, and this host sends it new work.
+// Without that restriction, a heartbeat delayed by the network would make a server that left seconds
+// ago look fresh, and this host would send it new requests.
 func (r *Registry) Merge(now time.Time, transit time.Duration, states []*pb.ServerState) {
 	for _, st := range states {
 		if transit < 0 {
@@ -100,29 +99,29 @@
 		if age >= r.cfg.Forget {
 			continue
 		}
-		r.take(now.Add(-age), st)
+		r.apply(now.Add(-age), st)
 	}
 }
 
-// noteLeaving marks a known server as leaving if st says so.
+// noteLeaving marks a known server as leaving if st reports that.
 func (r *Registry) noteLeaving(st *pb.ServerState) {
 	s := r.servers[st.GetAddress()]
 	if s == nil || !st.GetLeaving() || st.GetIncarnation() < s.state.GetIncarnation() {
 		return
 	}
-	// A newer incarnation that already leaves also ends the older one.
+	// A newer incarnation that is already leaving implies that the older one has ended.
 	s.leaving = true
 	s.leavingIncarnation = max(s.leavingIncarnation, st.GetIncarnation())
 }
 
-// take stores st, which reached the first host at heard, if it is news.
-func (r *Registry) take(heard time.Time, st *pb.ServerState) bool {
+// apply stores st if it is newer than the known state. announced is when it reached the first host.
+func (r *Registry) apply(announced time.Time, st *pb.ServerState) bool {
 	if st.GetAddress() == "" {
 		return false
 	}
 	s := r.servers[st.GetAddress()]
 	if s == nil {
-		s = newServer(st, heard, r.cfg.CacheBlocks)
+		s = newServer(st, announced, r.cfg.CacheBlocks)
 		r.servers[st.GetAddress()] = s
 		r.dirty = true
 		return true
@@ -133,16 +132,16 @@
 		return false
 	case st.GetIncarnation() > known.GetIncarnation():
 		r.dirty = r.dirty || !sameTargets(st, known)
-		s.restart(st, heard)
+		s.restart(st, announced)
 		return true
 	}
-	// Announcements can overtake each other: leaving counts even from an older one.
+	// Announcements may arrive out of order: leaving counts even in an older one.
 	s.leaving = s.leaving || st.GetLeaving()
 	if st.GetSeq() <= known.GetSeq() {
 		return false
 	}
 	r.dirty = r.dirty || !sameTargets(st, known)
-	s.update(st, heard)
+	s.update(st, announced)
 	return true
 }
 
@@ -150,7 +149,7 @@
 	return slices.Equal(a.GetModels(), b.GetModels()) && slices.Equal(a.GetServices(), b.GetServices())
 }
 
-// reindex rebuilds the lists per target if they are out of date.
+// reindex rebuilds the lists per target if they are outdated.
 func (r *Registry) reindex() {
 	if !r.dirty {
 		return
@@ -184,50 +183,49 @@
 	return r.changes
 }
 
-// Expire drops servers not heard of for the Forget time. Call it now and then.
+// Expire drops servers without an announcement for Forget. Call it periodically.
 func (r *Registry) Expire(now time.Time) {
 	for addr, s := range r.servers {
-		if now.Sub(s.heard) >= r.cfg.Forget && s.Own() == 0 {
+		if now.Sub(s.announcedAt) >= r.cfg.Forget && s.Own() == 0 {
 			delete(r.servers, addr)
 			r.dirty = true
 		}
 	}
 }
 
-// Serving returns the servers known to serve t, usable or not, in order of
-// address. The list is valid until the next change and must not be written to.
+// Serving returns the servers that announce t, usable or not, ordered by address. The list is valid
+// until the next change and must not be modified.
 func (r *Registry) Serving(t Target) []*Server {
 	r.reindex()
 	return r.byTarget[t]
 }
 
-// Server finds a server by address.
+// Server returns a server by address.
 func (r *Registry) Server(addr string) (*Server, bool) {
 	s, ok := r.servers[addr]
 	return s, ok
 }
 
-// Usable tells whether the server at addr may get new work.
+// Usable reports whether the server at addr may get new requests.
 func (r *Registry) Usable(now time.Time, addr string) bool {
 	s := r.servers[addr]
 	return s != nil && r.UsableServer(now, s)
 }
 
-// UsableServer tells whether s may get new work: it does not leave and its
-// announcement has not lapsed.
+// UsableServer reports whether s may get new requests: it is not leaving and its announcement has
+// not lapsed.
 func (r *Registry) UsableServer(now time.Time, s *Server) bool {
-	return !s.leaving && now.Sub(s.heard) < r.cfg.Lapse
+	return !s.leaving && now.Sub(s.announcedAt) < r.cfg.Lapse
 }
 
-// Lapse is the age at which an announcement lapses.
+// Lapse returns the age at which an announcement lapses.
 func (r *Registry) Lapse() time.Duration { return r.cfg.Lapse }
 
-// Snapshot returns all servers in order of address, with AgeMs as of now, for
-// heartbeats and status.
+// Snapshot returns all servers ordered by address, with AgeMs as of now, for heartbeats and status.
 func (r *Registry) Snapshot(now time.Time) []*pb.ServerState {
 	out := make([]*pb.ServerState, 0, len(r.servers))
 	for _, s := range r.servers {
-		if now.Sub(s.heard) < r.cfg.Forget {
+		if now.Sub(s.announcedAt) < r.cfg.Forget {
 			out = append(out, s.stateAt(now))
 		}
 	}
--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -9,85 +9,85 @@
 // Server is one backend server as this host knows it.
 type Server struct {
 	state              *pb.ServerState
-	heard              time.Time // when the announcement reached the first host, at the latest
+	announcedAt        time.Time // latest time at which the announcement can have reached the first host
 	leaving            bool
 	leavingIncarnation uint64
-	// cooldown is until when it wants nothing from this host.
-	cooldown time.Time
-	load     load
-	cache    cache
-	speed    speed
+	// cooldownUntil is the end of the server's cooldown for this host.
+	cooldownUntil time.Time
+	load          load
+	cache         cache
+	speed         speed
 }
 
-func newServer(st *pb.ServerState, heard time.Time, cacheBlocks int) *Server {
-	s := &Server{state: st, heard: heard, leaving: st.GetLeaving()}
+func newServer(st *pb.ServerState, announced time.Time, cacheBlocks int) *Server {
+	s := &Server{state: st, announcedAt: announced, leaving: st.GetLeaving()}
 	s.cache = newCache(cacheBlocks)
 	s.speed.announce(st)
-	s.load.report(loadTime(st, heard), st)
+	s.load.report(loadTime(st, announced), st)
 	return s
 }
 
-// loadTime is when the server measured the load it reports.
-func loadTime(st *pb.ServerState, heard time.Time) time.Time {
-	return heard.Add(-time.Duration(max(st.GetLoadAgeMs(), 0)) * time.Millisecond)
+// loadTime returns when the server measured the load that it reports.
+func loadTime(st *pb.ServerState, announced time.Time) time.Time {
+	return announced.Add(-time.Duration(max(st.GetLoadAgeMs(), 0)) * time.Millisecond)
 }
 
-// restart begins a new incarnation: nothing learnt of the former one holds.
-// Own work in flight stays counted until it is reported as ended.
-func (s *Server) restart(st *pb.ServerState, heard time.Time) {
+// restart begins a new incarnation: nothing known of the former one applies. This host's requests in
+// flight stay counted until they are reported as ended.
+func (s *Server) restart(st *pb.ServerState, announced time.Time) {
 	s.state = st
-	s.heard = heard
-	s.cooldown = time.Time{}
+	s.announcedAt = announced
+	s.cooldownUntil = time.Time{}
 	s.leaving = st.GetLeaving() || s.leavingIncarnation >= st.GetIncarnation()
 	s.cache = newCache(s.cache.limit)
 	s.speed = speed{}
 	s.speed.announce(st)
-	s.load.report(loadTime(st, heard), st)
+	s.load.report(loadTime(st, announced), st)
 }
 
-func (s *Server) update(st *pb.ServerState, heard time.Time) {
+func (s *Server) update(st *pb.ServerState, announced time.Time) {
 	s.cache.announced(st.GetCacheSeq())
 	s.state = st
-	if heard.After(s.heard) {
-		s.heard = heard
+	if announced.After(s.announcedAt) {
+		s.announcedAt = announced
 	}
 	s.speed.announce(st)
-	s.load.report(loadTime(st, heard), st)
+	s.load.report(loadTime(st, announced), st)
 }
 
-// Address of the server.
+// Address returns the address of the server.
 func (s *Server) Address() string { return s.state.GetAddress() }
 
-// State is the last announcement; it must not be written to.
+// State returns the last announcement; it must not be modified.
 func (s *Server) State() *pb.ServerState { return s.state }
 
-// Leaving tells whether the server said that it leaves.
+// Leaving reports whether the server has announced that it is leaving.
 func (s *Server) Leaving() bool { return s.leaving }
 
-// CoolDown takes that the server wants nothing from this host until a time. Of several such words the
-// one that ends last counts. It returns whether the server was not cooling.
+// StartCooldown starts a cooldown: the server gets no request from this host before until. A cooldown
+// that is still running is never shortened. It returns whether the server was not cooling down before.
 func (s *Server) CoolDown(now, until time.Time) (began bool) {
 	began = !s.Cooling(now)
-	if until.After(s.cooldown) {
-		s.cooldown = until
+	if until.After(s.cooldownUntil) {
+		s.cooldownUntil = until
 	}
 	return began
 }
 
-// Cooling tells whether the server wants nothing from this host.
-func (s *Server) Cooling(now time.Time) bool { return now.Before(s.cooldown) }
+// CoolingDown reports whether the server cools down for this host.
+func (s *Server) Cooling(now time.Time) bool { return now.Before(s.cooldownUntil) }
 
-// CooldownLeft is for how much longer it does so.
-func (s *Server) CooldownLeft(now time.Time) time.Duration { return max(s.cooldown.Sub(now), 0) }
+// CooldownLeft returns the rest of the server's cooldown for this host.
+func (s *Server) CooldownLeft(now time.Time) time.Duration { return max(s.cooldownUntil.Sub(now), 0) }
 
-// Slots is how many requests the server runs at once; at least 1.
+// Slots returns the number of requests that the server runs at once; at least 1.
 func (s *Server) Slots() int { return max(int(s.state.GetSlots()), 1) }
 
-// stateAt copies the announcement with the age as of now, rounded up so that a
-// peer never takes it for fresher than it is.
+// stateAt copies the announcement with its age as of now, rounded up so that a peer never considers
+// it fresher than it is.
 func (s *Server) stateAt(now time.Time) *pb.ServerState {
 	st := s.state
-	age := now.Sub(s.heard) + time.Millisecond - 1
+	age := now.Sub(s.announcedAt) + time.Millisecond - 1
 	return &pb.ServerState{
 		Address: st.GetAddress(), Incarnation: st.GetIncarnation(), Seq: st.GetSeq(), Zone: st.GetZone(),
 		Pool: st.GetPool(), Models: st.GetModels(), Services: st.GetServices(), Adapters: st.GetAdapters(),
--- a/internal/backend/speed.go
+++ b/internal/backend/speed.go
@@ -7,26 +7,26 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Constants of the running estimates.
+// Parameters of the moving averages and fits.
 const (
 	meanWeight      = 0.1
 	deviationWeight = 0.1
-	// minSamples before a measurement is used.
+	// minSamples is the number of measurements from which an average is used.
 	minSamples = 3
-	// deviations above the mean that a prediction allows for.
+	// deviations is the number of mean deviations above the mean that a prediction allows for.
 	deviations = 2
-	// fitDecay is what an older announcement weighs against the next one.
+	// fitDecay is the weight of an older announcement relative to the next one.
 	fitDecay = 0.98
-	// minSpread of the batch sizes (as a variance) below which no slope is fitted.
+	// minSpread is the variance of the batch sizes below which no slope is fitted.
 	minSpread = 1.0
-	// assumedSlowdown is the slope without a fit: the share of the present time per
-	// token that each further request in the batch adds.
+	// assumedSlowdown is the slope without a fit: the share of the present time per token that
+	// each further request in the batch adds.
 	assumedSlowdown = 0.01
-	// assumedServiceTime holds for a plain service until calls were measured.
+	// assumedServiceTime is the time of a call of a plain service before minSamples calls.
 	assumedServiceTime = 20 * time.Millisecond
 )
 
-// estimate is a running mean and mean deviation, in seconds.
+// estimate holds a moving average and mean deviation, in seconds.
 type estimate struct {
 	mean, dev float64
 	n         int
@@ -42,7 +42,7 @@
 	e.mean += meanWeight * (v - e.mean)
 }
 
-// upper is the value to plan with; false while too little was measured.
+// upper returns the value for predictions; it returns false before minSamples measurements.
 func (e *estimate) upper() (float64, bool) {
 	return e.mean + deviations*e.dev, e.n >= minSamples
 }
@@ -58,7 +58,7 @@
 	f.xy = f.xy*fitDecay + x*y
 }
 
-// at is the fitted value at batch size x; 0 without samples.
+// at returns the fitted value at batch size x; 0 without samples.
 func (f *fit) at(x float64) float64 {
 	if f.n == 0 {
 		return 0
@@ -72,38 +72,37 @@
 	return max(my+slope*(x-mx), 0)
 }
 
-// speed is what is known of how fast a server runs.
+// speed holds the measurements and announcements of a server's speed.
 type speed struct {
 	announced fit      // by batch size, from announcements
-	perToken  estimate // of this host's runs, seconds per token of one stream
-	run       estimate // this host's whole runs, seconds
+	perToken  estimate // of this host's requests, seconds per token of one stream
+	runTime   estimate // of this host's requests, seconds from dispatch to the end
 }
 
-// announce takes a new load report. TokensPerSecond is the speed of one stream at
-// the reported batch size.
+// announce applies a new load report. TokensPerSecond is the speed of one stream at the reported
+// batch size.
 func (s *speed) announce(st *pb.ServerState) {
 	if tps := st.GetTokensPerSecond(); tps > 0 {
 		s.announced.add(float64(st.GetRunning()), 1/tps)
 	}
 }
 
-// Measured takes a finished run of a model: took from dispatch to the end, first
-// from dispatch to the first token (zero: not known), output in tokens.
+// RecordModelRun records a completed request to a model: took is the time from dispatch to the end,
+// first that from dispatch to the first token (zero: not known), output the number of tokens.
 func (s *Server) Measured(first, took time.Duration, output uint64) {
-	s.speed.run.add(took.Seconds())
+	s.speed.runTime.add(took.Seconds())
 	if output < 2 || first <= 0 || took <= first {
 		return
 	}
 	s.speed.perToken.add((took - first).Seconds() / float64(output-1))
 }
 
-// MeasuredService takes a finished call of a plain service.
-func (s *Server) MeasuredService(took time.Duration) { s.speed.run.add(took.Seconds()) }
+// RecordServiceCall records a completed call of a plain service.
+func (s *Server) MeasuredService(took time.Duration) { s.speed.runTime.add(took.Seconds()) }
 
-// TokenTime is the time per output token of one stream to plan with: at a full
-// batch by the announced speeds, or as measured by this host if that is slower.
-// A server that announced no speed and was not measured is taken as fast: its runs
-// are admitted and measured.
+// TokenTime predicts the time per output token of one stream: at a full batch by the announced speeds,
+// or as measured by this host if that is slower. A server without announced speed or measurements
+// counts as infinitely fast, so that requests are admitted and measured.
 func (s *Server) TokenTime() time.Duration {
 	planned := s.speed.announced.at(float64(s.Slots()))
 	if measured, known := s.speed.perToken.upper(); known {
@@ -112,7 +111,7 @@
 	return time.Duration(planned * float64(time.Second))
 }
 
-// PrefillTime is the time to compute tokens of a prompt; 0 if no speed is announced.
+// PrefillTime predicts the time to prefill tokens of a prompt; 0 if no speed is announced.
 func (s *Server) PrefillTime(tokens float64) time.Duration {
 	rate := s.state.GetPrefillPerSecond()
 	if rate <= 0 {
@@ -121,25 +120,25 @@
 	return time.Duration(tokens / rate * float64(time.Second))
 }
 
-// ServiceTime is the time of one call of a plain service, to plan with.
+// ServiceTime predicts the time of one call of a plain service.
 func (s *Server) ServiceTime() time.Duration {
-	v, known := s.speed.run.upper()
+	v, known := s.speed.runTime.upper()
 	if !known {
 		return assumedServiceTime
 	}
 	return time.Duration(v * float64(time.Second))
 }
 
-// MeanRun is the mean time of this host's runs at s; 0 while too little was measured.
+// MeanRunTime returns the mean time of this host's requests at s; 0 before minSamples measurements.
 func (s *Server) MeanRun() time.Duration {
-	if s.speed.run.n < minSamples {
+	if s.speed.runTime.n < minSamples {
 		return 0
 	}
-	return time.Duration(s.speed.run.mean * float64(time.Second))
+	return time.Duration(s.speed.runTime.mean * float64(time.Second))
 }
 
-// Depth is how many requests beyond its slots s works off within d; 0 if a run
-// takes longer than d.
+// QueueDepth returns how many requests beyond its slots s completes within d; 0 if a request takes
+// longer than d.
 func (s *Server) Depth(d time.Duration) int {
 	run := s.MeanRun()
 	if run <= 0 || run > d {
--- a/internal/instance/registry.go
+++ b/internal/instance/registry.go
@@ -317,7 +317,9 @@
 func (i *Instance) Usable() bool { return !i.Ended && !i.Draining && !i.contested }
 
 // Fresh reports whether the instance's last announcement is younger than Lapse.
-func (r *Registry) Fresh(now time.Time, i *Instance) bool { return now.Sub(i.LastAnnounced) < r.cfg.Lapse }
+func (r *Registry) Fresh(now time.Time, i *Instance) bool {
+	return now.Sub(i.LastAnnounced) < r.cfg.Lapse
+}
 
 // Changes counts the changes of the set of instances that may get requests.
 func (r *Registry) Changes() uint64 { return r.changes }
