--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -66,7 +66,7 @@
 
 // StartCooldown starts a cooldown: the server gets no request from this host before until. A cooldown
 // that is still running is never shortened. It returns whether the server was not cooling down before.
-func (s *Server) CoolDown(now, until time.Time) (began bool) {
+func (s *Server) StartCooldown(now, until time.Time) (began bool) {
 	began = !s.Cooling(now)
 	if until.After(s.cooldownUntil) {
 		s.cooldownUntil = until
--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -123,7 +123,7 @@
 	for _, p := range c.order {
 		p.nextExpiry = time.Time{}
 	}
-	return s.CoolDown(now, now.Add(d))
+	return s.StartCooldown(now, now.Add(d))
 }
 
 func tooLong(run, left time.Duration) error {
