--- a/internal/backend/server.go
+++ b/internal/backend/server.go
@@ -67,7 +67,7 @@
 // StartCooldown starts a cooldown: the server gets no request from this host before until. A cooldown
 // that is still running is never shortened. It returns whether the server was not cooling down before.
 func (s *Server) StartCooldown(now, until time.Time) (began bool) {
-	began = !s.Cooling(now)
+	began = !s.CoolingDown(now)
 	if until.After(s.cooldownUntil) {
 		s.cooldownUntil = until
 	}
@@ -75,7 +75,7 @@
 }
 
 // CoolingDown reports whether the server cools down for this host.
-func (s *Server) Cooling(now time.Time) bool { return now.Before(s.cooldownUntil) }
+func (s *Server) CoolingDown(now time.Time) bool { return now.Before(s.cooldownUntil) }
 
 // CooldownLeft returns the rest of the server's cooldown for this host.
 func (s *Server) CooldownLeft(now time.Time) time.Duration { return max(s.cooldownUntil.Sub(now), 0) }
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -99,7 +99,7 @@
 
 // eligible reports whether s may run w at all.
 func (c *Core) eligible(now time.Time, s *backend.Server, w *Work) bool {
-	if !c.reg.UsableServer(now, s) || s.Cooling(now) || slices.Contains(w.Exclude, s.Address()) {
+	if !c.reg.UsableServer(now, s) || s.CoolingDown(now) || slices.Contains(w.Exclude, s.Address()) {
 		return false
 	}
 	return w.Adapter == "" || slices.Contains(s.State().GetAdapters(), w.Adapter)
