--- a/internal/backend/cache.go
+++ b/internal/backend/cache.go
@@ -92,7 +92,7 @@
 }
 
 // AssumeCached records that a prompt with these prefix blocks was sent to s.
-func (s *Server) Assume(hashes []uint64) {
+func (s *Server) AssumeCached(hashes []uint64) {
 	for _, h := range hashes {
 		if b, ok := s.cache.blocks[h]; ok && b.gaps == s.cache.gaps {
 			continue
--- a/internal/backend/leave_test.go
+++ b/internal/backend/leave_test.go
@@ -159,7 +159,7 @@
 		}
 	}
 	for h := range uint64(100) {
-		s.Assume([]uint64{h})
+		s.AssumeCached([]uint64{h})
 	}
 	if s.CacheBlocks() > 8 {
 		t.Errorf("%d blocks kept, the maximum is 8", s.CacheBlocks())
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -78,7 +78,7 @@
 				_, reg := newCore(Config{Host: "h"}, n, 64)
 				for _, s := range reg.Serving(model) {
 					for h := range uint64(blocks) {
-						s.Assume([]uint64{h})
+						s.AssumeCached([]uint64{h})
 					}
 				}
 				b.ReportMetric(float64(heapBytes()-before)/n, "B/server")
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -83,7 +83,7 @@
 	prompt := uint64(float64(w.PromptTokens) * (1 - ch.cached))
 	c.usePermit(now, ch.server)
 	ch.server.Begin(now, w.Ticket, prompt)
-	ch.server.Assume(w.PromptHashes)
+	ch.server.AssumeCached(w.PromptHashes)
 	c.attempts[w.Ticket] = &attempt{work: *w, server: ch.server, started: now}
 	p.granted(w.Class)
 	return Result{Ticket: w.Ticket, Grant: &Grant{
