--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -116,11 +116,11 @@
 }
 
 // OwnInFlight returns the number of this host's requests in flight at s.
-func (s *Server) Own() int { return len(s.load.own) }
+func (s *Server) OwnInFlight() int { return len(s.load.own) }
 
 // OwnSinceReport returns the change in the number of this host's requests at s since s measured its
 // reported load; it is negative if more requests ended than began.
-func (s *Server) SinceReport() int { return s.Own() - s.load.ownAtReport }
+func (s *Server) SinceReport() int { return s.OwnInFlight() - s.load.ownAtReport }
 
 // OthersInFlight estimates the number of other hosts' requests at s.
 func (s *Server) Others() int {
@@ -128,7 +128,7 @@
 }
 
 // CorrectedLoad estimates the number of all requests at s.
-func (s *Server) Corrected() int { return s.Others() + s.Own() }
+func (s *Server) Corrected() int { return s.Others() + s.OwnInFlight() }
 
 // ReportedLoad returns the load as last reported by the server.
 func (s *Server) Reported() int { return s.load.reported }
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -186,7 +186,7 @@
 // Expire drops servers without an announcement for Forget. Call it periodically.
 func (r *Registry) Expire(now time.Time) {
 	for addr, s := range r.servers {
-		if now.Sub(s.announcedAt) >= r.cfg.Forget && s.Own() == 0 {
+		if now.Sub(s.announcedAt) >= r.cfg.Forget && s.OwnInFlight() == 0 {
 			delete(r.servers, addr)
 			r.dirty = true
 		}
--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -82,7 +82,7 @@
 	for i := range p.members {
 		m := &p.members[i]
 		if c.reg.UsableServer(now, m.server) {
-			n += max(m.share(m.server.Slots()), m.server.Own())
+			n += max(m.share(m.server.Slots()), m.server.OwnInFlight())
 		}
 	}
 	return n
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -35,7 +35,7 @@
 // allows the slots that are kept for higher priority classes.
 func (c *Core) hasRoom(now time.Time, p *pool, m member, class Class, useReserved bool) bool {
 	s := m.server
-	own := s.Own()
+	own := s.OwnInFlight()
 	depth := c.depth(m)
 	share := m.share(s.Slots() + depth)
 	if s.LoadAge(now) > c.cfg.MaxLoadAge {
