--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -120,7 +120,7 @@
 
 // OwnSinceReport returns the change in the number of this host's requests at s since s measured its
 // reported load; it is negative if more requests ended than began.
-func (s *Server) SinceReport() int { return s.OwnInFlight() - s.load.ownAtReport }
+func (s *Server) OwnSinceReport() int { return s.OwnInFlight() - s.load.ownAtReport }
 
 // OthersInFlight estimates the number of other hosts' requests at s.
 func (s *Server) Others() int {
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -78,7 +78,7 @@
 	s := m.server
 	free := max(limit-s.Reported(), 0)
 	turn := (m.position + int(s.State().GetSeq()%uint64(m.cover))) % m.cover
-	return s.SinceReport() < max(shareOf(free, m.cover, turn), 0)
+	return s.OwnSinceReport() < max(shareOf(free, m.cover, turn), 0)
 }
 
 // loadOf returns the load by which servers are compared.
