--- a/internal/backend/leave_test.go
+++ b/internal/backend/leave_test.go
@@ -189,8 +189,8 @@
 	s.End(at(8), 0)
 	s.Begin(at(8), 7, 100)
 	r.MergeRecent(at(8), "h2", []*pb.RecentWork{{Server: "s1", Requests: 2}})
-	if s.Others() != 9 || s.OwnInFlight() != 3 {
-		t.Errorf("others %d own %d, want 9 and 3", s.Others(), s.OwnInFlight())
+	if s.OthersInFlight() != 9 || s.OwnInFlight() != 3 {
+		t.Errorf("others %d own %d, want 9 and 3", s.OthersInFlight(), s.OwnInFlight())
 	}
 	w := r.RecentWork()
 	if len(w) != 1 || w[0].Requests != 1 {
@@ -199,7 +199,7 @@
 	st = server(3)
 	st.Running, st.LoadAgeMs = 3, 0
 	r.Announce(at(9), st)
-	if got := fmt.Sprint(s.Others(), s.OwnInFlight(), len(r.RecentWork())); got != "0 3 1" {
+	if got := fmt.Sprint(s.OthersInFlight(), s.OwnInFlight(), len(r.RecentWork())); got != "0 3 1" {
 		t.Errorf("after a fresh report: others, own, recent = %s, want 0 3 1", got)
 	}
 }
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -123,12 +123,12 @@
 func (s *Server) OwnSinceReport() int { return s.OwnInFlight() - s.load.ownAtReport }
 
 // OthersInFlight estimates the number of other hosts' requests at s.
-func (s *Server) Others() int {
+func (s *Server) OthersInFlight() int {
 	return max(s.load.reported-s.load.ownAtReport, 0) + s.load.peerRequests
 }
 
 // CorrectedLoad estimates the number of all requests at s.
-func (s *Server) Corrected() int { return s.Others() + s.OwnInFlight() }
+func (s *Server) Corrected() int { return s.OthersInFlight() + s.OwnInFlight() }
 
 // ReportedLoad returns the load as last reported by the server.
 func (s *Server) Reported() int { return s.load.reported }
