--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -128,7 +128,7 @@
 }
 
 // CorrectedLoad estimates the number of all requests at s.
-func (s *Server) Corrected() int { return s.OthersInFlight() + s.OwnInFlight() }
+func (s *Server) CorrectedLoad() int { return s.OthersInFlight() + s.OwnInFlight() }
 
 // ReportedLoad returns the load as last reported by the server.
 func (s *Server) Reported() int { return s.load.reported }
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -86,7 +86,7 @@
 	if c.cfg.Ablation.NoCorrection {
 		return s.Reported()
 	}
-	return s.Corrected()
+	return s.CorrectedLoad()
 }
 
 // cachedShare returns the share of w's prompt that s is expected to have cached.
