--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -131,7 +131,7 @@
 func (s *Server) CorrectedLoad() int { return s.OthersInFlight() + s.OwnInFlight() }
 
 // ReportedLoad returns the load as last reported by the server.
-func (s *Server) Reported() int { return s.load.reported }
+func (s *Server) ReportedLoad() int { return s.load.reported }
 
 // LoadAge returns the time since s measured its reported load.
 func (s *Server) LoadAge(now time.Time) time.Duration { return now.Sub(s.load.at) }
--- a/internal/measure/routing/baseline.go
+++ b/internal/measure/routing/baseline.go
@@ -90,9 +90,9 @@
 		ties := 0
 		for _, s := range usable {
 			switch {
-			case s.Reported() < best.Reported():
+			case s.ReportedLoad() < best.ReportedLoad():
 				best, ties = s, 1
-			case s.Reported() == best.Reported():
+			case s.ReportedLoad() == best.ReportedLoad():
 				ties++
 				if rng.Intn(ties) == 0 {
 					best = s
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -76,7 +76,7 @@
 		return true
 	}
 	s := m.server
-	free := max(limit-s.Reported(), 0)
+	free := max(limit-s.ReportedLoad(), 0)
 	turn := (m.position + int(s.State().GetSeq()%uint64(m.cover))) % m.cover
 	return s.OwnSinceReport() < max(shareOf(free, m.cover, turn), 0)
 }
@@ -84,7 +84,7 @@
 // loadOf returns the load by which servers are compared.
 func (c *Core) loadOf(s *backend.Server) int {
 	if c.cfg.Ablation.NoCorrection {
-		return s.Reported()
+		return s.ReportedLoad()
 	}
 	return s.CorrectedLoad()
 }
