--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -94,7 +94,7 @@
 }
 
 // PrefillDone records that the prompt of a request was prefilled, as its first token has arrived.
-func (s *Server) Computed(ticket uint64) {
+func (s *Server) PrefillDone(ticket uint64) {
 	for i := range s.load.own {
 		if s.load.own[i].Ticket == ticket {
 			s.load.own[i].prefillDone = true
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -211,7 +211,7 @@
 func (c *Core) FirstToken(ticket uint64, d time.Duration) {
 	if r := c.attempts[ticket]; r != nil {
 		r.first = d
-		r.server.Computed(ticket)
+		r.server.PrefillDone(ticket)
 	}
 }
 
