--- a/internal/backend/speed.go
+++ b/internal/backend/speed.go
@@ -89,7 +89,7 @@
 
 // RecordModelRun records a completed request to a model: took is the time from dispatch to the end,
 // first that from dispatch to the first token (zero: not known), output the number of tokens.
-func (s *Server) Measured(first, took time.Duration, output uint64) {
+func (s *Server) RecordModelRun(first, took time.Duration, output uint64) {
 	s.speed.runTime.add(took.Seconds())
 	if output < 2 || first <= 0 || took <= first {
 		return
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -238,7 +238,7 @@
 	if r.work.Target.Kind == backend.Service {
 		r.server.MeasuredService(took)
 	} else {
-		r.server.Measured(r.first, took, end.Output)
+		r.server.RecordModelRun(r.first, took, end.Output)
 	}
 	p := c.pool(r.work.Target)
 	planned := c.withMargin(c.minRunTime(r.server, &r.work))
