--- a/internal/backend/speed.go
+++ b/internal/backend/speed.go
@@ -98,7 +98,7 @@
 }
 
 // RecordServiceCall records a completed call of a plain service.
-func (s *Server) MeasuredService(took time.Duration) { s.speed.runTime.add(took.Seconds()) }
+func (s *Server) RecordServiceCall(took time.Duration) { s.speed.runTime.add(took.Seconds()) }
 
 // TokenTime predicts the time per output token of one stream: at a full batch by the announced speeds,
 // or as measured by this host if that is slower. A server without announced speed or measurements
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -236,7 +236,7 @@
 	}
 	took := now.Sub(r.started)
 	if r.work.Target.Kind == backend.Service {
-		r.server.MeasuredService(took)
+		r.server.RecordServiceCall(took)
 	} else {
 		r.server.RecordModelRun(r.first, took, end.Output)
 	}
