--- a/internal/backend/speed.go
+++ b/internal/backend/speed.go
@@ -139,7 +139,7 @@
 
 // QueueDepth returns how many requests beyond its slots s completes within d; 0 if a request takes
 // longer than d.
-func (s *Server) Depth(d time.Duration) int {
+func (s *Server) QueueDepth(d time.Duration) int {
 	run := s.MeanRun()
 	if run <= 0 || run > d {
 		return 0
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -62,7 +62,7 @@
 		return 0
 	}
 	slots := m.server.Slots()
-	return min(m.server.Depth(c.cfg.QueueAhead), max(slots, 2*m.cover-slots))
+	return min(m.server.QueueDepth(c.cfg.QueueAhead), max(slots, 2*m.cover-slots))
 }
 
 // hasTurn splits the free slots of the last load report between the hosts that cover the server.
