--- a/internal/backend/speed.go
+++ b/internal/backend/speed.go
@@ -130,7 +130,7 @@
 }
 
 // MeanRunTime returns the mean time of this host's requests at s; 0 before minSamples measurements.
-func (s *Server) MeanRun() time.Duration {
+func (s *Server) MeanRunTime() time.Duration {
 	if s.speed.runTime.n < minSamples {
 		return 0
 	}
@@ -140,7 +140,7 @@
 // QueueDepth returns how many requests beyond its slots s completes within d; 0 if a request takes
 // longer than d.
 func (s *Server) QueueDepth(d time.Duration) int {
-	run := s.MeanRun()
+	run := s.MeanRunTime()
 	if run <= 0 || run > d {
 		return 0
 	}
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -130,7 +130,7 @@
 	if over <= 0 {
 		return 0
 	}
-	return time.Duration(over) * s.MeanRun() / time.Duration(s.Slots())
+	return time.Duration(over) * s.MeanRunTime() / time.Duration(s.Slots())
 }
 
 // minRunTime returns the run time of w on s with no queue and no other prompt pending.
