--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -11,7 +11,7 @@
 const maxEnded = 1024
 
 // InFlight is one request of this host at a server.
-type Run struct {
+type InFlight struct {
 	Ticket uint64
 	// Tokens is the number of prompt tokens that the server has to prefill.
 	Tokens      uint64
@@ -27,7 +27,7 @@
 type load struct {
 	at       time.Time // when the server measured the load
 	reported int       // running and waiting requests in the report
-	own      []Run
+	own      []InFlight
 	ended    []span
 	peers    map[string]peerWork
 
@@ -90,7 +90,7 @@
 
 // Begin counts a request as sent to s. prompt is the number of tokens to prefill.
 func (s *Server) Begin(now time.Time, ticket, prompt uint64) {
-	s.load.own = append(s.load.own, Run{Ticket: ticket, Tokens: prompt, start: now})
+	s.load.own = append(s.load.own, InFlight{Ticket: ticket, Tokens: prompt, start: now})
 }
 
 // PrefillDone records that the prompt of a request was prefilled, as its first token has arrived.
@@ -104,7 +104,7 @@
 
 // End counts a request as ended. It returns false if the request was not counted.
 func (s *Server) End(now time.Time, ticket uint64) bool {
-	i := slices.IndexFunc(s.load.own, func(r Run) bool { return r.Ticket == ticket })
+	i := slices.IndexFunc(s.load.own, func(r InFlight) bool { return r.Ticket == ticket })
 	if i < 0 {
 		return false
 	}
