--- a/internal/backend/leave_test.go
+++ b/internal/backend/leave_test.go
@@ -188,7 +188,7 @@
 	r.Announce(at(7), st) // measured at 2 s: 3 of the 10 are this host's
 	s.End(at(8), 0)
 	s.Begin(at(8), 7, 100)
-	r.MergeRecent(at(8), "h2", []*pb.RecentWork{{Server: "s1", Requests: 2}})
+	r.MergeRecentWork(at(8), "h2", []*pb.RecentWork{{Server: "s1", Requests: 2}})
 	if s.OthersInFlight() != 9 || s.OwnInFlight() != 3 {
 		t.Errorf("others %d own %d, want 9 and 3", s.OthersInFlight(), s.OwnInFlight())
 	}
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -177,7 +177,7 @@
 }
 
 // MergeRecentWork replaces the recent work of a peer.
-func (r *Registry) MergeRecent(now time.Time, host string, work []*pb.RecentWork) {
+func (r *Registry) MergeRecentWork(now time.Time, host string, work []*pb.RecentWork) {
 	for _, s := range r.servers {
 		if _, ok := s.load.peers[host]; ok {
 			delete(s.load.peers, host)
--- a/internal/controller/scheduler/fleet.go
+++ b/internal/controller/scheduler/fleet.go
@@ -41,7 +41,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.reg.MergeRecent(now, host, work)
+	s.reg.MergeRecentWork(now, host, work)
 	s.step(now)
 }
 
--- a/internal/measure/routing/ours.go
+++ b/internal/measure/routing/ours.go
@@ -92,7 +92,7 @@
 		work := from.RecentWork()
 		for k, to := range o.regs {
 			if k != i {
-				to.MergeRecent(wall(now), fmt.Sprintf("host-%d", i), work)
+				to.MergeRecentWork(wall(now), fmt.Sprintf("host-%d", i), work)
 			}
 		}
 	}
