--- a/internal/routes/index.go
+++ b/internal/routes/index.go
@@ -11,11 +11,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Index is a routing table made ready for lookups. It is not changed after it is made.
+// Index is a routing table indexed for lookups. It is immutable.
 type Index struct {
 	revision uint64
 	table    *Table
-	routes   map[place]*Route
+	routes   map[hostPrefix]*Route
 	services map[string]*Service
 	accounts map[string]*Account
 	byKey    map[string]*Account
@@ -25,14 +25,14 @@
 func NewIndex(revision uint64, t *Table) *Index {
 	x := &Index{
 		revision: revision, table: t,
-		routes:   make(map[place]*Route, len(t.Routes)),
+		routes:   make(map[hostPrefix]*Route, len(t.Routes)),
 		services: make(map[string]*Service, len(t.Services)),
 		accounts: make(map[string]*Account, len(t.Accounts)),
 		byKey:    make(map[string]*Account),
 	}
 	for i := range t.Routes {
 		r := &t.Routes[i]
-		x.routes[place{normalHost(r.Host), r.Prefix}] = r
+		x.routes[hostPrefix{normalHost(r.Host), r.Prefix}] = r
 	}
 	for i := range t.Services {
 		x.services[t.Services[i].Name] = &t.Services[i]
@@ -47,7 +47,7 @@
 	return x
 }
 
-// Decode reads a table from its JSON form, checks it and indexes it.
+// Decode decodes a table from its JSON form, packed or not, and checks and indexes it.
 func Decode(revision uint64, packed []byte) (*Index, error) {
 	tableJSON, err := Unpack(packed)
 	if err != nil {
@@ -63,19 +63,19 @@
 	return NewIndex(revision, t), nil
 }
 
-// Revision of the table.
+// Revision returns the revision of the table.
 func (x *Index) Revision() uint64 { return x.revision }
 
-// Table is what was indexed; it must not be changed.
+// Table returns the indexed table; it must not be modified.
 func (x *Index) Table() *Table { return x.table }
 
-// Limits on what callers may send.
+// Limits returns the limits on what callers may send.
 func (x *Index) Limits() Limits { return x.table.Limits }
 
-// Route finds the route of a request: among those of its host the one with the longest
-// prefix of its path.
+// Route returns the route of a request: of the routes for its host, the one with the longest prefix
+// of its path.
 func (x *Index) Route(host, path string) (*Route, error) {
-	at := place{host: normalHost(host)}
+	at := hostPrefix{host: normalHost(host)}
 	for end := len(path); end > 0; {
 		slash := strings.LastIndexByte(path[:end], '/')
 		if slash < 0 {
@@ -90,14 +90,14 @@
 	return nil, errkind.New(errkind.UnknownPath, "no route for this host and path")
 }
 
-// Service finds a service by name.
+// Service returns a service by name.
 func (x *Index) Service(name string) (*Service, bool) {
 	s, ok := x.services[name]
 	return s, ok
 }
 
-// Account finds the account that holds a key. needed is false where the table asks for
-// no keys at all.
+// Account returns the account that holds a key, or nil. needed is false if the table requires no
+// keys at all.
 func (x *Index) Account(key string) (a *Account, needed bool) {
 	if !x.table.Keyed {
 		return nil, false
@@ -105,13 +105,14 @@
 	return x.byKey[settings.HashKey(key)], true
 }
 
-// AccountNamed finds an account by name.
+// AccountNamed returns an account by name.
 func (x *Index) AccountNamed(name string) (*Account, bool) {
 	a, ok := x.accounts[name]
 	return a, ok
 }
 
-// PriorityOf is the rank of a request: the account's, else the route's; 0 goes first.
+// PriorityOf returns the priority of a request: the account's if it has one, else the route's.
+// 0 is the highest priority.
 func PriorityOf(r *Route, a *Account) int {
 	if a != nil && a.Priority != nil {
 		return *a.Priority
@@ -119,8 +120,8 @@
 	return r.Priority
 }
 
-// Pick chooses a target by weight. draw is a uniform random number below the sum of the
-// weights; see Weights.
+// Pick returns the service of a target chosen by weight. draw is a uniform random number below
+// TotalWeight.
 func (r *Route) Pick(draw uint64) string {
 	for _, t := range r.Targets {
 		if draw < t.Weight {
@@ -131,7 +132,7 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Weights is the sum of the targets' weights.
+// TotalWeight returns the sum of the targets' weights.
 func (r *Route) Weights() uint64 {
 	sum := uint64(0)
 	for _, t := range r.Targets {
@@ -140,8 +141,7 @@
 	return sum
 }
 
-// normalHost is a host in the form in which hosts are compared: without port, in lower
-// case.
+// normalHost returns a host in the form for comparisons: without port, in lower case.
 func normalHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/internal/routes/pack.go
+++ b/internal/routes/pack.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 )
 
-// maxUnpacked bounds a table or document once it is unpacked: several times what an
+// maxUnpacked bounds the size of an unpacked table or document. It is several times what an
 // operator may send.
 const maxUnpacked = 64 << 20
 
-// Pack compresses a table, or an operator's document, for the log and for other hosts. A
-// table of 1,400 routes has 307 KB as JSON and 20 KB packed; a host whose link carries 10
-// Mbit/s gets it in 16 ms in place of a quarter of a second.
+// Pack compresses a table, or an operator's document, for the log and for other hosts. A table of
+// 1,400 routes has 307 KB as JSON and 20 KB packed; a host with a 10 Mbit/s link receives it in
+// 16 ms instead of a quarter of a second.
 func Pack(plain []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -30,11 +30,11 @@
 	return out.Bytes(), nil
 }
 
-// gzipMagic begins what Pack returns. JSON never begins so.
+// gzipMagic is the beginning of Pack's output, with which JSON never begins.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// Unpack is the reverse of Pack. What was not packed comes back as it is: logs may hold
-// tables of earlier versions.
+// Unpack reverses Pack. Input that is not packed is returned unchanged: logs may contain tables of
+// earlier versions.
 func Unpack(packed []byte) ([]byte, error) {
 	if !bytes.HasPrefix(packed, gzipMagic) {
 		return packed, nil
@@ -48,7 +48,7 @@
 		return nil, errors.Wrap(err, "unpack")
 	}
 	if len(plain) > maxUnpacked {
-		return nil, errors.Errorf("unpack: over %d bytes", maxUnpacked)
+		return nil, errors.Errorf("unpack: more than %d bytes", maxUnpacked)
 	}
 	return plain, nil
 }
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -30,7 +30,7 @@
 	return &Table{Routes: routes, Services: []Service{service("pool"), service("desk")}}
 }
 
-func TestCheckNamesTheFault(t *testing.T) {
+func TestCheckReportsThePathOfTheFault(t *testing.T) {
 	noTimeout := route("a", "h", "/a/")
 	noTimeout.Timeout = 0
 	noAttempt := route("a", "h", "/a/")
@@ -67,7 +67,7 @@
 		})
 	}
 	if err := table(route("a", "h", "/a/"), route("b", "h", "/a/b/"), route("c", "g", "/a/")).Check(); err != nil {
-		t.Errorf("a good table is refused: %v", err)
+		t.Errorf("a valid table is rejected: %v", err)
 	}
 }
 
@@ -78,7 +78,7 @@
 	} {
 		r, err := x.Route("H:8080", path)
 		if err != nil || r.Name != want {
-			t.Errorf("%s goes to %v, %v; want %s", path, r, err, want)
+			t.Errorf("%s: got route %v, %v; want %s", path, r, err, want)
 		}
 	}
 	if _, err := x.Route("nobody", "/a/"); !errkind.Is(err, errkind.UnknownPath) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// The index must find what a look at all routes finds.
-func TestRouteAgreesWithALook(t *testing.T) {
+// Checks the index against a linear search of all routes.
+func TestRouteAgreesWithLinearSearch(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "c", ""})
 	rapid.Check(t, func(t *rapid.T) {
 		path := func(label string) string {
@@ -107,16 +107,16 @@
 			all.Routes = append(all.Routes, r)
 		}
 		x := NewIndex(1, all)
-		asked := path("asked") + rapid.SampledFrom([]string{"", "tail"}).Draw(t, "tail")
+		requested := path("asked") + rapid.SampledFrom([]string{"", "tail"}).Draw(t, "tail")
 		best := ""
 		for _, r := range all.Routes {
-			if r.Host == "h" && len(r.Prefix) <= len(asked) && asked[:len(r.Prefix)] == r.Prefix && len(r.Name) > len(best) {
+			if r.Host == "h" && len(r.Prefix) <= len(requested) && requested[:len(r.Prefix)] == r.Prefix && len(r.Name) > len(best) {
 				best = r.Name
 			}
 		}
-		found, err := x.Route("h", asked)
+		found, err := x.Route("h", requested)
 		if best == "" != (err != nil) || best != "" && found.Name != best {
-			t.Fatalf("%s: got %v, %v; want %q", asked, found, err, best)
+			t.Fatalf("%s: got %v, %v; want %q", requested, found, err, best)
 		}
 	})
 }
@@ -128,7 +128,7 @@
 		got[r.Pick(draw)]++
 	}
 	if got["pool"] != 3 || got["late"] != 1 || got["desk"] != 0 {
-		t.Errorf("drawn %v", got)
+		t.Errorf("targets picked: %v", got)
 	}
 }
 
@@ -144,7 +144,7 @@
 		t.Errorf("an unknown key gives %v, %v", a, needed)
 	}
 	if _, needed := NewIndex(1, table()).Account("secret"); needed {
-		t.Error("a table without keys asks for one")
+		t.Error("a table without keys requires one")
 	}
 }
 
@@ -157,10 +157,9 @@
 	return &pb.ReplaceRoutes{Revision: revision, TableJson: b, Document: []byte("as sent")}
 }
 
-// Symptom: an accepted routing table is undone, or read back with other content.
-// Sequence: revision 7 is accepted; 5 arrives late; 7 is sent again with other content.
-// Cause: a table replaced by one whose revision is not higher.
-func TestHighestRevisionStays(t *testing.T) {
+// Guards against an accepted routing table that is undone or replaced under the same revision: revision
+// 7 is accepted, 5 arrives late, and 7 is sent again with other content.
+func TestHighestRevisionStaysInForce(t *testing.T) {
 	s := NewState()
 	if got, err := s.Replace(replaceCommand(t, 7, table(route("seven", "h", "/a/")))); err != nil || !got.Changed {
 		t.Fatalf("first table: %v, %v", got, err)
@@ -172,17 +171,17 @@
 		}
 	}
 	if r, err := s.Current().Route("h", "/a/"); err != nil || r.Name != "seven" {
-		t.Errorf("in force is %v, %v", r, err)
+		t.Errorf("the table in force gives %v, %v", r, err)
 	}
 	if string(s.Routes().GetDocument()) != "as sent" {
 		t.Errorf("the document is %q", s.Routes().GetDocument())
 	}
 }
 
-// Symptom: an invalid table is in force at hosts and stops them from serving.
-// Sequence: a table with a route to an unknown service reaches the log.
-// Cause: checked only where it came in, by a host that ran other code.
-func TestInvalidTableIsRefusedByTheState(t *testing.T) {
+// Guards against an invalid table that comes into force and stops hosts from serving: a table with a
+// route to an unknown service was checked only by the host that received it, which ran another version,
+// and reaches the log.
+func TestStateRejectsAnInvalidTable(t *testing.T) {
 	s := NewState()
 	if _, err := s.Replace(replaceCommand(t, 1, table(route("a", "h", "/a/", Target{"nowhere", 1})))); !errkind.Is(err, errkind.InvalidSettings) {
 		t.Fatalf("got %v, want invalid_settings", err)
@@ -212,22 +211,22 @@
 	}
 }
 
-func TestPackedTablesReadTheSame(t *testing.T) {
+func TestUnpackReversesPack(t *testing.T) {
 	b, err := json.Marshal(table(route("a", "h", "/a/")))
 	testutil.NoError(t, err)
 	packed, err := Pack(b)
 	testutil.NoError(t, err)
-	again, err := Unpack(packed)
+	unpacked, err := Unpack(packed)
 	testutil.NoError(t, err)
-	if string(again) != string(b) {
-		t.Errorf("unpacked %q", again)
+	if string(unpacked) != string(b) {
+		t.Errorf("unpacked %q", unpacked)
 	}
 	if plain, err := Unpack(b); err != nil || string(plain) != string(b) {
 		t.Errorf("a table of an earlier version: %q, %v", plain, err)
 	}
 	for name, damaged := range map[string][]byte{"cut short": packed[:len(packed)/2], "not a table": {0x1f, 0x8b, 1, 2}} {
 		if _, err := Decode(1, damaged); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: decoded without error", name)
 		}
 	}
 	if x, err := Decode(3, packed); err != nil || len(x.Table().Routes) != len(table(route("a", "h", "/a/")).Routes) {
--- a/internal/routes/state.go
+++ b/internal/routes/state.go
@@ -5,18 +5,18 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// State is the replicated routing table. It is pure; every replica computes the same.
+// State is the replicated routing table. It is deterministic: every replica computes the same.
 type State struct {
 	current *Index
 	routes  *pb.Routes
 }
 
-// NewState makes the state before the first table.
+// NewState returns the state before the first table.
 func NewState() *State { return &State{routes: &pb.Routes{}} }
 
-// Replace takes a table under the operator's revision. One whose revision is not higher
-// than the present is acknowledged and changes nothing, whatever it holds: an operator
-// whose acknowledgement was lost sends it again, and an older one may come late.
+// Replace replaces the table under the operator's revision. A table whose revision is not higher
+// than the current one is acknowledged without effect, whatever its content: an operator whose
+// acknowledgement was lost sends the table again, and an older one may arrive late.
 func (s *State) Replace(c *pb.ReplaceRoutes) (*pb.ReplaceRoutesResult, error) {
 	if s.current != nil && c.GetRevision() <= s.current.Revision() {
 		return &pb.ReplaceRoutesResult{Revision: s.current.Revision()}, nil
@@ -30,26 +30,26 @@
 	return &pb.ReplaceRoutesResult{Revision: c.GetRevision(), Changed: true}, nil
 }
 
-// Current is the table in force; nil before the first.
+// Current returns the table in force; nil before the first.
 func (s *State) Current() *Index { return s.current }
 
-// Routes is the table in force as it was taken, with the operator's document. Revision 0
-// says that there is none.
+// Routes returns the table in force as it was sent, with the operator's document. Revision 0 means
+// that there is no table.
 func (s *State) Routes() *pb.Routes { return s.routes }
 
-// Image is the state for a snapshot.
+// Image is the state in a snapshot.
 type Image struct {
 	Revision uint64 `json:"revision,omitempty"`
 	Table    []byte `json:"table,omitempty"`
 	Document []byte `json:"document,omitempty"`
 }
 
-// Image copies the state.
+// Image returns the state for a snapshot.
 func (s *State) Image() Image {
 	return Image{Revision: s.routes.GetRevision(), Table: s.routes.GetTableJson(), Document: s.routes.GetDocument()}
 }
 
-// Restore replaces the state by a snapshot's. On an error it is unchanged.
+// Restore replaces the state by that of a snapshot. On an error the state is unchanged.
 func (s *State) Restore(im Image) error {
 	fresh := NewState()
 	if im.Table != nil {
