--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	name := route.Pick(rand.Uint64N(route.Weights()))
+	name := route.Pick(rand.Uint64N(route.TotalWeight()))
 	service, ok := table.Service(name)
 	if !ok {
 		return errkind.New(errkind.Internal, "route %q names service %q, which the table does not have", route.Name, name)
--- a/internal/routes/index.go
+++ b/internal/routes/index.go
@@ -133,7 +133,7 @@
 }
 
 // TotalWeight returns the sum of the targets' weights.
-func (r *Route) Weights() uint64 {
+func (r *Route) TotalWeight() uint64 {
 	sum := uint64(0)
 	for _, t := range r.Targets {
 		sum += t.Weight
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -124,7 +124,7 @@
 func TestPickFollowsWeights(t *testing.T) {
 	r := route("a", "h", "/a/", Target{"pool", 3}, Target{"desk", 0}, Target{"late", 1})
 	got := map[string]int{}
-	for draw := range r.Weights() {
+	for draw := range r.TotalWeight() {
 		got[r.Pick(draw)]++
 	}
 	if got["pool"] != 3 || got["late"] != 1 || got["desk"] != 0 {
