--- a/internal/balance/core.go
+++ b/internal/balance/core.go
@@ -120,7 +120,8 @@
 	// servedRecently is how long an answer counts as a sign of life from a server whose
 	// announcement is stale.
 	servedRecently = 5 * time.Second
-	// minAllFailing is the number of servers from which it is unlikely that all fail at once.
+	// minAllFailing is the number of servers from which a failure of all of them at once is
+	// considered unlikely.
 	minAllFailing = 3
 	// firstBackoff and maxBackoff bound the backoff after a failure of a server.
 	firstBackoff = 250 * time.Millisecond
@@ -144,8 +145,8 @@
 // attempt is a request of this host at a server.
 type attempt struct {
 	server *server
-	// unread is the number of prompt tokens to prefill before the first event.
-	unread    uint64
+	// uncached is the number of prompt tokens to prefill before the first event.
+	uncached  uint64
 	started   time.Time
 	predicted time.Duration
 	engine    bool
@@ -181,7 +182,7 @@
 	}
 	c.ticket++
 	r := &attempt{
-		server: best.server, unread: w.PromptTokens - min(best.cached, w.PromptTokens), started: now, predicted: best.wait,
+		server: best.server, uncached: w.PromptTokens - min(best.cached, w.PromptTokens), started: now, predicted: best.wait,
 		engine: w.Engine,
 	}
 	c.attempts[c.ticket] = r
@@ -245,9 +246,9 @@
 	cand := candidate{inst: inst, server: s}
 	if w.Engine {
 		cand.cached = s.cache.cached(w.Prompt)
-		unread := w.PromptTokens - min(cand.cached, w.PromptTokens)
-		cand.wait = prefillTime(s.backlog(now)+float64(unread)) + s.residualLateness(now) + time.Duration(s.running)*runningPenalty
-		cand.delayToOthers = time.Duration(float64(prefillTime(float64(unread))) * queuedPerUtilization * s.utilization(now))
+		uncached := w.PromptTokens - min(cand.cached, w.PromptTokens)
+		cand.wait = prefillTime(s.backlog(now)+float64(uncached)) + s.residualLateness(now) + time.Duration(s.running)*runningPenalty
+		cand.delayToOthers = time.Duration(float64(prefillTime(float64(uncached))) * queuedPerUtilization * s.utilization(now))
 	} else {
 		cand.wait = s.serviceTime(inst.Slots)
 	}
@@ -306,7 +307,7 @@
 // cooldown or a rate limit sets that time, which is the same for all callers, a random jitter keeps
 // them from returning all at once.
 func (c *Core) noServer(now time.Time, w *Work) error {
-	wait, set := time.Duration(0), false
+	wait, setByServer := time.Duration(0), false
 	var why exclusions
 	for _, inst := range c.reg.Serving(w.Service) {
 		if !w.Shard.contains(inst.ID) {
@@ -317,13 +318,13 @@
 		why.add(backoff, cooldown, noPermit)
 		byServer := max(cooldown, noPermit)
 		if pause := max(backoff, byServer); pause > 0 && (wait == 0 || pause < wait) {
-			wait, set = pause, pause == byServer
+			wait, setByServer = pause, pause == byServer
 		}
 	}
 	switch {
 	case wait == 0:
 		wait = maxBackoff
-	case set:
+	case setByServer:
 		wait += c.spread(wait)
 	}
 	return errkind.New(errkind.NoBackendServer, "no backend server of %q may get the request: %s", w.Service, why).After(wait)
--- a/internal/balance/core_test.go
+++ b/internal/balance/core_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// load gives each engine the prompt tokens per second for 10 s, all of them prefilled.
+// load dispatches tokens prompt tokens a second to each engine for 10 s; all of them are prefilled.
 func (w *fixture) load(tokens uint64, ids ...string) {
 	for range 40 {
 		for _, id := range ids {
@@ -167,7 +167,7 @@
 }
 
 func TestAllHostsComputeTheSamePreferredServer(t *testing.T) {
-	// Guards against each host having the same prompt part prefilled at another engine. Hosts
+	// Guards against each host having the same prompt part prefilled at a different engine. Hosts
 	// that know nothing of each other's requests get the first requests with a part at the same
 	// time, and a choice among equal servers at random would differ.
 	for part := uint64(1); part < 20; part++ {
@@ -435,8 +435,8 @@
 			w.core.Done(w.now, c.Ticket, Served)
 		}
 		for id, s := range w.core.servers {
-			if s.running != 0 || s.unread != 0 || len(s.pending) != 0 {
-				t.Fatalf("%v still has %d requests and %d unread tokens", id, s.running, s.unread)
+			if s.running != 0 || s.uncached != 0 || len(s.pending) != 0 {
+				t.Fatalf("%v still has %d requests and %d uncached tokens", id, s.running, s.uncached)
 			}
 		}
 	})
--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -9,10 +9,10 @@
 // server is what this host knows of one incarnation of a server beyond its announcements.
 type server struct {
 	// running counts the requests that this host dispatched there. pending lists those without the
-	// first part of their answer, oldest first, and unread is the sum of their prompt tokens.
-	running int
-	pending []*attempt
-	unread  uint64
+	// first part of their answer, oldest first, and uncached is the sum of their prompt tokens to prefill.
+	running  int
+	pending  []*attempt
+	uncached uint64
 	// headSince is the earliest time at which the prefill of the oldest pending request can have begun.
 	headSince time.Time
 	cache     cache
@@ -49,9 +49,9 @@
 const utilizationWindow = 3 * time.Second
 
 // assign records prompt tokens that the server has to prefill.
-func (s *server) assign(now time.Time, unread uint64) {
+func (s *server) assign(now time.Time, uncached uint64) {
 	s.decayWork(now)
-	s.work += float64(unread)
+	s.work += float64(uncached)
 }
 
 func (s *server) decayWork(now time.Time) {
@@ -76,8 +76,8 @@
 		s.headSince = now
 	}
 	s.pending = append(s.pending, r)
-	s.unread += r.unread
-	s.assign(now, r.unread)
+	s.uncached += r.uncached
+	s.assign(now, r.uncached)
 }
 
 // firstPart records that the prompt of an attempt has been prefilled.
@@ -96,7 +96,7 @@
 	r.firstSeen = true
 	i := slices.Index(s.pending, r)
 	s.pending = slices.Delete(s.pending, i, i+1)
-	s.unread -= r.unread
+	s.uncached -= r.uncached
 	s.headSince = now
 	return true
 }
@@ -108,8 +108,8 @@
 	if len(s.pending) == 0 {
 		return 0
 	}
-	read := min(prefilledIn(now.Sub(s.headSince)), float64(s.pending[0].unread))
-	return float64(s.unread) - read
+	prefilled := min(prefilledIn(now.Sub(s.headSince)), float64(s.pending[0].uncached))
+	return float64(s.uncached) - prefilled
 }
 
 // latenessDecay is the time in which an observed lateness decays to a third.
--- a/internal/instance/incarnation_test.go
+++ b/internal/instance/incarnation_test.go
@@ -55,14 +55,14 @@
 // incarnation: a heartbeat that a partition delayed, the end of that incarnation, or a peer's state of
 // it. Once the id alone identified the server.
 func TestLateUpdateOfTheFormerIncarnationChangesNothing(t *testing.T) {
-	gone := &pb.ServerState{Id: "a", Incarnation: 100, Gone: true}
+	ended := &pb.ServerState{Id: "a", Incarnation: 100, Gone: true}
 	for name, late := range map[string]func(r *Registry) bool{
 		"ready":    func(r *Registry) bool { return r.Announce(start, startedAt(100, 50)) },
 		"draining": func(r *Registry) bool { return r.Announce(start, draining(startedAt(100, 50))) },
 		"end":      func(r *Registry) bool { return r.End(start, Incarnation{"a", 100}) },
 		"no start": func(r *Registry) bool { return r.Announce(start, draining(startedAt(0, 50))) },
-		"gone, from a peer": func(r *Registry) bool {
-			changed, err := r.Merge(start, 0, gone)
+		"end, from a peer": func(r *Registry) bool {
+			changed, err := r.Merge(start, 0, ended)
 			testutil.NoError(t, err)
 			return changed
 		},
@@ -287,15 +287,15 @@
 
 // stage is the state of one server at a host, which may only advance.
 type stage struct {
-	started        uint64
-	draining, gone bool
+	started         uint64
+	draining, ended bool
 }
 
 func (s stage) before(o stage) bool {
 	if s.started != o.started {
 		return s.started < o.started
 	}
-	return (o.draining || !s.draining) && (o.gone || !s.gone)
+	return (o.draining || !s.draining) && (o.ended || !s.ended)
 }
 
 func stageOf(r *Registry, id string) stage {
@@ -303,7 +303,7 @@
 	if !ok {
 		return stage{}
 	}
-	return stage{started: i.Started, draining: i.Draining || i.Ended, gone: i.Ended}
+	return stage{started: i.Started, draining: i.Draining || i.Ended, ended: i.Ended}
 }
 
 // Checks that whatever is delayed, duplicated, lost or reordered between servers and hosts, no host
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -13,8 +13,8 @@
 // ones by rendezvous hash, so that requests with one prefix find it cached there.
 const preferredCount = 2
 
-// lentReserve is the fraction (1/lentReserve) of a server's slots that a host leaves free when it
-// goes beyond its own share.
+// lentReserve determines the slots of a server that a host leaves free when it goes beyond its own
+// share: 1/lentReserve of them.
 //
 // Without it, one busy host refills every borrowed slot the moment it ends, and a second host waits
 // forever for its own share.
@@ -54,9 +54,9 @@
 }
 
 // depth returns how many requests beyond its slots a server may get from all hosts together: the
-// work that it completes in the time QueueAhead, but at most as many as it has slots, or one per
-// host. A host that has a server to itself needs none, because it sees the end of each request
-// at once.
+// work that it completes in the time QueueAhead, but at most as many as it has slots, or as raise
+// each host's share to two requests. A host that has a server to itself needs none, because it sees
+// the end of each request at once.
 func (c *Core) depth(m member) int {
 	if m.cover <= 1 {
 		return 0
@@ -66,8 +66,8 @@
 }
 
 // hasTurn splits the free slots of the last load report between the hosts that cover the server.
-// The remainder goes to other hosts with each report. Requests that this host ended since the
-// report it may replace.
+// The remainder goes to other hosts with each report. A host may replace the requests that it ended
+// since the report.
 //
 // Without it, all hosts see the same three free slots in one report, each sends a request, and
 // most of these wait seconds for a slot.
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -156,19 +156,19 @@
 		return out
 	}
 	p.nextExpiry = time.Time{}
-	var gone []*item
+	var expired []*item
 	for k := range p.classes {
 		for _, a := range p.classes[k].active {
 			for _, it := range a.items {
 				if !now.Before(it.latest) || c.usable(now, p, &it.work) == 0 {
-					gone = append(gone, it)
+					expired = append(expired, it)
 				} else if p.nextExpiry.IsZero() || it.latest.Before(p.nextExpiry) {
 					p.nextExpiry = it.latest
 				}
 			}
 		}
 	}
-	for _, it := range gone {
+	for _, it := range expired {
 		c.dequeue(it)
 		p.notePressure(now, it.work.Class)
 		err := c.noServer(now, p)
@@ -210,7 +210,7 @@
 // FirstToken records that a granted request got its first token d after its dispatch.
 func (c *Core) FirstToken(ticket uint64, d time.Duration) {
 	if r := c.attempts[ticket]; r != nil {
-		r.first = d
+		r.firstToken = d
 		r.server.PrefillDone(ticket)
 	}
 }
@@ -238,7 +238,7 @@
 	if r.work.Target.Kind == backend.Service {
 		r.server.RecordServiceCall(took)
 	} else {
-		r.server.RecordModelRun(r.first, took, end.Output)
+		r.server.RecordModelRun(r.firstToken, took, end.Output)
 	}
 	p := c.pool(r.work.Target)
 	planned := c.withMargin(c.minRunTime(r.server, &r.work))
--- a/internal/sched/pool.go
+++ b/internal/sched/pool.go
@@ -13,13 +13,13 @@
 	maxBatchSkips  = 64
 )
 
-// urgentExtra is the fraction (1/urgentExtra) of its slots by which urgent requests may exceed a
-// server's slots. The server gives them its next free slot, which on a large server comes soon;
+// urgentExtra determines by how much urgent requests may exceed a server's slots: by 1/urgentExtra
+// of them. The server gives them its next free slot, which on a large server comes soon;
 // this host has no other way to use the slots that other hosts hold.
 const urgentExtra = 16
 
-// batchReserve is the fraction (1/batchReserve) of a server's slots that batch requests leave free,
-// so that an urgent request never finds all slots held by long requests.
+// batchReserve determines the slots of a server that batch requests leave free, 1/batchReserve of
+// them, so that an urgent request never finds all slots held by long requests.
 const batchReserve = 16
 
 // For pressureTime after a higher priority request was refused for want of room, batch requests
--- a/internal/sched/work.go
+++ b/internal/sched/work.go
@@ -171,7 +171,8 @@
 	work    Work
 	server  *backend.Server
 	started time.Time
-	first   time.Duration
+	// firstToken is the time from dispatch to the first token; 0 before it arrives.
+	firstToken time.Duration
 }
 
 // New returns a core that chooses among the servers of reg. rng is the only source of
