--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -9,7 +9,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// restarted returns an announcement of an engine's incarnation that started at the given time.
+// restartedAt returns an announcement of an engine's incarnation that started at the given time.
 func restartedAt(started uint64) instance.Announcement {
 	a := engines(1)[0]
 	a.Started = started
--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -8,8 +8,9 @@
 // PermitLifetime, so that none outlives its owner for long.
 //
 // Invariant: in any span of 4 s a server gets at most 1.5 times what its limit allows, plus 5
-// requests. One bucket issues at most rate x (4 s + PermitLifetime) + burst. Two hosts may act as
-// the owner at the same time, or another host may become the owner while the former one is alive:
+// requests. One bucket contributes at most rate x (4 s + PermitLifetime) + burst to such a span. Two
+// hosts may act as the owner at the same time, or another host may become the owner while the former
+// one is alive. Three rules bound what they issue together:
 //
 //   - The backup owner, second in rank, issues backupShare of the limit while the first in rank
 //     is not suspected.
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -63,7 +63,7 @@
 // NewIssuer returns an issuer without buckets.
 func NewIssuer() *Issuer { return &Issuer{buckets: make(map[instance.Incarnation]*bucket)} }
 
-// PermitRequest is a host's request for permits.
+// PermitRequest is a host's request for permits to send requests to a server.
 type PermitRequest struct {
 	Incarnation instance.Incarnation
 	Host        string
@@ -74,12 +74,12 @@
 
 // Issue grants up to as many permits as are requested. If it grants none, after is the time to wait
 // before the next request.
-func (i *Issuer) Issue(now time.Time, a PermitRequest) (granted int, after time.Duration) {
-	b := i.bucket(now, a.Incarnation)
-	b.requests[a.Host], b.lastRequest = now, now
-	rate := b.rate(now, a)
+func (i *Issuer) Issue(now time.Time, req PermitRequest) (granted int, after time.Duration) {
+	b := i.bucket(now, req.Incarnation)
+	b.requests[req.Host], b.lastRequest = now, now
+	rate := b.rate(now, req)
 	b.fill(now, rate)
-	granted = min(max(a.Want, 1), int(b.permits))
+	granted = min(max(req.Want, 1), int(b.permits))
 	b.permits -= float64(granted)
 	if granted > 0 {
 		return granted, 0
@@ -98,9 +98,9 @@
 }
 
 // rate returns the rate of issue, in permits a second.
-func (b *bucket) rate(now time.Time, a PermitRequest) float64 {
-	b.setShare(now, a.Share)
-	return max(a.Limit*b.share, minRate)
+func (b *bucket) rate(now time.Time, req PermitRequest) float64 {
+	b.setShare(now, req.Share)
+	return max(req.Limit*b.share, minRate)
 }
 
 // setShare applies a smaller share at once, and a larger one only after ownerChangeTime, when the
--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -95,8 +95,8 @@
 	return errkind.New(errkind.UnknownModel, "no backend server has announced model %q", t.Name)
 }
 
-// noServer returns the refusal of a request for which no server is usable, or all usable servers
-// cool down for this host.
+// noServer returns the refusal of a request that no server may get, because none is in service or all
+// of them cool down for this host.
 func (c *Core) noServer(now time.Time, p *pool) error {
 	after := c.reg.Lapse()
 	cooldown := time.Duration(0)
