--- a/internal/backend/leave_test.go
+++ b/internal/backend/leave_test.go
@@ -115,7 +115,7 @@
 
 // Guards against a leaving server that gets requests again. Its leaving announcement is followed by one
 // with a lower number that arrives late, or by one with a higher number that was sent by mistake without
-// the flag. Once the flag of the newest announcement alone counted.
+// the flag. This happens if only the flag of the newest announcement counts.
 func TestLeavingIsFinalWithinAnIncarnation(t *testing.T) {
 	leaving := server(5)
 	leaving.Leaving = true
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -31,7 +31,7 @@
 	ended    []span
 	peers    map[string]peerWork
 
-	// Cached sums.
+	// Sums kept for quick decisions.
 	ownAtReport  int // how many of the reported requests were this host's
 	peerRequests int
 	peerTokens   uint64
--- a/internal/balance/cooldown_test.go
+++ b/internal/balance/cooldown_test.go
@@ -9,14 +9,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/instance"
 )
 
-func firstRun(id string) instance.Incarnation { return instance.Incarnation{ID: id} }
+func firstIncarnation(id string) instance.Incarnation { return instance.Incarnation{ID: id} }
 
 // Guards against a cooldown that ends before its time: by an answer to an earlier request, a
 // shorter cooldown, or the failure of all other servers.
 func TestCooldownIsNotCutShort(t *testing.T) {
 	for name, disturb := range map[string]func(w *fixture, open uint64){
 		"an answer":          func(w *fixture, open uint64) { w.core.Done(w.now, open, Served) },
-		"a shorter cooldown": func(w *fixture, _ uint64) { w.core.StartCooldown(w.now, firstRun("e00"), 10*time.Millisecond) },
+		"a shorter cooldown": func(w *fixture, _ uint64) { w.core.StartCooldown(w.now, firstIncarnation("e00"), 10*time.Millisecond) },
 		"a failure":          func(w *fixture, open uint64) { w.core.Done(w.now, open, Broken) },
 		"the failure of all others": func(w *fixture, _ uint64) {
 			for range 40 {
@@ -29,10 +29,10 @@
 		w := newFixture("z", engines(5)...)
 		work := prompt(1, 2, 100, 10)
 		for _, id := range []string{"e01", "e02", "e03", "e04"} {
-			work.Exclude = append(work.Exclude, firstRun(id))
+			work.Exclude = append(work.Exclude, firstIncarnation(id))
 		}
 		open := w.choose(t, work)
-		if !w.core.StartCooldown(w.now, firstRun("e00"), 3*time.Second) {
+		if !w.core.StartCooldown(w.now, firstIncarnation("e00"), 3*time.Second) {
 			t.Errorf("%s: StartCooldown reports a cooldown that was already running", name)
 		}
 		disturb(w, open.Ticket)
@@ -47,7 +47,7 @@
 
 func TestServerIsUsedAfterItsCooldown(t *testing.T) {
 	w := newFixture("z", engines(1)...)
-	w.core.StartCooldown(w.now, firstRun("e00"), 3*time.Second)
+	w.core.StartCooldown(w.now, firstIncarnation("e00"), 3*time.Second)
 	w.now = w.now.Add(3 * time.Second)
 	if c := w.choose(t, prompt(1, 2, 100, 10)); c.Instance.ID != "e00" || c.CooldownLeft != 0 {
 		t.Errorf("chose %s with %v of its cooldown left", c.Instance.ID, c.CooldownLeft)
@@ -58,7 +58,7 @@
 func TestRefusalCarriesTheEndOfTheFirstCooldown(t *testing.T) {
 	w := newFixture("z", engines(3)...)
 	for id, cooldown := range map[string]time.Duration{"e00": 20 * time.Second, "e01": 7 * time.Second, "e02": time.Hour} {
-		w.core.StartCooldown(w.now, firstRun(id), cooldown)
+		w.core.StartCooldown(w.now, firstIncarnation(id), cooldown)
 	}
 	_, err := w.core.Choose(w.now, prompt(1, 2, 100, 10))
 	e := errkind.From(err)
@@ -77,7 +77,7 @@
 // Guards against a cooldown that outlives the server's incarnation that requested it.
 func TestCooldownEndsWithTheIncarnation(t *testing.T) {
 	w := newFixture("z", engines(1)...)
-	w.core.StartCooldown(w.now, firstRun("e00"), time.Hour)
+	w.core.StartCooldown(w.now, firstIncarnation("e00"), time.Hour)
 	again := engines(1)[0]
 	again.Started = 2
 	w.announce(again)
@@ -87,14 +87,14 @@
 // Guards against all hosts sending to a server that makes one host after the other cool down.
 func TestServerCoolingDownForAnotherHostRanksLast(t *testing.T) {
 	w := newFixture("z", engines(3)...)
-	w.core.StartRemoteCooldown(w.now, firstRun("e01"), 3*time.Second)
+	w.core.StartRemoteCooldown(w.now, firstIncarnation("e01"), 3*time.Second)
 	for range 20 {
 		if c := w.choose(t, prompt(1, 2, 100, 10)); c.Instance.ID == "e01" {
 			t.Fatal("e01, which cools down for another host, was chosen although others were available")
 		}
 	}
 	work := prompt(1, 2, 100, 10)
-	work.Exclude = []instance.Incarnation{firstRun("e00"), firstRun("e02")}
+	work.Exclude = []instance.Incarnation{firstIncarnation("e00"), firstIncarnation("e02")}
 	if c := w.choose(t, work); c.Instance.ID != "e01" {
 		t.Errorf("chose %s, want e01, the only server left", c.Instance.ID)
 	}
--- a/internal/balance/core_test.go
+++ b/internal/balance/core_test.go
@@ -121,8 +121,8 @@
 
 // Guards against a burst in which every engine prefills parts that others have cached, which keeps
 // answers late for longer than the burst lasts. All engines are nearly full, and the one with the
-// part is slightly busier than the others. With the shortest wait as the only criterion, the full
-// prefill elsewhere delayed ten other requests.
+// part is slightly busier than the others. If the shortest wait is the only criterion, the prefill of
+// a whole prompt elsewhere delays ten other requests.
 func TestFullEnginesDoNotPrefillPartsCachedElsewhere(t *testing.T) {
 	w := newFixture("z", engines(6)...)
 	kept := w.serve(t, prompt(7, 1, 13_000, 3_000), 600*time.Millisecond).Instance.ID
@@ -141,8 +141,8 @@
 	}
 }
 
-// Guards against an engine that is always late while others are idle: several frequent parts have
-// it as their preferred server, and only the present wait counted, not the utilization.
+// Guards against an engine that is always late while others are idle, because it is the preferred
+// server of several frequent parts. This happens if only the present wait counts, not the utilization.
 func TestIdleEngineTakesOverAPartFromAFullOne(t *testing.T) {
 	w := newFixture("z", engines(6)...)
 	kept := w.serve(t, prompt(7, 1, 6_000, 3_000), 600*time.Millisecond).Instance.ID
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -43,8 +43,8 @@
 }
 
 // Guards against a refusal although a server serves: the last server of the service crashes with the
-// request and starts again under its id, and the next attempt excluded the id instead of the
-// incarnation.
+// request and starts again under its id. This happens if the next attempt excludes the id instead of
+// the incarnation.
 func TestNextIncarnationIsNotExcluded(t *testing.T) {
 	w := newFixture("z", restartedAt(100))
 	work := prompt(7, 1, 100, 100)
@@ -62,7 +62,7 @@
 
 // Guards against requests that wait for the prefill of parts that were assumed to be cached: after a
 // server's restart another host reports the cache of the former incarnation, before or after the new
-// one is known. Cache reports once carried the id alone.
+// one is known. This happens if cache reports carry the id alone.
 func TestCacheReportsAreOfOneIncarnation(t *testing.T) {
 	parts := []Part{{ID: 1, Tokens: 3_000}, {ID: 7, Tokens: 13_000}}
 	of := func(started uint64) []CachedParts {
--- a/internal/instance/incarnation_test.go
+++ b/internal/instance/incarnation_test.go
@@ -53,7 +53,7 @@
 
 // Guards against a restarted server that gets no more requests after a late update about its former
 // incarnation: a heartbeat that a partition delayed, the end of that incarnation, or a peer's state of
-// it. Once the id alone identified the server.
+// it. This happens if the id alone identifies a server.
 func TestLateUpdateOfTheFormerIncarnationChangesNothing(t *testing.T) {
 	ended := &pb.ServerState{Id: "a", Incarnation: 100, Gone: true}
 	for name, late := range map[string]func(r *Registry) bool{
@@ -127,8 +127,8 @@
 	want(t, r, "a", "c") // no instance is at the first address any more
 }
 
-// Guards against a faulty announcement of a server in another service, which once counted because it was
-// the newest: requests of one service reached servers of another, or a server got no requests of its own.
+// Guards against a faulty announcement of a server in another service that counts because it is the
+// newest: requests of one service reach servers of another, or a server gets no requests of its own service.
 func TestIncarnationKeepsItsService(t *testing.T) {
 	r := New(Config{})
 	r.Announce(start, startedAt(100, 5))
@@ -141,7 +141,7 @@
 		t.Errorf("the incarnation is listed in pool but has the service %s", i.Service)
 	}
 	want(t, r, "a")
-	// The faulty announcement came first: it is not repeated, those of the server are.
+	// If the faulty announcement came first, it lapses, because only the server's own are repeated.
 	r.Announce(start.Add(DefaultLapse), other)
 	if r.Announce(start.Add(2*DefaultLapse), startedAt(100, 15)); len(r.Serving("lookup")) != 0 {
 		t.Error("the announcement that is not repeated wins")
@@ -171,7 +171,8 @@
 }
 
 // Guards against hosts that keep notifying each other of servers that ended long ago: one host drops an
-// end, and a peer that knew of it later sends it again. Once a received end counted as announced now.
+// end, and a peer that knew of it later sends it again. This happens if an end counts as announced when
+// it is received.
 func TestEndsOfServersAreDroppedEverywhere(t *testing.T) {
 	regs := []*Registry{New(Config{}), New(Config{})}
 	regs[0].End(start, Incarnation{"a", 100})
--- a/internal/instance/registry_test.go
+++ b/internal/instance/registry_test.go
@@ -63,7 +63,8 @@
 
 // Guards against a serving server that gets no requests: server a crashes behind a partition, b starts
 // at its address and announces itself, and then the partition delivers a's last announcement, the
-// first one of a at this host. Once the newest first announcement at an address displaced the other.
+// first one of a at this host. This happens if the newest first announcement at an address displaces
+// the instance there.
 func TestDelayedAnnouncementDisplacesNobody(t *testing.T) {
 	r := New(Config{})
 	r.Announce(start, ready("b", 1))
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Checks that in no span of the window all hosts together make more retries than Share of the
+// Checks that in no span of length Window all hosts together make more retries than Share of the
 // span's requests plus Extra, although no host knows of the others' retries.
 //
 // A request counts for the window in which it arrived and for the next one, because its retry may
--- a/internal/silence/silence.go
+++ b/internal/silence/silence.go
@@ -71,7 +71,7 @@
 	// Waiting: the request is queued or in prefill; the server has no tokens beyond those
 	// received.
 	Waiting
-	// Ahead: the server has sent tokens that did not arrive here.
+	// Ahead: the server has generated tokens that did not arrive here.
 	Ahead
 	// UnknownRequest: the server does not know the request.
 	UnknownRequest
