--- a/internal/balance/core_test.go
+++ b/internal/balance/core_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// load gives each engine the prompt tokens per second for 10 s, all of them prefilled.
+// load dispatches tokens prompt tokens a second to each engine for 10 s; all of them are prefilled.
 func (w *fixture) load(tokens uint64, ids ...string) {
 	for range 40 {
 		for _, id := range ids {
@@ -121,8 +121,8 @@
 
 // Guards against a burst in which every engine prefills parts that others have cached, which keeps
 // answers late for longer than the burst lasts. All engines are nearly full, and the one with the
-// part is slightly busier than the others. With the shortest wait as the only criterion, the full
-// prefill elsewhere delayed ten other requests.
+// part is slightly busier than the others. If the shortest wait is the only criterion, the prefill of
+// a whole prompt elsewhere delays ten other requests.
 func TestFullEnginesDoNotPrefillPartsCachedElsewhere(t *testing.T) {
 	w := newFixture("z", engines(6)...)
 	kept := w.serve(t, prompt(7, 1, 13_000, 3_000), 600*time.Millisecond).Instance.ID
@@ -141,8 +141,8 @@
 	}
 }
 
-// Guards against an engine that is always late while others are idle: several frequent parts have
-// it as their preferred server, and only the present wait counted, not the utilization.
+// Guards against an engine that is always late while others are idle, because it is the preferred
+// server of several frequent parts. This happens if only the present wait counts, not the utilization.
 func TestIdleEngineTakesOverAPartFromAFullOne(t *testing.T) {
 	w := newFixture("z", engines(6)...)
 	kept := w.serve(t, prompt(7, 1, 6_000, 3_000), 600*time.Millisecond).Instance.ID
@@ -167,7 +167,7 @@
 }
 
 func TestAllHostsComputeTheSamePreferredServer(t *testing.T) {
-	// Guards against each host having the same prompt part prefilled at another engine. Hosts
+	// Guards against each host having the same prompt part prefilled at a different engine. Hosts
 	// that know nothing of each other's requests get the first requests with a part at the same
 	// time, and a choice among equal servers at random would differ.
 	for part := uint64(1); part < 20; part++ {
@@ -435,8 +435,8 @@
 			w.core.Done(w.now, c.Ticket, Served)
 		}
 		for id, s := range w.core.servers {
-			if s.running != 0 || s.unread != 0 || len(s.pending) != 0 {
-				t.Fatalf("%v still has %d requests and %d unread tokens", id, s.running, s.unread)
+			if s.running != 0 || s.uncached != 0 || len(s.pending) != 0 {
+				t.Fatalf("%v still has %d requests and %d uncached tokens", id, s.running, s.uncached)
 			}
 		}
 	})
--- a/internal/instance/incarnation_test.go
+++ b/internal/instance/incarnation_test.go
@@ -53,16 +53,16 @@
 
 // Guards against a restarted server that gets no more requests after a late update about its former
 // incarnation: a heartbeat that a partition delayed, the end of that incarnation, or a peer's state of
-// it. Once the id alone identified the server.
+// it. This happens if the id alone identifies a server.
 func TestLateUpdateOfTheFormerIncarnationChangesNothing(t *testing.T) {
-	gone := &pb.ServerState{Id: "a", Incarnation: 100, Gone: true}
+	ended := &pb.ServerState{Id: "a", Incarnation: 100, Gone: true}
 	for name, late := range map[string]func(r *Registry) bool{
 		"ready":    func(r *Registry) bool { return r.Announce(start, startedAt(100, 50)) },
 		"draining": func(r *Registry) bool { return r.Announce(start, draining(startedAt(100, 50))) },
 		"end":      func(r *Registry) bool { return r.End(start, Incarnation{"a", 100}) },
 		"no start": func(r *Registry) bool { return r.Announce(start, draining(startedAt(0, 50))) },
-		"gone, from a peer": func(r *Registry) bool {
-			changed, err := r.Merge(start, 0, gone)
+		"end, from a peer": func(r *Registry) bool {
+			changed, err := r.Merge(start, 0, ended)
 			testutil.NoError(t, err)
 			return changed
 		},
@@ -127,8 +127,8 @@
 	want(t, r, "a", "c") // no instance is at the first address any more
 }
 
-// Guards against a faulty announcement of a server in another service, which once counted because it was
-// the newest: requests of one service reached servers of another, or a server got no requests of its own.
+// Guards against a faulty announcement of a server in another service that counts because it is the
+// newest: requests of one service reach servers of another, or a server gets no requests of its own service.
 func TestIncarnationKeepsItsService(t *testing.T) {
 	r := New(Config{})
 	r.Announce(start, startedAt(100, 5))
@@ -141,7 +141,7 @@
 		t.Errorf("the incarnation is listed in pool but has the service %s", i.Service)
 	}
 	want(t, r, "a")
-	// The faulty announcement came first: it is not repeated, those of the server are.
+	// If the faulty announcement came first, it lapses, because only the server's own are repeated.
 	r.Announce(start.Add(DefaultLapse), other)
 	if r.Announce(start.Add(2*DefaultLapse), startedAt(100, 15)); len(r.Serving("lookup")) != 0 {
 		t.Error("the announcement that is not repeated wins")
@@ -171,7 +171,8 @@
 }
 
 // Guards against hosts that keep notifying each other of servers that ended long ago: one host drops an
-// end, and a peer that knew of it later sends it again. Once a received end counted as announced now.
+// end, and a peer that knew of it later sends it again. This happens if an end counts as announced when
+// it is received.
 func TestEndsOfServersAreDroppedEverywhere(t *testing.T) {
 	regs := []*Registry{New(Config{}), New(Config{})}
 	regs[0].End(start, Incarnation{"a", 100})
@@ -287,15 +288,15 @@
 
 // stage is the state of one server at a host, which may only advance.
 type stage struct {
-	started        uint64
-	draining, gone bool
+	started         uint64
+	draining, ended bool
 }
 
 func (s stage) before(o stage) bool {
 	if s.started != o.started {
 		return s.started < o.started
 	}
-	return (o.draining || !s.draining) && (o.gone || !s.gone)
+	return (o.draining || !s.draining) && (o.ended || !s.ended)
 }
 
 func stageOf(r *Registry, id string) stage {
@@ -303,7 +304,7 @@
 	if !ok {
 		return stage{}
 	}
-	return stage{started: i.Started, draining: i.Draining || i.Ended, gone: i.Ended}
+	return stage{started: i.Started, draining: i.Draining || i.Ended, ended: i.Ended}
 }
 
 // Checks that whatever is delayed, duplicated, lost or reordered between servers and hosts, no host
--- a/internal/sched/admit.go
+++ b/internal/sched/admit.go
@@ -82,7 +82,7 @@
 	for i := range p.members {
 		m := &p.members[i]
 		if c.reg.UsableServer(now, m.server) {
-			n += max(m.share(m.server.Slots()), m.server.Own())
+			n += max(m.share(m.server.Slots()), m.server.OwnInFlight())
 		}
 	}
 	return n
@@ -95,8 +95,8 @@
 	return errkind.New(errkind.UnknownModel, "no backend server has announced model %q", t.Name)
 }
 
-// noServer returns the refusal of a request for which no server is usable, or all usable servers
-// cool down for this host.
+// noServer returns the refusal of a request that no server may get, because none is in service or all
+// of them cool down for this host.
 func (c *Core) noServer(now time.Time, p *pool) error {
 	after := c.reg.Lapse()
 	cooldown := time.Duration(0)
@@ -123,7 +123,7 @@
 	for _, p := range c.order {
 		p.nextExpiry = time.Time{}
 	}
-	return s.CoolDown(now, now.Add(d))
+	return s.StartCooldown(now, now.Add(d))
 }
 
 func tooLong(run, left time.Duration) error {
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -13,8 +13,8 @@
 // ones by rendezvous hash, so that requests with one prefix find it cached there.
 const preferredCount = 2
 
-// lentReserve is the fraction (1/lentReserve) of a server's slots that a host leaves free when it
-// goes beyond its own share.
+// lentReserve determines the slots of a server that a host leaves free when it goes beyond its own
+// share: 1/lentReserve of them.
 //
 // Without it, one busy host refills every borrowed slot the moment it ends, and a second host waits
 // forever for its own share.
@@ -35,7 +35,7 @@
 // allows the slots that are kept for higher priority classes.
 func (c *Core) hasRoom(now time.Time, p *pool, m member, class Class, useReserved bool) bool {
 	s := m.server
-	own := s.Own()
+	own := s.OwnInFlight()
 	depth := c.depth(m)
 	share := m.share(s.Slots() + depth)
 	if s.LoadAge(now) > c.cfg.MaxLoadAge {
@@ -54,20 +54,20 @@
 }
 
 // depth returns how many requests beyond its slots a server may get from all hosts together: the
-// work that it completes in the time QueueAhead, but at most as many as it has slots, or one per
-// host. A host that has a server to itself needs none, because it sees the end of each request
-// at once.
+// work that it completes in the time QueueAhead, but at most as many as it has slots, or as raise
+// each host's share to two requests. A host that has a server to itself needs none, because it sees
+// the end of each request at once.
 func (c *Core) depth(m member) int {
 	if m.cover <= 1 {
 		return 0
 	}
 	slots := m.server.Slots()
-	return min(m.server.Depth(c.cfg.QueueAhead), max(slots, 2*m.cover-slots))
+	return min(m.server.QueueDepth(c.cfg.QueueAhead), max(slots, 2*m.cover-slots))
 }
 
 // hasTurn splits the free slots of the last load report between the hosts that cover the server.
-// The remainder goes to other hosts with each report. Requests that this host ended since the
-// report it may replace.
+// The remainder goes to other hosts with each report. A host may replace the requests that it ended
+// since the report.
 //
 // Without it, all hosts see the same three free slots in one report, each sends a request, and
 // most of these wait seconds for a slot.
@@ -76,17 +76,17 @@
 		return true
 	}
 	s := m.server
-	free := max(limit-s.Reported(), 0)
+	free := max(limit-s.ReportedLoad(), 0)
 	turn := (m.position + int(s.State().GetSeq()%uint64(m.cover))) % m.cover
-	return s.SinceReport() < max(shareOf(free, m.cover, turn), 0)
+	return s.OwnSinceReport() < max(shareOf(free, m.cover, turn), 0)
 }
 
 // loadOf returns the load by which servers are compared.
 func (c *Core) loadOf(s *backend.Server) int {
 	if c.cfg.Ablation.NoCorrection {
-		return s.Reported()
+		return s.ReportedLoad()
 	}
-	return s.Corrected()
+	return s.CorrectedLoad()
 }
 
 // cachedShare returns the share of w's prompt that s is expected to have cached.
@@ -99,7 +99,7 @@
 
 // eligible reports whether s may run w at all.
 func (c *Core) eligible(now time.Time, s *backend.Server, w *Work) bool {
-	if !c.reg.UsableServer(now, s) || s.Cooling(now) || slices.Contains(w.Exclude, s.Address()) {
+	if !c.reg.UsableServer(now, s) || s.CoolingDown(now) || slices.Contains(w.Exclude, s.Address()) {
 		return false
 	}
 	return w.Adapter == "" || slices.Contains(s.State().GetAdapters(), w.Adapter)
@@ -130,7 +130,7 @@
 	if over <= 0 {
 		return 0
 	}
-	return time.Duration(over) * s.MeanRun() / time.Duration(s.Slots())
+	return time.Duration(over) * s.MeanRunTime() / time.Duration(s.Slots())
 }
 
 // minRunTime returns the run time of w on s with no queue and no other prompt pending.
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -83,7 +83,7 @@
 	prompt := uint64(float64(w.PromptTokens) * (1 - ch.cached))
 	c.usePermit(now, ch.server)
 	ch.server.Begin(now, w.Ticket, prompt)
-	ch.server.Assume(w.PromptHashes)
+	ch.server.AssumeCached(w.PromptHashes)
 	c.attempts[w.Ticket] = &attempt{work: *w, server: ch.server, started: now}
 	p.granted(w.Class)
 	return Result{Ticket: w.Ticket, Grant: &Grant{
@@ -156,19 +156,19 @@
 		return out
 	}
 	p.nextExpiry = time.Time{}
-	var gone []*item
+	var expired []*item
 	for k := range p.classes {
 		for _, a := range p.classes[k].active {
 			for _, it := range a.items {
 				if !now.Before(it.latest) || c.usable(now, p, &it.work) == 0 {
-					gone = append(gone, it)
+					expired = append(expired, it)
 				} else if p.nextExpiry.IsZero() || it.latest.Before(p.nextExpiry) {
 					p.nextExpiry = it.latest
 				}
 			}
 		}
 	}
-	for _, it := range gone {
+	for _, it := range expired {
 		c.dequeue(it)
 		p.notePressure(now, it.work.Class)
 		err := c.noServer(now, p)
@@ -210,8 +210,8 @@
 // FirstToken records that a granted request got its first token d after its dispatch.
 func (c *Core) FirstToken(ticket uint64, d time.Duration) {
 	if r := c.attempts[ticket]; r != nil {
-		r.first = d
-		r.server.Computed(ticket)
+		r.firstToken = d
+		r.server.PrefillDone(ticket)
 	}
 }
 
@@ -236,9 +236,9 @@
 	}
 	took := now.Sub(r.started)
 	if r.work.Target.Kind == backend.Service {
-		r.server.MeasuredService(took)
+		r.server.RecordServiceCall(took)
 	} else {
-		r.server.Measured(r.first, took, end.Output)
+		r.server.RecordModelRun(r.firstToken, took, end.Output)
 	}
 	p := c.pool(r.work.Target)
 	planned := c.withMargin(c.minRunTime(r.server, &r.work))
