--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -173,11 +173,11 @@
 		if err != nil {
 			return err
 		}
-		cut := n < len(rd.Committed)
+		partial := n < len(rd.Committed)
 		rd.Committed = rd.Committed[:n]
 		r.core.Advance(rd)
-		r.updateReplay(cut)
-		if cut {
+		r.updateReplay(partial)
+		if partial {
 			r.wakeLoop()
 			return nil
 		}
--- a/internal/control/replay.go
+++ b/internal/control/replay.go
@@ -21,9 +21,9 @@
 
 // updateReplay records whether an iteration left committed entries unapplied, and logs
 // the end of the replay.
-func (r *Replica) updateReplay(cut bool) {
+func (r *Replica) updateReplay(partial bool) {
 	p := r.replay
-	r.lagging.Store(cut || p != nil && r.applied < p.until)
+	r.lagging.Store(partial || p != nil && r.applied < p.until)
 	if p == nil || r.applied < p.until {
 		return
 	}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -85,7 +85,7 @@
 	}
 	r := &Replica{
 		cfg: cfg, log: cfg.Logger, start: cfg.Now(), rnd: rand.New(rand.NewSource(cfg.Seed)),
-		addresses: map[uint64]string{}, appliedCh: make(chan struct{}), changes: newHub(),
+		addresses: map[uint64]string{}, appliedCh: make(chan struct{}), changes: newChangeBuffer(),
 		wake: make(chan struct{}, 1), stop: make(chan struct{}), stopped: make(chan struct{}),
 	}
 	if err := r.openDisk(); err != nil {
--- a/internal/control/snapshots.go
+++ b/internal/control/snapshots.go
@@ -46,10 +46,10 @@
 
 // snapshotThreshold returns the number of bytes of entries that a replica applies
 // between two snapshots, and so roughly how much it replays after a start: as many as
-// the newest snapshot has. A snapshot of 242 KB takes 2.6 ms to encode; as many bytes
-// take 2 ms to apply if they are bills and grants, and 50 ms if they are routing
-// tables. Four times as many, which would make the cost of snapshots small compared to
-// any entries, took 0.2 s.
+// the newest snapshot has, but at least Config.SnapshotBytes. A snapshot of 242 KB
+// takes 2.6 ms to encode; as many bytes take 2 ms to apply if they are bills and
+// grants, and 50 ms if they are routing tables. Four times as many, which would make
+// the cost of snapshots small compared to any entries, took 0.2 s.
 //
 // A threshold by number of entries alone, one snapshot every 10,000, was not enough: a
 // group that had received 270 routing tables in a minute replayed them all after a
@@ -125,10 +125,10 @@
 	if job.snap.Index > retainedEntries {
 		r.core.Compact(job.snap.Index - retainedEntries)
 	}
-	return r.releaseLog(job.snap.Index)
+	return r.truncateLog(job.snap.Index)
 }
 
-func (r *Replica) releaseLog(newest uint64) error {
+func (r *Replica) truncateLog(newest uint64) error {
 	release := newest
 	if r.wal.Bytes() <= r.cfg.LogBytes/2 {
 		oldest, err := r.snapshots.Oldest()
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -22,7 +22,7 @@
 	updated chan struct{} // closed at each change
 }
 
-func newHub() *changeBuffer { return &changeBuffer{updated: make(chan struct{})} }
+func newChangeBuffer() *changeBuffer { return &changeBuffer{updated: make(chan struct{})} }
 
 // record adds the change made by an applied command, if it changed the settings.
 func (h *changeBuffer) record(cmd *pb.Command, res *pb.CommandResult) {
--- a/internal/controlclient/attempt.go
+++ b/internal/controlclient/attempt.go
@@ -15,23 +15,25 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// attemptResult is what one attempt at one replica gave. Exactly one of these holds:
-// notLeader, broken != nil, or value and refusal as the replica gave them.
+// attemptResult is the result of one attempt at one replica. Exactly one of these
+// holds: notLeader, err != nil, or value and refusal as the replica returned them.
 type attemptResult[T any] struct {
 	value   T
 	refusal *pb.Error
-	// notLeader: the replica did nothing; hint is the leader's address if it knows it.
-	notLeader bool
-	leaderHint      string
-	// err: no answer came; the request may have been carried out unless it is unsent.
+	// notLeader is set if the replica did nothing because it is not the leader;
+	// leaderHint is the leader's address if the replica knows it.
+	notLeader  bool
+	leaderHint string
+	// err is set if no answer was received; the request may have been carried out
+	// unless notSent is set.
 	err error
-	// notSent: the broken attempt never got a stream on a connection, so that no replica can
-	// have heard of the request.
+	// notSent is set if the failed attempt never got a stream on a connection, so that
+	// no replica can have received the request.
 	notSent bool
 }
 
-// fromLocal turns what the replica in this process returned into an answer.
-func fromLocal[T any](value T, err error) attemptResult[T] {
+// localResult returns what the replica in this process returned as an attemptResult.
+func localResult[T any](value T, err error) attemptResult[T] {
 	var nl *control.NotLeaderError
 	if errors.As(err, &nl) {
 		return attemptResult[T]{notLeader: true, leaderHint: nl.Address}
@@ -39,10 +41,10 @@
 	return attemptResult[T]{value: value, refusal: wire.EncodeError(err)}
 }
 
-// fromRemote asks a replica in another process. ask passes the options on to its call;
-// they have a replica that isn't the leader name the leader in the trailer, and tell
-// whether the call got a stream: only then does gRPC name the peer.
-func fromRemote[T any](c *Client, target string, ask func(pb.ControlClient, ...grpc.CallOption) attemptResult[T]) attemptResult[T] {
+// remoteResult calls a replica in another process. ask must pass the options on to its
+// call. They return the trailer, in which a replica that is not the leader sends the
+// leader's address, and the peer, which gRPC sets only if the call got a stream.
+func remoteResult[T any](c *Client, target string, ask func(pb.ControlClient, ...grpc.CallOption) attemptResult[T]) attemptResult[T] {
 	svc, err := c.service(target)
 	if err != nil {
 		return attemptResult[T]{err: err, notSent: true}
@@ -59,9 +61,9 @@
 
 func (c *Client) proposeAt(ctx context.Context, target string, cmd *pb.Command) attemptResult[*pb.CommandResult] {
 	if target == localTarget {
-		return fromLocal(c.local.Propose(ctx, cmd))
+		return localResult(c.local.Propose(ctx, cmd))
 	}
-	return fromRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.CommandResult] {
+	return remoteResult(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.CommandResult] {
 		reply, err := svc.Propose(ctx, &pb.ProposeRequest{Command: cmd}, opts...)
 		if err == nil && reply.Result == nil && reply.Error == nil {
 			return attemptResult[*pb.CommandResult]{notLeader: true, leaderHint: reply.LeaderAddress}
@@ -72,9 +74,9 @@
 
 func (c *Client) readAt(ctx context.Context, target string, q *pb.Query) attemptResult[*pb.QueryResult] {
 	if target == localTarget {
-		return fromLocal(c.local.Read(ctx, q))
+		return localResult(c.local.Read(ctx, q))
 	}
-	return fromRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.QueryResult] {
+	return remoteResult(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.QueryResult] {
 		res, err := svc.Read(ctx, q, opts...)
 		return attemptResult[*pb.QueryResult]{value: res, refusal: res.GetError(), err: err}
 	})
@@ -82,15 +84,16 @@
 
 func (c *Client) changeMembersAt(ctx context.Context, target string, req *pb.ChangeMembersRequest) attemptResult[*pb.GroupStatus] {
 	if target == localTarget {
-		return fromLocal(c.local.ChangeMembers(ctx, req))
+		return localResult(c.local.ChangeMembers(ctx, req))
 	}
-	return fromRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.GroupStatus] {
+	return remoteResult(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.GroupStatus] {
 		reply, err := svc.ChangeMembers(ctx, req, opts...)
 		return attemptResult[*pb.GroupStatus]{value: reply.GetGroup(), refusal: reply.GetError(), err: err}
 	})
 }
 
-// leaderHint reads the trailer of a replica that isn't the leader.
+// leaderHint returns the leader's address from the trailer of a replica that is not the
+// leader.
 func leaderHint(trailer metadata.MD) (string, bool) {
 	values := trailer.Get(control.LeaderAddressKey)
 	if len(values) == 0 {
@@ -99,8 +102,9 @@
 	return values[0], true
 }
 
-// suspect tells whether an error may come from a connection that went silent.
-func suspect(err error) bool {
+// maybeUnresponsive reports whether an error may result from a connection that has
+// become unresponsive.
+func maybeUnresponsive(err error) bool {
 	code := status.Code(err)
 	return code == codes.DeadlineExceeded || code == codes.Unavailable
 }
--- a/internal/controlclient/calls.go
+++ b/internal/controlclient/calls.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// firstPause and maxPause bound the exponential backoff between attempts. An election
+	// minBackoff and maxBackoff bound the exponential backoff between attempts. An election
 	// takes some hundred milliseconds.
-	firstPause = 20 * time.Millisecond
-	maxPause   = 250 * time.Millisecond
-	// maxHops bounds how many hints are followed before the next pause.
-	maxHops = 3
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 250 * time.Millisecond
+	// maxRedirects bounds how many leader hints are followed before the next backoff.
+	maxRedirects = 3
 )
 
-// errTryAgain has call make the next attempt.
-var errTryAgain = errors.New("controlclient: no answer yet")
+// errRetry makes call start the next attempt.
+var errRetry = errors.New("controlclient: no answer yet")
 
-// Propose commits a command and returns its result. It is sent again, under the
-// same operation id, until ctx ends. A refusal is an *errkind.Error; one of kind
-// NoQuorum says by Ran whether the command may still take effect.
+// Propose commits a command and returns its result. It resends the command, under the
+// same operation ID, until it is answered or ctx ends. A refusal is an *errkind.Error;
+// for one of kind NoQuorum, Ran tells whether the command may still take effect.
 func (c *Client) Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
-	cmd = named(cmd)
+	cmd = withCallID(cmd)
 	return c.ProposeFresh(ctx, func() *pb.Command { return cmd })
 }
 
@@ -44,9 +44,9 @@
 	return res, wire.DecodeError(res.GetError())
 }
 
-// named gives an operator's command the name of this call, by which the group tells a second
-// try of the call from a resend by the operator.
-func named(cmd *pb.Command) *pb.Command {
+// withCallID adds a call ID to an operator's command, by which the group distinguishes
+// a retry within this call from a resend by the operator.
+func withCallID(cmd *pb.Command) *pb.Command {
 	if cmd.GetOpId() == "" || cmd.GetCallId() != "" {
 		return cmd
 	}
@@ -73,54 +73,56 @@
 
 // call makes attempts until one is answered or ctx ends.
 func call[T any](ctx context.Context, c *Client, at func(context.Context, string) attemptResult[T]) (T, error) {
-	unknown := false // an attempt may have been carried out without our knowing
+	unknown := false // an unanswered attempt may have been carried out
 	for ctx.Err() == nil {
 		probe, ok := c.gate.enter(ctx)
 		if !ok {
 			break
 		}
-		value, err := followHints(ctx, c, at, &unknown)
-		c.gate.leave(probe, !errors.Is(err, errTryAgain))
-		if !errors.Is(err, errTryAgain) {
+		value, err := followRedirects(ctx, c, at, &unknown)
+		c.gate.leave(probe, !errors.Is(err, errRetry))
+		if !errors.Is(err, errRetry) {
 			return value, err
 		}
 	}
 	var zero T
-	return zero, noAnswer(unknown)
+	return zero, noAnswerError(unknown)
 }
 
-// followHints asks the most likely leader, and on its word the one that it names.
-func followHints[T any](ctx context.Context, c *Client, at func(context.Context, string) attemptResult[T], unknown *bool) (T, error) {
-	for range maxHops {
+// followRedirects asks the most likely leader, and then the leader that the replica
+// names.
+func followRedirects[T any](ctx context.Context, c *Client, at func(context.Context, string) attemptResult[T], unknown *bool) (T, error) {
+	for range maxRedirects {
 		a := attempt(ctx, c, at)
 		if !a.notLeader || a.leaderHint == "" {
 			return a.outcome(unknown)
 		}
 	}
 	var zero T
-	return zero, errTryAgain
+	return zero, errRetry
 }
 
-// outcome returns the value, a refusal that ends the call, or errTryAgain. It sets
-// unknown if the attempt may have been carried out.
+// outcome returns the value, a refusal that ends the call, or errRetry. It sets unknown
+// if the attempt may have been carried out.
 func (a attemptResult[T]) outcome(unknown *bool) (T, error) {
 	var zero T
 	switch {
 	case a.notLeader || a.notSent:
-		return zero, errTryAgain
+		return zero, errRetry
 	case a.err != nil || a.refusal.GetKind() == string(errkind.NoQuorum):
 		*unknown = true
-		return zero, errTryAgain
+		return zero, errRetry
 	case a.refusal != nil && *unknown && overloaded(a.refusal):
-		// An earlier attempt may have got in: "did not run" would be untrue.
-		return zero, errTryAgain
+		// An earlier attempt may have been carried out, so "did not run" would be
+		// wrong.
+		return zero, errRetry
 	case a.refusal != nil:
 		return zero, wire.DecodeError(a.refusal)
 	}
 	return a.value, nil
 }
 
-// attempt asks the most likely leader once and remembers what it learnt.
+// attempt asks the most likely leader once and remembers which replica leads.
 func attempt[T any](ctx context.Context, c *Client, at func(context.Context, string) attemptResult[T]) attemptResult[T] {
 	target := c.pick()
 	if target == "" {
@@ -131,28 +133,28 @@
 	a := at(ctx, target)
 	switch {
 	case a.notLeader:
-		c.noteLeader(a.leaderHint)
+		c.setLeader(a.leaderHint)
 	case a.err != nil:
-		c.noteLeader("")
-		if suspect(a.err) {
+		c.setLeader("")
+		if maybeUnresponsive(a.err) {
 			c.drop(target)
 		}
 	case a.refusal.GetKind() == string(errkind.NoQuorum):
-		c.noteLeader("")
+		c.setLeader("")
 	default:
-		c.noteLeader(target)
+		c.setLeader(target)
 	}
 	return a
 }
 
-// overloaded refusals are made before the command is looked at, so they say
-// nothing of earlier attempts.
+// overloaded reports whether e is a rejection for overload. It is made before the
+// command is examined, so it carries no information on earlier attempts.
 func overloaded(e *pb.Error) bool { return e.Kind == string(errkind.Overloaded) }
 
-// noAnswer is the refusal after the last attempt.
-func noAnswer(unknown bool) error {
+// noAnswerError returns the refusal for a call that ended without an answer.
+func noAnswerError(unknown bool) error {
 	if unknown {
-		return errkind.New(errkind.NoQuorum, "no leader answered in time; the change may still take effect")
+		return errkind.New(errkind.NoQuorum, "no leader of the control group answered before the deadline; the change may still take effect")
 	}
-	return errkind.New(errkind.NoQuorum, "no leader was found in time; nothing was done").WithRan(errkind.RanNo)
+	return errkind.New(errkind.NoQuorum, "no leader of the control group was found before the deadline; nothing was done").WithRan(errkind.RanNo)
 }
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,6 +1,6 @@
-// Package controlclient reaches the control group from any host: it finds and
-// remembers the leader, proposes and reads there, and watches the settings at any
-// replica or, if none can be reached, at hosts that relay what they hold.
+// Package controlclient connects any host to the control group: it finds and remembers
+// the leader, proposes and reads there, and watches the settings at any replica or, if
+// none can be reached, at hosts that relay the settings they have.
 package controlclient
 
 import (
@@ -16,30 +16,30 @@
 )
 
 const (
-	// attemptTimeout of one call to one replica. A call that reaches it gives up
-	// the connection too: it may have gone silent for good.
+	// attemptTimeout limits one call to one replica. A call that exceeds it also closes
+	// the connection, which may have become unresponsive for good.
 	attemptTimeout = time.Second
-	// localTarget is the replica in this process.
+	// localTarget denotes the replica in this process.
 	localTarget = "local"
 )
 
-// Client is safe for concurrent use.
+// Client is a client of the control group. It is safe for concurrent use.
 type Client struct {
 	addresses []string
 	opts      []grpc.DialOption
 	local     *control.Replica
 	gate      *gate
 
-	mu     sync.Mutex
-	conns  map[string]*grpc.ClientConn
-	leader string // target that last answered as the leader, or a hint
-	learnt func() []string
-	next   int
-	relays func() []string
-	closed bool
+	mu         sync.Mutex
+	conns      map[string]*grpc.ClientConn
+	leader     string // target that last answered as the leader, or a leader hint
+	discovered func() []string
+	next       int
+	relays     func() []string
+	closed     bool
 }
 
-// New makes a client of the group with replicas at addresses. opts must hold the
+// New returns a client of the group with replicas at addresses. opts must contain the
 // transport credentials. local is the replica in this process, nil if there is none.
 func New(addresses []string, opts []grpc.DialOption, local *control.Replica) *Client {
 	opts = append(append([]grpc.DialOption(nil), opts...), grpc.WithDefaultCallOptions(
@@ -50,28 +50,30 @@
 	}
 }
 
-// SetAddresses gives the addresses of the replicas that are known by now, asked anew
-// each time; those of New stay in use behind them. Replicas come and go: without it a
-// process whose first replicas were all replaced would find no leader any more.
+// SetAddresses sets the function that returns the currently known addresses of
+// replicas; it is called each time they are needed. The addresses passed to New are
+// still used after them. Replicas come and go: otherwise a process whose first replicas
+// were all replaced would no longer find a leader.
 func (c *Client) SetAddresses(learnt func() []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.learnt = learnt
+	c.discovered = learnt
 }
 
-// SetSeeds replaces the addresses of New.
+// SetSeeds replaces the addresses passed to New.
 func (c *Client) SetSeeds(addresses []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addresses = addresses
 }
 
-// known are the addresses of replicas, without doubles; c.mu is held.
-func (c *Client) known() []string {
-	if c.learnt == nil {
+// replicaAddresses returns the addresses of replicas without duplicates. c.mu must be
+// held.
+func (c *Client) replicaAddresses() []string {
+	if c.discovered == nil {
 		return c.addresses
 	}
-	out := c.learnt()
+	out := c.discovered()
 	for _, a := range c.addresses {
 		if !slices.Contains(out, a) {
 			out = append(out, a)
@@ -80,8 +82,9 @@
 	return out
 }
 
-// SetRelays gives the peer addresses of hosts that relay the settings, asked
-// anew each time no replica can be reached.
+// SetRelays sets the function that returns the peer addresses of hosts that relay the
+// settings; it is called each time a watch looks for a source. Relays are used after
+// all replicas.
 func (c *Client) SetRelays(relays func() []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,14 +102,14 @@
 	}
 }
 
-// pick returns the target to try: the leader if known, else one after another.
+// pick returns the target to try: the leader if known, otherwise the replicas in turn.
 func (c *Client) pick() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader != "" {
 		return c.leader
 	}
-	all := c.known()
+	all := c.replicaAddresses()
 	if c.local != nil {
 		all = append([]string{localTarget}, all...)
 	}
@@ -117,15 +120,15 @@
 	return all[(c.next-1)%len(all)]
 }
 
-// noteLeader remembers where the leader is; empty: not known.
-func (c *Client) noteLeader(target string) {
+// setLeader remembers the leader's target; empty: unknown.
+func (c *Client) setLeader(target string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = target
 }
 
-// Leader returns the address that last answered as the leader, "local" for the
-// replica in this process, empty if none is known.
+// Leader returns the address that last answered as the leader, "local" for the replica
+// in this process, or empty if none is known.
 func (c *Client) Leader() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,13 +143,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return nil, errors.New("controlclient: closed")
+		return nil, errors.New("controlclient: the client is closed")
 	}
 	conn := c.conns[target]
 	if conn == nil {
 		fresh, err := grpc.NewClient(target, c.opts...)
 		if err != nil {
-			return nil, errors.Wrap(err, "controlclient: address")
+			return nil, errors.Wrap(err, "controlclient: connect to replica")
 		}
 		c.conns[target] = fresh
 		conn = fresh
@@ -154,7 +157,7 @@
 	return pb.NewControlClient(conn), nil
 }
 
-// drop gives up the connection to a target; the next call makes a new one.
+// drop closes the connection to a target; the next call opens a new one.
 func (c *Client) drop(target string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -20,20 +20,20 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// watchStream is what a fake replica answers a watch on.
+// watchStream is the stream on which a fake replica answers a watch.
 type watchStream = grpc.ServerStreamingServer[pb.WatchEvent]
 
-// whole is the event that carries a whole tree.
-func whole(revision uint64, confirmed bool) *pb.WatchEvent {
+// treeEvent returns an event that carries a whole tree.
+func treeEvent(revision uint64, confirmed bool) *pb.WatchEvent {
 	return &pb.WatchEvent{Revision: revision, SnapshotJson: []byte("{}"), Confirmed: confirmed}
 }
 
-// committed is the leader's answer to a proposal.
+// committed returns the leader's answer to a proposal.
 func committed(index uint64) *pb.ProposeReply {
 	return &pb.ProposeReply{Result: &pb.CommandResult{Index: index}}
 }
 
-// fakeReplica answers as it's told to.
+// fakeReplica answers with the functions propose and watch.
 type fakeReplica struct {
 	pb.UnimplementedControlServer
 	mu      sync.Mutex
@@ -99,9 +99,8 @@
 	}
 }
 
-// Symptom: an operator's change is made twice.
-// Sequence: the leader commits the change and dies before it answers; the client sends it again.
-// Cause: the second try carried another operation id.
+// When the leader commits a change and dies before it answers, the client's second
+// attempt must carry the same operation ID, or the change is made twice.
 func TestProposeRetriesUnderTheSameID(t *testing.T) {
 	f := &fakeReplica{propose: func(n int, _ *pb.Command) (*pb.ProposeReply, error) {
 		if n < 3 {
@@ -121,12 +120,12 @@
 	}
 	tries, next := f.callIDs[:3], f.callIDs[3]
 	if tries[0] == "" || len(slices.Compact(tries)) != 1 || next == tries[0] {
-		t.Fatalf("tries of one call are named %v, the next call %q", tries, next)
+		t.Fatalf("the attempts of one call have the call IDs %v, the next call %q", tries, next)
 	}
 }
 
-// TestFinalFailures calls in virtual time: an attempt takes none of it, so that the call's
-// time ends in a pause between attempts and never while an answer is on its way.
+// TestFinalFailures makes calls in virtual time. An attempt takes none, so the call's
+// deadline always passes during a backoff and never while an answer is in flight.
 func TestFinalFailures(t *testing.T) {
 	version := &pb.ProposeReply{Error: &pb.Error{Kind: string(errkind.VersionConflict), PresentVersion: 9}}
 	cases := []struct {
@@ -135,7 +134,7 @@
 		kind    errkind.Kind
 		ran     errkind.Ran
 	}{
-		{"refusal passes through", []*pb.ProposeReply{version}, errkind.VersionConflict, errkind.RanNo},
+		{"refusal is returned", []*pb.ProposeReply{version}, errkind.VersionConflict, errkind.RanNo},
 		{"no leader known", []*pb.ProposeReply{{}}, errkind.NoQuorum, errkind.RanNo},
 		{"no answer", []*pb.ProposeReply{nil}, errkind.NoQuorum, errkind.RanUnknown},
 		{"overloaded after no answer", []*pb.ProposeReply{nil, {Error: &pb.Error{Kind: string(errkind.Overloaded)}}}, errkind.NoQuorum, errkind.RanUnknown},
@@ -150,12 +149,12 @@
 					}
 					return reply, nil
 				}}
-				b := newBubble()
+				b := newMemNetwork()
 				b.serve(t, "replica", f)
 				c := b.client(t, "replica")
 				ctx := testutil.Within(t, 300*time.Millisecond)
 				_, err := c.Propose(ctx, &pb.Command{OpId: "a"})
-				wantFinal(t, err, tc.kind, tc.ran)
+				wantRefusal(t, err, tc.kind, tc.ran)
 				if f.calls < len(tc.replies) {
 					t.Fatalf("%d attempts, want at least %d", f.calls, len(tc.replies))
 				}
@@ -164,27 +163,25 @@
 	}
 }
 
-// wantFinal fails the test unless err is a refusal of that kind with that word on the run.
-func wantFinal(t *testing.T, err error, kind errkind.Kind, ran errkind.Ran) {
+// wantRefusal fails the test unless err is a refusal of the given kind and Ran value.
+func wantRefusal(t *testing.T, err error, kind errkind.Kind, ran errkind.Ran) {
 	t.Helper()
 	if got := errkind.From(err); got == nil || got.Kind != kind || got.Ran() != ran {
 		t.Fatalf("got %v, ran %q; want %s, ran %q", err, got.Ran(), kind, ran)
 	}
 }
 
-// Symptom: an operator is told that a change may still take effect, though no replica ever
-// heard of it; so is whoever must not repeat what may have run.
-// Sequence: no connection to a replica comes about, as none answers the dial or all refuse
-// it; the call's time ends.
-// Cause: an attempt without an answer counted as one that may have been carried out, also
-// where it never left this process.
-func TestWhatWasNeverSentDidNotRun(t *testing.T) {
+// If no connection to a replica is established before the deadline, because the dial is
+// refused or not answered, the refusal must state that the change did not run: the
+// attempt never left this process. Otherwise the operator would be told that it may
+// still take effect, and callers that must not repeat a request would not retry.
+func TestUnsentProposalDidNotRun(t *testing.T) {
 	dials := map[string]func(context.Context) (net.Conn, error){
-		"nobody answers the dial": func(ctx context.Context) (net.Conn, error) {
+		"dial is not answered": func(ctx context.Context) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		},
-		"the dial is refused": func(context.Context) (net.Conn, error) {
+		"dial is refused": func(context.Context) (net.Conn, error) {
 			return nil, errors.New("connection refused")
 		},
 	}
@@ -196,20 +193,19 @@
 				t.Cleanup(c.Close)
 				ctx := testutil.Within(t, 300*time.Millisecond)
 				_, err := c.Propose(ctx, &pb.Command{OpId: "a"})
-				wantFinal(t, err, errkind.NoQuorum, errkind.RanNo)
+				wantRefusal(t, err, errkind.NoQuorum, errkind.RanNo)
 			})
 		})
 	}
 }
 
-// Symptom: a change takes effect that its operator was told did not run.
-// Sequence: the replica has the change, the call's time ends before it answers.
-// Cause: an attempt that was sent counted as not sent because no answer came.
-func TestWhatWasSentMayHaveRun(t *testing.T) {
+// If the replica received the change but the deadline passes before it answers, the
+// refusal must not state that the change did not run.
+func TestSentProposalMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		release := make(chan struct{})
 		defer close(release)
-		b := newBubble()
+		b := newMemNetwork()
 		b.serve(t, "replica", &fakeReplica{propose: func(int, *pb.Command) (*pb.ProposeReply, error) {
 			<-release
 			return committed(1), nil
@@ -217,15 +213,15 @@
 		c := b.client(t, "replica")
 		ctx := testutil.Within(t, 300*time.Millisecond)
 		_, err := c.Propose(ctx, &pb.Command{OpId: "a"})
-		wantFinal(t, err, errkind.NoQuorum, errkind.RanUnknown)
+		wantRefusal(t, err, errkind.NoQuorum, errkind.RanUnknown)
 	})
 }
 
-// Symptom: a host that has started again says for good that it has no confirmed settings.
-// Sequence: it follows a relay that is cut off, or behind, or that answers nothing.
-// Cause: any word of the relay counted as one of the quorum about the watcher's revision.
-func TestOnlyFreshConfirmationsOfTheWatchersRevisionCount(t *testing.T) {
-	old := unconfirmedAfter.Milliseconds()
+// Only recent confirmations of at least the watcher's revision count as contact with
+// the quorum. A restarted host that follows a relay which is cut off, behind or sends
+// no settings would otherwise stay without confirmed settings for good.
+func TestOnlyFreshConfirmationsOfCurrentRevisionCount(t *testing.T) {
+	old := unconfirmedTimeout.Milliseconds()
 	w := &watcher{revision: 5}
 	for want, events := range map[bool][]*pb.WatchEvent{
 		true:  {{Revision: 5, Confirmed: true}, {Revision: 6, Confirmed: true, ConfirmedAgeMs: old - 1}},
@@ -239,49 +235,47 @@
 	}
 }
 
-// Symptom: a host keeps serving under settings that no quorum has confirmed for a long time.
-// Sequence: it follows a relay that is cut off; the relay repeats the revision that the
-// host has, with the growing age of its last word from the quorum.
-// Cause: an event without changes was handed on without that age, as if it were new.
-func TestAgeOfAConfirmationIsHandedOn(t *testing.T) {
+// An event without changes must be passed on with the age of its confirmation.
+// Otherwise a host that follows a relay which is cut off keeps serving under settings
+// that no quorum has confirmed for a long time.
+func TestConfirmationAgeIsPassedOn(t *testing.T) {
 	var got *pb.WatchEvent
 	w := &watcher{revision: 5, started: true, fn: func(e *pb.WatchEvent) error { got = e; return nil }}
 	testutil.NoError(t, w.deliver(&pb.WatchEvent{Revision: 5, Confirmed: true, ConfirmedAgeMs: 900}))
 	if got.GetRevision() != 5 || !got.GetConfirmed() || got.GetConfirmedAgeMs() != 900 {
-		t.Fatalf("handed on %v", got)
+		t.Fatalf("passed on %v", got)
 	}
 }
 
-// Symptom: a host that starts beside a frozen one is not ready for 20 seconds.
-// Sequence: the kernel of the frozen host takes the connection; its process says nothing.
-// Cause: the wait for the stream to open had no bound of its own.
-func TestWatchLeavesASourceThatNeverSpeaks(t *testing.T) {
+// The kernel of a suspended host accepts the connection, but its process sends nothing.
+// Without a timeout for opening the stream, a host that starts beside it is not ready
+// for 20 seconds.
+func TestWatchLeavesUnresponsiveSource(t *testing.T) {
 	t.Parallel()
 	frozen := testutil.Listen(t)
 	defer frozen.Close()
 	healthy := serve(t, &fakeReplica{watch: func(out watchStream) error {
-		return out.Send(whole(1, true))
+		return out.Send(treeEvent(1, true))
 	}})
-	ctx := testutil.Within(t, 4*silentAfter)
-	done := errors.New("heard")
+	ctx := testutil.Within(t, 4*silenceTimeout)
+	done := errors.New("event received")
 	c := newClient(t, healthy, frozen.Addr().String()) // the second one is asked first
 	if err := c.Watch(ctx, 0, func(*pb.WatchEvent) error { return done }); !errors.Is(err, done) {
 		t.Fatal(err)
 	}
 }
 
-// Symptom: a host runs under settings older than those it had.
-// Sequence: it watches one replica up to revision 5, loses it, and watches one that is at 4.
-// Cause: the older tree was handed on.
-func TestWatchNeverGoesBack(t *testing.T) {
+// A watcher that loses a replica at revision 5 and continues at one that is at revision
+// 4 must not receive the older tree.
+func TestWatchRevisionsNeverDecrease(t *testing.T) {
 	send := func(revision uint64) string {
 		return serve(t, &fakeReplica{watch: func(out watchStream) error {
-			_ = out.Send(whole(revision, true))
+			_ = out.Send(treeEvent(revision, true))
 			return errors.New("lost")
 		}})
 	}
 	c := newClient(t, send(4), send(5))
-	done := errors.New("enough")
+	done := errors.New("enough events")
 	var seen []uint64
 	err := c.Watch(t.Context(), 0, func(e *pb.WatchEvent) error {
 		seen = append(seen, e.Revision)
@@ -297,7 +291,7 @@
 		t.Fatalf("revisions %v", seen)
 	}
 	if seen[len(seen)-1] != 5 {
-		t.Fatalf("revision 5 never came: %v", seen)
+		t.Fatalf("no event with revision 5: %v", seen)
 	}
 }
 
@@ -314,13 +308,13 @@
 		id   uint64
 		done bool
 	}{
-		{"its former id is a member", []*pb.MemberStatus{{Member: member(3, "c", false)}}, control.VerbRemove, 3, false},
-		{"both ids are", []*pb.MemberStatus{{Member: member(9, "c", true)}, {Member: member(3, "c", false)}}, control.VerbRemove, 3, false},
+		{"former ID is a member", []*pb.MemberStatus{{Member: member(3, "c", false)}}, control.VerbRemove, 3, false},
+		{"both IDs are members", []*pb.MemberStatus{{Member: member(9, "c", true)}, {Member: member(3, "c", false)}}, control.VerbRemove, 3, false},
 		{"not yet a member", nil, control.VerbAddLearner, 9, false},
-		{"learner that is behind", []*pb.MemberStatus{{Member: member(9, "c", true), Match: 4, Active: true}}, "", 0, false},
-		{"learner that fell silent", []*pb.MemberStatus{{Member: member(9, "c", true), Match: 5}}, "", 0, false},
-		{"learner that holds everything", []*pb.MemberStatus{{Member: member(9, "c", true), Match: 5, Active: true}}, control.VerbPromote, 9, false},
-		{"voter, change not committed", []*pb.MemberStatus{{Member: member(9, "c", false), Match: 5, Active: true}}, "", 0, false},
+		{"learner is behind", []*pb.MemberStatus{{Member: member(9, "c", true), Match: 4, Active: true}}, "", 0, false},
+		{"learner stopped answering", []*pb.MemberStatus{{Member: member(9, "c", true), Match: 5}}, "", 0, false},
+		{"learner holds everything", []*pb.MemberStatus{{Member: member(9, "c", true), Match: 5, Active: true}}, control.VerbPromote, 9, false},
+		{"voter, change not committed yet", []*pb.MemberStatus{{Member: member(9, "c", false), Match: 5, Active: true}}, "", 0, false},
 		{"repaired", []*pb.MemberStatus{{Member: member(9, "c", false), Match: 5, Active: true, Repaired: true}}, "", 0, true},
 	}
 	for _, tc := range cases {
--- a/internal/controlclient/fresh_test.go
+++ b/internal/controlclient/fresh_test.go
@@ -9,11 +9,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// Symptom: after the loss of all hosts more of their tokens count as spent the longer the
-// control group takes to elect a leader.
-// Sequence: a starting host tells how old its process is; nobody answers for seconds; a later
-// attempt is carried out.
-// Cause: every attempt told the age of the first.
+// A starting host sends the age of its process in its registration. If each attempt
+// repeated the age of the first one, then after the loss of all hosts the more of their
+// tokens would count as spent the longer the control group takes to elect a leader.
 func TestEachAttemptSendsAFreshCommand(t *testing.T) {
 	f := &fakeReplica{}
 	var ages []int64
--- a/internal/controlclient/gate.go
+++ b/internal/controlclient/gate.go
@@ -8,19 +8,20 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// gate bounds what a process sends to a control group that does not answer. While it
-// does, every call goes through. After a failure one call at a time does, after a pause
-// that grows and differs from process to process; when it is answered, all others follow.
+// gate limits what a process sends to a control group that does not answer. While the
+// group answers, every call may pass. After a failure, one call at a time may probe the
+// group, after a backoff that grows and is randomized per process; once a probe is
+// answered, all other calls may pass.
 //
-// What goes wrong without it: a partition ends, or a leader is lost, and each of some
-// hundred calls of each of some hundred processes looks for the leader by itself. The
-// replicas spend their time on these, the new leader's heartbeats come late, and the next
-// election begins. One notices leaders that change every second while nothing is down.
+// Without it, when a partition ends or a leader is lost, each of some hundred calls of
+// each of some hundred processes looks for the leader by itself. The replicas spend
+// their time on these calls, the new leader's heartbeats are late, and the next
+// election begins: leaders change every second although nothing is down.
 type gate struct {
-	mu     sync.Mutex
-	pause  *backoff.ExponentialBackOff
-	failed bool
-	// probing: a call is under way on behalf of all.
+	mu      sync.Mutex
+	backoff *backoff.ExponentialBackOff
+	failed  bool
+	// probing is set while a probe is in progress.
 	probing   bool
 	notBefore time.Time
 	// changed is closed when a probe has ended.
@@ -29,22 +30,22 @@
 
 func newGate() *gate {
 	p := backoff.NewExponentialBackOff()
-	p.InitialInterval, p.MaxInterval = firstPause, maxPause
-	return &gate{pause: p, changed: make(chan struct{})}
+	p.InitialInterval, p.MaxInterval = minBackoff, maxBackoff
+	return &gate{backoff: p, changed: make(chan struct{})}
 }
 
-// open tells whether the group answered the last call.
+// open reports whether the group answered the last call.
 func (g *gate) open() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !g.failed
 }
 
-// enter waits until the caller may send; probe is what leave has to be told. It returns
-// false when ctx ends first.
+// enter waits until the caller may send. probe must be passed to leave. ok is false if
+// ctx ends first.
 func (g *gate) enter(ctx context.Context) (probe, ok bool) {
 	for {
-		probe, ok, wait, changed := g.try(time.Now())
+		probe, ok, wait, changed := g.tryEnter(time.Now())
 		if ok {
 			return probe, true
 		}
@@ -60,9 +61,9 @@
 	}
 }
 
-// try is one look at the gate. If the caller may not pass, it looks again after wait, or
-// when changed is closed.
-func (g *gate) try(now time.Time) (probe, ok bool, wait time.Duration, changed <-chan struct{}) {
+// tryEnter checks once whether the caller may pass. If not, it must check again after
+// wait, or when changed is closed.
+func (g *gate) tryEnter(now time.Time) (probe, ok bool, wait time.Duration, changed <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
@@ -77,7 +78,7 @@
 	return true, true, 0, nil
 }
 
-// leave tells how a call that entered has ended.
+// leave records how a call that entered has ended.
 func (g *gate) leave(probe, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -87,12 +88,12 @@
 	switch {
 	case answered:
 		g.failed = false
-		g.pause.Reset()
+		g.backoff.Reset()
 	case probe || !g.failed:
 		g.failed = true
-		g.notBefore = time.Now().Add(g.pause.NextBackOff())
+		g.notBefore = time.Now().Add(g.backoff.NextBackOff())
 	default:
-		return // one of many that were under way when the first of them failed
+		return // one of many calls in flight when the first of them failed
 	}
 	close(g.changed)
 	g.changed = make(chan struct{})
--- a/internal/controlclient/group_test.go
+++ b/internal/controlclient/group_test.go
@@ -23,7 +23,8 @@
 	stop    func()
 }
 
-// startProcess runs the replica at members[i] on the disk fs, with the real state machine.
+// startProcess runs the replica at members[i] on the disk fs, with the real state
+// machine.
 func startProcess(t *testing.T, members []control.Member, i int, l net.Listener, fs *memfs.FS) process {
 	t.Helper()
 	tr := control.NewGRPCTransport(members[i].Address, zerolog.Nop(), insecureDial)
@@ -62,11 +63,10 @@
 	return members, processes
 }
 
-// Symptom: after a host's disk is replaced, the group stays one loss away from
-// standing still until an operator notices.
-// Sequence: a host loses its disk and restarts with its settings unchanged; later another host is lost.
-// Cause: nobody adds the new disk to the group, or it counts before it holds everything.
-func TestLostDiskRepairsItself(t *testing.T) {
+// A host that loses its disk and restarts with unchanged settings must be added to the
+// group again, and must not count before it holds everything. Otherwise the group stays
+// one loss away from losing its quorum until an operator notices.
+func TestReplicaWithLostDiskRejoins(t *testing.T) {
 	members, processes := startGroup(t)
 	c := newClient(t, members[0].Address, members[1].Address, members[2].Address)
 	ctx := testutil.Within(t, 30*time.Second)
@@ -92,7 +92,7 @@
 	for !fresh.Joining() || fresh.ID() == lost {
 		time.Sleep(10 * time.Millisecond)
 		if ctx.Err() != nil {
-			t.Fatal("the lost disk isn't noticed")
+			t.Fatal("the lost disk was not detected")
 		}
 	}
 	testutil.NoError(t, c.Join(ctx, &pb.Member{Id: fresh.ID(), Address: members[2].Address, Host: members[2].Host}))
@@ -108,6 +108,6 @@
 		return nil
 	})
 	if !errors.Is(err, enough) {
-		t.Fatalf("the new replica doesn't hold all changes: %v", err)
+		t.Fatalf("the new replica does not hold all changes: %v", err)
 	}
 }
--- a/internal/controlclient/join.go
+++ b/internal/controlclient/join.go
@@ -8,29 +8,29 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// joinPause between two steps of a join.
-const joinPause = 200 * time.Millisecond
+// joinRetryDelay is the pause between two steps of a join.
+const joinRetryDelay = 200 * time.Millisecond
 
-// Join has a replica that waits to be added take its place in the group, and
-// returns once the leader reports it as repaired: a voter that holds everything
-// committed. A former replica at the same address is removed: its disk is known
-// to be lost, or another replica would run there. Join may be called again after
-// an error or a restart; it goes on where it was.
+// Join adds a waiting replica to the group and returns once the leader reports it as
+// repaired: a voter that holds everything committed. A former replica at the same
+// address is removed, because its disk is known to be lost or another replica would
+// still run at that address. Join may be called again after an error or a restart; it
+// continues where it was.
 func (c *Client) Join(ctx context.Context, self *pb.Member) error {
 	for {
 		if c.takeJoinStep(ctx, self) {
 			return nil
 		}
 		select {
-		case <-time.After(joinPause):
+		case <-time.After(joinRetryDelay):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// takeJoinStep carries out the next step and tells whether nothing is left to
-// do. Errors need no care: the next round looks at the membership anew.
+// takeJoinStep carries out the next step and reports whether nothing is left to do.
+// Errors need no handling, because the next step reads the membership again.
 func (c *Client) takeJoinStep(ctx context.Context, self *pb.Member) (done bool) {
 	res, err := c.Read(ctx, &pb.Query{Body: &pb.Query_Members{Members: &pb.MembersQuery{}}})
 	if err != nil {
@@ -43,7 +43,7 @@
 	return done
 }
 
-// joinStep decides the next change of the membership; nil: wait.
+// joinStep returns the next change of the membership; nil: wait.
 func joinStep(group *pb.GroupStatus, self *pb.Member) (req *pb.ChangeMembersRequest, done bool) {
 	var own *pb.MemberStatus
 	for _, m := range group.GetMembers() {
@@ -51,8 +51,8 @@
 			own = m
 			continue
 		}
-		// The former replica goes first. Beside it the group would have an even
-		// number of voters, of which one can never answer.
+		// Remove the former replica first. Otherwise the group would have an even
+		// number of voters, one of which can never answer.
 		if m.Member.Address == self.Address {
 			return &pb.ChangeMembersRequest{Verb: control.VerbRemove, Member: m.Member}, false
 		}
--- a/internal/controlclient/silent_test.go
+++ b/internal/controlclient/silent_test.go
@@ -16,18 +16,18 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// bubble is a network in memory for a synctest bubble.
-type bubble struct {
+// memNetwork is an in-memory network for a synctest bubble.
+type memNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*bufconn.Listener
 	dials     map[string]int
 }
 
-func newBubble() *bubble {
-	return &bubble{listeners: map[string]*bufconn.Listener{}, dials: map[string]int{}}
+func newMemNetwork() *memNetwork {
+	return &memNetwork{listeners: map[string]*bufconn.Listener{}, dials: map[string]int{}}
 }
 
-func (b *bubble) serve(t *testing.T, address string, f *fakeReplica) {
+func (b *memNetwork) serve(t *testing.T, address string, f *fakeReplica) {
 	b.listeners[address] = bufconn.Listen(1 << 16)
 	serveOn(t, b.listeners[address], f)
 }
@@ -38,8 +38,8 @@
 	return out.Context().Err()
 }
 
-// unconfirmed keeps a watch open and never confirms its revision.
-func unconfirmed(out watchStream) error {
+// sendUnconfirmed keeps a watch open and never confirms its revision.
+func sendUnconfirmed(out watchStream) error {
 	for {
 		select {
 		case <-time.After(time.Second):
@@ -50,7 +50,7 @@
 	}
 }
 
-func (b *bubble) client(t *testing.T, addresses ...string) *Client {
+func (b *memNetwork) client(t *testing.T, addresses ...string) *Client {
 	var targets []string
 	for _, a := range addresses {
 		targets = append(targets, "passthrough:///"+a)
@@ -69,20 +69,20 @@
 	return c
 }
 
-// Symptom: a host runs under old settings for good, though every replica is well.
-// Sequence: the watched source falls silent, or sends on but is cut off from the quorum.
-// Cause: the watch waits on it.
+// A watch must leave a source that stops sending, or that keeps sending but is cut off
+// from the quorum. Otherwise the host keeps old settings for good although every
+// replica is fine.
 func TestWatchLeavesSilentAndUnconfirmedSources(t *testing.T) {
-	for name, rest := range map[string]func(watchStream) error{"silent": hang, "unconfirmed": unconfirmed} {
+	for name, rest := range map[string]func(watchStream) error{"silent": hang, "unconfirmed": sendUnconfirmed} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBubble()
+				b := newMemNetwork()
 				b.serve(t, "stuck", &fakeReplica{watch: func(out watchStream) error {
-					_ = out.Send(whole(1, false))
+					_ = out.Send(treeEvent(1, false))
 					return rest(out)
 				}})
 				b.serve(t, "good", &fakeReplica{watch: func(out watchStream) error {
-					_ = out.Send(whole(2, true))
+					_ = out.Send(treeEvent(2, true))
 					return hang(out)
 				}})
 				c := b.client(t, "good", "stuck") // the second is tried first
@@ -106,12 +106,12 @@
 	}
 }
 
-// Symptom: a host can't propose for minutes, though the leader answers others.
-// Sequence: the connection to the leader goes silent; calls on it time out, one after another.
-// Cause: the next call takes the same connection.
-func TestSilentCallGetsANewConnection(t *testing.T) {
+// When the connection to the leader becomes unresponsive and a call on it times out,
+// the next call must use a new connection. Otherwise the host cannot propose for
+// minutes, although the leader answers others.
+func TestTimedOutCallGetsNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBubble()
+		b := newMemNetwork()
 		release := make(chan struct{})
 		defer close(release)
 		f := &fakeReplica{propose: func(n int, _ *pb.Command) (*pb.ProposeReply, error) {
@@ -126,7 +126,7 @@
 		_, err := c.Propose(ctx, &pb.Command{OpId: "a"})
 		testutil.NoError(t, err)
 		if b.dials["leader"] != 2 {
-			t.Fatalf("%d connections", b.dials["leader"])
+			t.Fatalf("%d connections to the leader, want 2", b.dials["leader"])
 		}
 	})
 }
--- a/internal/controlclient/watch.go
+++ b/internal/controlclient/watch.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// silentAfter is how long a source may send nothing before it is given up;
-	// a replica sends at least every second.
-	silentAfter = 3 * time.Second
-	// unconfirmedAfter is how long a source may send only unconfirmed events
-	// before another is tried: it may be cut off from the quorum.
-	unconfirmedAfter = 5 * time.Second
-	watchPause       = 200 * time.Millisecond
+	// silenceTimeout is how long a source may send nothing before another is tried; a
+	// replica sends at least every second.
+	silenceTimeout = 3 * time.Second
+	// unconfirmedTimeout is how long a source may send only unconfirmed events before
+	// another is tried: it may be cut off from the quorum.
+	unconfirmedTimeout = 5 * time.Second
+	watchRetryDelay    = 200 * time.Millisecond
 )
 
 var (
-	errSilent      = errors.New("controlclient: the source sent nothing")
-	errUnconfirmed = errors.New("controlclient: the source can't confirm its revision")
+	errSilent      = errors.New("controlclient: the watched source sent nothing within the silence timeout")
+	errUnconfirmed = errors.New("controlclient: the watched source did not confirm its revision")
 )
 
-// callbackError carries an error of the watcher's own function.
+// callbackError wraps an error returned by the watcher's own function.
 type callbackError struct{ err error }
 
 // Error implements error.
 func (e *callbackError) Error() string { return e.err.Error() }
 
-// Watch calls fn with the settings from fromRevision on (0: from a whole tree),
-// in revision order and never going back, until ctx ends or fn fails. fn also
-// gets events without changes, which say that the source was heard and whether
-// the revision was confirmed by a quorum within the last moments.
+// Watch calls fn with the settings from fromRevision on (0: starting with a whole
+// tree), in increasing revision order, until ctx ends or fn fails. fn also receives
+// events without changes, which show that the source is reachable and whether a quorum
+// recently confirmed the revision.
 func (c *Client) Watch(ctx context.Context, fromRevision uint64, fn func(*pb.WatchEvent) error) error {
 	w := &watcher{c: c, revision: fromRevision, started: fromRevision > 0, fn: fn}
 	for ctx.Err() == nil {
@@ -48,15 +48,15 @@
 			}
 		}
 		select {
-		case <-time.After(watchPause):
+		case <-time.After(watchRetryDelay):
 		case <-ctx.Done():
 		}
 	}
 	return ctx.Err()
 }
 
-// sources lists where to watch, best first: the replica in this process, the
-// others in turn, then the relays.
+// sources returns where to watch, best first: the replica in this process, the others
+// in turn, then the relays.
 func (c *Client) sources() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +65,7 @@
 		out = append(out, localTarget)
 	}
 	c.next++
-	known := c.known()
+	known := c.replicaAddresses()
 	for i := range known {
 		out = append(out, known[(c.next+i)%len(known)])
 	}
@@ -76,20 +76,20 @@
 type watcher struct {
 	c        *Client
 	revision uint64
-	started  bool // a whole tree is held
+	started  bool // a whole tree was received
 	fn       func(*pb.WatchEvent) error
 }
 
 // receive waits for the next event of a source.
 type receive func() (*pb.WatchEvent, error)
 
-// follow follows one source until it fails, falls silent or stays unconfirmed.
+// follow follows one source until it fails, becomes unresponsive or stays unconfirmed.
 func (w *watcher) follow(ctx context.Context, target string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A source that is frozen takes the connection and says nothing; without the timer
-	// the opening would wait for it as long as gRPC waits for a connection, 20 seconds.
-	silent := time.AfterFunc(silentAfter, cancel)
+	// A suspended source accepts the connection but sends nothing; without the timer,
+	// opening the stream would wait as long as gRPC waits for a connection, 20 seconds.
+	silent := time.AfterFunc(silenceTimeout, cancel)
 	defer silent.Stop()
 	recv, err := w.open(ctx, target)
 	if err != nil {
@@ -103,7 +103,7 @@
 			w.c.drop(target)
 			return err
 		}
-		if !silent.Reset(silentAfter) {
+		if !silent.Reset(silenceTimeout) {
 			return errSilent
 		}
 		if w.confirms(e) {
@@ -112,19 +112,20 @@
 		if err := w.deliver(e); err != nil {
 			return err
 		}
-		if time.Since(confirmed) > unconfirmedAfter {
+		if time.Since(confirmed) > unconfirmedTimeout {
 			return errUnconfirmed
 		}
 	}
 }
 
-// confirms tells whether an event shows that its source is in contact with the quorum
-// and no older than the watcher. A relay that was cut off goes on saying when it last
-// heard the quorum, and two relays that follow each other would keep each other for
-// good; one that is behind confirms what the watcher no longer holds.
+// confirms reports whether an event shows that its source is in contact with the quorum
+// and not older than the watcher. A relay that was cut off keeps reporting when it last
+// had contact with the quorum, so two relays that follow each other would do so
+// indefinitely; a source that is behind confirms a revision that the watcher has
+// already left.
 func (w *watcher) confirms(e *pb.WatchEvent) bool {
 	age := time.Duration(e.ConfirmedAgeMs) * time.Millisecond
-	return e.Confirmed && age < unconfirmedAfter && e.Revision >= w.revision
+	return e.Confirmed && age < unconfirmedTimeout && e.Revision >= w.revision
 }
 
 func (w *watcher) open(ctx context.Context, target string) (receive, error) {
@@ -143,10 +144,10 @@
 	return stream.Recv, nil
 }
 
-// deliver hands an event on, without what the watcher has already.
+// deliver passes an event to fn, without changes that the watcher already has.
 func (w *watcher) deliver(e *pb.WatchEvent) error {
 	if e.Revision < w.revision {
-		return nil // a source that is behind
+		return nil // the source is behind
 	}
 	if e.Revision == w.revision && w.started {
 		e = &pb.WatchEvent{Revision: e.Revision, Confirmed: e.Confirmed, ConfirmedAgeMs: e.ConfirmedAgeMs}
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -39,17 +39,17 @@
 func checkSyntax(path string, raw []byte) error {
 	var value json.RawMessage
 	if err := json.Unmarshal(raw, &value); err != nil {
-		return fault(path, "not JSON: %v", err)
+		return invalidAt(path, "not JSON: %v", err)
 	}
 	return nil
 }
 
 func decodeValue(path string, raw json.RawMessage, v reflect.Value, depth int) error {
 	if depth > maxDepth {
-		return fault(path, "nested too deep")
+		return invalidAt(path, "nested too deep")
 	}
 	if isNull(raw) {
-		return fault(path, "null is no value here; delete the key to get its default")
+		return invalidAt(path, "null is no value here; delete the key to get its default")
 	}
 	switch {
 	case v.Kind() == reflect.Pointer:
@@ -61,7 +61,7 @@
 		return decodeSlice(path, raw, v, depth)
 	}
 	if err := json.Unmarshal(raw, v.Addr().Interface()); err != nil {
-		return fault(path, "%s", plainError(err, v.Type()))
+		return invalidAt(path, "%s", plainError(err, v.Type()))
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 func decodeStruct(path string, raw json.RawMessage, v reflect.Value, depth int) error {
 	members, err := jsonobject.Members(raw)
 	if err != nil {
-		return fault(path, "%v", err)
+		return invalidAt(path, "%v", err)
 	}
 	fields := fieldsByKey(v.Type())
 	seen := make(map[string]bool, len(members))
@@ -77,17 +77,17 @@
 		at := path + "/" + m.Key
 		index, ok := fields[m.Key]
 		if !ok {
-			return fault(at, "unknown key")
+			return invalidAt(at, "unknown key")
 		}
 		if seen[m.Key] {
-			return fault(at, "the key stands twice")
+			return invalidAt(at, "the key stands twice")
 		}
 		seen[m.Key] = true
 		if err := decodeValue(at, m.Value, v.Field(index), depth+1); err != nil {
 			return err
 		}
 		if v.Type().Field(index).Tag.Get(zeroTag) == zeroRefused && v.Field(index).IsZero() {
-			return fault(at, "0 would be taken for the default; see this key's description for a way to say none")
+			return invalidAt(at, "0 would be taken for the default; see this key's description for a way to say none")
 		}
 	}
 	return nil
@@ -96,7 +96,7 @@
 func decodeSlice(path string, raw json.RawMessage, v reflect.Value, depth int) error {
 	var elements []json.RawMessage
 	if err := json.Unmarshal(raw, &elements); err != nil {
-		return fault(path, "must be a list")
+		return invalidAt(path, "must be a list")
 	}
 	out := reflect.MakeSlice(v.Type(), len(elements), len(elements))
 	for i, e := range elements {
--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// historyKept is how many changes are kept for catch-up and for operators.
-	historyKept = 1000
-	// operationsKept is how many operation ids are remembered: at 6,100 changes a day
+	// maxHistory is how many changes are kept for catch-up and for operators.
+	maxHistory = 1000
+	// maxOperations is how many operation ids are remembered: at 6,100 changes a day
 	// more than two weeks of resends, in about 5 MB.
-	operationsKept = 100_000
+	maxOperations = 100_000
 )
 
 // Machine is the replicated state machine of the settings tree.
@@ -86,11 +86,11 @@
 	case c.Delete || isNull(value):
 		change.Delete = true
 	case len(value) == 0:
-		return nil, fault(c.Path, "no value given")
+		return nil, invalidAt(c.Path, "no value given")
 	default:
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, value); err != nil {
-			return nil, fault(c.Path, "not JSON: %v", err)
+			return nil, invalidAt(c.Path, "not JSON: %v", err)
 		}
 		change.ValueJson = compact.Bytes()
 	}
@@ -105,8 +105,8 @@
 	}
 	m.view = next
 	m.history = append(m.history, change)
-	if len(m.history) > historyKept {
-		m.history = slices.Clone(m.history[len(m.history)-historyKept:])
+	if len(m.history) > maxHistory {
+		m.history = slices.Clone(m.history[len(m.history)-maxHistory:])
 	}
 	return change, nil
 }
@@ -130,7 +130,7 @@
 func (m *Machine) remember(key window.Key, o operation) {
 	m.operations[key] = o
 	m.order = append(m.order, key)
-	if len(m.order) > operationsKept {
+	if len(m.order) > maxOperations {
 		delete(m.operations, m.order[0])
 		m.order = m.order[1:]
 	}
--- a/internal/settings/machine_test.go
+++ b/internal/settings/machine_test.go
@@ -160,7 +160,7 @@
 	for i := range 7 {
 		set(t, m, fmt.Sprintf("/teams/t%d", i), `{}`)
 	}
-	for m.View().Revision() < historyKept+300 {
+	for m.View().Revision() < maxHistory+300 {
 		i := m.View().Revision()
 		set(t, m, fmt.Sprintf("/teams/t%d/max_in_flight", i%7), fmt.Sprint(i+1))
 		if i == 300 {
@@ -169,7 +169,7 @@
 	}
 	want := snapshotOf(t, m.View())
 	changes, ok := m.ChangesSince(behind.Revision())
-	if !ok || len(changes) != historyKept-1 {
+	if !ok || len(changes) != maxHistory-1 {
 		t.Fatalf("%d changes since %d, %v", len(changes), behind.Revision(), ok)
 	}
 	caughtUp, err := behind.Apply(changes)
--- a/internal/settings/patch.go
+++ b/internal/settings/patch.go
@@ -46,7 +46,7 @@
 		}
 		object, isObject := child.(map[string]any)
 		if !isObject {
-			return nil, fault(path, "%q holds no object; a list or plain value is replaced as a whole", part)
+			return nil, invalidAt(path, "%q holds no object; a list or plain value is replaced as a whole", part)
 		}
 		at = object
 	}
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -36,20 +36,20 @@
 // parsePath reads the path of a subtree or of something inside one.
 func parsePath(path string) (treePath, error) {
 	if !strings.HasPrefix(path, "/") {
-		return treePath{}, fault(path, "a path begins with /")
+		return treePath{}, invalidAt(path, "a path begins with /")
 	}
 	parts := strings.Split(strings.TrimSuffix(path[1:], "/"), "/")
 	if parts[0] == fleetPart {
 		return newTreePath(path, treePath{kind: fleetPart, rest: parts[1:]})
 	}
 	if parts[0] != teamsPart && parts[0] != accountsPart {
-		return treePath{}, fault(path, "a path begins with /teams/<name>, /accounts/<name> or /fleet")
+		return treePath{}, invalidAt(path, "a path begins with /teams/<name>, /accounts/<name> or /fleet")
 	}
 	if len(parts) < 2 {
-		return treePath{}, fault(path, "one change concerns one subtree: name it, as in /%s/<name>", parts[0])
+		return treePath{}, invalidAt(path, "one change concerns one subtree: name it, as in /%s/<name>", parts[0])
 	}
 	if !validName(parts[1]) {
-		return treePath{}, fault(path, "a name has 1 to %d bytes: letters, digits and . _ - after the first", maxNameBytes)
+		return treePath{}, invalidAt(path, "a name has 1 to %d bytes: letters, digits and . _ - after the first", maxNameBytes)
 	}
 	return newTreePath(path, treePath{kind: parts[0], name: parts[1], rest: parts[2:]})
 }
@@ -57,7 +57,7 @@
 func newTreePath(path string, p treePath) (treePath, error) {
 	for _, part := range p.rest {
 		if part == "" {
-			return treePath{}, fault(path, "a part of the path is empty")
+			return treePath{}, invalidAt(path, "a part of the path is empty")
 		}
 	}
 	return p, nil
@@ -78,7 +78,7 @@
 	return true
 }
 
-// fault is a refusal of settings at a path.
-func fault(path, format string, args ...any) *errkind.Error {
+// invalidAt is a refusal of settings at a path.
+func invalidAt(path, format string, args ...any) *errkind.Error {
 	return errkind.New(errkind.InvalidSettings, format, args...).At(path)
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -99,7 +99,7 @@
 	switch p.kind {
 	case teamsPart:
 		if account := t.userOf(p.name); account != "" {
-			return fault(p.subtree(), "account %q uses this team", account)
+			return invalidAt(p.subtree(), "account %q uses this team", account)
 		}
 		delete(t.Teams, p.name)
 	case accountsPart:
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -26,18 +26,18 @@
 	hashBytes        = 32
 )
 
-// within checks a duration that is set (zero means: the default).
-func within(path string, d Duration, low, high time.Duration) error {
+// checkDuration checks a duration that is set (zero means: the default).
+func checkDuration(path string, d Duration, low, high time.Duration) error {
 	if d != 0 && (d.Std() < low || d.Std() > high) {
-		return fault(path, "must be from %v to %v", low, high)
+		return invalidAt(path, "must be from %v to %v", low, high)
 	}
 	return nil
 }
 
-// between checks a number.
-func between(path string, n, low, high int64) error {
+// checkRange checks a number.
+func checkRange(path string, n, low, high int64) error {
 	if n < low || n > high {
-		return fault(path, "must be from %d to %d", low, high)
+		return invalidAt(path, "must be from %d to %d", low, high)
 	}
 	return nil
 }
@@ -53,17 +53,17 @@
 
 func (t *Team) validate(path string) error {
 	if t.Priority != "" && t.Priority != Urgent && t.Priority != Normal && t.Priority != Batch {
-		return fault(path+"/priority", `must be "urgent", "normal" or "batch"`)
+		return invalidAt(path+"/priority", `must be "urgent", "normal" or "batch"`)
 	}
 	return firstError(
 		validateNames(path+"/models", t.Models),
 		validateNames(path+"/services", t.Services),
-		within(path+"/default_timeout", t.DefaultTimeout, time.Millisecond, maxTimeoutBound),
-		within(path+"/max_timeout", t.MaxTimeout, time.Millisecond, maxTimeoutBound),
-		between(path+"/max_output_tokens", int64(min(t.MaxOutputTokens, math.MaxInt64)), 0, math.MaxInt32),
-		between(path+"/service_tokens", int64(min(t.ServiceTokens, math.MaxInt64)), 0, math.MaxInt32),
-		between(path+"/max_in_flight", int64(t.MaxInFlight), 0, maxInFlightBound),
-		between(path+"/copies", int64(t.Copies), 0, maxCopies),
+		checkDuration(path+"/default_timeout", t.DefaultTimeout, time.Millisecond, maxTimeoutBound),
+		checkDuration(path+"/max_timeout", t.MaxTimeout, time.Millisecond, maxTimeoutBound),
+		checkRange(path+"/max_output_tokens", int64(min(t.MaxOutputTokens, math.MaxInt64)), 0, math.MaxInt32),
+		checkRange(path+"/service_tokens", int64(min(t.ServiceTokens, math.MaxInt64)), 0, math.MaxInt32),
+		checkRange(path+"/max_in_flight", int64(t.MaxInFlight), 0, maxInFlightBound),
+		checkRange(path+"/copies", int64(t.Copies), 0, maxCopies),
 		t.validateTimeouts(path),
 		t.Retry.validate(path+"/retry"),
 		t.Grant.validate(path+"/grant"),
@@ -73,7 +73,7 @@
 func (t *Team) validateTimeouts(path string) error {
 	longest := t.WithDefaults().MaxTimeout
 	if t.DefaultTimeout > longest {
-		return fault(path+"/default_timeout", "is above max_timeout, which is %v", longest.Std())
+		return invalidAt(path+"/default_timeout", "is above max_timeout, which is %v", longest.Std())
 	}
 	return nil
 }
@@ -83,9 +83,9 @@
 		return nil
 	}
 	if !(r.Share >= 0 && r.Share <= 1) {
-		return fault(path+"/share", "must be from 0 to 1")
+		return invalidAt(path+"/share", "must be from 0 to 1")
 	}
-	return between(path+"/max_attempts", int64(r.MaxAttempts), 0, maxAttempts)
+	return checkRange(path+"/max_attempts", int64(r.MaxAttempts), 0, maxAttempts)
 }
 
 func (g *Grant) validate(path string) error {
@@ -93,33 +93,33 @@
 		return nil
 	}
 	return firstError(
-		within(path+"/horizon", g.Horizon, time.Millisecond, maxHorizon),
-		within(path+"/idle_return", g.IdleReturn, time.Second, maxDuration),
+		checkDuration(path+"/horizon", g.Horizon, time.Millisecond, maxHorizon),
+		checkDuration(path+"/idle_return", g.IdleReturn, time.Second, maxDuration),
 	)
 }
 
 func (a *Account) validate(path string) error {
 	if a.Team == "" {
-		return fault(path+"/team", "an account needs a team")
+		return invalidAt(path+"/team", "an account needs a team")
 	}
 	if a.Budget == "" {
-		return fault(path+"/budget", "an account needs a budget")
+		return invalidAt(path+"/budget", "an account needs a budget")
 	}
 	return firstError(
 		validateHashes(path+"/key_hashes", a.KeyHashes),
-		between(path+"/weight", int64(a.Weight), 0, maxWeight),
+		checkRange(path+"/weight", int64(a.Weight), 0, maxWeight),
 	)
 }
 
 func (f *Fleet) validate(path string) error {
 	return firstError(
-		within(path+"/address_ttl", f.AddressTTL, minAddressTTL, maxDuration),
-		within(path+"/idempotency_window", f.IdempotencyWindow, minWindow, maxDuration),
-		within(path+"/stale_after", f.StaleAfter, time.Second, 365*maxDuration),
+		checkDuration(path+"/address_ttl", f.AddressTTL, minAddressTTL, maxDuration),
+		checkDuration(path+"/idempotency_window", f.IdempotencyWindow, minWindow, maxDuration),
+		checkDuration(path+"/stale_after", f.StaleAfter, time.Second, 365*maxDuration),
 		f.validateBody(path+"/max_body_bytes"),
 		validateHashes(path+"/operator_key_hashes", f.OperatorKeyHashes),
 		validateHashes(path+"/announce_key_hashes", f.AnnounceKeyHashes),
-		between(path+"/weight_store_bytes_per_second", f.WeightStoreBytesPerSecond, 0, math.MaxInt64),
+		checkRange(path+"/weight_store_bytes_per_second", f.WeightStoreBytesPerSecond, 0, math.MaxInt64),
 		validatePlacement(path+"/placement", f.Placement),
 	)
 }
@@ -128,21 +128,21 @@
 	if f.MaxBodyBytes == 0 {
 		return nil
 	}
-	return between(path, f.MaxBodyBytes, minBodyBytes, maxBodyBytes)
+	return checkRange(path, f.MaxBodyBytes, minBodyBytes, maxBodyBytes)
 }
 
 func validatePlacement(path string, rules []PlacementRule) error {
 	for i, r := range rules {
 		at := path + "/" + strconv.Itoa(i)
 		if r.Pool == "" {
-			return fault(at+"/pool", "a placement rule needs a pool")
+			return invalidAt(at+"/pool", "a placement rule needs a pool")
 		}
 		if r.Model == "" {
-			return fault(at+"/model", "a placement rule needs a model")
+			return invalidAt(at+"/model", "a placement rule needs a model")
 		}
 		err := firstError(
-			between(at+"/servers", int64(r.Servers), 0, maxServers),
-			between(at+"/bytes", r.Bytes, 0, math.MaxInt64),
+			checkRange(at+"/servers", int64(r.Servers), 0, maxServers),
+			checkRange(at+"/bytes", r.Bytes, 0, math.MaxInt64),
 		)
 		if err != nil {
 			return err
@@ -154,10 +154,10 @@
 func validateNames(path string, names []string) error {
 	for i, n := range names {
 		if n == "" {
-			return fault(path+"/"+strconv.Itoa(i), "a name is empty")
+			return invalidAt(path+"/"+strconv.Itoa(i), "a name is empty")
 		}
 		if slices.Contains(names[:i], n) {
-			return fault(path+"/"+strconv.Itoa(i), "%q stands twice", n)
+			return invalidAt(path+"/"+strconv.Itoa(i), "%q stands twice", n)
 		}
 	}
 	return nil
@@ -167,10 +167,10 @@
 	for i, h := range hashes {
 		raw, err := hex.DecodeString(h)
 		if err != nil || len(raw) != hashBytes || h != hex.EncodeToString(raw) {
-			return fault(path+"/"+strconv.Itoa(i), "must be a SHA-256 hash in %d lower-case hex digits, not the key itself", 2*hashBytes)
+			return invalidAt(path+"/"+strconv.Itoa(i), "must be a SHA-256 hash in %d lower-case hex digits, not the key itself", 2*hashBytes)
 		}
 		if slices.Contains(hashes[:i], h) {
-			return fault(path+"/"+strconv.Itoa(i), "the hash stands twice")
+			return invalidAt(path+"/"+strconv.Itoa(i), "the hash stands twice")
 		}
 	}
 	return nil
@@ -184,11 +184,11 @@
 		a := t.Accounts[name]
 		path := "/" + accountsPart + "/" + name
 		if _, ok := t.Teams[a.Team]; !ok {
-			return fault(path+"/team", "team %q does not exist", a.Team)
+			return invalidAt(path+"/team", "team %q does not exist", a.Team)
 		}
 		for i, h := range a.KeyHashes {
 			if other, ok := owner[h]; ok {
-				return fault(path+"/key_hashes/"+strconv.Itoa(i), "account %q has the same key", other)
+				return invalidAt(path+"/key_hashes/"+strconv.Itoa(i), "account %q has the same key", other)
 			}
 			owner[h] = name
 		}
