--- a/internal/control/snapshots.go
+++ b/internal/control/snapshots.go
@@ -137,7 +137,7 @@
 		}
 		release = oldest
 	}
-	if err := r.wal.Cut(); err != nil {
+	if err := r.wal.Rotate(); err != nil {
 		return err
 	}
 	return r.wal.Release(release)
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -12,20 +12,21 @@
 	"github.com/bluebellsail/bluebellsail/internal/jsonobject"
 )
 
-// maxDepth bounds the nesting of a value, so that a hostile one can't exhaust the stack.
+// maxDepth bounds the nesting of a value, so that a malicious one cannot exhaust the
+// stack.
 const maxDepth = 16
 
-// A field with this tag may not be set to zero, as zero stands for its default.
+// A field with this tag must not be set to zero, because zero means that the default
+// applies.
 const (
 	zeroTag     = "settings"
-	zeroRefused = "nonzero"
+	nonzeroOnly = "nonzero"
 )
 
-// decodeStrict decodes raw into the value that v points to. Unknown and repeated
-// keys, nulls and values of a wrong type are refused with the path of the fault.
-// What goes wrong with the lenient decoder of encoding/json: a misspelt key, such
-// as "max_atempts", would be accepted and have no effect, and the operator would
-// notice only under load.
+// decodeStrict decodes raw into the value that v points to. Unknown and repeated keys,
+// nulls and values of a wrong type are rejected with the path of the error. The lenient
+// decoder of encoding/json would accept a misspelt key, such as "max_atempts", without
+// any effect, and the operator would notice only under load.
 func decodeStrict(path string, raw []byte, v any) error {
 	if err := checkSyntax(path, raw); err != nil {
 		return err
@@ -33,23 +34,23 @@
 	return decodeValue(path, raw, reflect.ValueOf(v).Elem(), 0)
 }
 
-// isNull tells whether raw is the JSON value null, which deletes what a path names.
+// isNull reports whether raw is the JSON value null, which deletes the value at a path.
 func isNull(raw []byte) bool { return string(bytes.TrimSpace(raw)) == "null" }
 
 func checkSyntax(path string, raw []byte) error {
 	var value json.RawMessage
 	if err := json.Unmarshal(raw, &value); err != nil {
-		return invalidAt(path, "not JSON: %v", err)
+		return invalidAt(path, "invalid JSON: %v", err)
 	}
 	return nil
 }
 
 func decodeValue(path string, raw json.RawMessage, v reflect.Value, depth int) error {
 	if depth > maxDepth {
-		return invalidAt(path, "nested too deep")
+		return invalidAt(path, "the value is nested too deeply")
 	}
 	if isNull(raw) {
-		return invalidAt(path, "null is no value here; delete the key to get its default")
+		return invalidAt(path, "null is not allowed here; delete the key to apply its default")
 	}
 	switch {
 	case v.Kind() == reflect.Pointer:
@@ -61,7 +62,7 @@
 		return decodeSlice(path, raw, v, depth)
 	}
 	if err := json.Unmarshal(raw, v.Addr().Interface()); err != nil {
-		return invalidAt(path, "%s", plainError(err, v.Type()))
+		return invalidAt(path, "%s", typeErrorText(err, v.Type()))
 	}
 	return nil
 }
@@ -80,14 +81,14 @@
 			return invalidAt(at, "unknown key")
 		}
 		if seen[m.Key] {
-			return invalidAt(at, "the key stands twice")
+			return invalidAt(at, "the key occurs twice")
 		}
 		seen[m.Key] = true
 		if err := decodeValue(at, m.Value, v.Field(index), depth+1); err != nil {
 			return err
 		}
-		if v.Type().Field(index).Tag.Get(zeroTag) == zeroRefused && v.Field(index).IsZero() {
-			return invalidAt(at, "0 would be taken for the default; see this key's description for a way to say none")
+		if v.Type().Field(index).Tag.Get(zeroTag) == nonzeroOnly && v.Field(index).IsZero() {
+			return invalidAt(at, "0 would mean the default; see this key's description for how to set none")
 		}
 	}
 	return nil
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// fieldsByKey maps the JSON keys of a struct type to its fields.
+// fieldsByKey maps the JSON keys of a struct type to its field indexes.
 func fieldsByKey(t reflect.Type) map[string]int {
 	out := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
@@ -118,15 +119,16 @@
 	return out
 }
 
-// plainError puts a decoding error in the words of the settings file.
-func plainError(err error, t reflect.Type) string {
+// typeErrorText returns a decoding error in terms of the settings rather than of Go
+// types.
+func typeErrorText(err error, t reflect.Type) string {
 	var wrong *json.UnmarshalTypeError
 	if !errors.As(err, &wrong) {
 		return err.Error()
 	}
 	switch t.Kind() {
 	case reflect.Uint64:
-		return "must be a whole number, not negative"
+		return "must be a whole number that is not negative"
 	case reflect.Int, reflect.Int64:
 		return "must be a whole number"
 	case reflect.Float64:
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/defaults"
 )
 
-// Defaults of what a subtree leaves out.
+// Defaults of values that a subtree leaves out.
 const (
 	DefaultMaxTimeout        = 15 * time.Minute
 	DefaultMaxOutputTokens   = 4096
@@ -25,7 +25,8 @@
 	DefaultIdempotencyWindow = 10 * time.Minute
 )
 
-// HashKey returns the hex SHA-256 hash under which an account's or operator's key is kept.
+// HashKey returns the hex SHA-256 hash under which an account's or operator's key is
+// stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -2,8 +2,8 @@
 
 import "crypto/subtle"
 
-// ContainsHash compares with every hash, each in constant time: the time taken must
-// not tell how close a guessed key came.
+// ContainsHash reports whether hashes contains hash. It compares with every hash, each
+// in constant time: the time taken must not reveal how close a guessed key came.
 func ContainsHash(hashes []string, hash string) bool {
 	found := 0
 	for _, h := range hashes {
--- a/internal/settings/machine.go
+++ b/internal/settings/machine.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// maxHistory is how many changes are kept for catch-up and for operators.
+	// maxHistory is the number of changes kept for catch-up and for operators.
 	maxHistory = 1000
-	// maxOperations is how many operation ids are remembered: at 6,100 changes a day
+	// maxOperations is the number of operation IDs remembered: at 6,100 changes a day,
 	// more than two weeks of resends, in about 5 MB.
 	maxOperations = 100_000
 )
@@ -27,36 +27,36 @@
 	view       *View
 	history    []*pb.ConfigChange
 	operations map[window.Key]operation
-	order      []window.Key // of operations, oldest first
+	order      []window.Key // keys of operations, oldest first
 }
 
-// operation is the remembered answer to one operation id.
+// operation is the remembered answer to one operation ID.
 type operation struct {
-	// fingerprint tells a resend from a change elsewhere under the same id.
+	// fingerprint distinguishes a resend from another change under the same ID.
 	fingerprint uint64
-	revision    uint64 // 0: refused with a version conflict
-	version     uint64 // of the subtree: after the change, or present at the conflict
+	revision    uint64 // 0: rejected with a version conflict
+	version     uint64 // of the subtree: after the change, or the current one at the conflict
 }
 
-// New makes an empty tree.
+// New returns a machine with an empty tree.
 func New() *Machine {
 	return &Machine{view: NewView(), operations: make(map[window.Key]operation)}
 }
 
-// View returns the present tree; it is immutable.
+// View returns the current tree; it is immutable.
 func (m *Machine) View() *View { return m.view }
 
-// Set applies one change of an operator. now is in Unix milliseconds. Of racers
-// that expect one version exactly one wins; the others get VersionConflict with the
-// present version. A resend of an operation id gets the first answer, and resend is
-// true then.
+// Set applies one change of an operator. now is in Unix milliseconds. If several
+// operators expect the same version, exactly one succeeds; the others get a
+// VersionConflict with the current version. A resent operation ID gets the first
+// answer, and resend is then true.
 func (m *Machine) Set(c *pb.SetConfig, opID, actor string, now int64) (result *pb.SetConfigResult, resend bool, err error) {
 	if opID == "" {
-		return nil, false, errkind.New(errkind.BadRequest, "a change of settings needs an operation id, so that a resend is known")
+		return nil, false, errkind.New(errkind.BadRequest, "a change of settings needs an operation ID, so that a resend can be detected")
 	}
 	key, asked := window.KeyOf(opID), fingerprint(c)
 	if o, ok := m.operations[key]; ok {
-		result, err = o.answer(asked, opID, c.Path)
+		result, err = o.firstAnswer(asked, opID, c.Path)
 		return result, err == nil || errkind.Is(err, errkind.VersionConflict), err
 	}
 	p, err := parsePath(c.Path)
@@ -77,7 +77,7 @@
 	return &pb.SetConfigResult{Revision: change.Revision, Version: change.Version}, false, nil
 }
 
-// commit makes the change part of the tree and of the history, or refuses it.
+// commit validates the change and adds it to the tree and the history.
 func (m *Machine) commit(p treePath, c *pb.SetConfig, version uint64) (*pb.ConfigChange, error) {
 	path := strings.TrimSuffix(c.Path, "/")
 	change := &pb.ConfigChange{Revision: m.view.revision + 1, Version: version, Path: path, Delete: c.Delete}
@@ -86,15 +86,15 @@
 	case c.Delete || isNull(value):
 		change.Delete = true
 	case len(value) == 0:
-		return nil, invalidAt(c.Path, "no value given")
+		return nil, invalidAt(c.Path, "the change has no value")
 	default:
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, value); err != nil {
-			return nil, invalidAt(c.Path, "not JSON: %v", err)
+			return nil, invalidAt(c.Path, "invalid JSON: %v", err)
 		}
 		change.ValueJson = compact.Bytes()
 	}
-	next, err := m.view.with(change)
+	next, err := m.view.withChange(change)
 	if err != nil {
 		return nil, err
 	}
@@ -117,9 +117,9 @@
 	return e
 }
 
-func (o operation) answer(asked uint64, opID, path string) (*pb.SetConfigResult, error) {
+func (o operation) firstAnswer(asked uint64, opID, path string) (*pb.SetConfigResult, error) {
 	if o.fingerprint != asked {
-		return nil, errkind.New(errkind.KeyConflict, "operation id %q was used for another change", opID)
+		return nil, errkind.New(errkind.KeyConflict, "operation ID %q was used for another change", opID)
 	}
 	if o.revision == 0 {
 		return nil, conflict(path, o.version)
@@ -136,16 +136,16 @@
 	}
 }
 
-// fingerprint is a hash of the path that a change concerns. The value and version
-// don't count: a host may make part of the value itself (a new key's hash), or read
-// the version anew, when it sends an operator's request again.
+// fingerprint returns a hash of the path that a change concerns. Value and version
+// don't count: when a host resends an operator's request, it may generate part of the
+// value anew (a new key's hash) or read the version again.
 func fingerprint(c *pb.SetConfig) uint64 {
 	key := window.KeyOf(strings.TrimSuffix(c.Path, "/"))
 	return binary.BigEndian.Uint64(key[:])
 }
 
-// ChangesSince returns the changes after revision rev. ok is false when they are no
-// longer kept (or rev is ahead): the asker needs a snapshot.
+// ChangesSince returns the changes after revision rev. ok is false if they are no
+// longer kept, or if rev is newer than the tree; the caller then needs a snapshot.
 func (m *Machine) ChangesSince(rev uint64) (changes []*pb.ConfigChange, ok bool) {
 	behind := m.view.revision - rev
 	if rev > m.view.revision || behind > uint64(len(m.history)) {
@@ -154,7 +154,8 @@
 	return slices.Clone(m.history[uint64(len(m.history))-behind:]), true
 }
 
-// History returns the last changes at or below a path, oldest first; limit 0 means all kept.
+// History returns the last changes at or below a path, oldest first; limit 0 returns
+// all kept changes.
 func (m *Machine) History(path string, limit int) []*pb.ConfigChange {
 	var out []*pb.ConfigChange
 	prefix := strings.TrimSuffix(path, "/")
@@ -169,7 +170,7 @@
 	return out
 }
 
-// Image is the whole machine in a fixed order, for snapshots.
+// Image holds the whole machine in a fixed order, for snapshots.
 type Image struct {
 	View       json.RawMessage    `json:"view"`
 	History    []*pb.ConfigChange `json:"history"`
@@ -197,7 +198,7 @@
 	return im, nil
 }
 
-// Restore replaces the machine's content by im.
+// Restore replaces the machine's content with im.
 func (m *Machine) Restore(im Image) error {
 	view, err := ViewFromSnapshot(im.View)
 	if err != nil {
@@ -207,7 +208,7 @@
 	fresh.view, fresh.history = view, im.History
 	for _, o := range im.Operations {
 		if len(o.Key) != window.KeySize {
-			return errors.Errorf("settings: snapshot: the key of an operation has %d bytes instead of %d", len(o.Key), window.KeySize)
+			return errors.Errorf("settings: snapshot: the key of an operation has %d bytes, want %d", len(o.Key), window.KeySize)
 		}
 		fresh.remember(window.Key(o.Key), operation{fingerprint: o.Fingerprint, revision: o.Revision, version: o.Version})
 	}
--- a/internal/settings/machine_test.go
+++ b/internal/settings/machine_test.go
@@ -17,49 +17,50 @@
 	testutil.RunRapid(m, map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true", "rapid.steps": "60"})
 }
 
-// sent is one change as an operator sent it, with the first answer it got.
-type sent struct {
+// sentChange is one change as an operator sent it, with the first answer it got.
+type sentChange struct {
 	opID     string
 	change   *pb.SetConfig
 	answered bool
 	result   string
 }
 
-// operators race each other on one machine; beside it stands an oracle of what is in force.
-type operators struct {
-	machine  *Machine
-	host     *View // an entry host that watches
-	all      []*sent
-	values   map[string]string
-	versions map[string]uint64
-	revision uint64
-	races    int
+// raceModel runs concurrent operators against one machine and tracks the expected
+// state.
+type raceModel struct {
+	machine     *Machine
+	host        *View // view of an entry host that watches
+	sentChanges []*sentChange
+	values      map[string]string
+	versions    map[string]uint64
+	revision    uint64
+	races       int
 }
 
-func (o *operators) send(t *rapid.T) {
+func (o *raceModel) send(t *rapid.T) {
 	path := rapid.SampledFrom([]string{"/teams/a", "/teams/b", "/fleet"}).Draw(t, "path")
-	value := fmt.Sprintf(`{"max_in_flight":%d}`, len(o.all)+1)
+	value := fmt.Sprintf(`{"max_in_flight":%d}`, len(o.sentChanges)+1)
 	if path == "/fleet" {
-		value = fmt.Sprintf(`{"max_body_bytes":%d}`, len(o.all)+2000)
+		value = fmt.Sprintf(`{"max_body_bytes":%d}`, len(o.sentChanges)+2000)
 	}
 	c := &pb.SetConfig{Path: path, ValueJson: []byte(value), ExpectedVersion: o.versions[path]}
 	for range 2 { // two operators who read the same version
-		s := &sent{opID: fmt.Sprint("op", len(o.all)), change: c}
-		o.all = append(o.all, s)
+		s := &sentChange{opID: fmt.Sprint("op", len(o.sentChanges)), change: c}
+		o.sentChanges = append(o.sentChanges, s)
 		if rapid.Bool().Draw(t, "at once") {
 			o.deliver(t, s)
 		}
 	}
 }
 
-func (o *operators) late(t *rapid.T) {
-	if len(o.all) == 0 {
+func (o *raceModel) deliverLate(t *rapid.T) {
+	if len(o.sentChanges) == 0 {
 		t.Skip("nothing sent")
 	}
-	o.deliver(t, rapid.SampledFrom(o.all).Draw(t, "change"))
+	o.deliver(t, rapid.SampledFrom(o.sentChanges).Draw(t, "change"))
 }
 
-func (o *operators) deliver(t *rapid.T, s *sent) {
+func (o *raceModel) deliver(t *rapid.T, s *sentChange) {
 	r, resend, err := o.machine.Set(s.change, s.opID, "operator", 1)
 	got := fmt.Sprint(r, err)
 	if resend != s.answered || (s.answered && got != s.result) {
@@ -80,8 +81,8 @@
 	s.answered, s.result = true, got
 }
 
-// watch brings the entry host up to date by the changes it lacks, some of them twice.
-func (o *operators) watch(t *rapid.T) {
+// watch applies the missing changes to the entry host's view, some of them twice.
+func (o *raceModel) watch(t *rapid.T) {
 	from := o.host.Revision() - min(o.host.Revision(), rapid.Uint64Range(0, 3).Draw(t, "again"))
 	changes, ok := o.machine.ChangesSince(from)
 	if !ok {
@@ -90,19 +91,19 @@
 	next, err := o.host.Apply(changes)
 	testutil.NoError(t, err)
 	if !bytes.Equal(snapshotOf(t, next), snapshotOf(t, o.machine.View())) {
-		t.Fatal("the host that watched holds another tree")
+		t.Fatal("the watching host has a different tree")
 	}
 	o.host = next
 }
 
-func (o *operators) restart(t *rapid.T) {
+func (o *raceModel) restart(t *rapid.T) {
 	im, err := o.machine.Image()
 	testutil.NoError(t, err)
 	o.machine = New()
 	testutil.NoError(t, o.machine.Restore(im))
 }
 
-func (o *operators) check(t *rapid.T) {
+func (o *raceModel) check(t *rapid.T) {
 	if o.machine.View().Revision() != o.revision {
 		t.Fatalf("revision %d, want %d", o.machine.View().Revision(), o.revision)
 	}
@@ -120,25 +121,25 @@
 	return data
 }
 
-// Symptom: an accepted setting reverts, or two operators are both told they won.
-// Sequence: operators send changes under one version; answers are lost and changes
-// resent, in any order, across restarts.
-// Cause: a resend is applied anew, or a version is compared too late or not at all.
-func TestOperatorsRace(t *testing.T) {
+// Operators send changes under one version; answers are lost and changes are resent in
+// any order, across restarts. If a resend were applied again, or versions were compared
+// too late or not at all, an accepted setting would revert, or two operators would both
+// be told that they succeeded.
+func TestConcurrentOperators(t *testing.T) {
 	races := 0
 	rapid.Check(t, func(t *rapid.T) {
-		o := &operators{machine: New(), host: NewView(), values: map[string]string{}, versions: map[string]uint64{}}
+		o := &raceModel{machine: New(), host: NewView(), values: map[string]string{}, versions: map[string]uint64{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"send": o.send, "late": o.late, "watch": o.watch, "restart": o.restart, "": o.check,
+			"send": o.send, "late": o.deliverLate, "watch": o.watch, "restart": o.restart, "": o.check,
 		})
 		races += o.races
 	})
 	if races < 100 {
-		t.Errorf("only %d races", races)
+		t.Errorf("only %d version conflicts, want at least 100", races)
 	}
 }
 
-// anyVersion is a change that expects no version.
+// anyVersion returns a change that expects no version.
 func anyVersion(path, value string) *pb.SetConfig {
 	return &pb.SetConfig{Path: path, ValueJson: []byte(value), AnyVersion: true}
 }
@@ -151,9 +152,9 @@
 	return r
 }
 
-// Symptom: a host that restarts after hundreds of changes serves under old settings.
-// Sequence: it takes a snapshot or is far behind, more changes follow than are kept.
-// Cause: a gap in the changes was passed over in silence, or the view went back.
+// A host that restarts from a snapshot or falls far behind, after more changes than are
+// kept, must detect the gap and must not go back. Otherwise it would serve under old
+// settings.
 func TestCatchUpAfterManyChanges(t *testing.T) {
 	m := New()
 	var behind *View
@@ -177,19 +178,19 @@
 		t.Errorf("catch-up from a snapshot differs from the log (%v)", err)
 	}
 	if again, err := caughtUp.Apply(changes[:10]); err != nil || again.Revision() != caughtUp.Revision() {
-		t.Errorf("old changes made revision %d of %d, %v", again.Revision(), caughtUp.Revision(), err)
+		t.Errorf("old changes moved the view to revision %d from %d, %v", again.Revision(), caughtUp.Revision(), err)
 	}
 	if _, err := behind.Apply(changes[1:]); err == nil {
-		t.Error("a gap was passed over")
+		t.Error("a gap in the changes was accepted")
 	}
 	for _, rev := range []uint64{1, m.View().Revision() + 1} {
 		if _, ok := m.ChangesSince(rev); ok {
-			t.Errorf("changes since %d are said to be whole", rev)
+			t.Errorf("changes since %d are reported as complete", rev)
 		}
 	}
 }
 
-func TestFaultsNameTheirPath(t *testing.T) {
+func TestErrorsIncludePath(t *testing.T) {
 	hash := HashKey("key")
 	m := New()
 	set(t, m, "/teams/x", `{"retry":{"share":0.2}}`)
@@ -233,7 +234,7 @@
 			t.Errorf("%s = %s: %v; want %s at %s", c.path, c.value, err, c.kind, c.at)
 		}
 		if !bytes.Equal(before, snapshotOf(t, m.View())) {
-			t.Errorf("%s = %s was refused and changed the tree", c.path, c.value)
+			t.Errorf("%s = %s was rejected but changed the tree", c.path, c.value)
 		}
 	}
 }
@@ -266,10 +267,11 @@
 	}
 }
 
-// Symptom: a request in flight sees another team's rules, or a setting nobody changed differs.
-// Sequence: a host holds a view while a change inside another part is applied.
-// Cause: views share a map, or a subtree is rewritten with its numbers rounded.
-func TestChangeLeavesTheRestAlone(t *testing.T) {
+// A view must not change while another part of the tree is changed, and the rest of the
+// tree must keep its exact values. If views shared maps, an in-flight request would see
+// another team's rules; if a subtree were re-encoded with rounded numbers, a setting
+// that nobody changed would differ.
+func TestChangeAffectsOnlyItsSubtree(t *testing.T) {
 	m := New()
 	set(t, m, "/teams/x", `{"copies":2}`)
 	set(t, m, "/accounts/a", `{"team":"x","budget":"b"}`)
@@ -281,34 +283,32 @@
 	set(t, m, "/accounts/a/budget", `"c"`)
 	set(t, m, "/fleet/address_ttl", `"1m"`)
 	if !bytes.Equal(before, snapshotOf(t, held)) {
-		t.Error("a view changed under its holder")
+		t.Error("a view changed after it was obtained")
 	}
 	if got, _, err := m.View().Value("/fleet/placement"); err != nil || string(got) != rules {
 		t.Errorf("placement is %s, %v", got, err)
 	}
 }
 
-// Symptom: an operator's change elsewhere under an old operation id is taken for a
-// resend; or a resend is refused because the host made another key this time.
-// Sequence: the id is used again with another path; with another value.
-// Cause: only the id was compared; or the value too.
-func TestOperationIDUsedAgain(t *testing.T) {
+// An operation ID reused for another path must be rejected, not answered as a resend.
+// With another value it is a resend: the host may have generated another key this time.
+func TestReusedOperationID(t *testing.T) {
 	m := New()
 	first, elsewhere := anyVersion("/teams/x", `{"copies":1}`), anyVersion("/teams/y", `{"copies":1}`)
 	otherValue := &pb.SetConfig{Path: "/teams/x", ValueJson: []byte(`{"copies":2}`), ExpectedVersion: 1}
 	want, _, err := m.Set(first, "op", "operator", 1)
 	testutil.NoError(t, err)
 	_, _, err = m.Set(elsewhere, "op", "operator", 1)
-	testutil.Refused(t, err, errkind.KeyConflict, "the id used for another path")
+	testutil.Refused(t, err, errkind.KeyConflict, "the ID used for another path")
 	got, resend, err := m.Set(otherValue, "op", "operator", 1)
 	if err != nil || !resend || fmt.Sprint(got) != fmt.Sprint(want) || m.View().Revision() != 1 {
 		t.Errorf("resend %v got %v, %v at revision %d", resend, got, err, m.View().Revision())
 	}
 	_, _, err = m.Set(first, "", "operator", 1)
-	testutil.Refused(t, err, errkind.BadRequest, "no operation id")
+	testutil.Refused(t, err, errkind.BadRequest, "no operation ID")
 }
 
-// FuzzSet feeds the decoder any value: it must not panic, and what it accepts must
+// FuzzSet passes any value to the decoder: it must not panic, and what it accepts must
 // be read back and accepted again as the same tree.
 func FuzzSet(f *testing.F) {
 	for _, seed := range []string{
--- a/internal/settings/patch.go
+++ b/internal/settings/patch.go
@@ -9,11 +9,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// patchJSON returns doc, a JSON object, with the value at rest set, or deleted when
-// value is nil. It works on keys only: a list is replaced as a whole.
+// patchJSON returns doc, a JSON object, with the value at the path rest set, or deleted
+// when value is nil. It descends into objects only: a list is replaced as a whole.
 func patchJSON(path string, doc []byte, rest []string, value []byte) ([]byte, error) {
 	var root map[string]any
-	if err := decodeNumbers(doc, &root); err != nil {
+	if err := decodeKeepingNumbers(doc, &root); err != nil {
 		return nil, errors.Wrap(err, path)
 	}
 	at, err := parentOf(path, root, rest, value != nil)
@@ -23,7 +23,7 @@
 	last := rest[len(rest)-1]
 	if value == nil {
 		if _, ok := at[last]; !ok {
-			return nil, errkind.New(errkind.NotFound, "nothing is set here").At(path)
+			return nil, errkind.New(errkind.NotFound, "no value is set at this path").At(path)
 		}
 		delete(at, last)
 		return json.Marshal(root)
@@ -32,7 +32,7 @@
 	return json.Marshal(root)
 }
 
-// parentOf walks to the object that holds the last part of rest.
+// parentOf returns the object that holds the last part of rest.
 func parentOf(path string, root map[string]any, rest []string, create bool) (map[string]any, error) {
 	at := root
 	for _, part := range rest[:len(rest)-1] {
@@ -42,35 +42,35 @@
 			at[part] = child
 		}
 		if !ok && !create {
-			return nil, errkind.New(errkind.NotFound, "nothing is set here").At(path)
+			return nil, errkind.New(errkind.NotFound, "no value is set at this path").At(path)
 		}
 		object, isObject := child.(map[string]any)
 		if !isObject {
-			return nil, invalidAt(path, "%q holds no object; a list or plain value is replaced as a whole", part)
+			return nil, invalidAt(path, "%q is not an object; a list or scalar value can only be replaced as a whole", part)
 		}
 		at = object
 	}
 	return at, nil
 }
 
-// lookupJSON returns the value at rest inside doc.
+// lookupJSON returns the value at the path rest inside doc.
 func lookupJSON(path string, doc []byte, rest []string) ([]byte, error) {
 	for _, part := range rest {
 		var object map[string]json.RawMessage
 		if err := json.Unmarshal(doc, &object); err != nil {
-			return nil, errkind.New(errkind.NotFound, "nothing is set here").At(path)
+			return nil, errkind.New(errkind.NotFound, "no value is set at this path").At(path)
 		}
 		value, ok := object[part]
 		if !ok {
-			return nil, errkind.New(errkind.NotFound, "nothing is set here").At(path)
+			return nil, errkind.New(errkind.NotFound, "no value is set at this path").At(path)
 		}
 		doc = value
 	}
 	return doc, nil
 }
 
-// decodeNumbers decodes without turning whole numbers into floats.
-func decodeNumbers(doc []byte, v any) error {
+// decodeKeepingNumbers decodes doc without converting numbers to floats.
+func decodeKeepingNumbers(doc []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(doc))
 	d.UseNumber()
 	return d.Decode(v)
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// Kinds of subtrees: the first part of a path.
+// Kinds of subtrees, which are the first part of a path.
 const (
 	teamsPart    = "teams"
 	accountsPart = "accounts"
@@ -18,10 +18,10 @@
 // maxNameBytes bounds the names of teams and accounts.
 const maxNameBytes = 64
 
-// treePath is a path into the settings tree, split at the subtree that has the version.
+// treePath is a path into the settings tree, split after the versioned subtree.
 type treePath struct {
 	kind string   // teams, accounts or fleet
-	name string   // of the team or account
+	name string   // name of the team or account
 	rest []string // inside the subtree
 }
 
@@ -33,23 +33,23 @@
 	return "/" + p.kind + "/" + p.name
 }
 
-// parsePath reads the path of a subtree or of something inside one.
+// parsePath parses the path of a subtree or of a value inside one.
 func parsePath(path string) (treePath, error) {
 	if !strings.HasPrefix(path, "/") {
-		return treePath{}, invalidAt(path, "a path begins with /")
+		return treePath{}, invalidAt(path, "a path must begin with /")
 	}
 	parts := strings.Split(strings.TrimSuffix(path[1:], "/"), "/")
 	if parts[0] == fleetPart {
 		return newTreePath(path, treePath{kind: fleetPart, rest: parts[1:]})
 	}
 	if parts[0] != teamsPart && parts[0] != accountsPart {
-		return treePath{}, invalidAt(path, "a path begins with /teams/<name>, /accounts/<name> or /fleet")
+		return treePath{}, invalidAt(path, "a path must begin with /teams/<name>, /accounts/<name> or /fleet")
 	}
 	if len(parts) < 2 {
-		return treePath{}, invalidAt(path, "one change concerns one subtree: name it, as in /%s/<name>", parts[0])
+		return treePath{}, invalidAt(path, "a change must name one subtree, as in /%s/<name>", parts[0])
 	}
 	if !validName(parts[1]) {
-		return treePath{}, invalidAt(path, "a name has 1 to %d bytes: letters, digits and . _ - after the first", maxNameBytes)
+		return treePath{}, invalidAt(path, "a name must have 1 to %d bytes: letters and digits, and . _ - after the first character", maxNameBytes)
 	}
 	return newTreePath(path, treePath{kind: parts[0], name: parts[1], rest: parts[2:]})
 }
@@ -78,7 +78,7 @@
 	return true
 }
 
-// invalidAt is a refusal of settings at a path.
+// invalidAt returns an error for invalid settings at a path.
 func invalidAt(path, format string, args ...any) *errkind.Error {
 	return errkind.New(errkind.InvalidSettings, format, args...).At(path)
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -6,7 +6,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// subtreeJSON returns the subtree of p as operators wrote it, or NotFound.
+// subtreeJSON returns the subtree of p as set by operators, or a NotFound error.
 func (t *Tree) subtreeJSON(p treePath) ([]byte, error) {
 	var found any
 	switch p.kind {
@@ -24,20 +24,20 @@
 		}
 	}
 	if found == nil {
-		return nil, errkind.New(errkind.NotFound, "nothing is set here").At(p.subtree())
+		return nil, errkind.New(errkind.NotFound, "no value is set at this path").At(p.subtree())
 	}
 	return json.Marshal(found)
 }
 
-// change sets or (value nil) deletes what is at p. path is p as it was written.
-// The subtree is replaced, never changed in place, as views share subtrees.
+// change sets or (value nil) deletes what is at p. path is p as the operator wrote it.
+// The subtree is replaced, never changed in place, because views share subtrees.
 func (t *Tree) change(path string, p treePath, value []byte) error {
 	if len(p.rest) == 0 {
 		return t.replace(p, value)
 	}
 	doc, err := t.subtreeJSON(p)
 	if err != nil && p.kind == fleetPart && value != nil {
-		doc, err = []byte("{}"), nil // the fleet's settings are always there, if empty
+		doc, err = []byte("{}"), nil // the fleet's settings always exist, possibly empty
 	}
 	if err != nil {
 		return err
@@ -98,8 +98,8 @@
 	}
 	switch p.kind {
 	case teamsPart:
-		if account := t.userOf(p.name); account != "" {
-			return invalidAt(p.subtree(), "account %q uses this team", account)
+		if account := t.firstAccountOf(p.name); account != "" {
+			return invalidAt(p.subtree(), "the team is in use by account %q", account)
 		}
 		delete(t.Teams, p.name)
 	case accountsPart:
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// userOf returns the first account of a team, by name, or "".
-func (t *Tree) userOf(team string) string {
+// firstAccountOf returns the name of the first account of a team, by name, or "".
+func (t *Tree) firstAccountOf(team string) string {
 	first := ""
 	for name, a := range t.Accounts {
 		if a.Team == team && (first == "" || name < first) {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Bounds of what operators may set.
+// Bounds of the values that operators may set.
 const (
 	maxDuration      = 24 * time.Hour
 	maxTimeoutBound  = 4 * time.Hour
@@ -26,7 +26,7 @@
 	hashBytes        = 32
 )
 
-// checkDuration checks a duration that is set (zero means: the default).
+// checkDuration checks a duration that is set; zero means the default.
 func checkDuration(path string, d Duration, low, high time.Duration) error {
 	if d != 0 && (d.Std() < low || d.Std() > high) {
 		return invalidAt(path, "must be from %v to %v", low, high)
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// checkRange checks a number.
+// checkRange checks that a number is from low to high.
 func checkRange(path string, n, low, high int64) error {
 	if n < low || n > high {
 		return invalidAt(path, "must be from %d to %d", low, high)
@@ -73,7 +73,7 @@
 func (t *Team) validateTimeouts(path string) error {
 	longest := t.WithDefaults().MaxTimeout
 	if t.DefaultTimeout > longest {
-		return invalidAt(path+"/default_timeout", "is above max_timeout, which is %v", longest.Std())
+		return invalidAt(path+"/default_timeout", "must not exceed max_timeout, which is %v", longest.Std())
 	}
 	return nil
 }
@@ -154,10 +154,10 @@
 func validateNames(path string, names []string) error {
 	for i, n := range names {
 		if n == "" {
-			return invalidAt(path+"/"+strconv.Itoa(i), "a name is empty")
+			return invalidAt(path+"/"+strconv.Itoa(i), "the name is empty")
 		}
 		if slices.Contains(names[:i], n) {
-			return invalidAt(path+"/"+strconv.Itoa(i), "%q stands twice", n)
+			return invalidAt(path+"/"+strconv.Itoa(i), "%q occurs twice", n)
 		}
 	}
 	return nil
@@ -170,14 +170,14 @@
 			return invalidAt(path+"/"+strconv.Itoa(i), "must be a SHA-256 hash in %d lower-case hex digits, not the key itself", 2*hashBytes)
 		}
 		if slices.Contains(hashes[:i], h) {
-			return invalidAt(path+"/"+strconv.Itoa(i), "the hash stands twice")
+			return invalidAt(path+"/"+strconv.Itoa(i), "the hash occurs twice")
 		}
 	}
 	return nil
 }
 
-// validateReferences checks what subtrees say of one another: an account's team
-// exists, and a key belongs to one account.
+// validateReferences checks the references between subtrees: an account's team must
+// exist, and a key must belong to one account only.
 func (t *Tree) validateReferences() error {
 	owner := make(map[string]string)
 	for _, name := range slices.Sorted(maps.Keys(t.Accounts)) {
--- a/internal/settings/view.go
+++ b/internal/settings/view.go
@@ -11,18 +11,18 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// View is the settings tree at one revision. It is immutable: Apply returns a
-// newer one. Control replicas and entry hosts compute it by the same code, so that
-// a host that watched every change holds what a replica holds.
+// View is the settings tree at one revision. It is immutable: Apply returns a newer
+// one. Control replicas and entry hosts compute it with the same code, so that a host
+// that watched every change has the same tree as a replica.
 type View struct {
 	revision uint64
-	versions map[string]uint64 // by subtree; stays after a deletion
-	tree     Tree              // as operators wrote it
-	teams    map[string]*Team  // with defaults
+	versions map[string]uint64 // by subtree; kept after a deletion
+	tree     Tree              // as set by operators
+	teams    map[string]*Team  // with defaults filled in
 	accounts map[string]*Account
 	fleet    Fleet
 	byKey    map[string]string // key hash -> account
-	byBudget map[string]string // budget -> the first account, by name, that draws on it
+	byBudget map[string]string // budget -> the first account, by name, that uses it
 }
 
 // NewView returns the empty tree at revision 0.
@@ -32,21 +32,22 @@
 	return v
 }
 
-// snapshot is the JSON form of a View: the tree, its revision and its subtrees' versions.
+// snapshot is the JSON form of a View: the tree, its revision and its subtrees'
+// versions.
 type snapshot struct {
 	Revision uint64            `json:"revision"`
 	Versions map[string]uint64 `json:"versions"`
 	Tree
 }
 
-// ViewFromSnapshot reads what SnapshotJSON wrote.
+// ViewFromSnapshot returns the view that SnapshotJSON encoded.
 func ViewFromSnapshot(data []byte) (*View, error) {
 	var s snapshot
 	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, errors.Wrap(err, "settings: decode snapshot")
 	}
 	if s.Versions == nil {
-		return nil, errors.New("settings: decode snapshot: it has no versions of subtrees")
+		return nil, errors.New("settings: decode snapshot: the versions of subtrees are missing")
 	}
 	v := NewView()
 	v.revision, v.tree.Fleet = s.Revision, s.Tree.Fleet
@@ -57,13 +58,13 @@
 	return v, nil
 }
 
-// SnapshotJSON is the whole view; equal views have equal snapshots.
+// SnapshotJSON encodes the whole view; equal views have equal snapshots.
 func (v *View) SnapshotJSON() ([]byte, error) {
 	data, err := json.Marshal(snapshot{Revision: v.revision, Versions: v.versions, Tree: v.tree})
 	return data, errors.Wrap(err, "settings: encode snapshot")
 }
 
-// index builds what lookups need.
+// index builds the maps for lookups.
 func (v *View) index() {
 	v.teams = make(map[string]*Team, len(v.tree.Teams))
 	for name, t := range v.tree.Teams {
@@ -89,10 +90,10 @@
 	}
 }
 
-// Revision is the number of the last committed change in the view.
+// Revision returns the revision of the last committed change in the view.
 func (v *View) Revision() uint64 { return v.revision }
 
-// AccountByKey finds the client account that has the key hash (see HashKey).
+// AccountByKey returns the client account that has the key hash (see HashKey).
 func (v *View) AccountByKey(hash string) (name string, a *Account, ok bool) {
 	name, ok = v.byKey[hash]
 	if !ok {
@@ -101,14 +102,15 @@
 	return name, v.accounts[name], true
 }
 
-// Account returns a client account, with defaults. The caller must not change it.
+// Account returns a client account with defaults filled in. The caller must not change
+// it.
 func (v *View) Account(name string) (*Account, bool) {
 	a, ok := v.accounts[name]
 	return a, ok
 }
 
-// TeamOfBudget returns the team of the client account that draws on a budget; of
-// several accounts the first by name.
+// TeamOfBudget returns the team of the client account that uses a budget; of several
+// accounts, that of the first by name.
 func (v *View) TeamOfBudget(budget string) (*Team, bool) {
 	account, ok := v.accounts[v.byBudget[budget]]
 	if !ok {
@@ -117,13 +119,13 @@
 	return v.Team(account.Team)
 }
 
-// Team returns a team, with defaults. The caller must not change it.
+// Team returns a team with defaults filled in. The caller must not change it.
 func (v *View) Team(name string) (*Team, bool) {
 	t, ok := v.teams[name]
 	return t, ok
 }
 
-// LongestTimeout is the longest deadline that any team allows.
+// LongestTimeout returns the longest timeout that any team allows.
 func (v *View) LongestTimeout() time.Duration {
 	longest := DefaultMaxTimeout
 	for _, t := range v.teams {
@@ -132,12 +134,12 @@
 	return longest
 }
 
-// Fleet returns the fleet's settings, with defaults.
+// Fleet returns the fleet's settings with defaults filled in.
 func (v *View) Fleet() Fleet { return v.fleet }
 
 // Value returns what operators set at a path ("/" is the whole tree, in the form of
-// SnapshotJSON) and the version of the subtree that holds it. A path with nothing set is NotFound, with
-// the version to expect in the error.
+// SnapshotJSON) and the version of the subtree that contains it. For a path without a
+// value it returns a NotFound error that carries the subtree's current version.
 func (v *View) Value(path string) (value []byte, version uint64, err error) {
 	switch path {
 	case "", "/":
@@ -166,9 +168,9 @@
 	return value, version, nil
 }
 
-// Apply returns the view after the changes, which are in revision order. Changes
-// that the view holds already are passed over, so that it never goes back; a gap is
-// an error, and the view must then be built anew from a snapshot.
+// Apply returns the view after the changes, which must be in revision order. Changes
+// that the view already contains are skipped, so that it never goes back. A gap is an
+// error, after which the view must be rebuilt from a snapshot.
 func (v *View) Apply(changes []*pb.ConfigChange) (*View, error) {
 	next := v
 	for _, c := range changes {
@@ -179,15 +181,15 @@
 			return nil, errors.Errorf("settings: change %d does not follow revision %d", c.Revision, next.revision)
 		}
 		var err error
-		if next, err = next.with(c); err != nil {
+		if next, err = next.withChange(c); err != nil {
 			return nil, errors.Wrapf(err, "settings: change %d", c.Revision)
 		}
 	}
 	return next, nil
 }
 
-// with returns the view after one change.
-func (v *View) with(c *pb.ConfigChange) (*View, error) {
+// withChange returns the view after one change.
+func (v *View) withChange(c *pb.ConfigChange) (*View, error) {
 	p, err := parsePath(c.Path)
 	if err != nil {
 		return nil, err
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -263,7 +263,7 @@
 		return l.broken
 	}
 	if l.last().bytes >= l.opts.SegmentBytes {
-		if err := l.Cut(); err != nil {
+		if err := l.Rotate(); err != nil {
 			return err
 		}
 	}
@@ -302,8 +302,8 @@
 	return nil
 }
 
-// Cut begins a new segment, so that the ones before can be removed.
-func (l *Log) Cut() error {
+// Rotate begins a new segment, so that the ones before can be removed.
+func (l *Log) Rotate() error {
 	err := l.begin(l.last().seq + 1)
 	if err != nil {
 		l.broken = err
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -173,7 +173,7 @@
 	if err := l.Append(&pb.HardState{Term: 2}, nil); err != nil {
 		t.Fatalf("a full log must still take a vote: %v", err)
 	}
-	testutil.NoError(t, l.Cut())
+	testutil.NoError(t, l.Rotate())
 	testutil.NoError(t, l.Release(n-5))
 	fs.Crash(nil)
 	l, c := open(t, fs, wal.Options{})
@@ -181,7 +181,7 @@
 	if c.Entries[0].Index > n-4 || c.Entries[0].Index == 1 || c.Hard.GetTerm() != 2 {
 		t.Fatalf("after release the log starts at %d, hard state %v", c.Entries[0].Index, c.Hard)
 	}
-	testutil.NoError(t, l.Cut())
+	testutil.NoError(t, l.Rotate())
 	testutil.NoError(t, l.Release(n))
 	if _, c = open(t, fs, wal.Options{}); len(c.Entries) != 0 || c.Hard.GetTerm() != 2 {
 		t.Fatalf("all released, and there are %d entries and hard state %v", len(c.Entries), c.Hard)
