--- a/internal/control/snapshots.go
+++ b/internal/control/snapshots.go
@@ -172,7 +172,7 @@
 // never be truncated.
 func (r *Replica) reserveLogSpace(size int64) bool {
 	wanted := r.reservedLogBytes + size + r.cfg.LogBytes/16
-	if r.wal.Room() < wanted {
+	if r.wal.FreeBytes() < wanted {
 		if err := r.startSnapshot(); err != nil {
 			r.log.Error().Err(err).Str("event", "forced-snapshot-failed").Send()
 		}
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -340,8 +340,8 @@
 	return n
 }
 
-// Room is how many more bytes of entries fit under the cap.
-func (l *Log) Room() int64 { return l.opts.MaxBytes - l.Bytes() }
+// FreeBytes is how many more bytes of entries fit under the cap.
+func (l *Log) FreeBytes() int64 { return l.opts.MaxBytes - l.Bytes() }
 
 // Syncs is the number of syncs of records so far.
 func (l *Log) Syncs() uint64 { return l.syncs }
