--- a/internal/control/snapshots.go
+++ b/internal/control/snapshots.go
@@ -140,7 +140,7 @@
 	if err := r.wal.Rotate(); err != nil {
 		return err
 	}
-	return r.wal.Release(release)
+	return r.wal.RemoveUpTo(release)
 }
 
 // installSnapshot makes a leader's snapshot durable and restores it.
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -311,8 +311,8 @@
 	return err
 }
 
-// Release removes leading segments that hold no entry after index.
-func (l *Log) Release(index uint64) error {
+// RemoveUpTo removes leading segments that hold no entry after index.
+func (l *Log) RemoveUpTo(index uint64) error {
 	n := 0
 	for n < len(l.segments)-1 && l.segments[n].last <= index {
 		n++
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -174,7 +174,7 @@
 		t.Fatalf("a full log must still take a vote: %v", err)
 	}
 	testutil.NoError(t, l.Rotate())
-	testutil.NoError(t, l.Release(n-5))
+	testutil.NoError(t, l.RemoveUpTo(n-5))
 	fs.Crash(nil)
 	l, c := open(t, fs, wal.Options{})
 	write(t, l, n, n, 2)
@@ -182,7 +182,7 @@
 		t.Fatalf("after release the log starts at %d, hard state %v", c.Entries[0].Index, c.Hard)
 	}
 	testutil.NoError(t, l.Rotate())
-	testutil.NoError(t, l.Release(n))
+	testutil.NoError(t, l.RemoveUpTo(n))
 	if _, c = open(t, fs, wal.Options{}); len(c.Entries) != 0 || c.Hard.GetTerm() != 2 {
 		t.Fatalf("all released, and there are %d entries and hard state %v", len(c.Entries), c.Hard)
 	}
