--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -11,10 +11,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// One synced batch is one frame: magic, payload length, CRC of the payload, all
-// big-endian, then the payload. A batch is synced before the next is written,
-// so a torn frame can only be the last one; a frame after a bad one means that
-// synced bytes were damaged.
+// Each synced batch is one frame: magic, payload length, CRC of the payload, all
+// big-endian, then the payload. A batch is synced before the next is written, so only
+// the last frame can be torn; a valid frame after an invalid one means that synced
+// bytes were damaged.
 const (
 	frameMagic  = 0xb1be57a1
 	frameHeader = 12
@@ -30,8 +30,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// errBadFrame says that the bytes don't start with a whole, undamaged frame.
-var errBadFrame = errors.New("wal: no valid frame")
+// errInvalidFrame reports that the bytes don't start with a complete, undamaged frame.
+var errInvalidFrame = errors.New("wal: no valid frame")
 
 func encodeFrame(reset bool, hs *pb.HardState, entries []*pb.LogEntry) ([]byte, error) {
 	buf := make([]byte, frameHeader, frameHeader+64)
@@ -51,7 +51,7 @@
 	}
 	payload := buf[frameHeader:]
 	if len(payload) > maxFrameBytes {
-		return nil, errors.Errorf("wal: a batch of %d bytes is over the limit of %d", len(payload), maxFrameBytes)
+		return nil, errors.Errorf("wal: a batch of %d bytes exceeds the limit of %d", len(payload), maxFrameBytes)
 	}
 	binary.BigEndian.PutUint32(buf[0:], frameMagic)
 	binary.BigEndian.PutUint32(buf[4:], uint32(len(payload)))
@@ -68,20 +68,20 @@
 // framePayload returns the payload of the frame at the start of b.
 func framePayload(b []byte) ([]byte, error) {
 	if len(b) < frameHeader || binary.BigEndian.Uint32(b) != frameMagic {
-		return nil, errBadFrame
+		return nil, errInvalidFrame
 	}
 	n := int(binary.BigEndian.Uint32(b[4:]))
 	if n > maxFrameBytes || len(b)-frameHeader < n {
-		return nil, errBadFrame
+		return nil, errInvalidFrame
 	}
 	payload := b[frameHeader : frameHeader+n]
 	if crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(b[8:]) {
-		return nil, errBadFrame
+		return nil, errInvalidFrame
 	}
 	return payload, nil
 }
 
-// hasFrame tells whether a valid frame starts anywhere in b.
+// hasFrame reports whether a valid frame starts anywhere in b.
 func hasFrame(b []byte) bool {
 	magic := binary.BigEndian.AppendUint32(nil, frameMagic)
 	for {
@@ -110,7 +110,7 @@
 		n, used := binary.Uvarint(payload[1:])
 		start := 1 + used
 		if used <= 0 || uint64(len(payload)-start) < n {
-			return nil, errors.New("wal: a record's length is wrong")
+			return nil, errors.New("wal: invalid record length")
 		}
 		body := payload[start : start+int(n)]
 		payload = payload[start+int(n):]
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -8,36 +8,36 @@
 	"github.com/pkg/errors"
 )
 
-// File is a file open for appending.
+// File is a file opened for appending.
 type File interface {
 	io.WriteCloser
-	// Sync returns once everything written will outlast a crash.
+	// Sync returns once everything written would survive a crash.
 	Sync() error
 }
 
-// FS is the part of a file system that logs and snapshots need. A name made,
-// renamed or removed outlasts a crash only after SyncDir of its folder.
+// FS is the part of a file system that logs and snapshots need. A created, renamed or
+// removed name survives a crash only after SyncDir of its directory.
 type FS interface {
 	MkdirAll(dir string) error
 	// List returns the names in dir, sorted.
 	List(dir string) ([]string, error)
 	ReadFile(path string) ([]byte, error)
-	// Create makes or empties a file.
+	// Create creates a file, or truncates it to zero if it exists.
 	Create(path string) (File, error)
-	// Append opens a file that exists.
+	// Append opens an existing file for appending.
 	Append(path string) (File, error)
-	// Truncate cuts a file to size and syncs it.
+	// Truncate truncates a file to size and syncs it.
 	Truncate(path string, size int64) error
 	Rename(from, to string) error
 	Remove(path string) error
 	SyncDir(dir string) error
 }
 
-// WriteFile makes or replaces a file and syncs its content.
+// WriteFile creates or replaces a file and syncs its content.
 func WriteFile(fs FS, path string, data []byte) error {
 	f, err := fs.Create(path)
 	if err != nil {
-		return errors.Wrap(err, "make file")
+		return errors.Wrap(err, "create file")
 	}
 	defer f.Close()
 	if _, err := f.Write(data); err != nil {
@@ -46,7 +46,7 @@
 	return errors.Wrap(f.Sync(), "sync file")
 }
 
-// OS is the machine's file system.
+// OS is the operating system's file system.
 type OS struct{}
 
 const (
--- a/internal/wal/memfs/memfs.go
+++ b/internal/wal/memfs/memfs.go
@@ -1,7 +1,6 @@
-// Package memfs is a file system in memory that loses, at a crash, what was not
-// synced: bytes written since a file's last sync and names made, renamed or
-// removed since the folder's last sync. It is the fake for tests of what must
-// outlast a crash.
+// Package memfs implements an in-memory file system for tests of crash safety. A crash
+// loses everything that was not synced: bytes written since a file's last sync, and
+// names created, renamed or removed since the directory's last sync.
 package memfs
 
 import (
@@ -31,16 +30,16 @@
 	onSync  func(path string) error
 }
 
-// New makes an empty file system.
+// New returns an empty file system.
 func New() *FS {
 	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
 var errNotExist = errors.New("memfs: no such file")
-var errCrashed = errors.New("memfs: the file was open over a crash")
+var errCrashed = errors.New("memfs: the file was opened before a crash")
 
-// Crash loses what wasn't synced. With rnd, a part of the bytes that weren't
-// synced may be kept, as a disk may have written some of them.
+// Crash discards what wasn't synced. With rnd, a part of the unsynced bytes may be
+// kept, because a disk may have written some of them.
 func (f *FS) Crash(rnd *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,22 +59,22 @@
 
 func sortedNames(m map[string]*inode) []string { return slices.Sorted(maps.Keys(m)) }
 
-// SetOnSync has hook called before each sync of a file; its error fails the
-// sync. It may block, which freezes the writer. Nil: no hook.
+// SetOnSync sets a hook that is called before each sync of a file; its error fails the
+// sync. It may block, which also blocks the writer. Nil removes the hook.
 func (f *FS) SetOnSync(hook func(path string) error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.onSync = hook
 }
 
-// Syncs is the number of syncs of files so far.
+// Syncs returns the number of file syncs so far.
 func (f *FS) Syncs() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.syncs
 }
 
-// Overwrite replaces a byte of a file, as damage on the disk would.
+// Overwrite replaces a byte of a file, as disk corruption would.
 func (f *FS) Overwrite(name string, offset int, b byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,11 +1,11 @@
-// Package wal is the write-ahead log of one replica: hard states and log
-// entries in segment files. Each Append is one frame and one sync, however many
+// Package wal implements the write-ahead log of one replica: hard states and log
+// entries in segment files. Each Append writes one frame with one sync, however many
 // records it holds.
 //
-// At open a torn last frame is cut off: it was never synced, so nothing was
-// acknowledged on it. A bad frame with a valid one after it means that synced
-// bytes were damaged; Open then refuses with the file and the offset. Damage to
-// the very last synced frame can't be told from a torn write.
+// When the log is opened, a torn last frame is truncated: it was never synced, so
+// nothing was acknowledged because of it. An invalid frame followed by a valid one
+// means that synced bytes were damaged; Open then fails with the file and the offset.
+// Damage to the very last synced frame cannot be distinguished from a torn write.
 package wal
 
 import (
@@ -21,7 +21,7 @@
 
 const (
 	segmentSuffix = ".wal"
-	// hardStateReserve is how many bytes beyond the cap are kept for frames without
+	// hardStateReserve is the number of bytes beyond the cap kept for frames without
 	// entries, so that a replica with a full log can still vote.
 	hardStateReserve = 64 << 10
 	// defaultSegmentBytes and defaultMaxBytes: see Options.
@@ -29,25 +29,25 @@
 	defaultMaxBytes     = 256 << 20
 )
 
-// Options of a log; a zero field takes the default.
+// Options configure a log; a zero field takes the default.
 type Options struct {
-	// SegmentBytes after which a new segment is begun; default 4 MiB.
+	// SegmentBytes is the size after which a new segment is started; default 4 MiB.
 	SegmentBytes int64
-	// MaxBytes is the cap on all segments together; default 256 MiB.
+	// MaxBytes is the cap on the total size of all segments; default 256 MiB.
 	MaxBytes int64
 }
 
-// FullError says that an append would go over the cap.
+// FullError reports that an append would exceed the cap.
 type FullError struct {
 	Bytes, Wanted, Max int64
 }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("wal: the log has %d bytes, %d more are over the cap of %d", e.Bytes, e.Wanted, e.Max)
+	return fmt.Sprintf("wal: the log has %d bytes; appending %d more would exceed the cap of %d", e.Bytes, e.Wanted, e.Max)
 }
 
-// CorruptError says that synced bytes of a segment are damaged.
+// CorruptError reports that synced bytes of a segment are damaged.
 type CorruptError struct {
 	File   string
 	Offset int64
@@ -58,40 +58,40 @@
 	return fmt.Sprintf("wal: %s is damaged at offset %d, with valid records after it; this replica's disk must be replaced", e.File, e.Offset)
 }
 
-// Contents is what a log holds.
+// Contents is what a log contains.
 type Contents struct {
 	Hard    *pb.HardState // nil: none was written
 	Entries []*pb.LogEntry
-	// TornBytes were cut off the end.
+	// TornBytes is the number of bytes truncated at the end.
 	TornBytes int64
 }
 
 type segment struct {
-	name  string
-	seq   uint64
-	bytes int64
-	last  uint64 // highest index of an entry written to it; 0: none
+	name      string
+	seq       uint64
+	bytes     int64
+	lastIndex uint64 // highest index of an entry written to it; 0: none
 }
 
-// Log is an open write-ahead log. It isn't safe for concurrent use.
+// Log is an open write-ahead log. It is not safe for concurrent use.
 type Log struct {
 	fs       FS
 	dir      string
 	opts     Options
 	segments []*segment
-	out      File
+	file     File
 	hard     *pb.HardState
 	syncs    uint64
-	broken   error
+	failure  error
 }
 
-// Open reads the log in dir, making it if there is none.
+// Open reads the log in dir, creating it if there is none.
 func Open(fs FS, dir string, opts Options) (*Log, Contents, error) {
 	defaults.Set(&opts.SegmentBytes, defaultSegmentBytes)
 	defaults.Set(&opts.MaxBytes, defaultMaxBytes)
 	l := &Log{fs: fs, dir: dir, opts: opts}
 	if err := fs.MkdirAll(dir); err != nil {
-		return nil, Contents{}, errors.Wrap(err, "wal: make folder")
+		return nil, Contents{}, errors.Wrap(err, "wal: create directory")
 	}
 	c, err := l.load()
 	if err != nil {
@@ -112,7 +112,7 @@
 		}
 		s := &segment{name: name}
 		if _, err := fmt.Sscanf(name, "%016x"+segmentSuffix, &s.seq); err != nil {
-			return Contents{}, errors.Errorf("wal: %s isn't the name of a segment", name)
+			return Contents{}, errors.Errorf("wal: %s is not a valid segment name", name)
 		}
 		l.segments = append(l.segments, s)
 	}
@@ -137,13 +137,13 @@
 	for off < len(data) {
 		payload, err := framePayload(data[off:])
 		if err != nil {
-			return l.cutTorn(s, data, off, last, c)
+			return l.truncateTorn(s, data, off, last, c)
 		}
 		records, err := decodeRecords(payload)
 		if err != nil {
 			return errors.Wrapf(err, "wal: %s at offset %d", l.path(s), off)
 		}
-		if err := c.take(records, s); err != nil {
+		if err := c.apply(records, s); err != nil {
 			return errors.Wrapf(err, "wal: %s at offset %d", l.path(s), off)
 		}
 		off += frameHeader + len(payload)
@@ -152,21 +152,23 @@
 	return nil
 }
 
-// cutTorn cuts a bad end off the last segment, or refuses.
-func (l *Log) cutTorn(s *segment, data []byte, off int, last bool, c *Contents) error {
-	// To cut here with synced records behind would silently lose entries that
-	// this replica has acknowledged. A segment is left only after a whole synced
-	// frame, so a bad frame in an earlier segment is damage too.
+// truncateTorn truncates a torn end of the last segment, or fails if synced bytes are
+// damaged.
+func (l *Log) truncateTorn(s *segment, data []byte, off int, last bool, c *Contents) error {
+	// Truncating here with synced records after it would silently lose entries that
+	// this replica has acknowledged. A new segment is started only after a complete
+	// synced frame, so an invalid frame in an earlier segment is damage too.
 	if !last || hasFrame(data[off:]) {
 		return &CorruptError{File: l.path(s), Offset: int64(off)}
 	}
 	c.TornBytes = int64(len(data) - off)
 	s.bytes = int64(off)
-	return errors.Wrap(l.fs.Truncate(l.path(s), int64(off)), "wal: cut torn end")
+	return errors.Wrap(l.fs.Truncate(l.path(s), int64(off)), "wal: truncate torn end")
 }
 
-// take applies records in the order of writing; an entry replaces all from its index on.
-func (c *Contents) take(records []record, s *segment) error {
+// apply applies records in the order of writing; an entry replaces all entries from its
+// index on.
+func (c *Contents) apply(records []record, s *segment) error {
 	for _, r := range records {
 		if r.reset {
 			c.Entries = nil
@@ -176,15 +178,15 @@
 			c.Hard = r.hard
 			continue
 		}
-		if err := c.takeEntry(r.entry); err != nil {
+		if err := c.addEntry(r.entry); err != nil {
 			return err
 		}
-		s.last = max(s.last, r.entry.Index)
+		s.lastIndex = max(s.lastIndex, r.entry.Index)
 	}
 	return nil
 }
 
-func (c *Contents) takeEntry(e *pb.LogEntry) error {
+func (c *Contents) addEntry(e *pb.LogEntry) error {
 	if n := len(c.Entries); n > 0 {
 		first := c.Entries[0].Index
 		next := c.Entries[n-1].Index + 1
@@ -203,42 +205,42 @@
 
 func (l *Log) path(s *segment) string { return filepath.Join(l.dir, s.name) }
 
-// last is the segment being written.
-func (l *Log) last() *segment { return l.segments[len(l.segments)-1] }
+// lastSegment returns the segment being written.
+func (l *Log) lastSegment() *segment { return l.segments[len(l.segments)-1] }
 
 func (l *Log) openLast() error {
 	if len(l.segments) == 0 {
-		return l.begin(1)
+		return l.startSegment(1)
 	}
-	out, err := l.fs.Append(l.path(l.last()))
-	l.out = out
+	out, err := l.fs.Append(l.path(l.lastSegment()))
+	l.file = out
 	return errors.Wrap(err, "wal: open segment")
 }
 
-// begin makes the segment seq. It starts with the hard state, so that the
-// segments before it can be removed.
-func (l *Log) begin(seq uint64) error {
+// startSegment creates segment seq. It starts with the hard state, so that the segments
+// before it can be removed.
+func (l *Log) startSegment(seq uint64) error {
 	s := &segment{name: fmt.Sprintf("%016x%s", seq, segmentSuffix), seq: seq}
 	out, err := l.fs.Create(l.path(s))
 	if err != nil {
-		return errors.Wrap(err, "wal: make segment")
+		return errors.Wrap(err, "wal: create segment")
 	}
-	if l.out != nil {
-		_ = l.out.Close()
+	if l.file != nil {
+		_ = l.file.Close()
 	}
-	l.out = out
+	l.file = out
 	l.segments = append(l.segments, s)
 	if l.hard != nil {
 		if err := l.write(false, l.hard, nil); err != nil {
 			return err
 		}
 	}
-	return errors.Wrap(l.fs.SyncDir(l.dir), "wal: sync folder")
+	return errors.Wrap(l.fs.SyncDir(l.dir), "wal: sync directory")
 }
 
-// Append writes hs (if not nil) and entries, and returns once they are synced.
-// After a failed write or sync the log refuses everything: what is on the disk
-// is then unknown, and a later sync that succeeds would not prove anything.
+// Append writes hs (if not nil) and entries, and returns once they are synced. After a
+// failed write or sync the log rejects everything: the content of the disk is then
+// unknown, and a later successful sync would not prove anything.
 func (l *Log) Append(hs *pb.HardState, entries []*pb.LogEntry) error {
 	if err := l.prepare(hs); err != nil {
 		return err
@@ -246,10 +248,10 @@
 	return l.write(false, hs, entries)
 }
 
-// Reset writes that a leader's snapshot, durable already, replaces all entries
-// before, and hs. Entries that contradict the snapshot would otherwise be found
-// behind it at the next start, and their older terms would let a candidate that
-// lacks committed entries win this replica's vote.
+// Reset records that a leader's snapshot, already durable, replaces all entries before,
+// and writes hs. Otherwise the next start would find entries that contradict the
+// snapshot after it, and their older terms would let a candidate that lacks committed
+// entries win this replica's vote.
 func (l *Log) Reset(hs *pb.HardState) error {
 	if err := l.prepare(hs); err != nil {
 		return err
@@ -257,12 +259,12 @@
 	return l.write(true, hs, nil)
 }
 
-// prepare gets the log ready for a frame that sets the hard state hs.
+// prepare makes the log ready for a frame that sets the hard state hs.
 func (l *Log) prepare(hs *pb.HardState) error {
-	if l.broken != nil {
-		return l.broken
+	if l.failure != nil {
+		return l.failure
 	}
-	if l.last().bytes >= l.opts.SegmentBytes {
+	if l.lastSegment().bytes >= l.opts.SegmentBytes {
 		if err := l.Rotate(); err != nil {
 			return err
 		}
@@ -285,53 +287,53 @@
 	if l.Bytes()+int64(len(frame)) > limit {
 		return &FullError{Bytes: l.Bytes(), Wanted: int64(len(frame)), Max: limit}
 	}
-	if _, err := l.out.Write(frame); err != nil {
-		l.broken = errors.Wrap(err, "wal: write")
-		return l.broken
+	if _, err := l.file.Write(frame); err != nil {
+		l.failure = errors.Wrap(err, "wal: write")
+		return l.failure
 	}
-	if err := l.out.Sync(); err != nil {
-		l.broken = errors.Wrap(err, "wal: sync")
-		return l.broken
+	if err := l.file.Sync(); err != nil {
+		l.failure = errors.Wrap(err, "wal: sync")
+		return l.failure
 	}
 	l.syncs++
-	s := l.last()
+	s := l.lastSegment()
 	s.bytes += int64(len(frame))
 	for _, e := range entries {
-		s.last = max(s.last, e.Index)
+		s.lastIndex = max(s.lastIndex, e.Index)
 	}
 	return nil
 }
 
-// Rotate begins a new segment, so that the ones before can be removed.
+// Rotate starts a new segment, so that the ones before it can be removed.
 func (l *Log) Rotate() error {
-	err := l.begin(l.last().seq + 1)
+	err := l.startSegment(l.lastSegment().seq + 1)
 	if err != nil {
-		l.broken = err
+		l.failure = err
 	}
 	return err
 }
 
-// RemoveUpTo removes leading segments that hold no entry after index.
+// RemoveUpTo removes the leading segments that contain no entry after index.
 func (l *Log) RemoveUpTo(index uint64) error {
 	n := 0
-	for n < len(l.segments)-1 && l.segments[n].last <= index {
+	for n < len(l.segments)-1 && l.segments[n].lastIndex <= index {
 		n++
 	}
 	for _, s := range l.segments[:n] {
 		if err := l.fs.Remove(l.path(s)); err != nil {
 			return errors.Wrap(err, "wal: remove segment")
 		}
-		// Removals must reach the disk in order, or a crash could leave a gap
-		// between segments, which Open refuses.
+		// Removals must reach the disk in order, or a crash could leave a gap between
+		// segments, which Open rejects.
 		if err := l.fs.SyncDir(l.dir); err != nil {
-			return errors.Wrap(err, "wal: sync folder")
+			return errors.Wrap(err, "wal: sync directory")
 		}
 	}
 	l.segments = l.segments[n:]
 	return nil
 }
 
-// Bytes of all segments.
+// Bytes returns the total size of all segments.
 func (l *Log) Bytes() int64 {
 	var n int64
 	for _, s := range l.segments {
@@ -340,11 +342,11 @@
 	return n
 }
 
-// FreeBytes is how many more bytes of entries fit under the cap.
+// FreeBytes returns how many more bytes of entries fit under the cap.
 func (l *Log) FreeBytes() int64 { return l.opts.MaxBytes - l.Bytes() }
 
-// Syncs is the number of syncs of records so far.
+// Syncs returns the number of syncs of records so far.
 func (l *Log) Syncs() uint64 { return l.syncs }
 
 // Close closes the last segment.
-func (l *Log) Close() error { return l.out.Close() }
+func (l *Log) Close() error { return l.file.Close() }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -41,13 +41,13 @@
 	testutil.NoError(t, l.Append(&pb.HardState{Term: term, Commit: from - 1}, entries(from, to, term)))
 }
 
-// terms lists the terms of the entries, which must be contiguous.
+// terms returns the terms of the entries, whose indexes must be contiguous.
 func terms(t *testing.T, c wal.Contents) []uint64 {
 	t.Helper()
 	var out []uint64
 	for i, e := range c.Entries {
 		if e.Index != c.Entries[0].Index+uint64(i) {
-			t.Fatalf("entry %d at place %d", e.Index, i)
+			t.Fatalf("entry %d at position %d", e.Index, i)
 		}
 		out = append(out, e.Term)
 	}
@@ -79,10 +79,10 @@
 	}
 }
 
-// Symptom: a replica doesn't start after a power cut, or starts without entries it acknowledged.
-// Sequence: the power fails while a batch is being written, at any byte.
-// Cause: the torn end was taken for damage, or too much was cut off.
-func TestTornEndIsCut(t *testing.T) {
+// The power may fail at any byte of a batch being written. A torn end must not be
+// treated as damage, or the replica doesn't start; and no more than the torn end may be
+// truncated, or it starts without entries that it acknowledged.
+func TestTornEndIsTruncated(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
 	torn := 0
 	for i := range 200 {
@@ -97,12 +97,12 @@
 		}
 		fs.SetOnSync(nil)
 		if err := l.Append(nil, entries(19, 21, 1)); err == nil {
-			t.Fatal("the log goes on after a failed sync")
+			t.Fatal("the log accepts appends after a failed sync")
 		}
 		fs.Crash(rnd)
 		l, c := open(t, fs, wal.Options{})
 		if n := len(terms(t, c)); n != 18 && n != 21 {
-			t.Fatalf("run %d: %d entries of 18 acknowledged", i, n)
+			t.Fatalf("run %d: %d entries after the crash, 18 were acknowledged", i, n)
 		}
 		if c.TornBytes > 0 {
 			torn++
@@ -110,7 +110,7 @@
 		next := c.Entries[len(c.Entries)-1].Index + 1
 		write(t, l, next, next, 2)
 		if _, c = open(t, fs, wal.Options{}); c.Entries[len(c.Entries)-1].Term != 2 {
-			t.Fatal("what was appended behind the cut is gone")
+			t.Fatal("the entry appended after the truncation is missing")
 		}
 	}
 	if torn < 40 {
@@ -118,10 +118,9 @@
 	}
 }
 
-// Symptom: a replica starts without entries it acknowledged, and votes.
-// Sequence: a byte in the middle of the log goes bad on the disk; the replica restarts.
-// Cause: the log was cut there as if its end were torn.
-func TestDamagedMiddleRefuses(t *testing.T) {
+// A damaged byte in the middle of the log must not be treated as a torn end, or the
+// replica starts, and votes, without entries that it acknowledged.
+func TestDamagedMiddleIsRejected(t *testing.T) {
 	fs := memfs.New()
 	l, _ := open(t, fs, wal.Options{SegmentBytes: 150})
 	for n := uint64(1); n <= 12; n++ {
@@ -136,7 +135,7 @@
 		data, _ := fs.ReadFile(path)
 		end := len(data)
 		if i == len(names)-1 {
-			end /= 2 // its last frame can't be told from a torn one
+			end /= 2 // damage to the last frame cannot be distinguished from a torn write
 		}
 		for off := 0; off < end; off++ {
 			fs.Overwrite(path, off, data[off]^0x40)
@@ -151,11 +150,11 @@
 	open(t, fs, wal.Options{})
 	testutil.NoError(t, fs.Remove(filepath.Join(dir, names[1])))
 	if _, _, err := wal.Open(fs, dir, wal.Options{}); err == nil {
-		t.Fatal("started with a segment missing")
+		t.Fatal("the log opened although a segment is missing")
 	}
 }
 
-func TestCapAndRelease(t *testing.T) {
+func TestCapAndRemoval(t *testing.T) {
 	fs := memfs.New()
 	l, _ := open(t, fs, wal.Options{SegmentBytes: 200, MaxBytes: 1000})
 	n := uint64(1)
@@ -171,7 +170,7 @@
 		t.Fatalf("%d bytes under a cap of 1000", l.Bytes())
 	}
 	if err := l.Append(&pb.HardState{Term: 2}, nil); err != nil {
-		t.Fatalf("a full log must still take a vote: %v", err)
+		t.Fatalf("a full log must still accept a vote: %v", err)
 	}
 	testutil.NoError(t, l.Rotate())
 	testutil.NoError(t, l.RemoveUpTo(n-5))
@@ -179,12 +178,12 @@
 	l, c := open(t, fs, wal.Options{})
 	write(t, l, n, n, 2)
 	if c.Entries[0].Index > n-4 || c.Entries[0].Index == 1 || c.Hard.GetTerm() != 2 {
-		t.Fatalf("after release the log starts at %d, hard state %v", c.Entries[0].Index, c.Hard)
+		t.Fatalf("after the removal the log starts at %d, hard state %v", c.Entries[0].Index, c.Hard)
 	}
 	testutil.NoError(t, l.Rotate())
 	testutil.NoError(t, l.RemoveUpTo(n))
 	if _, c = open(t, fs, wal.Options{}); len(c.Entries) != 0 || c.Hard.GetTerm() != 2 {
-		t.Fatalf("all released, and there are %d entries and hard state %v", len(c.Entries), c.Hard)
+		t.Fatalf("all segments removed, but there are %d entries and hard state %v", len(c.Entries), c.Hard)
 	}
 }
 
