--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,7 +1,7 @@
-// Package snapshot keeps a replica's snapshots in files. A snapshot is written
-// to a temporary file, synced, renamed, and the folder synced: after a crash
-// there is the whole file or none. The two newest are kept, so that a damaged
-// newest one can be made up for by the one before and the log.
+// Package snapshot stores a replica's snapshots in files. A snapshot is written to a
+// temporary file, synced and renamed, and the directory is synced: after a crash there
+// is either the complete file or none. The two newest are kept, so that if the newest
+// is damaged, the one before and the log can replace it.
 package snapshot
 
 import (
@@ -21,39 +21,39 @@
 
 const (
 	suffix      = ".snap"
-	temporary   = ".tmp" // a file being written; renamed once it is synced
+	tempSuffix  = ".tmp" // a file being written; renamed once it is synced
 	magic       = 0x5aa95b07
 	headerBytes = 12
-	// kept is how many snapshots stay: the newest, and the one before in case the
-	// newest is damaged.
-	kept = 2
+	// maxKept is the number of snapshots kept: the newest, and the one before in case
+	// the newest is damaged.
+	maxKept = 2
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// DamagedError says that no snapshot can be used together with the log.
+// DamagedError reports that no snapshot can be used together with the log.
 type DamagedError struct {
 	File string
-	// LogFirst is the first index that the log still has; 0: none.
+	// LogFirst is the first index still in the log; 0: none.
 	LogFirst uint64
 }
 
 // Error implements error.
 func (e *DamagedError) Error() string {
-	return fmt.Sprintf("snapshot: %s is damaged and the log, which starts at %d, doesn't reach back to an older one; this replica's disk must be replaced", e.File, e.LogFirst)
+	return fmt.Sprintf("snapshot: %s is damaged and the log, which starts at %d, does not reach back to an older snapshot; this replica's disk must be replaced", e.File, e.LogFirst)
 }
 
-// Store is a folder of snapshots. It is safe for concurrent use.
+// Store is a directory of snapshots. It is safe for concurrent use.
 type Store struct {
 	fs  wal.FS
 	dir string
-	mu  sync.Mutex // guards the names, not the writing of a temporary file
+	mu  sync.Mutex // guards the file names, not the writing of a temporary file
 }
 
-// Open opens the folder and removes temporary files that a crash left.
+// Open opens the directory and removes temporary files left by a crash.
 func Open(fs wal.FS, dir string) (*Store, error) {
 	if err := fs.MkdirAll(dir); err != nil {
-		return nil, errors.Wrap(err, "snapshot: make folder")
+		return nil, errors.Wrap(err, "snapshot: create directory")
 	}
 	s := &Store{fs: fs, dir: dir}
 	names, err := fs.List(dir)
@@ -61,7 +61,7 @@
 		return nil, errors.Wrap(err, "snapshot: list")
 	}
 	for _, name := range names {
-		if strings.HasSuffix(name, temporary) {
+		if strings.HasSuffix(name, tempSuffix) {
 			if err := fs.Remove(filepath.Join(dir, name)); err != nil {
 				return nil, errors.Wrap(err, "snapshot: remove temporary file")
 			}
@@ -74,7 +74,7 @@
 	return fmt.Sprintf("%016x-%016x%s", s.Index, s.Term, suffix)
 }
 
-// files returns the names of the snapshots, newest first.
+// files returns the file names of the snapshots, newest first.
 func (s *Store) files() ([]string, error) {
 	names, err := s.fs.List(s.dir)
 	if err != nil {
@@ -89,30 +89,30 @@
 	return out, nil
 }
 
-// Save makes snap durable and removes all but the two newest.
+// Save makes snap durable and removes all but the two newest snapshots.
 func (s *Store) Save(snap *pb.Snapshot) error {
 	body, err := proto.Marshal(snap)
 	if err != nil {
 		return errors.Wrap(err, "snapshot: encode")
 	}
 	name := filepath.Join(s.dir, fileName(snap))
-	if err := wal.WriteFile(s.fs, name+temporary, frame(body)); err != nil {
+	if err := wal.WriteFile(s.fs, name+tempSuffix, withHeader(body)); err != nil {
 		return errors.Wrap(err, "snapshot")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.fs.Rename(name+temporary, name); err != nil {
+	if err := s.fs.Rename(name+tempSuffix, name); err != nil {
 		return errors.Wrap(err, "snapshot: rename")
 	}
 	if err := s.fs.SyncDir(s.dir); err != nil {
-		return errors.Wrap(err, "snapshot: sync folder")
+		return errors.Wrap(err, "snapshot: sync directory")
 	}
 	return s.prune()
 }
 
-// frame puts the header before an encoded snapshot: magic, length and CRC of the
+// withHeader prepends the header to an encoded snapshot: magic, length and CRC of the
 // body, all big-endian.
-func frame(body []byte) []byte {
+func withHeader(body []byte) []byte {
 	data := make([]byte, headerBytes, headerBytes+len(body))
 	binary.BigEndian.PutUint32(data, magic)
 	binary.BigEndian.PutUint32(data[4:], uint32(len(body)))
@@ -120,26 +120,26 @@
 	return append(data, body...)
 }
 
-// prune removes all but the newest snapshots. It needs mu.
+// prune removes all but the newest snapshots. mu must be held.
 func (s *Store) prune() error {
 	names, err := s.files()
 	if err != nil {
 		return err
 	}
-	if len(names) <= kept {
+	if len(names) <= maxKept {
 		return nil
 	}
-	for _, name := range names[kept:] {
+	for _, name := range names[maxKept:] {
 		if err := s.fs.Remove(filepath.Join(s.dir, name)); err != nil {
 			return errors.Wrap(err, "snapshot: remove")
 		}
 	}
-	return errors.Wrap(s.fs.SyncDir(s.dir), "snapshot: sync folder")
+	return errors.Wrap(s.fs.SyncDir(s.dir), "snapshot: sync directory")
 }
 
-// Load returns the newest snapshot that is valid, nil if there never was one.
-// If the newest is damaged, an older one is used only if the log reaches it:
-// logFirst is the first index in the log, 0 for an empty log.
+// Load returns the newest valid snapshot, or nil if there never was one. If the newest
+// is damaged, an older one is used only if the log continues from it: logFirst is the
+// first index in the log, 0 for an empty log.
 func (s *Store) Load(logFirst uint64) (*pb.Snapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,8 +152,9 @@
 		if err != nil {
 			continue
 		}
-		// Entries between an older snapshot and the log would be missing, and
-		// the replica would serve a state that committed changes have left.
+		// Otherwise the entries between the older snapshot and the log would be
+		// missing, and the replica would serve a state from which committed changes are
+		// missing.
 		if i > 0 && (logFirst == 0 || logFirst > snap.Index+1) {
 			break
 		}
@@ -184,8 +185,8 @@
 	return &snap, errors.Wrap(proto.Unmarshal(body, &snap), "snapshot: decode")
 }
 
-// Oldest returns the index of the oldest snapshot kept, 0 if there is none: the
-// log must reach back to it.
+// Oldest returns the index of the oldest snapshot kept, 0 if there is none. The log
+// must reach back to it.
 func (s *Store) Oldest() (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,5 +196,5 @@
 	}
 	var index, term uint64
 	_, err = fmt.Sscanf(names[len(names)-1], "%016x-%016x"+suffix, &index, &term)
-	return index, errors.Wrap(err, "snapshot: name")
+	return index, errors.Wrap(err, "snapshot: parse file name")
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-func TestNewestOutlastsCrash(t *testing.T) {
+func TestNewestSurvivesCrash(t *testing.T) {
 	fs := memfs.New()
 	store(t, fs, 5)
 	fs.Crash(nil)
@@ -48,13 +48,13 @@
 	}
 }
 
-// Symptom: a replica serves a state without committed changes.
-// Sequence: the newest snapshot goes bad on the disk; the replica restarts from the one before.
-// Cause: the log no longer holds the entries between the two.
-func TestDamagedNewest(t *testing.T) {
+// If the newest snapshot is damaged, the one before may be used only if the log still
+// holds the entries between the two. Otherwise the replica would serve a state without
+// committed changes.
+func TestDamagedNewestSnapshot(t *testing.T) {
 	cases := []struct {
 		logFirst uint64
-		want     uint64 // 0: refused
+		want     uint64 // 0: rejected
 	}{{21, 20}, {5, 20}, {22, 0}, {31, 0}, {0, 0}}
 	for _, tc := range cases {
 		fs := memfs.New()
