--- a/internal/controlclient/calls.go
+++ b/internal/controlclient/calls.go
@@ -29,12 +29,12 @@
 // for one of kind NoQuorum, Ran tells whether the command may still take effect.
 func (c *Client) Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	cmd = withCallID(cmd)
-	return c.ProposeFresh(ctx, func() *pb.Command { return cmd })
+	return c.ProposeFunc(ctx, func() *pb.Command { return cmd })
 }
 
-// ProposeFresh is Propose of a command that says something of the moment at which it is sent:
+// ProposeFunc is Propose of a command that says something of the moment at which it is sent:
 // each attempt sends the one that make returns then. All of them must mean the same change.
-func (c *Client) ProposeFresh(ctx context.Context, make func() *pb.Command) (*pb.CommandResult, error) {
+func (c *Client) ProposeFunc(ctx context.Context, make func() *pb.Command) (*pb.CommandResult, error) {
 	res, err := call(ctx, c, func(ctx context.Context, target string) attemptResult[*pb.CommandResult] {
 		return c.proposeAt(ctx, target, make())
 	})
--- a/internal/controlclient/fresh_test.go
+++ b/internal/controlclient/fresh_test.go
@@ -24,7 +24,7 @@
 	}
 	c := newClient(t, serve(t, f))
 	made := int64(0)
-	_, err := c.ProposeFresh(t.Context(), func() *pb.Command {
+	_, err := c.ProposeFunc(t.Context(), func() *pb.Command {
 		made++
 		return &pb.Command{Body: &pb.Command_RegisterHost{RegisterHost: &pb.RegisterHost{AgeMs: made}}}
 	})
--- a/internal/daemon/register.go
+++ b/internal/daemon/register.go
@@ -34,7 +34,7 @@
 		// The age is that of the moment of sending. What goes wrong when it is that of the first
 		// try: a control group that elects its leader meanwhile takes the time for one in which
 		// the former run may have lived on without contact, and counts more as spent.
-		res, err := d.client.ProposeFresh(tryCtx, func() *pb.Command {
+		res, err := d.client.ProposeFunc(tryCtx, func() *pb.Command {
 			return &pb.Command{Actor: d.cfg.Host, Body: &pb.Command_RegisterHost{RegisterHost: &pb.RegisterHost{
 				Host: d.cfg.Host, Zone: d.cfg.Zone, CallerAddress: d.callerAddress(),
 				PeerAddress: d.cfg.PeerAddress(), BootId: bootID, Control: d.cfg.Has(procconfig.RoleControl),
