--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -135,8 +135,8 @@
 	return c.leader
 }
 
-// Answering tells whether the group answered this process when it was last asked.
-func (c *Client) Answering() bool { return c.gate.open() }
+// LastCallAnswered tells whether the group answered this process when it was last asked.
+func (c *Client) LastCallAnswered() bool { return c.gate.open() }
 
 // service returns the gRPC client of a target.
 func (c *Client) service(target string) (pb.ControlClient, error) {
--- a/internal/daemon/gatewaytables.go
+++ b/internal/daemon/gatewaytables.go
@@ -23,7 +23,7 @@
 
 // tablePatience is how long the operator waits for this host's answer.
 func (g *gateway) tablePatience() time.Duration {
-	if g.d.client.Answering() {
+	if g.d.client.LastCallAnswered() {
 		return tableTimeout
 	}
 	return cutOffTimeout
