--- a/internal/controlclient/calls.go
+++ b/internal/controlclient/calls.go
@@ -32,8 +32,9 @@
 	return c.ProposeFunc(ctx, func() *pb.Command { return cmd })
 }
 
-// ProposeFunc is Propose of a command that says something of the moment at which it is sent:
-// each attempt sends the one that make returns then. All of them must mean the same change.
+// ProposeFunc is like Propose for a command that depends on when it is sent: each
+// attempt sends the command that make returns at that time. All of them must mean the
+// same change.
 func (c *Client) ProposeFunc(ctx context.Context, make func() *pb.Command) (*pb.CommandResult, error) {
 	res, err := call(ctx, c, func(ctx context.Context, target string) attemptResult[*pb.CommandResult] {
 		return c.proposeAt(ctx, target, make())
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -135,7 +135,7 @@
 	return c.leader
 }
 
-// LastCallAnswered tells whether the group answered this process when it was last asked.
+// LastCallAnswered reports whether the group answered the last call of this process.
 func (c *Client) LastCallAnswered() bool { return c.gate.open() }
 
 // service returns the gRPC client of a target.
