--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -258,7 +258,7 @@
 		return out.Send(treeEvent(1, true))
 	}})
 	ctx := testutil.Within(t, 4*silenceTimeout)
-	done := errors.New("event received")
+	done := errors.New("heard")
 	c := newClient(t, healthy, frozen.Addr().String()) // the second one is asked first
 	if err := c.Watch(ctx, 0, func(*pb.WatchEvent) error { return done }); !errors.Is(err, done) {
 		t.Fatal(err)
@@ -275,7 +275,7 @@
 		}})
 	}
 	c := newClient(t, send(4), send(5))
-	done := errors.New("enough events")
+	done := errors.New("enough")
 	var seen []uint64
 	err := c.Watch(t.Context(), 0, func(e *pb.WatchEvent) error {
 		seen = append(seen, e.Revision)
--- a/internal/controller/routes/controller_test.go
+++ b/internal/controller/routes/controller_test.go
@@ -243,7 +243,7 @@
 }
 
 func (r replica) Routes() (*pb.Routes, bool) { return r.table, r.confirmed }
-func (r replica) HeardFromQuorum() bool          { return r.confirmed }
+func (r replica) HeardFromQuorum() bool      { return r.confirmed }
 
 func TestReplicaAnswersConfirmWhatItApplied(t *testing.T) {
 	got := FromReplica(replica{table: table(t, 7), confirmed: true}, &pb.FetchRoutesRequest{Have: 7})
