--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -34,10 +34,8 @@
 	return err
 }
 
-// Symptom: a ledger entry is posted twice.
-// Sequence: two hosts claim one identity; the winner finishes; late copies of every
-// message arrive.
-// Cause: a claim is won again by a loser, by a repeated message, or after its end.
+// A claim must not be won again by a loser, by a repeated message, or after its end; otherwise
+// a request that is not idempotent, such as posting a ledger entry, runs twice.
 func TestOneClaimWins(t *testing.T) {
 	s := New()
 	steps := []struct {
@@ -46,30 +44,28 @@
 	}{{"r1", true}, {"r2", false}, {"r1", true}, {"r3", false}}
 	for _, step := range steps {
 		if won := wins(t, s, "a/1", step.request, 1); won != step.won {
-			t.Errorf("%s won: %v", step.request, won)
+			t.Errorf("request %s won: %v", step.request, won)
 		}
 	}
 	testutil.Refused(t, finish(s, "a/1", "r2", notRun, 1), errkind.KeyConflict, "a loser finishes the claim")
 	for range 2 {
 		testutil.NoError(t, finish(s, "a/1", "r1", done, 1))
 	}
-	testutil.Refused(t, finish(s, "a/1", "r1", notRun, 1), errkind.KeyConflict, "a run that ended becomes one that never ran")
+	testutil.Refused(t, finish(s, "a/1", "r1", notRun, 1), errkind.KeyConflict, "a claim that is done is finished as not run")
 	if wins(t, s, "a/1", "r4", 1) || s.Lookup("a/1").State != done {
 		t.Error("a claim that is done was won again")
 	}
 	testutil.Refused(t, finish(s, "a/2", "r1", done, 1), errkind.NotFound, "an unknown claim finishes")
 }
 
-// Symptom: a request whose caller was told "it did not run" runs after all.
-// Sequence: r1 wins and is finished as not run, r2 wins and is not run either; a
-// delayed copy of r1's claim arrives.
-// Cause: after NOT_RUN anybody could win, also those who had given up.
+// If r1 wins and is finished as not run, and then r2 as well, a delayed duplicate of r1's claim
+// must not win: r1's caller was told that the request did not run.
 func TestNotRunLetsOnlyNewRequestsWin(t *testing.T) {
 	s := New()
 	for i := range 3 {
 		request := fmt.Sprint("r", i)
 		if !wins(t, s, "a/1", request, 1) {
-			t.Fatalf("%s did not win after not run", request)
+			t.Fatalf("request %s did not win after the previous claims were not run", request)
 		}
 		testutil.NoError(t, finish(s, "a/1", request, notRun, 1))
 	}
@@ -78,13 +74,12 @@
 			t.Errorf("r%d won again", i)
 		}
 	}
-	testutil.Refused(t, finish(s, "a/1", "r2", done, 1), errkind.KeyConflict, "a claim that did not run becomes done")
+	testutil.Refused(t, finish(s, "a/1", "r2", done, 1), errkind.KeyConflict, "a claim that was not run is finished as done")
 }
 
-// Symptom: a late retry runs a second time.
-// Sequence: a claim is won; the memory of claims runs full, or an hour passes.
-// Cause: a claim inside its window was forgotten to make room.
-func TestClaimsInsideTheWindowAreNeverForgotten(t *testing.T) {
+// If a claim were forgotten within its retention, because an hour has passed or to make room
+// for others, a late retry would run a second time.
+func TestClaimsNotForgottenWithinRetention(t *testing.T) {
 	s := New()
 	s.limit = 100
 	for i := range 100 {
@@ -93,18 +88,18 @@
 	now := 10 * time.Hour.Milliseconds()
 	over := &pb.Claim{Identity: "a/new", RequestId: "r1", Holder: &pb.Holder{Host: "h", Incarnation: 1}}
 	_, err := s.Claim(over, now)
-	testutil.Refused(t, err, errkind.ClaimUnavailable, "a claim past the bound")
+	testutil.Refused(t, err, errkind.ClaimUnavailable, "a claim beyond the bound")
 	for i := range 100 {
 		if wins(t, s, fmt.Sprint("a/", i), "r2", now) {
 			t.Fatalf("claim %d was forgotten", i)
 		}
 	}
 	if !wins(t, s, "a/new", "r1", now+2*minRetention.Milliseconds()) || s.Len() != 1 {
-		t.Errorf("%d claims are remembered after the window", s.Len())
+		t.Errorf("%d claims are remembered after the retention, want 1", s.Len())
 	}
 }
 
-func TestRestoredClaimsAnswerAlike(t *testing.T) {
+func TestRestoredClaimsGiveSameAnswers(t *testing.T) {
 	s, restored := New(), New()
 	s.SetWindow(48 * time.Hour)
 	wins(t, s, "a/1", "r1", 1)
@@ -119,9 +114,9 @@
 		t.Errorf("%d claims restored, want 2", restored.Len())
 	}
 	if again, err := json.Marshal(restored.Image()); err != nil || !bytes.Equal(data, again) {
-		t.Errorf("a restored state has another image (%v)", err)
+		t.Errorf("the restored state has a different image (%v)", err)
 	}
 	if wins(t, restored, "a/1", "r2", 4) || wins(t, restored, "a/2", "r1", 4) || !wins(t, restored, "a/2", "r2", 4) {
-		t.Error("restored claims are answered in another way")
+		t.Error("the restored claims give different answers")
 	}
 }
--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -1,5 +1,5 @@
-// Package fence gives fencing numbers to orders for backend servers. It is part
-// of the replicated state: pure, and the same on every replica.
+// Package fence assigns fencing numbers to placement orders for backend servers. It is
+// part of the replicated state: pure, and the same on every replica.
 package fence
 
 import (
@@ -26,32 +26,32 @@
 	orders map[string]Order
 }
 
-// New makes an empty state.
+// New returns an empty state.
 func New() *State { return &State{orders: make(map[string]Order)} }
 
-// Term is the highest term that a leader opened.
+// Term returns the highest term that a leader has begun.
 func (s *State) Term() uint64 { return s.term }
 
 // NewTerm records that a leader of the term has begun.
 func (s *State) NewTerm(term uint64) { s.term = max(s.term, term) }
 
-// Place admits an order and gives it a fencing number. The number is the index of
-// the log record, so it rises in log order across terms. An order of an older
-// term is refused with StaleFence: it was decided by a leader that has been
-// replaced, whose knowledge of the servers may contradict the new leader's orders.
+// Place records an order and assigns it a fencing number. The number is the index of the
+// log record, so it increases in log order across terms. An order of an older term is
+// refused with StaleFence: it was decided by a leader that has been replaced, whose view
+// of the servers may contradict the new leader's orders.
 func (s *State) Place(index uint64, p *pb.PlaceOrder) (*pb.PlaceOrderResult, error) {
 	if p.Server == "" || p.Verb == "" {
 		return nil, errkind.New(errkind.BadRequest, "an order needs a server and a verb")
 	}
 	if p.Term < s.term {
-		return nil, errkind.New(errkind.StaleFence, "order of term %d, but term %d has begun", p.Term, s.term)
+		return nil, errkind.New(errkind.StaleFence, "the order is of term %d, but term %d has begun", p.Term, s.term)
 	}
 	s.term = p.Term
 	s.orders[p.Server] = Order{Server: p.Server, Verb: p.Verb, Object: p.Object, Role: p.Role, Term: p.Term, Fence: index}
 	return &pb.PlaceOrderResult{Fence: index}, nil
 }
 
-// Placements lists the last order of each backend server, by server.
+// Placements returns the last order of each backend server, sorted by server.
 func (s *State) Placements() []*pb.Placed {
 	var out []*pb.Placed
 	for _, o := range s.sorted() {
--- a/internal/inflight/bench_test.go
+++ b/internal/inflight/bench_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// BenchmarkRecordMemory gives the heap of a record at its owner and of a copy, running
-// or finished with an answer of a number of bytes, and a record's bytes on the wire.
+// BenchmarkRecordMemory reports the heap bytes of a record at its owner and of a copy, running
+// or finished with an answer of a given size, and a record's encoded size.
 func BenchmarkRecordMemory(b *testing.B) {
 	now := time.Unix(1000, 0)
 	for _, answer := range []int{0, 1300} {
--- a/internal/inflight/bounds.go
+++ b/internal/inflight/bounds.go
@@ -6,14 +6,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// makeRoom frees space for a new record: first answers, then finished records that no
-// bill needs, oldest first. A record that may still have to be billed is never dropped;
-// if nothing else is left the new one is refused.
+// makeRoom frees space for a new record: first it drops answers, then finished records that
+// no bill needs, oldest first. A record that may still have to be billed is never dropped;
+// if there is nothing else to drop, the new record is refused.
 func (s *Store) makeRoom(size, records int) error {
 	for s.overLimits(size, records) {
 		short := s.bytes+size > s.cfg.MaxBytes
 		if !(short && s.dropAnswer()) && !s.dropExpendable() {
-			return errkind.New(errkind.Overloaded, "this host keeps %d in-flight records, %d bytes", s.count, s.bytes)
+			return errkind.New(errkind.Overloaded, "no room for another in-flight record: this host holds %d records, %d bytes", s.count, s.bytes)
 		}
 	}
 	return nil
@@ -23,16 +23,16 @@
 	return s.count+records > s.cfg.MaxRecords || s.bytes+size > s.cfg.MaxBytes
 }
 
-// trimAnswers keeps the bytes in bounds after a record grew by its answer. The usage and
-// the state of an update are always taken, so the bytes may pass the bound by a few dozen
-// for each record.
+// trimAnswers keeps the bytes within MaxBytes after an answer was added to a record. The
+// usage and the state of an update are always stored, so the bound may be exceeded by a few
+// dozen bytes per record.
 func (s *Store) trimAnswers() {
 	for s.bytes > s.cfg.MaxBytes && s.dropAnswer() {
 	}
 }
 
-// dropAnswer drops the oldest kept answer; a retry is then told that the answer is no
-// longer kept.
+// dropAnswer drops the oldest stored answer; a retry then learns that the answer is no
+// longer available.
 func (s *Store) dropAnswer() bool {
 	for len(s.answers) > 0 {
 		e := s.answers[0]
--- a/internal/inflight/copies.go
+++ b/internal/inflight/copies.go
@@ -11,27 +11,28 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// avoidDuration is how long a host that could not be reached gets no copies.
+// avoidDuration is how long no copies are sent to a host that could not be reached.
 const avoidDuration = time.Second
 
-// transferPrefix marks the identities of records that copy a transfer.
+// transferPrefix is the prefix of the identities of records that copy a transfer.
 const transferPrefix = "\x00transfer/"
 
-// TransferIdentity is the identity of the record that copies a transfer.
+// TransferIdentity returns the identity of the record that copies a transfer.
 func TransferIdentity(id string) string { return transferPrefix + id }
 
-// CopyBatch is the records that one host should get.
+// CopyBatch holds the records to be sent to one host.
 type CopyBatch struct {
 	Host    Host
 	Records []*pb.InflightRecord
 }
 
-// PutCopy stores another host's record, if it is newer than what is here. It comes from
-// the record's owner, or from a guardian of a dead one.
+// PutCopy stores another host's record, if it is newer than the stored version. It is sent
+// by the record's owner, or by a copy holder if the owner is dead.
 //
-// AlreadyExists: the record is the first of a request whose identity another request
-// has; KeyConflict: with another body; StaleFence: its holder's grants are being
-// released, so a bill from it could no longer be taken in; Overloaded: no room.
+// It returns AlreadyExists if the record is the first version of a request whose identity
+// belongs to another request, KeyConflict if that request also has another body, StaleFence
+// if the holder's grants are being released, so that a bill from it could no longer be
+// accepted, and Overloaded if there is no room.
 func (s *Store) PutCopy(now time.Time, rec *pb.InflightRecord, from *pb.Holder) error {
 	fromOwner := keyOf(from) == keyOf(rec.GetHolder())
 	if fromOwner && s.involvesFenced(rec) {
@@ -47,7 +48,7 @@
 		if err := conflict(known.rec, rec); err != nil {
 			return err
 		}
-		return errkind.New(errkind.AlreadyExists, "identity %s is known", rec.GetIdentity())
+		return errkind.New(errkind.AlreadyExists, "identity %s belongs to another request", rec.GetIdentity())
 	}
 	return s.addCopy(now, rec)
 }
@@ -66,14 +67,14 @@
 	return nil
 }
 
-// trackOrphan makes this host answer for a copy whose owner is dead: it sees to it that another
-// host holds the record as well.
+// trackOrphan makes this host responsible for a copy whose owner is dead: it makes sure that
+// another host holds the record as well.
 //
-// What goes wrong otherwise: the owner's recovery waits, for a cut or a running request,
-// the copy's host dies meanwhile, and the bill is lost with the only copy.
+// Otherwise, if the copy's host dies while the owner's recovery is waiting because of a
+// partition or a running request, the bill is lost with the only copy.
 func (s *Store) trackOrphan(e *entry) {
-	needless := !e.finishedAt.IsZero() && s.expendable(e)
-	if len(s.ring.hosts) == 0 || needless || s.ownerAlive(e.rec) {
+	unneeded := !e.finishedAt.IsZero() && s.expendable(e)
+	if len(s.ring.hosts) == 0 || unneeded || s.ownerAlive(e.rec) {
 		return
 	}
 	if e.copyHolders == nil {
@@ -84,7 +85,7 @@
 	s.dirty[e.rec.GetRequestId()] = struct{}{}
 }
 
-// replicatedEntry is an own or a guarded record.
+// replicatedEntry returns an own or an orphaned record, which this host copies to others.
 func (s *Store) replicatedEntry(requestID string) (*entry, bool) {
 	if e, ok := s.own[requestID]; ok {
 		return e, true
@@ -103,15 +104,15 @@
 }
 
 func (s *Store) removeCopy(identity string, e *entry) {
-	left := slices.DeleteFunc(s.copies[identity], func(x *entry) bool { return x == e })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(s.copies[identity], func(x *entry) bool { return x == e })
+	if len(remaining) == 0 {
 		delete(s.copies, identity)
 		return
 	}
-	s.copies[identity] = left
+	s.copies[identity] = remaining
 }
 
-// involvesFenced tells whether a record belongs to a fenced holder or moves its tokens.
+// involvesFenced reports whether a record belongs to a fenced holder or transfers its tokens.
 func (s *Store) involvesFenced(rec *pb.InflightRecord) bool {
 	t := rec.GetTransfer()
 	return s.isFenced(rec.GetHolder()) || s.isFenced(t.GetFrom()) || s.isFenced(t.GetTo())
@@ -125,7 +126,7 @@
 // Gather fences a dead holder and returns every record that it owned and every record
 // of a transfer from or to it.
 //
-// Without the fence a record that arrives after the answer would be a bill that the
+// Without the fence, a record that arrives after the answer would be a bill that the
 // recovery doesn't know: its tokens would be released and spent a second time.
 func (s *Store) Gather(now time.Time, dead *pb.Holder) []*pb.InflightRecord {
 	key := keyOf(dead)
@@ -148,8 +149,9 @@
 	return found
 }
 
-// SetHosts replaces the live hosts. Own and guarded records whose copies were on a host
-// that is gone or restarted need new ones; copies whose owner is gone are guarded.
+// SetHosts replaces the list of live hosts. Own and orphaned records whose copies were on a
+// host that has left the list or restarted need new copies; copies whose owner is no longer
+// live become orphans.
 func (s *Store) SetHosts(hosts []Host) {
 	s.ring = newRing(hosts)
 	live := make(map[string]uint64, len(hosts))
@@ -169,14 +171,14 @@
 	}
 }
 
-// updateCopyHolders plans new copies for those on hosts that left the list. A host may only be cut
-// off and come back as the same incarnation with an old version. It is told the rest then:
-// if it still held an abandoned request as running when the owner died, the request would
-// be billed though it did not run.
+// updateCopyHolders plans new copies in place of those on hosts that left the list of live
+// ones. Such a host may only have been cut off and come back as the same incarnation with an
+// old version; it is then sent the current one. If it still held an abandoned request as
+// running when the owner died, the request would be billed although it did not run.
 func (s *Store) updateCopyHolders(request string, e *entry, live map[string]uint64) {
 	for host, h := range e.departed {
-		incarnation, back := live[host]
-		if !back {
+		incarnation, listed := live[host]
+		if !listed {
 			continue
 		}
 		delete(e.departed, host)
@@ -186,13 +188,13 @@
 		}
 	}
 	for host, h := range e.copyHolders {
-		incarnation, there := live[host]
-		if there && incarnation == h.incarnation {
+		incarnation, listed := live[host]
+		if listed && incarnation == h.incarnation {
 			continue
 		}
 		delete(e.copyHolders, host)
 		s.dirty[request] = struct{}{}
-		if !there {
+		if !listed {
 			e.addDeparted(host, h)
 		}
 	}
@@ -205,7 +207,8 @@
 	e.departed[host] = h
 }
 
-// departedOutdated tells whether a host that left the list holds an older version.
+// departedOutdated reports whether a host that left the list of live ones holds an older
+// version.
 func (e *entry) departedOutdated() bool {
 	for _, h := range e.departed {
 		if h.version < e.rec.GetVersion() {
@@ -215,13 +218,14 @@
 	return false
 }
 
-// Lookup is the hosts that would hold the identity's record for any owner, without self.
+// Lookup returns the hosts that would hold n copies of the identity's record for any owner,
+// without this host.
 func (s *Store) Lookup(identity string, n int) []Host {
 	hosts := s.ring.lookup(identity, n)
 	return slices.DeleteFunc(hosts, func(h Host) bool { return h.Name == s.cfg.Self.GetHost() })
 }
 
-// Host returns the live host of a name.
+// Host returns the live host with the given name.
 func (s *Store) Host(name string) (Host, bool) {
 	for _, h := range s.ring.hosts {
 		if h.Name == name {
@@ -231,19 +235,19 @@
 	return Host{}, false
 }
 
-// Targets are the hosts that should get the present version of an own record now: those
-// that hold an older one, and as many new ones as copies are missing. Hosts in except
-// are passed over.
+// Targets returns the hosts to which the current version of an own or orphaned record should
+// be sent now: those that hold an older one, and as many new ones as copies are missing.
+// Hosts in except are skipped.
 func (s *Store) Targets(now time.Time, requestID string, except map[string]bool) []Host {
 	e, ok := s.replicatedEntry(requestID)
 	if !ok {
 		return nil
 	}
-	skip := func(name string) bool { return except[name] || now.Before(s.avoidUntil[name]) }
+	excluded := func(name string) bool { return except[name] || now.Before(s.avoidUntil[name]) }
 	var targets []Host
 	for _, name := range slices.Sorted(maps.Keys(e.copyHolders)) {
 		h, live := s.Host(name)
-		if live && e.copyHolders[name].version < e.rec.GetVersion() && !skip(name) {
+		if live && e.copyHolders[name].version < e.rec.GetVersion() && !excluded(name) {
 			targets = append(targets, h)
 		}
 	}
@@ -251,17 +255,17 @@
 		return targets
 	}
 	missing := e.wantedCopies - e.currentCopies() - len(targets)
-	skipHost := func(h Host) bool {
+	unsuitable := func(h Host) bool {
 		_, has := e.copyHolders[h.Name]
 		_, declined := e.declined[h.Name]
-		return has || declined || skip(h.Name) || e.isTransferParty(h.Name)
+		return has || declined || excluded(h.Name) || e.isTransferParty(h.Name)
 	}
 	identity := e.rec.GetIdentity()
-	fresh := s.ring.copies(identity, s.cfg.Self.GetHost(), s.cfg.Zone, missing, skipHost)
+	fresh := s.ring.copies(identity, s.cfg.Self.GetHost(), s.cfg.Zone, missing, unsuitable)
 	return append(targets, fresh...)
 }
 
-// currentCopies is the number of hosts known to hold the record's present version.
+// currentCopies returns the number of hosts known to hold the record's current version.
 func (e *entry) currentCopies() int {
 	n := 0
 	for _, h := range e.copyHolders {
@@ -272,14 +276,14 @@
 	return n
 }
 
-// isTransferParty tells whether host takes part in the transfer that the record copies; its copy
-// must survive the loss of both ends.
+// isTransferParty reports whether host is the sender or receiver of the transfer that the
+// record copies; the copy must survive the death of both.
 func (e *entry) isTransferParty(host string) bool {
 	t := e.rec.GetTransfer()
 	return t != nil && (t.GetFrom().GetHost() == host || t.GetTo().GetHost() == host)
 }
 
-// Record is the present version of an own record for sending.
+// Record returns the current version of an own or orphaned record, for sending.
 func (s *Store) Record(now time.Time, requestID string) (*pb.InflightRecord, bool) {
 	e, ok := s.replicatedEntry(requestID)
 	if !ok {
@@ -288,8 +292,8 @@
 	return e.snapshot(now), true
 }
 
-// MarkSending notes that a host is being sent an own record: it may hold it from now on,
-// also if it doesn't answer.
+// MarkSending records that an own or orphaned record is being sent to a host: the host may
+// hold it from now on, even if it doesn't answer.
 func (s *Store) MarkSending(requestID string, to Host) {
 	e, ok := s.replicatedEntry(requestID)
 	if !ok {
@@ -300,7 +304,7 @@
 	}
 }
 
-// MarkAcked notes that a host's incarnation holds a version of an own record.
+// MarkAcked records that a host's incarnation holds a version of an own or orphaned record.
 func (s *Store) MarkAcked(requestID string, host string, incarnation, version uint64) {
 	e, ok := s.replicatedEntry(requestID)
 	if !ok {
@@ -312,7 +316,8 @@
 	}
 }
 
-// MarkDeclined notes that a host refused an own record; it isn't asked again.
+// MarkDeclined records that a host refused an own or orphaned record; the record isn't sent
+// to that host again.
 func (s *Store) MarkDeclined(requestID, host string) {
 	e, ok := s.replicatedEntry(requestID)
 	if !ok {
@@ -325,23 +330,26 @@
 	e.declined[host] = struct{}{}
 }
 
-// MarkUnreachable notes that a host didn't answer: it gets nothing for a while.
-func (s *Store) MarkUnreachable(now time.Time, host string) { s.avoidUntil[host] = now.Add(avoidDuration) }
+// MarkUnreachable records that a host didn't answer: it is sent nothing for avoidDuration.
+func (s *Store) MarkUnreachable(now time.Time, host string) {
+	s.avoidUntil[host] = now.Add(avoidDuration)
+}
 
-// HeldBy tells whether a host holds the present version of an own record.
+// HeldBy reports whether a host holds the current version of an own or orphaned record.
 func (s *Store) HeldBy(requestID, host string) bool {
 	e, ok := s.replicatedEntry(requestID)
 	return ok && e.copyHolders[host].version == e.rec.GetVersion()
 }
 
-// Complete tells whether every host that may hold an own record holds its present
-// version and, unless it is abandoned, the wanted number do.
+// Complete reports whether every host that may hold an own or orphaned record holds its
+// current version, and there are as many of them as wanted unless the record is abandoned.
 func (s *Store) Complete(requestID string) bool {
 	e, ok := s.replicatedEntry(requestID)
 	return !ok || s.complete(e)
 }
 
-// Copies is the number of hosts that hold the present version of an own record.
+// Copies returns the number of hosts that hold the current version of an own or orphaned
+// record.
 func (s *Store) Copies(requestID string) int {
 	e, ok := s.replicatedEntry(requestID)
 	if !ok {
@@ -358,8 +366,8 @@
 	return abandoned || e.currentCopies() >= e.wantedCopies
 }
 
-// Plan lists at most limit records that have to be sent, by host. Records that need
-// nothing more leave the list of dirty ones.
+// Plan returns at most limit records that have to be sent, grouped by host. Records whose
+// copies are complete are removed from the dirty ones.
 func (s *Store) Plan(now time.Time, limit int) []CopyBatch {
 	byHost := make(map[string]*CopyBatch)
 	for _, request := range slices.Sorted(maps.Keys(s.dirty)) {
@@ -383,9 +391,9 @@
 			byHost[h.Name].Records = append(byHost[h.Name].Records, rec)
 		}
 	}
-	var sends []CopyBatch
+	var batches []CopyBatch
 	for _, name := range slices.Sorted(maps.Keys(byHost)) {
-		sends = append(sends, *byHost[name])
+		batches = append(batches, *byHost[name])
 	}
-	return sends
+	return batches
 }
--- a/internal/inflight/cost_bench_test.go
+++ b/internal/inflight/cost_bench_test.go
@@ -8,8 +8,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// BenchmarkLifeOfRecord is begin, one copy, done, settled and its copy's updates at the owner.
-func BenchmarkLifeOfRecord(b *testing.B) {
+// BenchmarkRecordLifecycle measures a record's begin, end and settlement at its owner, with
+// the updates of one copy.
+func BenchmarkRecordLifecycle(b *testing.B) {
 	for _, hosts := range []int{7, 1400} {
 		b.Run(fmt.Sprint(hosts, " hosts"), func(b *testing.B) {
 			s := New(Config{Self: self, Zone: "z0"})
@@ -22,7 +23,7 @@
 			now := time.Unix(1, 0)
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(20 * time.Millisecond)
-				life(b, s, now, benchRecord(i, 0))
+				recordLifecycle(b, s, now, benchRecord(i, 0))
 				if i%50 == 0 { // once a second
 					s.Tick(now)
 				}
@@ -31,22 +32,22 @@
 	}
 }
 
-func life(b *testing.B, s *Store, now time.Time, rec *pb.InflightRecord) {
+func recordLifecycle(b *testing.B, s *Store, now time.Time, rec *pb.InflightRecord) {
 	if _, err := s.Begin(now, rec, 1); err != nil {
 		b.Fatal(err)
 	}
 	s.ConfirmBegin(rec.RequestId)
-	copyOut(s, now, rec.RequestId)
+	sendCopies(s, now, rec.RequestId)
 	s.Lookup(rec.Identity, 1)
 	rec.State, rec.PromptTokens, rec.OutputTokens = pb.InflightState_INFLIGHT_STATE_DONE, 500, 300
 	s.Update(now, rec)
-	copyOut(s, now, rec.RequestId)
+	sendCopies(s, now, rec.RequestId)
 	s.MarkSettled(now, rec.RequestId)
-	copyOut(s, now, rec.RequestId)
+	sendCopies(s, now, rec.RequestId)
 	s.Plan(now, 512)
 }
 
-func copyOut(s *Store, now time.Time, request string) {
+func sendCopies(s *Store, now time.Time, request string) {
 	rec, _ := s.Record(now, request)
 	for _, h := range s.Targets(now, request, nil) {
 		s.MarkSending(request, h)
--- a/internal/inflight/placement.go
+++ b/internal/inflight/placement.go
@@ -6,19 +6,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Host is a host that can keep copies.
+// Host is a host that can hold copies.
 type Host struct {
 	Name, Zone  string
 	Incarnation uint64
 }
 
 // ring ranks the live hosts for each identity by rendezvous hash: every host that knows
-// the same live hosts ranks them alike, and a host that comes or goes moves only the
-// identities that it ranks first for.
+// the same live hosts ranks them in the same order, and a host that joins or leaves moves
+// only the identities for which it ranks first.
 type ring struct {
 	hosts  []Host
-	hashes []uint64 // of the names
-	zones  []string // distinct
+	hashes []uint64 // of the hosts' names
+	zones  []string // the distinct zones
 }
 
 func newRing(hosts []Host) ring {
@@ -34,19 +34,19 @@
 	return r
 }
 
-// best is the highest ranked host that ok accepts.
+// best returns the highest-ranked host that ok accepts.
 func (r ring) best(identity uint64, ok func(Host) bool) (Host, bool) {
-	var found Host
-	var top uint64
-	any := false
+	var best Host
+	var highest uint64
+	found := false
 	for i, h := range r.hosts {
 		score := rank(identity, r.hashes[i])
-		if any && score <= top || !ok(h) {
+		if found && score <= highest || !ok(h) {
 			continue
 		}
-		found, top, any = h, score, true
+		best, highest, found = h, score, true
 	}
-	return found, any
+	return best, found
 }
 
 func rank(identity, host uint64) uint64 {
@@ -56,9 +56,9 @@
 	return xxhash.Sum64(b[:])
 }
 
-// copies picks n hosts for a record of the owner: first in availability zones other than
-// the owner's and each other's, then in other zones at all, then in the owner's. Hosts
-// that skip accepts are passed over.
+// copies picks n hosts for copies of the owner's record: first from availability zones other
+// than the owner's and each other's, then from any zone other than the owner's, then from
+// the owner's zone. Hosts for which skip returns true are skipped.
 func (r ring) copies(identity, owner, zone string, n int, skip func(Host) bool) []Host {
 	key := xxhash.Sum64String(identity)
 	var picked []Host
@@ -71,7 +71,7 @@
 		return h.Name == owner || skip(h)
 	}
 	rules := []func(Host) bool{
-		func(h Host) bool { return h.Zone != zone && !zoneIn(picked, h.Zone) },
+		func(h Host) bool { return h.Zone != zone && !containsZone(picked, h.Zone) },
 		func(h Host) bool { return h.Zone != zone },
 		func(Host) bool { return true },
 	}
@@ -87,9 +87,9 @@
 	return picked
 }
 
-// lookup is every host that some owner would choose for n copies of the identity. Owners
+// lookup returns every host that any owner would choose for n copies of the identity. Owners
 // in different zones choose differently, so a retry at another host must ask them all:
-// the first n+1 zones' best hosts, one per zone, hold any owner's choice.
+// the best hosts of the first n+1 zones, one per zone, include every owner's choice.
 func (r ring) lookup(identity string, n int) []Host {
 	none := func(Host) bool { return false }
 	if len(r.zones) > n {
@@ -101,7 +101,7 @@
 	var all []Host
 	for _, zone := range r.zones {
 		for _, h := range r.copies(identity, "", zone, n, none) {
-			if !nameIn(all, h.Name) {
+			if !containsName(all, h.Name) {
 				all = append(all, h)
 			}
 		}
@@ -109,7 +109,7 @@
 	return all
 }
 
-func zoneIn(hosts []Host, zone string) bool {
+func containsZone(hosts []Host, zone string) bool {
 	for _, h := range hosts {
 		if h.Zone == zone {
 			return true
@@ -118,7 +118,7 @@
 	return false
 }
 
-func nameIn(hosts []Host, name string) bool {
+func containsName(hosts []Host, name string) bool {
 	for _, h := range hosts {
 		if h.Name == name {
 			return true
--- a/internal/inflight/store.go
+++ b/internal/inflight/store.go
@@ -1,6 +1,6 @@
-// Package inflight keeps in-flight records: what a host must know of a request to lead a
-// retry to it, to take it over or to bill it after its owner's death. It holds a host's
-// own records, the copies that other hosts entrusted to it, and decides where copies go.
+// Package inflight keeps in-flight records: what a host must know of a request to connect a
+// retry with it, to take it over, or to bill it after its owner's death. It holds a host's
+// own records and the copies of other hosts' records, and decides which hosts get copies.
 //
 // Store is a pure state machine without goroutines, sockets or a clock.
 package inflight
@@ -16,14 +16,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// entryOverhead estimates the bytes of an entry besides its encoded record.
+// entryOverhead is the estimated size of an entry in bytes without its encoded record.
 const entryOverhead = 400
 
-// unsettledRetention is how long a copy is kept whose bill isn't known to be settled; its
-// owner may be dead and its recovery may wait for the end of a long cut.
+// unsettledRetention is how long a copy is kept if its bill isn't known to be settled: its
+// owner may be dead, and the owner's recovery may have to wait for the end of a long partition.
 const unsettledRetention = 24 * time.Hour
 
-// Config of a store. The zero value of a field means its default.
+// Config configures a store. The zero value of a field means its default.
 type Config struct {
 	Self *pb.Holder
 	Zone string
@@ -35,28 +35,31 @@
 	MaxBytes   int
 }
 
-// Store is not safe for concurrent use.
+// Store holds in-flight records. It is not safe for concurrent use.
 type Store struct {
 	cfg  Config
 	ring ring
-	// own holds this host's records by request id, current the latest one of an identity.
+	// own holds this host's records by request id; current holds the latest one of each
+	// identity.
 	own     map[string]*entry
 	current map[string]*entry
 	// copies holds other hosts' records by identity.
 	copies map[string][]*entry
-	// orphans are those of the copies whose owner is dead, by request id.
+	// orphans holds the copies whose owner is dead, by request id.
 	orphans map[string]*entry
 	fenced  map[holderKey]struct{}
 	// finished holds entries in the order in which they finished, oldest first.
 	finished []*entry
-	// answers holds the entries that keep an answer, oldest first.
+	// answers holds the entries with a stored answer, oldest first.
 	answers []*entry
-	// dirty are the request ids of own records whose copies are not all up to date.
+	// dirty holds the request ids of own and orphaned records whose copies may not all be
+	// current.
 	dirty map[string]struct{}
-	// avoidUntil says until when a host gets nothing because it could not be reached.
+	// avoidUntil holds the time until which nothing is sent to a host that could not be
+	// reached.
 	avoidUntil map[string]time.Time
-	count int
-	bytes int
+	count      int
+	bytes      int
 }
 
 type holderKey struct {
@@ -66,33 +69,34 @@
 
 func keyOf(h *pb.Holder) holderKey { return holderKey{h.GetHost(), h.GetIncarnation()} }
 
-// entry is one record with its bookkeeping.
+// entry is one record with its replication state.
 type entry struct {
 	rec *pb.InflightRecord
 	// startedAt is when the request began, by this host's clock.
-	startedAt time.Time
-	finishedAt time.Time // zero while it runs
-	size int
-	removed bool
-	// unconfirmed: this host hasn't yet decided whether its record stands or yields to
-	// another host's for the same identity.
+	startedAt  time.Time
+	finishedAt time.Time // zero while the request runs
+	size       int
+	removed    bool
+	// unconfirmed is true while this host hasn't decided whether to keep its record or to
+	// yield to another host's record of the same identity.
 	unconfirmed bool
-	// wantedCopies copies, and what each host that was sent one is known to hold; own records only.
+	// wantedCopies is the number of copies to be held by other hosts; copyHolders is what
+	// each host to which the record was sent is known to hold. Own and orphaned records only.
 	wantedCopies int
-	copyHolders   map[string]copyState
-	// departed is the same of hosts that left the list of live ones.
+	copyHolders  map[string]copyState
+	// departed is the same as copyHolders for hosts that left the list of live ones.
 	departed map[string]copyState
-	// declined are hosts that refused the record.
+	// declined holds the hosts that refused the record.
 	declined map[string]struct{}
 }
 
-// copyState is the newest version that a host's incarnation acknowledged; 0: it was sent
-// one and didn't answer, so it may hold it or not.
+// copyState is the newest version that a host's incarnation acknowledged. Version 0 means
+// that the record was sent and not answered, so the host may or may not hold it.
 type copyState struct {
 	incarnation, version uint64
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New(cfg Config) *Store {
 	if cfg.Retention == 0 {
 		cfg.Retention = 10 * time.Minute
@@ -110,15 +114,16 @@
 	}
 }
 
-// Len is the number of records and Bytes their estimated size.
+// Len returns the number of records.
 func (s *Store) Len() int { return s.count }
 
-// Bytes is the estimated size of all records.
+// Bytes returns the estimated size of all records.
 func (s *Store) Bytes() int { return s.bytes }
 
-// Begin stores a new own record that wants n copies. If the identity is known here it
-// returns that record instead. Until Begun the record is found in state NONE, though it
-// is copied as RUNNING. KeyConflict: the identity is known with another body.
+// Begin stores a new own record that needs n copies. If this host already has a record of the
+// identity, Begin returns that record instead. Until ConfirmBegin, lookups return the new
+// record in state NONE, although it is copied as RUNNING. Begin returns KeyConflict if the
+// identity is known with another body.
 func (s *Store) Begin(now time.Time, rec *pb.InflightRecord, n int) (*pb.InflightRecord, error) {
 	if e := s.find(rec.GetIdentity()); e != nil {
 		if err := conflict(e.rec, rec); err != nil {
@@ -133,16 +138,16 @@
 	return nil, nil
 }
 
-// ConfirmBegin ends the beginning of an own record: it stands.
+// ConfirmBegin confirms an own record stored by Begin.
 func (s *Store) ConfirmBegin(requestID string) {
 	if e, ok := s.own[requestID]; ok {
 		e.unconfirmed = false
 	}
 }
 
-// Adopt stores a new own record though the identity may be known: this host takes over
-// the request of a dead one, whose record rec continues under a new request id. Its version
-// goes on from there, as version 1 is refused by hosts that know the identity.
+// Adopt stores a new own record even if the identity is known: this host takes over the
+// request of a dead one, and rec continues that host's record under a new request id. The
+// version continues from rec's, as version 1 is refused by hosts that know the identity.
 func (s *Store) Adopt(now time.Time, rec *pb.InflightRecord, n int) error {
 	rec = proto.CloneOf(rec)
 	rec.Holder = s.cfg.Self
@@ -166,16 +171,16 @@
 	return nil
 }
 
-// conflict is the refusal of one idempotency key with two bodies.
+// conflict returns an error if one idempotency key is used with two different bodies.
 func conflict(known, asked *pb.InflightRecord) error {
 	if known.GetBodyHash() == asked.GetBodyHash() {
 		return nil
 	}
-	return errkind.New(errkind.KeyConflict, "the idempotency key of %s was used with another body", known.GetIdentity())
+	return errkind.New(errkind.KeyConflict, "the idempotency key of %s was already used with another body", known.GetIdentity())
 }
 
-// Update replaces an own record. An update of a record that is not known or already
-// finished is dropped and reported as false.
+// Update replaces an own record. It returns false, and changes nothing, if the record is
+// unknown or already finished.
 func (s *Store) Update(now time.Time, rec *pb.InflightRecord) bool {
 	e, ok := s.own[rec.GetRequestId()]
 	if !ok || e.rec.GetIdentity() != rec.GetIdentity() || !e.finishedAt.IsZero() {
@@ -187,7 +192,7 @@
 	return true
 }
 
-// MarkSettled notes that the ledger acknowledged the bill, or the transfer, of an own
+// MarkSettled records that the ledger acknowledged the bill or the transfer of an own
 // record, which is therefore done.
 func (s *Store) MarkSettled(now time.Time, requestID string) bool {
 	e, ok := s.own[requestID]
@@ -204,18 +209,18 @@
 	return true
 }
 
-// Abandon marks an own record whose request surely did not run; its copies are told.
-// Until they know, the record stays as abandoned, which no lookup reports.
+// Abandon marks an own record whose request certainly did not run; the copies are updated.
+// Until they are, the record is kept as abandoned, and lookups ignore it.
 //
-// A transfer to a holder that was gathered can't be abandoned: its recovery counts it.
+// A transfer from or to a fenced holder can't be abandoned: the holder's recovery counts it.
 func (s *Store) Abandon(now time.Time, requestID string) bool {
 	e, ok := s.own[requestID]
 	if !ok || !e.finishedAt.IsZero() || s.involvesFenced(e.rec) {
 		return false
 	}
 	next := proto.CloneOf(e.rec)
-	// A running record carries the estimate of its prompt. Left in, it would be taken for
-	// tokens used, and the owner's recovery would bill a request that did not run.
+	// A running record contains the estimated prompt tokens. If they were kept, they would
+	// count as tokens used, and the owner's recovery would bill a request that did not run.
 	next.PromptTokens, next.OutputTokens = 0, 0
 	next.State = pb.InflightState_INFLIGHT_STATE_ABANDONED
 	next.Version++
@@ -242,7 +247,7 @@
 	s.trimAnswers()
 }
 
-// Find returns the record of an identity here: an own one or a copy.
+// Find returns this host's record of an identity: an own one or a copy.
 func (s *Store) Find(now time.Time, identity string) (*pb.InflightRecord, bool) {
 	e := s.find(identity)
 	if e == nil {
@@ -251,8 +256,9 @@
 	return e.lookupResult(now), true
 }
 
-// find prefers a finished record to a running one, and of running ones the own, then one
-// whose owner lives: it may have taken the request over from the owner of the others.
+// find prefers a finished record to a running one, and among running ones this host's own,
+// then one whose owner is alive: that owner may have taken over the request from the owner
+// of another record.
 func (s *Store) find(identity string) *entry {
 	var found *entry
 	best := 0
@@ -271,7 +277,8 @@
 	return found
 }
 
-// preference orders the records of one identity; 0: it stands for no run.
+// preference orders the records of one identity; 0 means that the record is ignored, as its
+// request did not run.
 func (s *Store) preference(e *entry) int {
 	switch {
 	case e.rec.GetState() == pb.InflightState_INFLIGHT_STATE_ABANDONED:
@@ -293,14 +300,14 @@
 	return ok && h.Incarnation == owner.GetIncarnation()
 }
 
-// snapshot is the record with its present age.
+// snapshot returns a copy of the record with its current age.
 func (e *entry) snapshot(now time.Time) *pb.InflightRecord {
 	rec := proto.CloneOf(e.rec)
 	rec.AgeMs = now.Sub(e.startedAt).Milliseconds()
 	return rec
 }
 
-// lookupResult is the snapshot for those who ask for the identity.
+// lookupResult returns the snapshot for a lookup of the identity.
 func (e *entry) lookupResult(now time.Time) *pb.InflightRecord {
 	rec := e.snapshot(now)
 	if e.unconfirmed && rec.GetState() == pb.InflightState_INFLIGHT_STATE_RUNNING {
@@ -309,7 +316,7 @@
 	return rec
 }
 
-// Tick drops finished records whose window is over.
+// Tick drops finished records whose retention has ended.
 func (s *Store) Tick(now time.Time) {
 	n, removed := 0, false
 	for n < len(s.finished) && now.Sub(s.finished[n].finishedAt) >= s.cfg.Retention {
@@ -325,7 +332,8 @@
 	}
 }
 
-// retention is longer for a record that may still be needed for a bill.
+// retention returns how long a finished record is kept: longer if it may still be needed for
+// a bill.
 func (s *Store) retention(e *entry) time.Duration {
 	if s.expendable(e) {
 		return s.cfg.Retention
@@ -333,9 +341,10 @@
 	return max(s.cfg.Retention, unsettledRetention)
 }
 
-// expendable tells whether a finished record is needed for answers only. A copy is needed until
-// its bill is settled. An own record isn't needed for its bill, which the grants hold, but
-// until every host that may hold an older version has the last one.
+// expendable reports whether a finished record is needed only to answer retries. A copy is
+// needed until its bill is settled. An own record isn't needed for its bill, which package
+// grant holds, but it is needed until every host that may hold an older version has the
+// last one.
 func (s *Store) expendable(e *entry) bool {
 	if s.own[e.rec.GetRequestId()] == e {
 		return s.complete(e) && !e.departedOutdated()
@@ -343,8 +352,8 @@
 	return e.rec.GetSettled() || !Billable(e.rec)
 }
 
-// Billable tells whether a finished record stands for tokens used: a usage, or a whole
-// answer of a service, which is billed by its fixed price.
+// Billable reports whether a finished record represents tokens used: it contains a usage, or
+// a complete answer of a service, which is billed by its fixed price.
 func Billable(rec *pb.InflightRecord) bool {
 	if rec.GetTransfer() != nil {
 		return rec.GetState() != pb.InflightState_INFLIGHT_STATE_ABANDONED
--- a/internal/inflight/store_test.go
+++ b/internal/inflight/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// TestMain lengthens rapid's runs, so that the store fills up.
+// TestMain increases rapid's steps, so that the store fills up.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.steps", "100"); err != nil {
 		panic(err)
@@ -23,18 +23,17 @@
 	os.Exit(m.Run())
 }
 
-// growth is how many bytes an update without its answer may add to a record.
-const growth = 32
+// maxGrowth is the maximum number of bytes that an update without its answer adds to a record.
+const maxGrowth = 32
 
 var self = &pb.Holder{Host: "self", Incarnation: 1}
 
-// TestCopiesUnderFaults puts copies in any order, doubled and late, against the newest
-// version seen of each as the oracle.
+// TestCopiesUnderFaults puts copies in any order, duplicated and late, and compares the store
+// with the newest version put of each record.
 //
-// Symptom: a finished request is taken for a running one, a bill is lost for want of
-// room, or a dead holder's record is taken in after it was gathered.
-// Sequence: updates that cross each other, a full store, a gather.
-// Cause: an older version that replaces a newer one, an unbilled record dropped, no fence.
+// If an older version replaced a newer one, a finished request would count as running; if an
+// unbilled record were dropped from a full store, its bill would be lost; and without a fence
+// a dead holder's record would be accepted after the holder was gathered.
 func TestCopiesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1, 0)
@@ -47,7 +46,7 @@
 				err := s.PutCopy(now, rec, rec.GetHolder())
 				owner := rec.GetHolder().GetIncarnation()
 				if dead[owner] != errkind.Is(err, errkind.StaleFence) {
-					t.Fatalf("record of incarnation %d, dead %v: %v", owner, dead[owner], err)
+					t.Fatalf("PutCopy of a record of incarnation %d (gathered: %v): %v", owner, dead[owner], err)
 				}
 				known := newest[rec.GetRequestId()]
 				if err == nil && (known == nil || rec.GetVersion() > known.GetVersion()) {
@@ -66,8 +65,8 @@
 				dead[owner] = true
 			},
 			"": func(t *rapid.T) {
-				if s.Len() > s.cfg.MaxRecords || s.Bytes() > s.cfg.MaxBytes+growth*s.Len() {
-					t.Fatalf("%d records, %d bytes", s.Len(), s.Bytes())
+				if s.Len() > s.cfg.MaxRecords || s.Bytes() > s.cfg.MaxBytes+maxGrowth*s.Len() {
+					t.Fatalf("the store exceeds its bounds: %d records, %d bytes", s.Len(), s.Bytes())
 				}
 			},
 		})
@@ -93,7 +92,8 @@
 	return rec
 }
 
-// checkGather: every record that may have to be billed is there, in its newest version.
+// checkGather checks that Gather returns every record that may have to be billed, in its
+// newest version.
 func checkGather(t *rapid.T, s *Store, now time.Time, owner uint64, newest map[string]*pb.InflightRecord) {
 	got := make(map[string]*pb.InflightRecord)
 	for _, rec := range s.Gather(now, &pb.Holder{Host: "other", Incarnation: owner}) {
@@ -104,13 +104,13 @@
 			continue
 		}
 		if got[id].GetVersion() != want.GetVersion() || got[id].GetState() != want.GetState() {
-			t.Fatalf("%s: gathered %v, want version %d", id, got[id], want.GetVersion())
+			t.Fatalf("record %s: gathered %v, want version %d", id, got[id], want.GetVersion())
 		}
 	}
 }
 
-// TestPlacement: copies are in other availability zones than the owner's, and any owner's
-// choice is among the hosts that a lookup asks.
+// TestPlacement checks that copies are in availability zones other than the owner's, and that
+// every owner's choice is among the hosts returned by lookup.
 func TestPlacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts []Host
@@ -126,21 +126,22 @@
 		for _, owner := range hosts {
 			copies := r.copies(identity, owner.Name, owner.Zone, n, none)
 			if len(copies) != min(n, len(hosts)-1) {
-				t.Fatalf("%d copies of %d wanted among %d hosts", len(copies), n, len(hosts))
+				t.Fatalf("got %d copies, want %d, with %d hosts", len(copies), n, len(hosts))
 			}
 			for i, c := range copies {
-				if c.Name == owner.Name || i < zones-1 && (c.Zone == owner.Zone || zoneIn(copies[:i], c.Zone)) {
+				if c.Name == owner.Name || i < zones-1 && (c.Zone == owner.Zone || containsZone(copies[:i], c.Zone)) {
 					t.Fatalf("owner %v: copies %v", owner, copies)
 				}
-				if !nameIn(asked, c.Name) {
-					t.Fatalf("owner %v copies to %v, a retry asks %v", owner, c, asked)
+				if !containsName(asked, c.Name) {
+					t.Fatalf("owner %v copies to %v, but lookup returns %v", owner, c, asked)
 				}
 			}
 		}
 	})
 }
 
-// TestUpdatesOfOwnRecords: an update for another request or after the end changes nothing.
+// TestUpdatesOfOwnRecords checks that an update for another request, or after the end, changes
+// nothing.
 func TestUpdatesOfOwnRecords(t *testing.T) {
 	now := time.Unix(1, 0)
 	s := New(Config{Self: self, Zone: "x"})
@@ -151,28 +152,28 @@
 	late := proto.CloneOf(rec)
 	late.RequestId = "other"
 	if s.Update(now, late) {
-		t.Error("an update of another request was taken")
+		t.Error("an update of another request was accepted")
 	}
 	done := proto.CloneOf(rec)
 	done.State, done.OutputTokens = pb.InflightState_INFLIGHT_STATE_DONE, 5
 	if !s.Update(now, done) || s.Update(now, rec) || s.Abandon(now, "r") {
-		t.Error("a finished record was changed")
+		t.Error("a finished record was not updated exactly once")
 	}
 	if got, ok := s.Find(now, "i"); !ok || got.GetOutputTokens() != 5 || got.GetVersion() != 2 {
-		t.Errorf("found %v", got)
+		t.Errorf("found %v, want version 2 with 5 output tokens", got)
 	}
 	if s.MarkSettled(now, "r"); !s.own["r"].rec.GetSettled() {
-		t.Error("not settled")
+		t.Error("the record was not marked as settled")
 	}
 	s.MarkSending("r", Host{Name: "peer", Incarnation: 1})
 	s.MarkAcked("r", "peer", 1, 2)
 	s.Tick(now.Add(11 * time.Minute))
 	if s.Len() != 1 {
-		t.Error("dropped before its copy knows the end")
+		t.Error("the record was dropped before its copy was current")
 	}
 	s.MarkAcked("r", "peer", 1, 3)
 	s.Tick(now.Add(11 * time.Minute))
 	if s.Len() != 0 || s.Bytes() != 0 {
-		t.Errorf("%d records, %d bytes after the window", s.Len(), s.Bytes())
+		t.Errorf("%d records, %d bytes after the retention", s.Len(), s.Bytes())
 	}
 }
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,5 +1,5 @@
-// Package outbox holds what a host has to tell other hosts until they have acknowledged
-// it. It is pure: time is passed in, and the caller serialises the calls.
+// Package outbox holds updates for other hosts until they have acknowledged them. It is
+// pure: time is passed in, and the caller serializes the calls.
 package outbox
 
 import (
@@ -8,42 +8,42 @@
 )
 
 const (
-	// initialBackoff and maxResend bound the pause before an unanswered message is sent again.
+	// initialBackoff and maxBackoff bound the time before an unanswered message is resent.
 	initialBackoff = 200 * time.Millisecond
-	maxBackoff   = time.Second
-	// maxBatch bounds the items in one message.
+	maxBackoff     = time.Second
+	// maxBatch is the maximum number of items in one message.
 	maxBatch = 256
 )
 
-// Receiver is the run of a host that items are for.
+// Receiver is the incarnation of a host to which items are sent.
 type Receiver struct {
 	Host        string
 	Incarnation uint64
-	// Address of its peer service.
+	// Address is the address of the host's peer service.
 	Address string
 }
 
-// Outbox of items of one kind. Each receiver gets its items in order, one message at a
-// time; a message that got no answer is sent again with what has come since.
+// Outbox holds items of one kind. Each receiver gets its items in order, one message at a
+// time; an unanswered message is resent together with the items added since.
 type Outbox[T any] struct{ receivers map[Receiver]*queue[T] }
 
 type queue[T any] struct {
 	entries []entry[T]
-	// inFlight of them are in the message under way.
-	inFlight  int
-	nextSend  time.Time
-	backoff time.Duration
+	// inFlight is the number of entries in the outstanding message.
+	inFlight int
+	nextSend time.Time
+	backoff  time.Duration
 }
 
 type entry[T any] struct {
-	item  T
+	item    T
 	expires time.Time
 }
 
-// New makes an empty outbox.
+// New returns an empty outbox.
 func New[T any]() *Outbox[T] { return &Outbox[T]{receivers: make(map[Receiver]*queue[T])} }
 
-// Add puts an item in. After until there is no use in telling it.
+// Add adds an item. It is dropped if it has not been acknowledged by the time until.
 func (o *Outbox[T]) Add(to Receiver, item T, until time.Time) {
 	q := o.receivers[to]
 	if q == nil {
@@ -53,13 +53,13 @@
 	q.entries = append(q.entries, entry[T]{item: item, expires: until})
 }
 
-// Message is what to send to one receiver.
+// Message is a batch of items to send to one receiver.
 type Message[T any] struct {
 	To    Receiver
 	Items []T
 }
 
-// Due are the messages to send now.
+// Due returns the messages to send now.
 func (o *Outbox[T]) Due(now time.Time) []Message[T] {
 	var out []Message[T]
 	for to, q := range o.receivers {
@@ -81,7 +81,7 @@
 	return out
 }
 
-// MarkAcknowledged takes that the message under way has arrived.
+// MarkAcknowledged records that the outstanding message was acknowledged.
 func (o *Outbox[T]) MarkAcknowledged(to Receiver) {
 	if q := o.receivers[to]; q != nil {
 		q.entries = q.entries[q.inFlight:]
@@ -89,7 +89,7 @@
 	}
 }
 
-// MarkFailed takes that the message under way got no answer.
+// MarkFailed records that the outstanding message got no answer.
 func (o *Outbox[T]) MarkFailed(now time.Time, to Receiver) {
 	if q := o.receivers[to]; q != nil {
 		q.inFlight, q.nextSend = 0, now.Add(q.backoff)
@@ -97,7 +97,7 @@
 	}
 }
 
-// Empty tells whether everything was acknowledged.
+// Empty reports whether no items are left to be acknowledged.
 func (o *Outbox[T]) Empty() bool {
 	for _, q := range o.receivers {
 		if len(q.entries) > 0 {
