--- a/internal/proof/budgets_test.go
+++ b/internal/proof/budgets_test.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// callers sends requests to random hosts, each until it is answered or refused for good.
+// callers sends requests to hosts and collects the submissions with their answers.
 type callers struct {
-	f        *fleet
-	wg       sync.WaitGroup
-	mu       sync.Mutex
-	arrivals []arrival
+	f           *fleet
+	wg          sync.WaitGroup
+	mu          sync.Mutex
+	submissions []submission
 }
 
-// send brings a request to hosts one after another, as a caller who retries by its key.
+// send submits a request to hosts one after another until it is answered, as a caller who
+// retries with the same idempotency key.
 func (c *callers) send(key string, idempotent bool, pause time.Duration, hosts ...string) {
 	c.wg.Go(func() {
 		for _, host := range hosts {
-			a := c.f.arrive(host, key, idempotent)
+			a := c.f.submit(host, key, idempotent)
 			c.mu.Lock()
-			c.arrivals = append(c.arrivals, a)
+			c.submissions = append(c.submissions, a)
 			c.mu.Unlock()
-			if a.ok && !c.f.fate("answer to "+key, 300) {
+			if a.ok && !c.f.occurs("answer to "+key, 300) {
 				return
 			}
 			time.Sleep(pause)
@@ -32,14 +33,14 @@
 	})
 }
 
-// TestBudgetsAcrossCuts
+// TestBudgetsAcrossPartitions sends requests to six hosts. Calls and answers are lost, delayed
+// and duplicated; hosts are cut off from the ledger, transfer tokens to each other and serve
+// callers that were already served on the other side, while operators top up and resend. Then
+// all partitions end and all hosts drain.
 //
-// Symptom: a budget overspent, a request billed twice or never, a refusal that is untrue.
-// Sequence: requests at six hosts; calls and answers are lost, late and doubled; hosts are
-// cut off from the ledger, share by transfers and serve callers who already were served on
-// the other side; operators top up meanwhile and resend; all heals and drains.
-// Cause: tokens in two places, a resend counted twice, a bill dropped or not known as a duplicate.
-func TestBudgetsAcrossCuts(t *testing.T) {
+// If tokens were held twice, a resend counted twice, or a bill dropped or not recognized as a
+// duplicate, a budget would be overspent, a request billed twice or never, or a refusal untrue.
+func TestBudgetsAcrossPartitions(t *testing.T) {
 	for seed := range int64(10) {
 		withFleet(t, seed, 6, 3000, func(f *fleet) {
 			rng := rand.New(rand.NewSource(seed))
@@ -50,49 +51,47 @@
 				key := fmt.Sprint("k", i)
 				first, second := rng.Intn(6), rng.Intn(6)
 				pause := time.Duration(rng.Intn(4000)) * time.Millisecond
-				if rng.Intn(3) == 0 { // the caller asks both at once
+				if rng.Intn(3) == 0 { // the caller sends to both hosts concurrently
 					c.send(key, true, 0, f.names[second])
 				}
 				c.send(key, true, pause, f.names[first], f.names[second])
 				switch i % 50 {
 				case 10:
-					far := rng.Perm(6)[:1+rng.Intn(4)]
-					hosts := make([]string, 0, len(far))
-					for _, h := range far {
+					cutHosts := rng.Perm(6)[:1+rng.Intn(4)]
+					hosts := make([]string, 0, len(cutHosts))
+					for _, h := range cutHosts {
 						hosts = append(hosts, f.names[h])
 					}
-					f.cut(hosts...)
+					f.cutOff(hosts...)
 				case 25:
 					f.topUp(fmt.Sprint("op", i), 700)
 				case 40:
-					f.cut()
+					f.cutOff()
 				}
 			}
 			c.wg.Wait()
 			f.healAndDrain()
 			f.check()
-			served, notRun := f.checkAnswers(c.arrivals)
+			served, notRun := f.checkAnswers(c.submissions)
 			twice := 0
 			for _, runs := range f.engine.byIdentity {
 				if len(runs) > 1 {
 					twice++
 				}
 			}
-			f.t.Logf("seed %d: %d answered, %d refused as not run, %d ran twice, %d of %d billed",
+			f.t.Logf("seed %d: %d answered, %d refused as not run, %d ran twice, %d of %d tokens billed",
 				seed, served, notRun, twice, f.budget().GetBilled(), f.budget().GetFunded())
 			if served == 0 || notRun == 0 {
-				f.t.Error("nothing was tried")
+				f.t.Error("the run did not contain both answers and refusals")
 			}
 		})
 	}
 }
 
-// TestRetryIsLedToTheRun
-//
-// Symptom: without any fault, a retry at another host runs a second time.
-// Sequence: a request runs; while it runs and again afterwards it is sent to other hosts.
-// Cause: the host of the record's copy takes the retry's record as that of a takeover.
-func TestRetryIsLedToTheRun(t *testing.T) {
+// TestRetryUsesExistingRun sends each request to other hosts while it runs and again afterwards.
+// If the host that holds the copy of its record treated the retry's record as that of a
+// takeover, the retry would run a second time even without any fault.
+func TestRetryUsesExistingRun(t *testing.T) {
 	withFleet(t, 1, 6, 100_000, func(f *fleet) {
 		c := &callers{f: f}
 		for i := range 40 {
@@ -106,10 +105,10 @@
 		c.wg.Wait()
 		f.healAndDrain()
 		f.check()
-		f.checkAnswers(c.arrivals)
+		f.checkAnswers(c.submissions)
 		for identity, runs := range f.engine.byIdentity {
 			if len(runs) != 1 {
-				f.t.Errorf("%s ran %d times", identity, len(runs))
+				f.t.Errorf("identity %s ran %d times", identity, len(runs))
 			}
 		}
 	})
--- a/internal/proof/caller.go
+++ b/internal/proof/caller.go
@@ -21,34 +21,36 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// run is one run at the engine. It goes on whatever becomes of the host that started it.
+// run is one run of a request at the engine. It continues even if the host that started it
+// dies.
 type run struct {
 	id, identity string
 	tokens       uint64
 	start, end   time.Time
 }
 
-// engine is a fake backend server that knows what it really did.
+// engine is a fake backend server that records what it really ran.
 type engine struct {
-	fl *fleet
-	mu sync.Mutex
-	// byID holds the runs by request, of the arrival that started them.
+	fleet *fleet
+	mu    sync.Mutex
+	// byID holds the runs by the request id of the submission that started them.
 	byID       map[string]run
 	byIdentity map[string][]run
-	// refusing: no request is run any more, for good.
+	// refusing is true once the engine permanently refuses to run requests.
 	refusing atomic.Bool
-	// beforeRun is called before a host notes that it sends a request to the engine; may be nil.
+	// beforeRun is called before a host records that it sends a request to the engine; may
+	// be nil.
 	beforeRun func(c *filter.Call)
-	// spent is the tokens of all identities that ran, each counted once.
+	// spent is the total tokens of all identities that ran, each counted once.
 	spent uint64
 }
 
 func newEngine(f *fleet) *engine {
-	return &engine{fl: f, byID: make(map[string]run), byIdentity: make(map[string][]run)}
+	return &engine{fleet: f, byID: make(map[string]run), byIdentity: make(map[string][]run)}
 }
 
-// reserved is the worst case of a request, used what it takes: half of it for model work,
-// all of it, its fixed price, for a service.
+// reserved returns the maximum tokens of a request. used returns the tokens that it uses:
+// half of the maximum for model work, and all of it, the fixed price, for a service.
 func reserved(identity string) uint64 { return 20 + xxhash.Sum64String(identity)%150 }
 
 func used(identity string, idempotent bool) uint64 {
@@ -58,12 +60,13 @@
 	return reserved(identity)
 }
 
-// begin starts a run unless its host died. It is here that overspending would be real.
+// begin starts a run unless its host has died. It checks that the budget is not overspent by
+// the tokens that the engine really produces.
 func (e *engine) begin(n *node, c *filter.Call) bool {
-	took := time.Duration(50+e.fl.draw("took/"+c.Identity, 1500)) * time.Millisecond
-	e.fl.mu.Lock()
-	defer e.fl.mu.Unlock()
-	if e.fl.nodes[n.self.GetHost()] != n {
+	took := time.Duration(50+e.fleet.draw("took/"+c.Identity, 1500)) * time.Millisecond
+	e.fleet.mu.Lock()
+	defer e.fleet.mu.Unlock()
+	if e.fleet.nodes[n.self.GetHost()] != n {
 		return false
 	}
 	e.mu.Lock()
@@ -72,22 +75,22 @@
 	if len(e.byIdentity[c.Identity]) == 0 {
 		e.spent += r.tokens
 	}
-	if funded := e.fl.budget().GetFunded(); e.spent > funded {
-		e.fl.t.Errorf("%s: %d tokens produced, %d funded", c.ID, e.spent, funded)
+	if funded := e.fleet.budget().GetFunded(); e.spent > funded {
+		e.fleet.t.Errorf("request %s: %d tokens produced, but only %d funded", c.ID, e.spent, funded)
 	}
 	e.byID[c.ID] = r
 	e.byIdentity[c.Identity] = append(e.byIdentity[c.Identity], r)
 	return true
 }
 
-// runs are those of an identity, the first one first.
+// runs returns the runs of an identity, oldest first.
 func (e *engine) runs(identity string) []run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.byIdentity[identity]
 }
 
-// idle tells whether no request has run yet.
+// idle reports whether no request has run yet.
 func (e *engine) idle() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,8 +104,8 @@
 	return r, ok
 }
 
-// serve builds the part of the request chain that keeps the promises.
-func (n *node) serve() {
+// buildChain builds the part of the request chain that guarantees the properties under test.
+func (n *node) buildChain() {
 	n.claims = &claim.Filter{Claims: n, Records: n.records}
 	n.chain = filter.Chain(filter.HandlerFunc(n.dispatch),
 		&idempotency.Filter{Records: n.records, Hosts: n, Settings: fixedSettings{}},
@@ -121,25 +124,25 @@
 // Self implements filter.Hosts.
 func (n *node) Self() *pb.Holder { return n.self }
 
-// Alive implements filter.Hosts: a host beyond a cut counts as dead.
+// Alive implements filter.Hosts: a host on the other side of a partition counts as dead.
 func (n *node) Alive(h *pb.Holder) bool {
-	to := n.fl.node(h.GetHost())
-	return to != nil && to.self.GetIncarnation() == h.GetIncarnation() && n.fl.reaches(n, h.GetHost())
+	to := n.fleet.node(h.GetHost())
+	return to != nil && to.self.GetIncarnation() == h.GetIncarnation() && n.fleet.reaches(n, h.GetHost())
 }
 
 // Claim implements filter.Claims.
 func (n *node) Claim(ctx context.Context, identity, requestID string) (*pb.ClaimResult, error) {
-	r, err := n.claimCommand(ctx, &pb.Command{Body: &pb.Command_Claim{Claim: &pb.Claim{Identity: identity, Holder: n.self, RequestId: requestID}}})
+	r, err := n.proposeClaim(ctx, &pb.Command{Body: &pb.Command_Claim{Claim: &pb.Claim{Identity: identity, Holder: n.self, RequestId: requestID}}})
 	return r.GetClaim(), err
 }
 
 // Finish implements filter.Claims.
 func (n *node) Finish(ctx context.Context, identity, requestID string, state pb.ClaimState) error {
-	_, err := n.claimCommand(ctx, &pb.Command{Body: &pb.Command_FinishClaim{FinishClaim: &pb.FinishClaim{Identity: identity, RequestId: requestID, State: state}}})
+	_, err := n.proposeClaim(ctx, &pb.Command{Body: &pb.Command_FinishClaim{FinishClaim: &pb.FinishClaim{Identity: identity, RequestId: requestID, State: state}}})
 	return err
 }
 
-func (n *node) claimCommand(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
+func (n *node) proposeClaim(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	r, err := n.Propose(ctx, cmd)
 	if e := r.GetError(); e != nil {
 		return nil, errkind.New(errkind.Kind(e.GetKind()), "%s", e.GetMessage())
@@ -147,23 +150,24 @@
 	return r, err
 }
 
-// dispatch is the end of the chain: one run at the engine, or the reading of an earlier one.
+// dispatch is the end of the chain: it starts a run at the engine, or waits for the result of an
+// earlier one.
 func (n *node) dispatch(w http.ResponseWriter, r *http.Request) error {
 	c := filter.CallFrom(r.Context())
 	id := c.ID
 	if c.Resume != nil {
 		id = c.Resume.EngineRequestID
 	}
-	if _, known := n.fl.engine.run(id); !known || c.Resume == nil || n.fl.engine.refusing.Load() {
+	if _, known := n.fleet.engine.run(id); !known || c.Resume == nil || n.fleet.engine.refusing.Load() {
 		if c.Resume != nil && !c.Idempotent {
-			return errkind.New(errkind.OutcomeUnknown, "the engine doesn't know the run")
+			return errkind.New(errkind.OutcomeUnknown, "the engine does not know the run")
 		}
-		if err := n.runAnew(c); err != nil {
+		if err := n.startRun(c); err != nil {
 			return err
 		}
 		id = c.ID
 	}
-	found, _ := n.fl.engine.run(id)
+	found, _ := n.fleet.engine.run(id)
 	c.Usage = filter.Usage{Output: found.tokens}
 	select {
 	case <-time.After(time.Until(found.end)):
@@ -175,28 +179,29 @@
 	return nil
 }
 
-func (n *node) runAnew(c *filter.Call) error {
-	if before := n.fl.engine.beforeRun; before != nil {
-		before(c)
+func (n *node) startRun(c *filter.Call) error {
+	if beforeRun := n.fleet.engine.beforeRun; beforeRun != nil {
+		beforeRun(c)
 	}
 	rec := c.NextRecord()
 	rec.Server, rec.EngineRequestId = "engine", c.ID
 	n.records.Update(rec)
-	if n.fl.fate("refuse/"+c.Identity, 50) {
-		return errkind.New(errkind.NoBackendServer, "no room")
+	if n.fleet.occurs("refuse/"+c.Identity, 50) {
+		return errkind.New(errkind.NoBackendServer, "the engine has no room")
 	}
-	if n.fl.engine.refusing.Load() || n.fl.fate("refuse for good/"+c.Identity, 50) {
-		return errkind.New(errkind.UnknownModel, "the engine doesn't serve it")
+	if n.fleet.engine.refusing.Load() || n.fleet.occurs("refuse for good/"+c.Identity, 50) {
+		return errkind.New(errkind.UnknownModel, "the engine does not serve the request")
 	}
-	if !n.fl.engine.begin(n, c) {
+	if !n.fleet.engine.begin(n, c) {
 		return errkind.New(errkind.Internal, "this host is dead")
 	}
 	c.Dispatched = true
 	return nil
 }
 
-// arrival is one request at one host and its answer; neither ok nor refused: the host died.
-type arrival struct {
+// submission is one request sent to one host, and its answer. If it is neither ok nor refused,
+// the host died.
+type submission struct {
 	id, identity string
 	idempotent   bool
 	ok           bool
@@ -204,10 +209,10 @@
 	start, end   time.Time
 }
 
-// arrive sends a request to a host, as a caller who waits for the answer.
-func (f *fleet) arrive(host, key string, idempotent bool) (a arrival) {
+// submit sends a request to a host, as a caller who waits for the answer.
+func (f *fleet) submit(host, key string, idempotent bool) (a submission) {
 	number := f.draw("arrival/"+key, 1<<30)
-	a = arrival{id: fmt.Sprintf("%s@%s/%x", key, host, number), identity: "acc/" + key, idempotent: idempotent, start: time.Now()}
+	a = submission{id: fmt.Sprintf("%s@%s/%x", key, host, number), identity: "acc/" + key, idempotent: idempotent, start: time.Now()}
 	defer func() { a.end = time.Now() }()
 	n := f.node(host)
 	if n == nil {
@@ -217,7 +222,7 @@
 	c := &filter.Call{
 		ID: a.id, AccountName: "acc", Account: &settings.Account{Budget: budgetName}, TeamName: "t", Team: &settings.Team{Copies: 1},
 		Idempotent: idempotent, BodyHash: xxhash.Sum64String(key), Deadline: deadline,
-		Reserved: reserved(a.identity), PromptTokens: reserved(a.identity) / 4, // an estimate, as the parse filter makes it
+		Reserved: reserved(a.identity), PromptTokens: reserved(a.identity) / 4, // an estimate, as made by the parse filter
 	}
 	if !idempotent {
 		c.Kind = filter.WorkService
@@ -229,15 +234,15 @@
 	w := httptest.NewRecorder()
 	err := n.chain.ServeHTTP(w, r)
 	if f.node(host) != n {
-		return a // the answer died with its host
+		return a // the host died before it answered
 	}
 	a.refusal = filter.Truthful(c, err)
 	a.ok = a.refusal == nil
 	if a.ok && w.Body.String() != a.identity {
-		// A refusal that an earlier arrival got may be replayed as well.
+		// This may be the replayed refusal of an earlier submission.
 		a.ok = false
 		if w.Code < http.StatusBadRequest {
-			f.t.Errorf("%s got the answer %q", a.id, w.Body)
+			f.t.Errorf("request %s got the wrong answer %q", a.id, w.Body)
 		}
 	}
 	return a
--- a/internal/proof/claims_test.go
+++ b/internal/proof/claims_test.go
@@ -11,15 +11,15 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// claimOutput is what one arrival saw, with what the engine did for it.
+// claimOutput is the outcome of one submission: whether the engine ran it, and its answer.
 type claimOutput struct {
-	ran, ok bool
-	told    errkind.Ran // of a refusal; empty: an answer, or none at all
+	ran, ok  bool
+	reported errkind.Ran // of a refusal; empty for an answer, or if there was none
 }
 
-// runOnce is the model of one identity. State: whether it has run. An arrival that runs it
-// finds it not run; an answer comes after the run, and so does the word that it ran; the
-// word that this arrival did not run it is true.
+// runOnce is the model of one identity, whose state is whether it has run. A submission that
+// runs it must find it not run, and must not be refused with 'ran no'; an answer must come
+// after the run.
 var runOnce = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make(map[string][]porcupine.Operation)
@@ -37,7 +37,7 @@
 		has, o := state.(bool), output.(claimOutput)
 		switch {
 		case o.ran:
-			return !has && o.told != errkind.RanNo, true
+			return !has && o.reported != errkind.RanNo, true
 		case o.ok:
 			return has, has
 		}
@@ -45,14 +45,13 @@
 	},
 }
 
-// TestClaimsRunOnce
+// TestClaimsRunOnce sends each request to up to four hosts, concurrently and later, while
+// messages are lost, delayed and duplicated, hosts are cut off from each other and from the
+// control group, and hosts die.
 //
-// Symptom: a request marked not idempotent runs twice, is answered without a run, or its
-// caller is told that it did not run while it did.
-// Sequence: each request is sent to three or four hosts at once and later, over messages
-// lost, late and doubled, in cuts of hosts from each other and from the control group, and
-// over deaths of hosts.
-// Cause: a run without a claim, a claim won twice, or a claim given back after a run.
+// A run without a claim, a claim won twice, or a claim given up after a run would make a
+// request that is not idempotent run twice, be answered without a run, or be refused as not
+// run although it ran.
 func TestClaimsRunOnce(t *testing.T) {
 	for seed := range int64(10) {
 		withFleet(t, seed, 6, 100_000, func(f *fleet) {
@@ -67,45 +66,45 @@
 				}
 				switch i % 20 {
 				case 4:
-					f.cut(f.names[rng.Intn(6)], f.names[rng.Intn(6)])
+					f.cutOff(f.names[rng.Intn(6)], f.names[rng.Intn(6)])
 				case 9:
 					victim := f.names[1+rng.Intn(5)]
 					f.kill(victim)
 					f.start(victim)
 				case 16:
-					f.cut()
+					f.cutOff()
 				}
 			}
 			c.wg.Wait()
 			f.heal()
-			history := claimHistory(f, c.arrivals)
+			history := claimHistory(f, c.submissions)
 			if !porcupine.CheckOperations(runOnce, history) {
-				f.t.Errorf("seed %d: no order of the arrivals has each identity run once", seed)
+				f.t.Errorf("seed %d: no order of the submissions has each identity run once", seed)
 			}
-			served, notRun := f.checkAnswers(c.arrivals)
-			f.t.Logf("seed %d: %d arrivals, %d answered, %d refused as not run (%d ran before elsewhere), %d identities ran",
-				seed, len(history), served, notRun, f.toldTooMuch(c.arrivals), len(f.engine.byIdentity))
+			served, notRun := f.checkAnswers(c.submissions)
+			f.t.Logf("seed %d: %d submissions, %d answered, %d refused as not run (%d ran before elsewhere), %d identities ran",
+				seed, len(history), served, notRun, f.countMisleadingRefusals(c.submissions), len(f.engine.byIdentity))
 			if served == 0 || notRun == 0 {
-				f.t.Error("nothing was tried")
+				f.t.Error("the run did not contain both answers and refusals")
 			}
 		})
 	}
 }
 
-func claimHistory(f *fleet, arrivals []arrival) []porcupine.Operation {
+func claimHistory(f *fleet, submissions []submission) []porcupine.Operation {
 	var history []porcupine.Operation
-	for i, a := range arrivals {
+	for i, a := range submissions {
 		_, ran := f.engine.run(a.id)
 		o := claimOutput{ran: ran, ok: a.ok}
 		end := a.end
 		if a.refusal != nil {
-			o.told = a.refusal.Ran()
+			o.reported = a.refusal.Ran()
 		}
-		if !a.ok && a.refusal == nil { // its host died: what it did may come at any later time
+		if !a.ok && a.refusal == nil { // its host died: its effects may occur at any later time
 			end = end.Add(time.Hour)
 		}
 		history = append(history, porcupine.Operation{
-			ClientId: i, Input: a.identity, Call: int64(f.at(a.start)), Output: o, Return: int64(f.at(end)),
+			ClientId: i, Input: a.identity, Call: int64(f.elapsed(a.start)), Output: o, Return: int64(f.elapsed(end)),
 		})
 	}
 	return history
--- a/internal/proof/deaths_test.go
+++ b/internal/proof/deaths_test.go
@@ -15,22 +15,22 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// longestRequest bounds requests in recoveries.
+// longestRequest is the maximum duration of a request in recoveries.
 const longestRequest = 10 * time.Second
 
-// kill ends a host at once and takes it out of the fleet by an operator's word.
+// kill stops a host immediately and removes it from the fleet as an operator does.
 func (f *fleet) kill(name string) {
-	f.noteUncopied(name)
+	f.recordUncopied(name)
 	f.mu.Lock()
 	n := f.nodes[name]
 	delete(f.nodes, name)
 	f.mu.Unlock()
-	n.end()
+	n.stop()
 	f.apply(&pb.Command{OpId: fmt.Sprint("remove", n.self), Body: &pb.Command_RemoveHost{RemoveHost: &pb.RemoveHost{Host: name, Incarnation: n.self.GetIncarnation()}}})
-	f.tellHosts()
+	f.notifyHosts()
 }
 
-// recover has a host look once for dead incarnations.
+// recover makes a host look once for dead incarnations and recover them.
 func (f *fleet) recover(host string) repair.Result {
 	n := f.node(host)
 	c := repair.New(repair.Config{
@@ -43,9 +43,9 @@
 	return result
 }
 
-// noteUncopied notes the unbilled runs of a host that no other host seems to know of. They are lost
-// with it: a request begins also where no host takes the copy in time.
-func (f *fleet) noteUncopied(name string) {
+// recordUncopied records the unbilled runs of a host that no other host knows of. Their bills
+// are lost with the host: a request starts even if no host accepts a copy in time.
+func (f *fleet) recordUncopied(name string) {
 	bills := f.bills()
 	for id, r := range f.engine.byID {
 		if !strings.Contains(id, "@"+name+"/") || len(bills[r.identity]) > 0 {
@@ -64,13 +64,13 @@
 	}
 }
 
-// usage is the engine's word on a run whose host died, for recoveries; a service gives none.
+// usage returns the tokens of a run whose host died, for recoveries; a service reports none.
 func (e *engine) usage(_ context.Context, rec *pb.InflightRecord) (prompt, output uint64, known bool) {
 	r, ok := e.run(rec.GetEngineRequestId())
 	return 0, r.tokens, ok && rec.GetIdempotent() && !time.Now().Before(r.end)
 }
 
-// recoverUntil looks for dead incarnations every two seconds, as one living host does.
+// recoverUntil recovers dead incarnations every two seconds from one live host, until ctx ends.
 func (f *fleet) recoverUntil(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.recover("h0")
@@ -78,20 +78,19 @@
 	}
 }
 
-// TestHoldersDie
+// TestHoldersDie kills hosts with open streams and unsettled bills, also two in a row and during
+// a partition, and restarts them as new incarnations, while callers retry at other hosts,
+// recoveries run all the time and operators top up.
 //
-// Symptom: a dead host's tokens spent twice, its runs billed twice, never or by a guess
-// that is too low; tokens locked for good.
-// Sequence: hosts die with streams open and bills unsettled, two in a row, also during a
-// cut; they come back as new incarnations; callers retry elsewhere; recoveries run all the
-// time; operators top up.
-// Cause: a bill, a transfer or a fence missing in the recovery; a takeover billed apart.
+// If a bill, a transfer or a fence were missing in a recovery, or a takeover billed separately,
+// a dead host's tokens would be spent twice, its runs billed twice, never or by an estimate
+// that is too low, or tokens would stay granted forever.
 func TestHoldersDie(t *testing.T) {
-	// Each of them has failed once.
+	// Each of these seeds has failed once.
 	for _, seed := range []int64{0, 1, 2, 3, 4, 5, 6, 31, 38, 49, 58, 71, 73, 79, 80, 85, 88, 90} {
 		withFleet(t, seed, 7, 4000, func(f *fleet) {
 			rng := rand.New(rand.NewSource(seed))
-			f.faults = faults{lost: 15, answerLost: 25, doubled: 40, delayed: 15, longest: 2 * time.Second}
+			f.faults = faults{lost: 15, answerLost: 25, duplicated: 40, delayed: 15, maxDelay: 2 * time.Second}
 			ctx, cancel := context.WithCancel(context.Background())
 			var recovering sync.WaitGroup
 			recovering.Go(func() { f.recoverUntil(ctx) })
@@ -103,18 +102,18 @@
 				c.send(fmt.Sprint("k", i), rng.Intn(4) > 0, pause, f.names[rng.Intn(7)], f.names[rng.Intn(7)], f.names[rng.Intn(7)])
 				switch i % 40 {
 				case 8:
-					f.cut(f.names[1+rng.Intn(6)], f.names[1+rng.Intn(6)], f.names[1+rng.Intn(6)])
-				case 12, 16: // the second time its name's next holder dies soon after
+					f.cutOff(f.names[1+rng.Intn(6)], f.names[1+rng.Intn(6)], f.names[1+rng.Intn(6)])
+				case 12, 16: // the second time, the host may die again soon after its restart
 					if dead != "" {
 						f.start(dead)
 					}
-					time.Sleep(time.Second) // copies are made again
+					time.Sleep(time.Second) // until copies have been made again
 					dead = f.names[1+rng.Intn(6)]
 					f.kill(dead)
 				case 24:
 					f.topUp(fmt.Sprint("op", i), 300)
 				case 32:
-					f.cut()
+					f.cutOff()
 					f.start(dead)
 					dead = ""
 				}
@@ -124,19 +123,20 @@
 			recovering.Wait()
 			f.recoverAll()
 			f.healAndDrain()
-			f.retire()
+			f.removeAll()
 			f.check()
-			served, notRun := f.checkAnswers(c.arrivals)
-			f.t.Logf("seed %d: %d answered, %d refused as not run, %d recovered bills, %d by reservation, %d lost uncopied, %d of %d billed",
-				seed, served, notRun, len(f.guessed), f.guesses(), f.lost, f.budget().GetBilled(), f.budget().GetFunded())
-			if served == 0 || len(f.guessed) == 0 || f.lost > 2 {
-				f.t.Error("nothing was tried")
+			served, notRun := f.checkAnswers(c.submissions)
+			f.t.Logf("seed %d: %d answered, %d refused as not run, %d recovered bills, %d by reservation, %d lost, %d of %d tokens billed",
+				seed, served, notRun, len(f.estimated), f.estimates(), f.lostBills, f.budget().GetBilled(), f.budget().GetFunded())
+			if served == 0 || len(f.estimated) == 0 || f.lostBills > 2 {
+				f.t.Error("the run had no answers or no recovered bills, or lost more than 2 bills")
 			}
 		})
 	}
 }
 
-// recoverAll ends all faults and recovers the dead, once their requests can't run any more.
+// recoverAll ends all faults and recovers the dead hosts once their requests can't be running
+// any more.
 func (f *fleet) recoverAll() {
 	f.heal()
 	for range 5 {
@@ -144,13 +144,13 @@
 		f.recover("h0")
 	}
 	if w := f.recover("h0").Waiting; len(w) > 0 {
-		f.t.Errorf("recoveries wait for ever: %+v", w)
+		f.t.Errorf("recoveries are still waiting: %+v", w)
 	}
 }
 
-// retire has all hosts leave after their drain. A doubled ask that comes to the giver's
-// next incarnation strands tokens there until then.
-func (f *fleet) retire() {
+// removeAll kills all hosts after their drain and recovers them. A duplicate ask that reaches
+// the sender's next incarnation strands tokens there until then.
+func (f *fleet) removeAll() {
 	for _, name := range f.names {
 		f.kill(name)
 	}
@@ -158,22 +158,20 @@
 	f.recoverAll()
 }
 
-func (f *fleet) guesses() int {
+func (f *fleet) estimates() int {
 	n := 0
-	for _, guessed := range f.guessed {
-		if guessed {
+	for _, estimated := range f.estimated {
+		if estimated {
 			n++
 		}
 	}
 	return n
 }
 
-// TestRefusedElsewhereStillBilled
-//
-// Symptom: a run's tokens are billed nowhere and released.
-// Sequence: a host dies just after dispatch; the caller's retry elsewhere is refused for
-// good by the engine; the dead host is recovered.
-// Cause: any finished record elsewhere taken for a bill.
+// TestRefusedElsewhereStillBilled kills a host just after dispatch; the caller's retry at
+// another host is refused permanently by the engine, and the dead host is recovered. If any
+// finished record at another host counted as a bill, the run's tokens would be freed without
+// being billed.
 func TestRefusedElsewhereStillBilled(t *testing.T) {
 	withFleet(t, 1, 5, 1000, func(f *fleet) {
 		c := &callers{f: f}
@@ -183,8 +181,8 @@
 		}
 		f.kill("h1")
 		f.engine.refusing.Store(true)
-		if a := f.arrive("h2", "k", true); a.ok {
-			f.t.Fatal("the retry was answered, so nothing was tried")
+		if a := f.submit("h2", "k", true); a.ok {
+			f.t.Fatal("the retry was answered, but the test needs a refusal")
 		}
 		c.wg.Wait()
 		f.recoverAll()
--- a/internal/proof/fleet.go
+++ b/internal/proof/fleet.go
@@ -1,7 +1,8 @@
-// Package proof joins the real parts that keep the promises of prepaid budgets: the
-// replicated state, grants, in-flight records, recovery and the filters of the request
-// chain. Faults come at two interfaces, to the control group and between hosts. Time is
-// virtual and each run is made from a seed, which failures print.
+// Package proof tests the guarantees of prepaid budgets with the real components that
+// implement them: the replicated state, grants, in-flight records, recovery and the filters
+// of the request chain. Faults are injected at two interfaces, between hosts and the control
+// group and between hosts. Time is virtual, and each test run is generated from a seed, which
+// failures print.
 package proof
 
 import (
@@ -31,59 +32,62 @@
 
 const (
 	budgetName = "school"
-	// attemptWait is how long one attempt to propose waits before it is sent again.
-	attemptWait = 300 * time.Millisecond
+	// proposeTimeout is how long one attempt to propose a command waits before it is resent.
+	proposeTimeout = 300 * time.Millisecond
 )
 
 func TestMain(m *testing.M) {
-	zerolog.SetGlobalLevel(zerolog.Disabled) // lost ends of claims are part of the runs
+	zerolog.SetGlobalLevel(zerolog.Disabled) // unreported ends of claims are expected in the runs
 	os.Exit(m.Run())
 }
 
-// fleet is hosts with their real controllers, one replicated state, and an engine.
+// fleet consists of hosts with their real controllers, one replicated state, and an engine.
 type fleet struct {
 	t      *testing.T
 	seed   int64
 	engine *engine
 
-	mu     sync.Mutex
-	faults faults
-	drawn  map[string]int
-	side   map[string]int
-	nodes  map[string]*node
-	names  []string
-	state  *apply.State
-	boots  int
-	began  time.Time
-	// funds is what operators meant to fund.
-	funds uint64
-	// guessed are the identities that a recovery billed by their reservation.
-	guessed map[string]bool
-	// short are those of whose bill by a guess a recovery took in a part only.
-	short map[string]shortBill
-	// uncopied are those whose run was known to its host alone when it died.
+	mu         sync.Mutex
+	faults     faults
+	drawCounts map[string]int
+	partition  map[string]int
+	nodes      map[string]*node
+	names      []string
+	state      *apply.State
+	boots      int
+	startedAt  time.Time
+	// intendedFunds is the total that operators intended to fund.
+	intendedFunds uint64
+	// estimated holds an entry for each identity in a recovery's bills, true if it was billed
+	// by its reservation.
+	estimated map[string]bool
+	// partialBills holds the estimated bills that the ledger accepted only in part during a
+	// recovery.
+	partialBills map[string]partialBill
+	// uncopied holds the identities whose run was known only to its host when the host died.
 	uncopied map[string]bool
-	// lost is how many of these were billed nowhere.
-	lost int
+	// lostBills is the number of runs that were not billed, or not fully, for a known reason.
+	lostBills int
 }
 
 // node is one incarnation of a host.
 type node struct {
-	fl      *fleet
+	fleet   *fleet
 	self    *pb.Holder
 	grants  *grants.Manager
 	records *records.Controller
 	claims  *claim.Filter
 	chain   filter.Handler
-	end     func()
+	stop    func()
 }
 
-// withFleet runs f in a bubble with hosts h0, h1, ... and a funded budget, without faults.
+// withFleet calls run in a synctest bubble with hosts h0, h1, ... and a funded budget, without
+// faults.
 func withFleet(t *testing.T, seed int64, hosts int, funds uint64, run func(f *fleet)) {
 	t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fleet{
-				t: t, seed: seed, drawn: make(map[string]int), side: make(map[string]int), nodes: make(map[string]*node), funds: funds, began: time.Now(), guessed: make(map[string]bool), uncopied: make(map[string]bool), short: make(map[string]shortBill),
+				t: t, seed: seed, drawCounts: make(map[string]int), partition: make(map[string]int), nodes: make(map[string]*node), intendedFunds: funds, startedAt: time.Now(), estimated: make(map[string]bool), uncopied: make(map[string]bool), partialBills: make(map[string]partialBill),
 				state: apply.New(apply.Options{Ledger: ledger.Options{StatementLines: 1 << 20}}),
 			}
 			f.engine = newEngine(f)
@@ -94,7 +98,7 @@
 			}
 			defer func() {
 				for _, n := range f.nodes {
-					n.end()
+					n.stop()
 				}
 			}()
 			run(f)
@@ -102,35 +106,35 @@
 	})
 }
 
-// start registers a new incarnation of a host and runs it.
+// start registers a new incarnation of a host and starts it.
 func (f *fleet) start(name string) {
 	f.mu.Lock()
 	f.boots++
 	boot := fmt.Sprint("boot", f.boots)
 	f.mu.Unlock()
 	registered := f.apply(&pb.Command{Body: &pb.Command_RegisterHost{RegisterHost: &pb.RegisterHost{Host: name, Zone: zoneOf(name), BootId: boot}}})
-	n := &node{fl: f, self: registered.GetRegisterHost().GetHolder()}
+	n := &node{fleet: f, self: registered.GetRegisterHost().GetHolder()}
 	n.records = records.New(records.Config{Store: inflight.Config{Self: n.self, Zone: zoneOf(name)}, Peers: n, Log: zerolog.Nop()})
 	n.grants = grants.New(grants.Config{
 		Self: n.self, Proposer: n, Asker: n, Recorder: n.records, OnSettled: n.records.Settled, Log: zerolog.Nop(), Seed: f.seed,
 	})
 	n.records.SetGrants(n.grants)
-	n.serve()
+	n.buildChain()
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { n.grants.Run(ctx) })
 	wg.Go(func() { n.records.Run(ctx) })
-	n.end = func() { cancel(); wg.Wait() }
+	n.stop = func() { cancel(); wg.Wait() }
 	f.mu.Lock()
 	f.nodes[name] = n
 	f.mu.Unlock()
-	f.tellHosts()
+	f.notifyHosts()
 }
 
 func zoneOf(name string) string { return string("xyz"[int(name[1]-'0')%3]) }
 
-// tellHosts gives each host its view: the hosts on its side.
-func (f *fleet) tellHosts() {
+// notifyHosts updates each host's list of live hosts: those on its side of the partition.
+func (f *fleet) notifyHosts() {
 	f.mu.Lock()
 	views := make(map[*node][]inflight.Host)
 	for _, n := range f.nodes {
@@ -144,11 +148,11 @@
 	}
 }
 
-// peersOf is the live hosts on n's side, n included; f.mu is held.
+// peersOf returns the live hosts on n's side of the partition, including n; f.mu is held.
 func (f *fleet) peersOf(n *node) []string {
 	var peers []string
 	for _, name := range f.names {
-		if f.nodes[name] != nil && f.side[name] == f.side[n.self.GetHost()] {
+		if f.nodes[name] != nil && f.partition[name] == f.partition[n.self.GetHost()] {
 			peers = append(peers, name)
 		}
 	}
@@ -161,17 +165,17 @@
 	return f.nodes[name]
 }
 
-// apply commits one record and checks the promise in the state behind it.
+// apply commits one record and checks in the resulting state that the budget isn't overspent.
 func (f *fleet) apply(cmd *pb.Command) *pb.CommandResult {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	cmd = proto.CloneOf(cmd)
 	cmd.TimeMs = time.Now().UnixMilli()
 	result := f.state.Apply(f.state.Applied()+1, cmd)
-	f.noteRecovery(cmd.GetRecoverHolder(), result)
+	f.recordEstimates(cmd.GetRecoverHolder(), result)
 	for _, bill := range cmd.GetRecoverHolder().GetBills() {
 		id := bill.GetIdentity()
-		f.guessed[id] = f.guessed[id] || bill.GetTokens() == reserved(id)
+		f.estimated[id] = f.estimated[id] || bill.GetTokens() == reserved(id)
 	}
 	b := f.budget()
 	held := b.GetBilled()
@@ -179,15 +183,15 @@
 		held += g.GetTokens()
 	}
 	if held > b.GetFunded() {
-		f.t.Errorf("record %d: %d tokens billed or granted, %d funded", result.GetIndex(), held, b.GetFunded())
+		f.t.Errorf("record %d: %d tokens billed or granted, but only %d funded", result.GetIndex(), held, b.GetFunded())
 	}
 	if e := result.GetError(); e.GetKind() == string(errkind.Internal) {
-		f.t.Errorf("record %d refused: %s: %v", f.state.Applied(), e.GetMessage(), cmd)
+		f.t.Errorf("record %d was refused: %s: %v", f.state.Applied(), e.GetMessage(), cmd)
 	}
 	return result
 }
 
-// budget reads the state; f.mu is held.
+// budget returns the budget in the replicated state; f.mu is held.
 func (f *fleet) budget() *pb.Budget {
 	q := f.state.Query(&pb.Query{Body: &pb.Query_Budget{Budget: &pb.BudgetQuery{Name: budgetName}}})
 	if len(q.GetBudgets()) == 0 {
@@ -196,21 +200,21 @@
 	return q.GetBudgets()[0]
 }
 
-// topUp is an operator's: it resends until it has an answer.
+// topUp adds funds as an operator does: it resends the command until it has an answer.
 func (f *fleet) topUp(op string, tokens uint64) {
-	f.funds += tokens
+	f.intendedFunds += tokens
 	cmd := &pb.Command{OpId: op, Body: &pb.Command_TopUp{TopUp: &pb.TopUp{Budget: budgetName, Tokens: tokens}}}
-	for f.apply(cmd); f.fate("top-up", f.network().answerLost*3); {
+	for f.apply(cmd); f.occurs("top-up", f.network().answerLost*3); {
 		f.apply(cmd)
 	}
 }
 
-// Propose implements grants.Proposer and repair.Control. Like the real client it resends
-// until ctx ends.
+// Propose implements grants.Proposer and repair.Control. Like the real client, it resends the
+// command until ctx ends.
 func (n *node) Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	for ctx.Err() == nil {
-		attempt, cancel := context.WithTimeout(ctx, attemptWait)
-		result, err := deliver(attempt, n.fl, n, ledgerSide, func() (*pb.CommandResult, error) { return n.fl.apply(cmd), nil })
+		attempt, cancel := context.WithTimeout(ctx, proposeTimeout)
+		result, err := deliver(attempt, n.fleet, n, ledgerSide, func() (*pb.CommandResult, error) { return n.fleet.apply(cmd), nil })
 		cancel()
 		if err == nil {
 			return result, nil
@@ -221,24 +225,24 @@
 
 // Hosts implements repair.Control.
 func (n *node) Hosts(ctx context.Context) ([]*pb.HostInfo, error) {
-	return deliver(ctx, n.fl, n, ledgerSide, func() ([]*pb.HostInfo, error) {
-		n.fl.mu.Lock()
-		defer n.fl.mu.Unlock()
-		return n.fl.state.Query(&pb.Query{Body: &pb.Query_Hosts{Hosts: &pb.HostsQuery{}}}).GetHosts(), nil
+	return deliver(ctx, n.fleet, n, ledgerSide, func() ([]*pb.HostInfo, error) {
+		n.fleet.mu.Lock()
+		defer n.fleet.mu.Unlock()
+		return n.fleet.state.Query(&pb.Query{Body: &pb.Query_Hosts{Hosts: &pb.HostsQuery{}}}).GetHosts(), nil
 	})
 }
 
 // Peers implements grants.Asker.
 func (n *node) Peers() []string {
-	n.fl.mu.Lock()
-	defer n.fl.mu.Unlock()
-	return slices.DeleteFunc(n.fl.peersOf(n), func(name string) bool { return name == n.self.GetHost() })
+	n.fleet.mu.Lock()
+	defer n.fleet.mu.Unlock()
+	return slices.DeleteFunc(n.fleet.peersOf(n), func(name string) bool { return name == n.self.GetHost() })
 }
 
-// call has a host's present incarnation handle a call.
+// call delivers a call to the current incarnation of a host.
 func call[T any](ctx context.Context, n *node, host string, handle func(to *node) T) (T, error) {
-	return deliver(ctx, n.fl, n, host, func() (T, error) {
-		to := n.fl.node(host)
+	return deliver(ctx, n.fleet, n, host, func() (T, error) {
+		to := n.fleet.node(host)
 		if to == nil {
 			var none T
 			return none, errLost
--- a/internal/proof/ledger_linear_test.go
+++ b/internal/proof/ledger_linear_test.go
@@ -26,15 +26,15 @@
 	tokens uint64
 }
 
-// book is the model's state of one budget, and what a read shows of it.
-type book struct{ funded, granted uint64 }
+// budgetState is the model's state of one budget, and the output of a read.
+type budgetState struct{ funded, granted uint64 }
 
-// ledgerModel is one budget: a top-up counts once and tells the funds behind it, an acquire
-// gets its need or what is left.
+// ledgerModel is the model of one budget: a top-up counts once and returns the resulting funds;
+// an acquire gets its need, or the remaining tokens if they are fewer.
 var ledgerModel = porcupine.Model{
-	Init: func() any { return book{funded: 500} },
+	Init: func() any { return budgetState{funded: 500} },
 	Step: func(state, input, output any) (bool, any) {
-		b, in := state.(book), input.(ledgerInput)
+		b, in := state.(budgetState), input.(ledgerInput)
 		switch in.kind {
 		case opTopUp:
 			b.funded += in.tokens
@@ -48,8 +48,8 @@
 	},
 }
 
-// operate does one operation at a host, resent until it is answered.
-func (f *fleet) operate(n *node, name string, seq uint64, in ledgerInput) (output any, ok bool) {
+// execute executes one operation from a host, which resends it until it is answered.
+func (f *fleet) execute(n *node, name string, seq uint64, in ledgerInput) (output any, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	switch in.kind {
@@ -62,10 +62,10 @@
 		}}})
 		return r.GetAcquire().GetAmount(), err == nil
 	}
-	b, err := deliver(ctx, f, n, ledgerSide, func() (book, error) {
+	b, err := deliver(ctx, f, n, ledgerSide, func() (budgetState, error) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		now := book{funded: f.budget().GetFunded()}
+		now := budgetState{funded: f.budget().GetFunded()}
 		for _, g := range f.budget().GetGranted() {
 			now.granted += g.GetTokens()
 		}
@@ -74,13 +74,13 @@
 	return b, err == nil
 }
 
-// TestLedgerIsLinearizable
+// TestLedgerIsLinearizable has five clients top up, read and acquire concurrently. Commands and
+// answers are lost, delayed and duplicated, and each command is resent until it is answered;
+// hosts are cut off for a while.
 //
-// Symptom: an operator funds twice, reads less than was confirmed, or a holder is granted
-// what another was granted.
-// Sequence: five clients top up, read and acquire at once; commands and answers are lost,
-// late and doubled, and each is resent until it is answered; hosts are cut off for a while.
-// Cause: a resend counted twice, or answered by another state than the one it made.
+// If a resend were counted twice, or answered from another state than the one that the command
+// produced, an operator would fund twice or read less than was confirmed, or a holder would be
+// granted tokens of another one.
 func TestLedgerIsLinearizable(t *testing.T) {
 	for seed := range int64(10) {
 		withFleet(t, seed, 5, 500, func(f *fleet) {
@@ -98,14 +98,14 @@
 						if in.kind == opAcquire {
 							seq++
 						}
-						call := f.at(time.Now())
-						output, ok := f.operate(f.node(name), fmt.Sprint(name, "/", i), seq, in)
+						call := f.elapsed(time.Now())
+						output, ok := f.execute(f.node(name), fmt.Sprint(name, "/", i), seq, in)
 						if !ok && in.kind != opRead {
 							f.t.Errorf("%s: operation %d was never answered", name, i)
 						}
 						if ok {
 							mu.Lock()
-							history = append(history, porcupine.Operation{ClientId: client, Input: in, Call: int64(call), Output: output, Return: int64(f.at(time.Now()))})
+							history = append(history, porcupine.Operation{ClientId: client, Input: in, Call: int64(call), Output: output, Return: int64(f.elapsed(time.Now()))})
 							mu.Unlock()
 						}
 					}
@@ -113,9 +113,9 @@
 			}
 			for range 3 {
 				time.Sleep(2 * time.Second)
-				f.cut("h1", "h3")
+				f.cutOff("h1", "h3")
 				time.Sleep(1500 * time.Millisecond)
-				f.cut()
+				f.cutOff()
 			}
 			clients.Wait()
 			if result := porcupine.CheckOperationsTimeout(ledgerModel, history, 10*time.Second); result != porcupine.Ok {
