--- a/internal/grant/acquire.go
+++ b/internal/grant/acquire.go
@@ -73,7 +73,7 @@
 		return
 	}
 	if now.Sub(b.acquire.last) >= h.cfg.ProbeTimeout {
-		h.sendAgain(now, &b.acquire, out)
+		h.resend(now, &b.acquire, out)
 	}
 	for _, w := range b.waiters {
 		if !w.ledgerTried {
@@ -137,8 +137,8 @@
 		target = min(target, b.ledgerFree+b.reserve.tokens)
 	}
 	if b.levelKnown && b.policy.OpenPermille > 0 {
-		const whole = 1000
-		target = min(target, b.unbilled/whole*uint64(b.policy.OpenPermille))
+		const permille = 1000
+		target = min(target, b.unbilled/permille*uint64(b.policy.OpenPermille))
 	}
 	return target - min(target, b.free)
 }
@@ -251,10 +251,10 @@
 	if b.ledgerTimedOut(now, h.cfg) {
 		a.wait = min(2*a.wait, h.cfg.ResendMax)
 	}
-	h.sendAgain(now, a, out)
+	h.resend(now, a, out)
 }
 
-func (h *Holder) sendAgain(now time.Time, a *acquire, out *Output) {
+func (h *Holder) resend(now time.Time, a *acquire, out *Output) {
 	a.last = now
 	a.next = now.Add(a.wait)
 	out.Acquires = append(out.Acquires, a.msg)
--- a/internal/grant/outofcontact.go
+++ b/internal/grant/outofcontact.go
@@ -38,8 +38,8 @@
 // rateStale reports whether the ledger's rate differs from the wanted one by more than
 // rateTolerance.
 func (r *reserveState) rateStale(wanted uint64) bool {
-	const whole = 1000
-	return max(r.ledgerRate, wanted)-min(r.ledgerRate, wanted) > r.ledgerRate/whole*rateTolerance
+	const permille = 1000
+	return max(r.ledgerRate, wanted)-min(r.ledgerRate, wanted) > r.ledgerRate/permille*rateTolerance
 }
 
 // usableIn returns the time until the given number of tokens may be drawn; ok is false if
@@ -97,8 +97,8 @@
 
 // rateWanted returns the rate at which the reserve should become usable, in tokens per second.
 func (h *Holder) rateWanted(now time.Time, b *budget) uint64 {
-	const whole = 1000
-	return b.demand.tokens(now, b.policy, time.Second) * uint64(b.policy.ReserveRatePermille) / whole
+	const permille = 1000
+	return b.demand.tokens(now, b.policy, time.Second) * uint64(b.policy.ReserveRatePermille) / permille
 }
 
 // reserveWanted returns the number of tokens missing from the reserve required by the policy.
@@ -117,14 +117,14 @@
 	if b.reserve.tokens == 0 || b.policy.AtRiskPermille == 0 || !b.levelKnown || now.Sub(b.reserveReturned) < reserveReturnInterval {
 		return
 	}
-	const whole = 1000
-	most := b.unbilled / whole * uint64(b.policy.AtRiskPermille)
+	const permille = 1000
+	bound := b.unbilled / permille * uint64(b.policy.AtRiskPermille)
 	granted := b.unbilled - min(b.unbilled, b.ledgerFree)
-	if granted <= most+most/reserveReturnSlack {
+	if granted <= bound+bound/reserveReturnSlack {
 		return
 	}
 	b.reserveReturned = now
-	excess := uint64(float64(b.reserve.tokens) * float64(granted-most) / float64(granted))
+	excess := uint64(float64(b.reserve.tokens) * float64(granted-bound) / float64(granted))
 	h.returnReserveTokens(now, b, excess)
 }
 
@@ -146,7 +146,7 @@
 	reserveReturnSlack = 4
 )
 
-// refreshContact sends a batch even if there is nothing to settle when the last contact is
+// refreshContact makes a batch due even if there is nothing to settle when the last contact is
 // older than ContactInterval: if this holder dies, the ledger counts its reserve as spent
 // according to the time since the last contact.
 func (h *Holder) refreshContact(now time.Time) {
--- a/internal/grant/outofcontact_test.go
+++ b/internal/grant/outofcontact_test.go
@@ -77,10 +77,10 @@
 func TestContactRestartsHoldPeriod(t *testing.T) {
 	start := time.Unix(1000, 0)
 	h := newReserveHolder(start, 0, 1000)
-	whole := start.Add(reserve.HoldPeriod + reserveSpan)
-	h.Reserve(whole, "a", budgetName, 400, reservePolicy)
-	h.RecordContact(whole)
-	if ok, err := decision(h.Reserve(whole.Add(reserve.HoldPeriod), "b", budgetName, 100, reservePolicy), "b"); ok && err == nil {
+	allUsable := start.Add(reserve.HoldPeriod + reserveSpan)
+	h.Reserve(allUsable, "a", budgetName, 400, reservePolicy)
+	h.RecordContact(allUsable)
+	if ok, err := decision(h.Reserve(allUsable.Add(reserve.HoldPeriod), "b", budgetName, 100, reservePolicy), "b"); ok && err == nil {
 		t.Error("the reserve was spent within the hold period after a contact")
 	}
 }
--- a/internal/grant/settle.go
+++ b/internal/grant/settle.go
@@ -176,7 +176,7 @@
 		h.budget(t.GetBudget()).receivedInBatch -= t.GetTokens()
 	}
 	for _, l := range r.GetLevels() {
-		h.noteLevel(l)
+		h.updateLevel(l)
 	}
 	for _, bill := range done.GetBills() {
 		h.advance(now, h.budget(bill.GetBudget()), &out)
@@ -218,7 +218,7 @@
 	}
 }
 
-func (h *Holder) noteLevel(l *pb.BudgetLevel) {
+func (h *Holder) updateLevel(l *pb.BudgetLevel) {
 	b, ok := h.budgets[l.GetBudget()]
 	if !ok {
 		return
--- a/internal/ledger/budget.go
+++ b/internal/ledger/budget.go
@@ -18,9 +18,9 @@
 	funded  uint64
 	billed  uint64
 	bills   uint64
-	// intended is the total that operators funded. It is below funded only while more
-	// than intended is billed or granted; see SetFunds.
-	intended uint64
+	// operatorFunds is the total that operators funded. It is below funded only while more
+	// than operatorFunds is billed or granted; see SetFunds.
+	operatorFunds uint64
 	// granted is the sum of all grants; it is changed only in setGrant and dropGrant.
 	granted uint64
 	// activeHolders is the number of holders that have tokens.
@@ -48,8 +48,8 @@
 
 // reduceFunds deducts tokens that were returned to a lowered budget from its funds.
 func (b *budget) reduceFunds() {
-	if b.intended < b.funded {
-		b.funded = max(b.intended, b.billed+b.granted)
+	if b.operatorFunds < b.funded {
+		b.funded = max(b.operatorFunds, b.billed+b.granted)
 	}
 }
 
@@ -142,7 +142,7 @@
 // addBudget adds a new budget.
 func (s *State) addBudget(r Record, c *pb.CreateBudget) *budget {
 	b := &budget{
-		number: uint32(len(s.byNumber)), name: c.Name, account: c.Account, funded: c.Tokens, intended: c.Tokens,
+		number: uint32(len(s.byNumber)), name: c.Name, account: c.Account, funded: c.Tokens, operatorFunds: c.Tokens,
 		holders:   make(map[uint64]grant),
 		statement: statement{limit: s.options.StatementLines},
 	}
@@ -165,14 +165,14 @@
 		s.addBudget(r, &pb.CreateBudget{Name: name, Account: account, Tokens: total})
 		return
 	}
-	if total == b.intended {
+	if total == b.operatorFunds {
 		return
 	}
 	kind := lineTopUp
-	if total < b.intended {
+	if total < b.operatorFunds {
 		kind = lineLowered
 	}
-	b.intended = total
+	b.operatorFunds = total
 	b.funded = max(total, b.billed+b.granted)
 	b.statement.append(line{Index: r.Index, TimeMs: r.Now, Kind: kind, Tokens: total, Actor: r.Actor})
 	checkInvariant(b)
@@ -188,12 +188,12 @@
 	if err != nil {
 		return nil, false, errkind.New(errkind.NotFound, "no budget %q", t.Budget)
 	}
-	limit, ok := add(b.intended, t.Tokens)
+	total, ok := add(b.operatorFunds, t.Tokens)
 	if !ok || t.Tokens == 0 {
-		return nil, false, errkind.New(errkind.BadRequest, "%d tokens can't be added to %d", t.Tokens, b.intended)
+		return nil, false, errkind.New(errkind.BadRequest, "%d tokens can't be added to %d", t.Tokens, b.operatorFunds)
 	}
-	b.intended = limit
-	b.funded = max(limit, b.billed+b.granted)
+	b.operatorFunds = total
+	b.funded = max(total, b.billed+b.granted)
 	b.statement.append(line{Index: r.Index, TimeMs: r.Now, Kind: lineTopUp, Tokens: t.Tokens, Actor: r.Actor, Note: t.Note})
 	checkInvariant(b)
 	return s.recordOperation(r.OpID, b, false, t.Tokens), false, nil
@@ -273,9 +273,9 @@
 	if a.AtRiskPermille == 0 {
 		return math.MaxUint64 - a.Need
 	}
-	const whole = 1000
-	most := (b.funded - b.billed) / whole * uint64(a.AtRiskPermille)
-	return most - min(most, b.granted)
+	const permille = 1000
+	limit := (b.funded - b.billed) / permille * uint64(a.AtRiskPermille)
+	return limit - min(limit, b.granted)
 }
 
 // grantSize returns how many of the free tokens an Acquire gets: the need, or all free
--- a/internal/ledger/image.go
+++ b/internal/ledger/image.go
@@ -92,9 +92,9 @@
 		Name: b.name, Account: b.account, Funded: b.funded, Billed: b.billed, Bills: b.bills,
 		Lines: b.statement.ordered(),
 	}
-	if b.intended != b.funded {
-		limit := b.intended
-		im.Lowered = &limit
+	if b.operatorFunds != b.funded {
+		lowered := b.operatorFunds
+		im.Lowered = &lowered
 	}
 	for _, inc := range slices.Sorted(maps.Keys(b.holders)) {
 		g := b.holders[inc]
@@ -159,9 +159,9 @@
 		holders:   make(map[uint64]grant, len(im.Grants)),
 		statement: statement{limit: s.options.StatementLines},
 	}
-	b.intended = im.Funded
+	b.operatorFunds = im.Funded
 	if im.Lowered != nil {
-		b.intended = *im.Lowered
+		b.operatorFunds = *im.Lowered
 	}
 	committed := im.Billed
 	for _, g := range im.Grants {
--- a/internal/ledger/reserve_test.go
+++ b/internal/ledger/reserve_test.go
@@ -259,8 +259,8 @@
 }
 
 // advance advances the time of all hosts in steps, and calls Tick for each host in each step.
-func (f *fleet) advance(most int) {
-	for range rapid.IntRange(1, most).Draw(f.t, "steps") {
+func (f *fleet) advance(maxSteps int) {
+	for range rapid.IntRange(1, maxSteps).Draw(f.t, "steps") {
 		d := time.Duration(rapid.IntRange(50, 400).Draw(f.t, "ms")) * time.Millisecond
 		f.now = f.now.Add(d)
 		if h := f.host(); rapid.IntRange(0, 9).Draw(f.t, "suspended") == 0 {
@@ -392,9 +392,9 @@
 func (f *fleet) setClock(*rapid.T) {
 	ms := rapid.IntRange(int(-maxClockStepBack.Milliseconds()), 3000).Draw(f.t, "skew")
 	f.skew = time.Duration(ms) * time.Millisecond
-	most := int(maxClockStepBack.Milliseconds()) / 2
+	maxSkew := int(maxClockStepBack.Milliseconds()) / 2
 	for _, h := range f.hosts {
-		f.wallSkew[h] = time.Duration(rapid.IntRange(-most, most).Draw(f.t, "wall")) * time.Millisecond
+		f.wallSkew[h] = time.Duration(rapid.IntRange(-maxSkew, maxSkew).Draw(f.t, "wall")) * time.Millisecond
 	}
 }
 
