--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -123,16 +123,16 @@
 
 // observeLimit records the rate limit that a server advertises, or no longer advertises, in its
 // answer to a request that was sent at the given time.
-func (t *task) observeLimit(run instance.Incarnation, reply relay.Reply, sent time.Time) {
+func (t *task) observeLimit(inc instance.Incarnation, reply relay.Reply, sent time.Time) {
 	if reply.LimitUnreadable {
-		t.f.Limits.Unreadable(run, t.x.ID)
+		t.f.Limits.Unreadable(inc, t.x.ID)
 		return
 	}
 	w := ratelimit.Observation{Limit: reply.Limit, At: time.Now()}
 	if !w.Limited() {
 		w.At = sent
 	}
-	t.f.Limits.Heard(run, w, t.x.ID)
+	t.f.Limits.Heard(inc, w, t.x.ID)
 }
 
 // observeCooldown records the cooldown that a server asks for in its answer.
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -119,12 +119,12 @@
 
 // Limits tracks the rate limits that backend servers advertise.
 type Limits interface {
-	// Observe records the rate limit observed in an answer.
-	Heard(run instance.Incarnation, w ratelimit.Observation, requestID string)
+	// Heard records the rate limit observed in an answer.
+	Heard(inc instance.Incarnation, w ratelimit.Observation, requestID string)
 	// Unreadable records that a server advertised a limit that is not a number.
-	Unreadable(run instance.Incarnation, requestID string)
+	Unreadable(inc instance.Incarnation, requestID string)
 	// Sending records that a request is sent to a server, and returns the server's rate limit.
-	Sending(run instance.Incarnation, why ratelimit.Send) ratelimit.Observation
+	Sending(inc instance.Incarnation, reason ratelimit.Send) ratelimit.Observation
 }
 
 // Forwarder sends requests to backend servers; *engineclient.Client implements it.
