--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -17,7 +17,7 @@
 	id   quarantine.ID
 	name string
 	// seen is the request's standing when it was last looked at.
-	seen quarantine.Standing
+	seen quarantine.Status
 	// held is the host that keeps others of the same request waiting for this one.
 	held *owners.Host
 	// trial: this is one.
@@ -27,7 +27,7 @@
 }
 
 // Standing implements filter.Pass.
-func (p *pass) Standing() quarantine.Standing { return p.seen }
+func (p *pass) Standing() quarantine.Status { return p.seen }
 
 // admit asks for a run if anything is held against the request.
 func (p *pass) admit(ctx context.Context) error {
--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -139,7 +139,7 @@
 }
 
 // standing of a request as this host knows it.
-func (g *Guard) standing(id quarantine.ID) quarantine.Standing {
+func (g *Guard) standing(id quarantine.ID) quarantine.Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Standing(time.Now(), id)
@@ -209,7 +209,7 @@
 }
 
 // refused is the answer to a request that may not run now.
-func refused(st quarantine.Standing, v quarantine.Verdict) error {
+func refused(st quarantine.Status, v quarantine.Verdict) error {
 	if v.Decision == quarantine.Wait {
 		return errkind.New(errkind.RequestQuarantined, "a server crashed under this request, and it is being run elsewhere").After(v.After)
 	}
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -29,7 +29,7 @@
 	// Answered tells that a server gave its whole answer.
 	Answered()
 	// Standing of the request when it was last asked for.
-	Standing() quarantine.Standing
+	Standing() quarantine.Status
 	Close()
 }
 
--- a/internal/quarantine/state.go
+++ b/internal/quarantine/state.go
@@ -44,7 +44,7 @@
 // Entry is what is held against one request.
 type Entry struct {
 	ID       ID
-	Standing Standing
+	Standing Status
 	// Crashes, oldest first.
 	Crashes []*pb.ServerCrash
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -51,8 +51,8 @@
 	Quarantined Level = "quarantined"
 )
 
-// Standing of a request.
-type Standing struct {
+// Status of a request.
+type Status struct {
 	Level Level
 	// Crashes and trials that are known.
 	Crashes, Trials int
@@ -147,13 +147,13 @@
 }
 
 // Standing of a request.
-func (t *Table) Standing(now time.Time, id ID) Standing {
+func (t *Table) Standing(now time.Time, id ID) Status {
 	s := t.find(id)
 	if s == nil || len(s.crashes) == 0 {
-		return Standing{Level: Free}
+		return Status{Level: Free}
 	}
 	last := s.last()
-	out := Standing{
+	out := Status{
 		Level: Suspected, Crashes: len(s.crashes), Trials: len(s.trials), LastCrash: now.Sub(last.at), Reporter: last.host,
 	}
 	if len(s.crashes) >= MaxCrashes {
--- a/internal/relay/forward/pass_test.go
+++ b/internal/relay/forward/pass_test.go
@@ -24,7 +24,7 @@
 func (p *admission) Broke(filter.Break)            { p.broke++ }
 func (p *admission) Again(context.Context) error   { return p.retryErr }
 func (p *admission) Answered()                     { p.answered++ }
-func (p *admission) Standing() quarantine.Standing { return quarantine.Standing{} }
+func (p *admission) Standing() quarantine.Status { return quarantine.Status{} }
 func (p *admission) Close()                        {}
 
 // breaks returns a step in which the server's side ends the connection with a cause.
