--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -142,7 +142,7 @@
 func (g *Guard) standing(id quarantine.ID) quarantine.Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.Standing(time.Now(), id)
+	return g.table.Status(time.Now(), id)
 }
 
 // decide has this host decide on a run.
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -43,7 +43,7 @@
 // Admit decides on a request. name names the pass that it would run under, lifetime bounds
 // the run. The host that owns a request decides for the whole fleet.
 func (t *Table) Admit(now time.Time, id ID, name string, lifetime time.Duration) Verdict {
-	st := t.Standing(now, id)
+	st := t.Status(now, id)
 	held, taken := t.slots[id]
 	taken = taken && held.name != name && now.Before(held.until)
 	switch {
--- a/internal/quarantine/state.go
+++ b/internal/quarantine/state.go
@@ -53,7 +53,7 @@
 func (t *Table) Entries(now time.Time) []Entry {
 	var out []Entry
 	for _, id := range t.ids() {
-		st := t.Standing(now, id)
+		st := t.Status(now, id)
 		if st.Level == Free {
 			continue
 		}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -146,8 +146,8 @@
 	return s.touched.Before(than.touched)
 }
 
-// Standing of a request.
-func (t *Table) Standing(now time.Time, id ID) Status {
+// Status of a request.
+func (t *Table) Status(now time.Time, id ID) Status {
 	s := t.find(id)
 	if s == nil || len(s.crashes) == 0 {
 		return Status{Level: Free}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -125,7 +125,7 @@
 		f.hosts[rapid.IntRange(0, len(f.hosts)-1).Draw(t, "answering host")].Clear(f.now, id)
 		f.tellAll()
 		for i, h := range f.hosts {
-			if st := h.Standing(f.now, id); st.Level != Free {
+			if st := h.Status(f.now, id); st.Level != Free {
 				t.Fatalf("host %d: %+v", i, st)
 			}
 		}
@@ -217,7 +217,7 @@
 		t.Errorf("%d requests are remembered", got)
 	}
 	for _, id := range []ID{kept, worst} {
-		if st := table.Standing(now, id); st.Level != Quarantined {
+		if st := table.Status(now, id); st.Level != Quarantined {
 			t.Errorf("account %s: %+v", id.Account, st)
 		}
 	}
@@ -258,7 +258,7 @@
 	f := request("a", 1).Fingerprint
 	told := &pb.Suspect{Account: "a", Fingerprint: f[:], AgeMs: -1 << 62, Crashes: []*pb.ServerCrash{{AgeMs: 1 << 62}, nil}}
 	table.Merge(epochStart, told)
-	if st := table.Standing(epochStart, request("a", 1)); st.LastCrash < 0 || st.LastCrash > retention {
+	if st := table.Status(epochStart, request("a", 1)); st.LastCrash < 0 || st.LastCrash > retention {
 		t.Errorf("%+v", st)
 	}
 }
