--- a/internal/adminapi/quarantine.go
+++ b/internal/adminapi/quarantine.go
@@ -29,10 +29,10 @@
 
 func quarantineView(e quarantine.Entry) QuarantinedRequest {
 	v := QuarantinedRequest{
-		Account: e.ID.Account, Fingerprint: e.ID.Fingerprint.String(), Level: string(e.Standing.Level), Trials: e.Standing.Trials,
+		Account: e.ID.Account, Fingerprint: e.ID.Fingerprint.String(), Level: string(e.Status.Level), Trials: e.Status.Trials,
 	}
-	if e.Standing.Level == quarantine.Quarantined {
-		v.NextTrialMS = max(e.Standing.NextTrial, 0).Milliseconds()
+	if e.Status.Level == quarantine.Quarantined {
+		v.NextTrialMS = max(e.Status.NextTrial, 0).Milliseconds()
 	}
 	for _, c := range e.Crashes {
 		v.Crashes = append(v.Crashes, ServerCrash{
--- a/internal/quarantine/state.go
+++ b/internal/quarantine/state.go
@@ -44,7 +44,7 @@
 // Entry is what is held against one request.
 type Entry struct {
 	ID       ID
-	Standing Status
+	Status Status
 	// Crashes, oldest first.
 	Crashes []*pb.ServerCrash
 }
@@ -59,7 +59,7 @@
 		}
 		crashes := t.State(now, id).GetCrashes()
 		slices.SortStableFunc(crashes, func(a, b *pb.ServerCrash) int { return cmp.Compare(b.GetAgeMs(), a.GetAgeMs()) })
-		out = append(out, Entry{ID: id, Standing: st, Crashes: crashes})
+		out = append(out, Entry{ID: id, Status: st, Crashes: crashes})
 	}
 	return out
 }
