--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -169,7 +169,7 @@
 	if !take(now, g.table) {
 		return nil
 	}
-	return g.table.State(now, id)
+	return g.table.Suspect(now, id)
 }
 
 // tell tells all hosts of a change, and logs it.
--- a/internal/controller/quarantine/sync.go
+++ b/internal/controller/quarantine/sync.go
@@ -123,7 +123,7 @@
 func (g *Guard) state(id quarantine.ID) *pb.Suspect {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.State(time.Now(), id)
+	return g.table.Suspect(time.Now(), id)
 }
 
 // learn takes what another host knows.
--- a/internal/quarantine/state.go
+++ b/internal/quarantine/state.go
@@ -13,8 +13,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// State is what is known of a request, for other hosts; nil if it is nothing.
-func (t *Table) State(now time.Time, id ID) *pb.Suspect {
+// Suspect is what is known of a request, for other hosts; nil if it is nothing.
+func (t *Table) Suspect(now time.Time, id ID) *pb.Suspect {
 	s := t.find(id)
 	if s == nil {
 		return nil
@@ -36,7 +36,7 @@
 func (t *Table) All(now time.Time) []*pb.Suspect {
 	var out []*pb.Suspect
 	for _, id := range t.ids() {
-		out = append(out, t.State(now, id))
+		out = append(out, t.Suspect(now, id))
 	}
 	return out
 }
@@ -57,7 +57,7 @@
 		if st.Level == Free {
 			continue
 		}
-		crashes := t.State(now, id).GetCrashes()
+		crashes := t.Suspect(now, id).GetCrashes()
 		slices.SortStableFunc(crashes, func(a, b *pb.ServerCrash) int { return cmp.Compare(b.GetAgeMs(), a.GetAgeMs()) })
 		out = append(out, Entry{ID: id, Status: st, Crashes: crashes})
 	}
@@ -76,7 +76,7 @@
 	}
 	var out []*pb.Suspect
 	for _, id := range ids {
-		out = append(out, t.State(now, id))
+		out = append(out, t.Suspect(now, id))
 	}
 	return out
 }
