--- a/internal/controller/quarantine/sync.go
+++ b/internal/controller/quarantine/sync.go
@@ -192,7 +192,7 @@
 	if version == g.saved {
 		return nil, 0, false
 	}
-	return g.table.All(time.Now()), version, true
+	return g.table.Suspects(time.Now()), version, true
 }
 
 // HandleTold takes what another host tells.
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -31,7 +31,7 @@
 		runtime.ReadMemStats(&after)
 		entries := float64(accounts * maxPerAccount)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/entries, "B/request")
-		told := &pb.FetchSuspectsReply{Suspects: table.All(epochStart.Add(time.Second))}
+		told := &pb.FetchSuspectsReply{Suspects: table.Suspects(epochStart.Add(time.Second))}
 		b.ReportMetric(float64(proto.Size(told))/entries, "told-B/request")
 	}
 }
--- a/internal/quarantine/state.go
+++ b/internal/quarantine/state.go
@@ -32,8 +32,8 @@
 	return out
 }
 
-// All are the states of all requests, in order.
-func (t *Table) All(now time.Time) []*pb.Suspect {
+// Suspects are the states of all requests, in order.
+func (t *Table) Suspects(now time.Time) []*pb.Suspect {
 	var out []*pb.Suspect
 	for _, id := range t.ids() {
 		out = append(out, t.Suspect(now, id))
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -39,7 +39,7 @@
 
 // tell has one host learn all that another knows.
 func (f *fleet) tell(from, to int) {
-	for _, s := range f.hosts[from].All(f.now) {
+	for _, s := range f.hosts[from].Suspects(f.now) {
 		f.hosts[to].Merge(f.now, s)
 	}
 }
@@ -187,7 +187,7 @@
 	f.tellAll()
 	for i, h := range f.hosts[1:] {
 		if h.Digest() != f.hosts[0].Digest() {
-			t.Fatalf("host %d knows %v, host 0 %v", i+1, h.All(f.now), f.hosts[0].All(f.now))
+			t.Fatalf("host %d knows %v, host 0 %v", i+1, h.Suspects(f.now), f.hosts[0].Suspects(f.now))
 		}
 	}
 	before := f.hosts[0].Version()
@@ -213,7 +213,7 @@
 		table.Crashed(epochStart.Add(time.Duration(n)*time.Second), request("large", n), run(n), "host", 0)
 	}
 	now := epochStart.Add(time.Hour)
-	if got := len(table.All(now)); got != maxPerAccount+1 {
+	if got := len(table.Suspects(now)); got != maxPerAccount+1 {
 		t.Errorf("%d requests are remembered", got)
 	}
 	for _, id := range []ID{kept, worst} {
@@ -301,6 +301,6 @@
 		}
 	}
 	if table.Digest() != other.Digest() {
-		t.Errorf("%d of %d were told", len(other.All(epochStart)), maxPerAccount)
+		t.Errorf("%d of %d were told", len(other.Suspects(epochStart)), maxPerAccount)
 	}
 }
