--- a/internal/controller/quarantine/sync.go
+++ b/internal/controller/quarantine/sync.go
@@ -204,7 +204,7 @@
 	defer g.mu.Unlock()
 	reply := &pb.FetchSuspectsReply{Complete: g.synced.Load()}
 	if r.GetDigest() != g.table.Digest() {
-		reply.Suspects = g.table.Some(time.Now(), maxFetched, rand.Uint64())
+		reply.Suspects = g.table.SomeSuspects(time.Now(), maxFetched, rand.Uint64())
 	}
 	return reply
 }
--- a/internal/quarantine/state.go
+++ b/internal/quarantine/state.go
@@ -64,9 +64,9 @@
 	return out
 }
 
-// Some are the states of at most n requests, those with the most crashes first. Of requests with
+// SomeSuspects are the states of at most n requests, those with the most crashes first. Of requests with
 // as many the ones from a place on come first: whoever asks again and again learns all of them.
-func (t *Table) Some(now time.Time, n int, from uint64) []*pb.Suspect {
+func (t *Table) SomeSuspects(now time.Time, n int, from uint64) []*pb.Suspect {
 	ids := t.ids()
 	if len(ids) > n {
 		at := int(from % uint64(len(ids)))
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -292,7 +292,7 @@
 	}
 	const most = 5
 	for from := range uint64(maxPerAccount) {
-		some := table.Some(epochStart, most, from)
+		some := table.SomeSuspects(epochStart, most, from)
 		if len(some) != most || len(some[0].GetCrashes()) != MaxCrashes {
 			t.Fatalf("from %d: %v", from, some)
 		}
