--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -23,7 +23,7 @@
 		for a := range accounts {
 			for n := range maxPerAccount {
 				for c := range MaxCrashes {
-					table.Crashed(epochStart, request(fmt.Sprintf("account-%d", a), n), run(a*n+c), "host-12", c)
+					table.RecordCrash(epochStart, request(fmt.Sprintf("account-%d", a), n), run(a*n+c), "host-12", c)
 				}
 			}
 		}
@@ -40,7 +40,7 @@
 func BenchmarkAdmitFree(b *testing.B) {
 	table := NewTable()
 	for n := range maxPerAccount {
-		table.Crashed(epochStart, request("account", n), run(n), "host", 0)
+		table.RecordCrash(epochStart, request("account", n), run(n), "host", 0)
 	}
 	id := request("account", maxPerAccount)
 	for b.Loop() {
--- a/internal/quarantine/loss_test.go
+++ b/internal/quarantine/loss_test.go
@@ -12,9 +12,9 @@
 	for i := range n {
 		f.servers++
 		f.now = f.now.Add(50 * time.Millisecond)
-		f.hosts[0].Crashed(f.now, request(fmt.Sprint("other-", f.servers), 1), run(f.servers), "host-0", 1)
+		f.hosts[0].RecordCrash(f.now, request(fmt.Sprint("other-", f.servers), 1), run(f.servers), "host-0", 1)
 		if i == n/2 {
-			f.hosts[0].Crashed(f.now, id, run(f.servers), "host-0", 1)
+			f.hosts[0].RecordCrash(f.now, id, run(f.servers), "host-0", 1)
 		}
 	}
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -214,9 +214,9 @@
 	return slices.ContainsFunc(s.crashes, func(c crash) bool { return c.run == run })
 }
 
-// Crashed takes that a run of a server ended while it ran a request; others is how many other
+// RecordCrash takes that a run of a server ended while it ran a request; others is how many other
 // requests it had of the same host. False if that was known.
-func (t *Table) Crashed(now time.Time, id ID, run instance.Incarnation, host string, others int) bool {
+func (t *Table) RecordCrash(now time.Time, id ID, run instance.Incarnation, host string, others int) bool {
 	s := t.suspectOf(now, id)
 	if !s.addCrash(crash{run: run, at: now, host: host, others: others}) {
 		return false
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -56,7 +56,7 @@
 
 func (f *fleet) crash(at int, id ID) {
 	f.servers++
-	f.hosts[at].Crashed(f.now, id, run(f.servers), fmt.Sprintf("host-%d", at), 0)
+	f.hosts[at].RecordCrash(f.now, id, run(f.servers), fmt.Sprintf("host-%d", at), 0)
 }
 
 func (f *fleet) admit(owner int, id ID) Verdict {
@@ -203,14 +203,14 @@
 	table := NewTable()
 	kept := request("small", 0)
 	for n := range MaxCrashes {
-		table.Crashed(epochStart, kept, run(n), "host", 0)
+		table.RecordCrash(epochStart, kept, run(n), "host", 0)
 	}
 	worst := request("large", 0)
 	for n := range MaxCrashes {
-		table.Crashed(epochStart, worst, run(n), "host", 0)
+		table.RecordCrash(epochStart, worst, run(n), "host", 0)
 	}
 	for n := 1; n < 10*maxPerAccount; n++ {
-		table.Crashed(epochStart.Add(time.Duration(n)*time.Second), request("large", n), run(n), "host", 0)
+		table.RecordCrash(epochStart.Add(time.Duration(n)*time.Second), request("large", n), run(n), "host", 0)
 	}
 	now := epochStart.Add(time.Hour)
 	if got := len(table.Suspects(now)); got != maxPerAccount+1 {
@@ -228,7 +228,7 @@
 func TestSuspectedRequestRunsOnceAtATime(t *testing.T) {
 	table := NewTable()
 	id := request("account", 1)
-	table.Crashed(epochStart, id, run(1), "host", 0)
+	table.RecordCrash(epochStart, id, run(1), "host", 0)
 	at := epochStart
 	want := func(name string, decision Decision) {
 		t.Helper()
@@ -269,7 +269,7 @@
 	table := NewTable()
 	id := request("account", 1)
 	for n := range MaxCrashes {
-		table.Crashed(epochStart, id, run(n), "host", 0)
+		table.RecordCrash(epochStart, id, run(n), "host", 0)
 	}
 	if forgotten := table.Expire(epochStart.Add(retention - time.Second)); len(forgotten) != 0 {
 		t.Errorf("%v forgotten early", forgotten)
@@ -285,10 +285,10 @@
 	table, other := NewTable(), NewTable()
 	worst := request("account", 0)
 	for n := range MaxCrashes {
-		table.Crashed(epochStart, worst, run(n), "host", 0)
+		table.RecordCrash(epochStart, worst, run(n), "host", 0)
 	}
 	for n := 1; n < maxPerAccount; n++ {
-		table.Crashed(epochStart, request("account", n), run(n), "host", 0)
+		table.RecordCrash(epochStart, request("account", n), run(n), "host", 0)
 	}
 	const most = 5
 	for from := range uint64(maxPerAccount) {
