--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -187,7 +187,7 @@
 
 // tried notes that a trial has reached a server.
 func (g *Guard) tried(id quarantine.ID, name string) {
-	g.change(id, func(now time.Time, t *quarantine.Table) bool { return t.Tried(now, id, name) })
+	g.change(id, func(now time.Time, t *quarantine.Table) bool { return t.RecordTrial(now, id, name) })
 }
 
 // clear takes that a request was answered, or released by an operator.
--- a/internal/quarantine/loss_test.go
+++ b/internal/quarantine/loss_test.go
@@ -32,7 +32,7 @@
 	if v := f.admit(0, id); v.Decision != Trial {
 		t.Fatalf("got %+v", v)
 	}
-	f.hosts[0].Tried(f.now, id, f.pass())
+	f.hosts[0].RecordTrial(f.now, id, f.pass())
 	f.loseServers(6, id)
 	f.hosts[0].End(id, f.pass())
 	if v := f.admit(0, id); v.Decision != Refuse || v.After > 5*time.Second {
@@ -52,7 +52,7 @@
 	f.loseServers(6, id)
 	f.now = f.now.Add(5 * time.Second)
 	f.admit(0, id)
-	f.hosts[0].Tried(f.now, id, f.pass())
+	f.hosts[0].RecordTrial(f.now, id, f.pass())
 	f.hosts[0].End(id, f.pass())
 	if v := f.admit(0, id); v.Decision != Refuse || v.After != trialPauses[1] {
 		t.Errorf("it may run again after %v, want %v", v.After, trialPauses[1])
@@ -69,7 +69,7 @@
 	}
 	f.now = f.now.Add(5 * time.Second)
 	f.admit(0, id)
-	f.hosts[0].Tried(f.now, id, f.pass())
+	f.hosts[0].RecordTrial(f.now, id, f.pass())
 	f.hosts[0].End(id, f.pass())
 	if v := f.admit(0, id); v.Decision != Refuse || v.After != trialPauses[1] {
 		t.Errorf("it may run again after %v, want %v", v.After, trialPauses[1])
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -261,9 +261,9 @@
 	}
 }
 
-// Tried takes that a trial has reached a server; one that found none is made again. False if that
+// RecordTrial takes that a trial has reached a server; one that found none is made again. False if that
 // was known, or nothing is held against the request.
-func (t *Table) Tried(now time.Time, id ID, name string) bool {
+func (t *Table) RecordTrial(now time.Time, id ID, name string) bool {
 	s := t.find(id)
 	if s == nil || len(s.crashes) == 0 || !s.addTrial(trial{name: name, at: now}) {
 		return false
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -92,7 +92,7 @@
 			}
 			runs++
 			if v.Decision == Trial {
-				f.hosts[owner].Tried(f.now, id, f.pass())
+				f.hosts[owner].RecordTrial(f.now, id, f.pass())
 			}
 			f.crash(rapid.IntRange(0, len(f.hosts)-1).Draw(t, "host"), id)
 			f.tellAll()
@@ -147,7 +147,7 @@
 		f.hosts[0].End(id, f.pass())
 	}
 	f.admit(0, id)
-	f.hosts[0].Tried(f.now, id, f.pass())
+	f.hosts[0].RecordTrial(f.now, id, f.pass())
 	f.hosts[0].End(id, f.pass())
 	if v := f.admit(0, id); v.Decision != Refuse || v.After != trialPauses[1] {
 		t.Errorf("after a trial: %+v", v)
@@ -176,7 +176,7 @@
 			f.crash(s.host, id)
 		case 2:
 			if v := f.admit(s.host, id); v.Decision == Trial {
-				f.hosts[s.host].Tried(f.now, id, f.pass())
+				f.hosts[s.host].RecordTrial(f.now, id, f.pass())
 			}
 		case 3:
 			f.hosts[s.host].Clear(f.now, id)
