--- a/internal/controller/quarantine/sync.go
+++ b/internal/controller/quarantine/sync.go
@@ -144,7 +144,7 @@
 		return false
 	}
 	// Other hosts saw these ends as well: connections that this one opens from now on meet nobody.
-	for run, age := range g.table.Ends(now, id) {
+	for run, age := range g.table.CrashedIncarnations(now, id) {
 		if _, known := g.ended[run]; !known && age < endedKept {
 			g.ended[run] = now.Add(-age)
 		}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -348,8 +348,8 @@
 	return now.Add(-age)
 }
 
-// Ends are the runs of servers that ended under a request, and how long ago.
-func (t *Table) Ends(now time.Time, id ID) map[instance.Incarnation]time.Duration {
+// CrashedIncarnations are the runs of servers that ended under a request, and how long ago.
+func (t *Table) CrashedIncarnations(now time.Time, id ID) map[instance.Incarnation]time.Duration {
 	out := make(map[instance.Incarnation]time.Duration)
 	if s := t.find(id); s != nil {
 		for _, c := range s.crashes {
