--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -201,7 +201,7 @@
 
 // logChange writes what is known of a request after a change; from is where it was heard.
 func (g *Guard) logChange(s *pb.Suspect, from string) {
-	id, _ := quarantine.IDOf(s)
+	id, _ := quarantine.IDFromProto(s)
 	st := g.standing(id)
 	g.cfg.Log.Info().Str("event", "suspect-changed").Str("account", id.Account).Stringer("fingerprint", id.Fingerprint).
 		Str("level", string(st.Level)).Int("crashes", st.Crashes).Int("trials", st.Trials).Str("reporter", st.Reporter).
--- a/internal/controller/quarantine/sync.go
+++ b/internal/controller/quarantine/sync.go
@@ -212,7 +212,7 @@
 // HandleAdmit decides on a run of another host's request.
 func (g *Guard) HandleAdmit(r *pb.AdmitSuspectRequest) *pb.AdmitSuspectReply {
 	g.learn([]*pb.Suspect{r.GetSuspect()}, r.GetName())
-	id, ok := quarantine.IDOf(r.GetSuspect())
+	id, ok := quarantine.IDFromProto(r.GetSuspect())
 	if !ok {
 		return &pb.AdmitSuspectReply{Decision: string(quarantine.Run)}
 	}
@@ -223,7 +223,7 @@
 // HandleEnd takes that another host's run has ended.
 func (g *Guard) HandleEnd(r *pb.EndSuspectRequest) *pb.EndSuspectReply {
 	g.learn([]*pb.Suspect{r.GetSuspect()}, r.GetName())
-	if id, ok := quarantine.IDOf(r.GetSuspect()); ok {
+	if id, ok := quarantine.IDFromProto(r.GetSuspect()); ok {
 		g.end(id, r.GetName())
 	}
 	return &pb.EndSuspectReply{}
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -39,8 +39,8 @@
 // String is the fingerprint as logs and operators have it.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// IDOf is the request that a message is of; ok is false if it names none.
-func IDOf(told *pb.Suspect) (id ID, ok bool) {
+// IDFromProto is the request that a message is of; ok is false if it names none.
+func IDFromProto(told *pb.Suspect) (id ID, ok bool) {
 	id.Account = told.GetAccount()
 	ok = len(told.GetFingerprint()) == len(id.Fingerprint)
 	copy(id.Fingerprint[:], told.GetFingerprint())
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -313,7 +313,7 @@
 
 // Merge takes what another host knows of a request; false if it is nothing new.
 func (t *Table) Merge(now time.Time, told *pb.Suspect) (id ID, news bool) {
-	id, ok := IDOf(told)
+	id, ok := IDFromProto(told)
 	if !ok {
 		return id, false
 	}
