--- a/internal/daemon/gatewaytables.go
+++ b/internal/daemon/gatewaytables.go
@@ -42,7 +42,7 @@
 	if len(addresses) == 0 {
 		return err
 	}
-	return &surface.Elsewhere{Address: addresses[rand.IntN(len(addresses))], Refusal: errkind.From(err)}
+	return &surface.Redirect{Address: addresses[rand.IntN(len(addresses))], Refusal: errkind.From(err)}
 }
 
 // controlRegistries are the addresses at which control hosts take the operator's calls: the
--- a/internal/daemon/gatewaytables_test.go
+++ b/internal/daemon/gatewaytables_test.go
@@ -24,7 +24,7 @@
 	}
 	g.setSeeds([]string{"10.0.0.4:7340", "10.0.1.4:7340"})
 	cutOff := errkind.New(errkind.NoQuorum, "no leader was found in time")
-	var elsewhere *surface.Elsewhere
+	var elsewhere *surface.Redirect
 	if err := g.elsewhere(cutOff); !errors.As(err, &elsewhere) || !slices.Contains([]string{"10.0.0.4:8229", "10.0.1.4:8229"}, elsewhere.Address) {
 		t.Errorf("sent to %v", err)
 	}
--- a/internal/surface/elsewhere.go
+++ b/internal/surface/elsewhere.go
@@ -2,8 +2,8 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/errkind"
 
-// Elsewhere refuses a call that another host may answer.
-type Elsewhere struct {
+// Redirect refuses a call that another host may answer.
+type Redirect struct {
 	// Address is where that host takes the same calls, "ip:port".
 	Address string
 	// Refusal is for a caller that can't be sent there.
@@ -11,7 +11,7 @@
 }
 
 // Error implements error.
-func (e *Elsewhere) Error() string { return e.Refusal.Error() + "; ask " + e.Address }
+func (e *Redirect) Error() string { return e.Refusal.Error() + "; ask " + e.Address }
 
 // Unwrap gives errors.As the refusal.
-func (e *Elsewhere) Unwrap() error { return e.Refusal }
+func (e *Redirect) Unwrap() error { return e.Refusal }
