--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -122,7 +122,7 @@
 func Key(id quarantine.ID) string { return "suspects/" + id.Account + "/" + id.Fingerprint.String() }
 
 // Admit implements filter.Quarantine.
-func (g *Guard) Admit(ctx context.Context, id quarantine.ID) (filter.Pass, error) {
+func (g *Guard) Admit(ctx context.Context, id quarantine.ID) (filter.Admission, error) {
 	p := g.newPass(id)
 	if err := p.admit(ctx); err != nil {
 		p.Close()
@@ -132,7 +132,7 @@
 }
 
 // Follow implements filter.Quarantine.
-func (g *Guard) Follow(id quarantine.ID) filter.Pass { return g.newPass(id) }
+func (g *Guard) Follow(id quarantine.ID) filter.Admission { return g.newPass(id) }
 
 func (g *Guard) newPass(id quarantine.ID) *pass {
 	return &pass{g: g, id: id, name: g.cfg.Run + "/" + strconv.FormatUint(g.passes.Add(1), 10)}
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -12,13 +12,13 @@
 type Quarantine interface {
 	// Admit lets a request pass, or refuses it. It may block until another run of the same
 	// request has ended, or ctx ends.
-	Admit(ctx context.Context, id quarantine.ID) (Pass, error)
+	Admit(ctx context.Context, id quarantine.ID) (Admission, error)
 	// Follow lets a request pass that goes on with a run which was admitted before.
-	Follow(id quarantine.ID) Pass
+	Follow(id quarantine.ID) Admission
 }
 
-// Pass is the way of one request to backend servers. Exactly one Close follows.
-type Pass interface {
+// Admission is the way of one request to backend servers. Exactly one Close follows.
+type Admission interface {
 	// Reached tells that an attempt reached a server.
 	Reached()
 	// Broke tells of an attempt whose connection the server's side ended before its answer
--- a/internal/filter/quarantine/quarantine.go
+++ b/internal/filter/quarantine/quarantine.go
@@ -34,7 +34,7 @@
 	return next.ServeHTTP(w, r)
 }
 
-func (f *Filter) admit(r *http.Request, c *filter.Call, id quarantine.ID) (filter.Pass, error) {
+func (f *Filter) admit(r *http.Request, c *filter.Call, id quarantine.ID) (filter.Admission, error) {
 	if c.Resume != nil {
 		return f.Quarantine.Follow(id), nil
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -61,7 +61,7 @@
 	// again uses another ID but gets the same QuarantineID.
 	QuarantineID quarantine.ID
 	// Admission reports the attempts to the quarantine; nil if there is no quarantine.
-	Admission filter.Pass
+	Admission filter.Admission
 
 	// Reserved is the number of reserved tokens. PromptConsumed is set once the request has
 	// certainly begun to run, with the first part of its answer, or once it may have begun to run
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -187,7 +187,7 @@
 	x       *relay.Exchange
 	ctx     context.Context
 	// admission is the request's; nil if there is no quarantine.
-	admission filter.Pass
+	admission filter.Admission
 	// onWrite is called before each write to the caller. If writeErr is set, the writes fail with
 	// it.
 	onWrite  func()
