--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -122,7 +122,7 @@
 }
 
 // Broke implements filter.Pass.
-func (p *pass) Broke(b filter.Break) { p.breaks = append(p.breaks, p.g.judge(p.id, b)) }
+func (p *pass) Broke(b filter.ConnectionLoss) { p.breaks = append(p.breaks, p.g.judge(p.id, b)) }
 
 // Again implements filter.Pass. After a first break nothing waits for the verdict on it: most
 // requests whose connection breaks had no part in it.
--- a/internal/controller/quarantine/probe.go
+++ b/internal/controller/quarantine/probe.go
@@ -22,7 +22,7 @@
 
 // judge finds out whether the run of a server has ended while it ran a request, and notes the
 // crash. The channel is closed when that is known.
-func (g *Guard) judge(id quarantine.ID, b filter.Break) <-chan struct{} {
+func (g *Guard) judge(id quarantine.ID, b filter.ConnectionLoss) <-chan struct{} {
 	judged, seen := make(chan struct{}), time.Now()
 	g.behind.Go(func() {
 		defer panics.Log(g.cfg.Log, "judging a broken connection")
@@ -37,7 +37,7 @@
 // endedUnder tells whether the run of a server ended after an attempt had begun there. A server
 // that answers anything has not ended: a connection that broke off says nothing by itself, since
 // servers reset connections, and networks do. seen is when it broke.
-func (g *Guard) endedUnder(b filter.Break, seen time.Time) bool {
+func (g *Guard) endedUnder(b filter.ConnectionLoss, seen time.Time) bool {
 	at, known := g.endOf(b)
 	if !known {
 		p, first := g.probeOf(b)
@@ -51,7 +51,7 @@
 	return known && b.Began.Before(at)
 }
 
-func (g *Guard) endOf(b filter.Break) (at time.Time, known bool) {
+func (g *Guard) endOf(b filter.ConnectionLoss) (at time.Time, known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	at, known = g.ended[b.Run]
@@ -59,7 +59,7 @@
 }
 
 // probeOf is the question about a run under way; first: the caller has to ask it.
-func (g *Guard) probeOf(b filter.Break) (p *probe, first bool) {
+func (g *Guard) probeOf(b filter.ConnectionLoss) (p *probe, first bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if p := g.probes[b.Run]; p != nil {
@@ -71,7 +71,7 @@
 }
 
 // ask asks a server whether it answers.
-func (g *Guard) ask(p *probe, b filter.Break, seen time.Time) {
+func (g *Guard) ask(p *probe, b filter.ConnectionLoss, seen time.Time) {
 	defer close(p.done)
 	ended := !g.answers(b)
 	g.metrics.probes.Add(1)
@@ -85,7 +85,7 @@
 	}
 }
 
-func (g *Guard) answers(b filter.Break) bool {
+func (g *Guard) answers(b filter.ConnectionLoss) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	for n := range probeTries {
--- a/internal/filter/dispatch/crash.go
+++ b/internal/filter/dispatch/crash.go
@@ -44,7 +44,7 @@
 	if c.Pass == nil {
 		return
 	}
-	b := filter.Break{
+	b := filter.ConnectionLoss{
 		Run: instance.Incarnation{ID: server}, Address: server, HealthPath: healthPath, Began: began, RequestID: c.ID,
 	}
 	if c.Resume == nil && c.Lease != nil {
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -23,7 +23,7 @@
 	Reached()
 	// Broke tells of an attempt whose connection the server's side ended before its answer
 	// was whole. It does not block.
-	Broke(b Break)
+	Broke(b ConnectionLoss)
 	// Again asks whether there may be a further attempt after one that broke.
 	Again(ctx context.Context) error
 	// Answered tells that a server gave its whole answer.
@@ -33,8 +33,8 @@
 	Close()
 }
 
-// Break is the end of an attempt's connection.
-type Break struct {
+// ConnectionLoss is the end of an attempt's connection.
+type ConnectionLoss struct {
 	// Run of the server, at an address.
 	Run     instance.Incarnation
 	Address string
