--- a/internal/controller/quarantine/probe.go
+++ b/internal/controller/quarantine/probe.go
@@ -54,7 +54,7 @@
 func (g *Guard) endOf(b filter.ConnectionLoss) (at time.Time, known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at, known = g.ended[b.Run]
+	at, known = g.ended[b.Incarnation]
 	return at, known
 }
 
@@ -62,11 +62,11 @@
 func (g *Guard) probeOf(b filter.ConnectionLoss) (p *probe, first bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p := g.probes[b.Run]; p != nil {
+	if p := g.probes[b.Incarnation]; p != nil {
 		return p, false
 	}
 	p = &probe{done: make(chan struct{})}
-	g.probes[b.Run] = p
+	g.probes[b.Incarnation] = p
 	return p, true
 }
 
@@ -75,13 +75,13 @@
 	defer close(p.done)
 	ended := !g.answers(b)
 	g.metrics.probes.Add(1)
-	g.cfg.Log.Info().Str("event", "server-probed").Str("server", b.Run.ID).Uint64("incarnation", b.Run.Started).Str("address", b.Address).
+	g.cfg.Log.Info().Str("event", "server-probed").Str("server", b.Incarnation.ID).Uint64("incarnation", b.Incarnation.Started).Str("address", b.Address).
 		Bool("ended", ended).Str("request", b.RequestID).Dur("took", time.Since(seen)).Send()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.probes, b.Run)
-	if _, known := g.ended[b.Run]; ended && !known {
-		g.ended[b.Run] = seen
+	delete(g.probes, b.Incarnation)
+	if _, known := g.ended[b.Incarnation]; ended && !known {
+		g.ended[b.Incarnation] = seen
 	}
 }
 
--- a/internal/filter/dispatch/crash.go
+++ b/internal/filter/dispatch/crash.go
@@ -45,10 +45,10 @@
 		return
 	}
 	b := filter.ConnectionLoss{
-		Run: instance.Incarnation{ID: server}, Address: server, HealthPath: healthPath, Began: began, RequestID: c.ID,
+		Incarnation: instance.Incarnation{ID: server}, Address: server, HealthPath: healthPath, Began: began, RequestID: c.ID,
 	}
 	if c.Resume == nil && c.Lease != nil {
-		b.Run.Started, b.Others = c.Lease.Server().GetIncarnation(), int(c.Lease.Server().GetRunning())
+		b.Incarnation.Started, b.Others = c.Lease.Server().GetIncarnation(), int(c.Lease.Server().GetRunning())
 	}
 	c.Pass.Broke(b)
 }
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -35,8 +35,8 @@
 
 // ConnectionLoss is the end of an attempt's connection.
 type ConnectionLoss struct {
-	// Run of the server, at an address.
-	Run     instance.Incarnation
+	// Incarnation of the server, at an address.
+	Incarnation     instance.Incarnation
 	Address string
 	// HealthPath is where the server says whether it takes requests.
 	HealthPath string
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -64,7 +64,7 @@
 	lease.Done(out.result)
 	if t.x.Admission != nil && out.cause.CrashLike() {
 		t.x.Admission.Broke(filter.ConnectionLoss{
-			Run: choice.Instance.Incarnation(), Address: choice.Instance.Address, HealthPath: t.x.Service.HealthPath,
+			Incarnation: choice.Instance.Incarnation(), Address: choice.Instance.Address, HealthPath: t.x.Service.HealthPath,
 			Began: started, Others: choice.Running, RequestID: t.x.ID,
 		})
 	}
