--- a/internal/controller/quarantine/probe.go
+++ b/internal/controller/quarantine/probe.go
@@ -48,7 +48,7 @@
 		at, known = g.endOf(b)
 	}
 	// Attempts that began after the end met nobody, and had no part in it.
-	return known && b.Began.Before(at)
+	return known && b.Started.Before(at)
 }
 
 func (g *Guard) endOf(b filter.ConnectionLoss) (at time.Time, known bool) {
--- a/internal/controller/quarantine/quarantine_test.go
+++ b/internal/controller/quarantine/quarantine_test.go
@@ -135,7 +135,7 @@
 
 // breakAt tells of a connection to a run of a server that broke, after the attempt had lasted.
 func breakAt(n int, lasted time.Duration) filter.ConnectionLoss {
-	return filter.ConnectionLoss{Incarnation: instance.Incarnation{ID: fmt.Sprintf("server-%d", n)}, Began: time.Now().Add(-lasted)}
+	return filter.ConnectionLoss{Incarnation: instance.Incarnation{ID: fmt.Sprintf("server-%d", n)}, Started: time.Now().Add(-lasted)}
 }
 
 // crash has a server end under a request at a host.
--- a/internal/filter/dispatch/crash.go
+++ b/internal/filter/dispatch/crash.go
@@ -45,7 +45,7 @@
 		return
 	}
 	b := filter.ConnectionLoss{
-		Incarnation: instance.Incarnation{ID: server}, Address: server, HealthPath: healthPath, Began: began, RequestID: c.ID,
+		Incarnation: instance.Incarnation{ID: server}, Address: server, HealthPath: healthPath, Started: began, RequestID: c.ID,
 	}
 	if c.Resume == nil && c.Lease != nil {
 		b.Incarnation.Started, b.Others = c.Lease.Server().GetIncarnation(), int(c.Lease.Server().GetRunning())
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -40,8 +40,8 @@
 	Address string
 	// HealthPath is where the server says whether it takes requests.
 	HealthPath string
-	// Began is when the attempt did.
-	Began time.Time
+	// Started is when the attempt did.
+	Started time.Time
 	// Others is how many other requests this host had at the server.
 	Others int
 	// RequestID for the log.
