--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -180,7 +180,7 @@
 
 // crashed notes the end of a server under a request.
 func (g *Guard) crashed(id quarantine.ID, b filter.ConnectionLoss) {
-	if g.change(id, func(now time.Time, t *quarantine.Table) bool { return t.RecordCrash(now, id, b.Incarnation, g.cfg.Host, b.Others) }) {
+	if g.change(id, func(now time.Time, t *quarantine.Table) bool { return t.RecordCrash(now, id, b.Incarnation, g.cfg.Host, b.OtherRequests) }) {
 		g.metrics.crashes.Add(1)
 	}
 }
--- a/internal/filter/dispatch/crash.go
+++ b/internal/filter/dispatch/crash.go
@@ -48,7 +48,7 @@
 		Incarnation: instance.Incarnation{ID: server}, Address: server, HealthPath: healthPath, Started: began, RequestID: c.ID,
 	}
 	if c.Resume == nil && c.Lease != nil {
-		b.Incarnation.Started, b.Others = c.Lease.Server().GetIncarnation(), int(c.Lease.Server().GetRunning())
+		b.Incarnation.Started, b.OtherRequests = c.Lease.Server().GetIncarnation(), int(c.Lease.Server().GetRunning())
 	}
 	c.Pass.Broke(b)
 }
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -42,8 +42,8 @@
 	HealthPath string
 	// Started is when the attempt did.
 	Started time.Time
-	// Others is how many other requests this host had at the server.
-	Others int
+	// OtherRequests is how many other requests this host had at the server.
+	OtherRequests int
 	// RequestID for the log.
 	RequestID string
 }
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -65,7 +65,7 @@
 	if t.x.Admission != nil && out.cause.CrashLike() {
 		t.x.Admission.Broke(filter.ConnectionLoss{
 			Incarnation: choice.Instance.Incarnation(), Address: choice.Instance.Address, HealthPath: t.x.Service.HealthPath,
-			Started: started, Others: choice.Running, RequestID: t.x.ID,
+			Started: started, OtherRequests: choice.Running, RequestID: t.x.ID,
 		})
 	}
 	return out
