--- a/internal/filter/dispatch/crash.go
+++ b/internal/filter/dispatch/crash.go
@@ -26,22 +26,22 @@
 
 // reached tells the quarantine that a server has the call.
 func reached(c *filter.Call) {
-	if c.Pass != nil {
-		c.Pass.Reached()
+	if c.Admission != nil {
+		c.Admission.Reached()
 	}
 }
 
 // answered tells the quarantine of a whole answer.
 func answered(c *filter.Call) {
-	if c.Pass != nil {
-		c.Pass.Answered()
+	if c.Admission != nil {
+		c.Admission.Answered()
 	}
 }
 
 // broke tells the quarantine of a connection that the server's side ended. The run of a server
 // that another host took room at is not known here; its address stands for it.
 func broke(c *filter.Call, server string, began time.Time) {
-	if c.Pass == nil {
+	if c.Admission == nil {
 		return
 	}
 	b := filter.ConnectionLoss{
@@ -50,5 +50,5 @@
 	if c.Resume == nil && c.Lease != nil {
 		b.Incarnation.Started, b.OtherRequests = c.Lease.Server().GetIncarnation(), int(c.Lease.Server().GetRunning())
 	}
-	c.Pass.Broke(b)
+	c.Admission.Broke(b)
 }
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -110,8 +110,8 @@
 
 	// Lease is the backend server's room taken by the route filter.
 	Lease ServerLease
-	// Pass to backend servers; nil: there is no quarantine.
-	Pass Admission
+	// Admission to backend servers; nil: there is no quarantine.
+	Admission Admission
 	// Attempts made at backend servers.
 	Attempts int
 	// Usage is what the backend server reported or what was counted.
--- a/internal/filter/quarantine/quarantine.go
+++ b/internal/filter/quarantine/quarantine.go
@@ -29,7 +29,7 @@
 		c.Note(f.Clock.Now(), "quarantine", "refused "+id.Fingerprint.String()+": "+err.Error())
 		return err
 	}
-	c.Pass = pass
+	c.Admission = pass
 	defer pass.Close()
 	return next.ServeHTTP(w, r)
 }
