--- a/internal/filter/dispatch/verdict.go
+++ b/internal/filter/dispatch/verdict.go
@@ -53,7 +53,7 @@
 	case a.rereads == 0 && a.c.Resume == nil && callersFault(status):
 		return errkind.New(errkind.BadRequest, "backend server %s refused the request: %s", a.server, err.Error()).WithRan(ran)
 	}
-	a.c.Final = errors.Is(err, errDiverged)
+	a.c.NoRetry = errors.Is(err, errDiverged)
 	a.f.cancelRun(a.server, a.id, 0)
 	a.c.Note(a.f.Clock.Now(), "dispatch", "attempt failed: "+err.Error())
 	return failed(ran, a.server, err.Error())
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -137,9 +137,9 @@
 	TakenOver bool
 	// Answer is what the caller was sent.
 	Answer Answer
-	// Final: no further attempt may be made, since the caller has part of an answer
+	// NoRetry: no further attempt may be made, since the caller has part of an answer
 	// that another run does not repeat.
-	Final bool
+	NoRetry bool
 	// Replayed: the answer is that of an earlier arrival, whose record stands.
 	Replayed bool
 
--- a/internal/filter/route/route.go
+++ b/internal/filter/route/route.go
@@ -68,7 +68,7 @@
 
 // again tells whether the call may be sent to another server after err.
 func again(c *filter.Call, err error) bool {
-	if c.Final || !errkind.Is(err, errkind.BackendServerFailed) {
+	if c.NoRetry || !errkind.Is(err, errkind.BackendServerFailed) {
 		return false
 	}
 	return c.Idempotent || !c.Dispatched
