--- a/internal/callerapi/work.go
+++ b/internal/callerapi/work.go
@@ -30,7 +30,7 @@
 	defer span.End()
 	err := chain.ServeHTTP(w, r.WithContext(filter.WithCall(ctx, c)))
 	status := c.Answer.Status
-	if e := filter.Truthful(c, err); e != nil {
+	if e := filter.CorrectRan(c, err); e != nil {
 		span.SetAttributes(attribute.String("error_kind", string(e.Kind)))
 		refuse(w, c, e)
 		status = e.Status()
--- a/internal/filter/context.go
+++ b/internal/filter/context.go
@@ -16,12 +16,12 @@
 	return errkind.New(errkind.DeadlineExceeded, "the deadline passed before the whole answer was there")
 }
 
-// Truthful makes what err says of the run true for the whole call.
+// CorrectRan makes what err says of the run true for the whole call.
 //
 // What goes wrong without it: a first attempt may have run, and a second one is
 // refused by the scheduler with a kind whose row says "did not run". The caller
 // would send the work again under another key.
-func Truthful(c *Call, err error) *errkind.Error {
+func CorrectRan(c *Call, err error) *errkind.Error {
 	e := errkind.From(err)
 	if e == nil {
 		return nil
--- a/internal/filter/settle/settle.go
+++ b/internal/filter/settle/settle.go
@@ -41,7 +41,7 @@
 	}()
 	err := next.ServeHTTP(w, r)
 	ended = true
-	refusal := filter.Truthful(c, err)
+	refusal := filter.CorrectRan(c, err)
 	f.end(c, refusal)
 	if refusal == nil {
 		return nil
--- a/internal/proof/caller.go
+++ b/internal/proof/caller.go
@@ -231,7 +231,7 @@
 	if f.node(host) != n {
 		return a // the answer died with its host
 	}
-	a.refusal = filter.Truthful(c, err)
+	a.refusal = filter.CorrectRan(c, err)
 	a.ok = a.refusal == nil
 	if a.ok && w.Body.String() != a.identity {
 		// A refusal that an earlier arrival got may be replayed as well.
