--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -114,8 +114,8 @@
 	}, true
 }
 
-// Reached implements filter.Pass.
-func (p *pass) Reached() {
+// ServerReached implements filter.Pass.
+func (p *pass) ServerReached() {
 	if p.trial {
 		p.g.tried(p.id, p.name)
 	}
--- a/internal/filter/dispatch/crash.go
+++ b/internal/filter/dispatch/crash.go
@@ -27,7 +27,7 @@
 // reached tells the quarantine that a server has the call.
 func reached(c *filter.Call) {
 	if c.Admission != nil {
-		c.Admission.Reached()
+		c.Admission.ServerReached()
 	}
 }
 
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -19,8 +19,8 @@
 
 // Admission is the way of one request to backend servers. Exactly one Close follows.
 type Admission interface {
-	// Reached tells that an attempt reached a server.
-	Reached()
+	// ServerReached tells that an attempt reached a server.
+	ServerReached()
 	// Broke tells of an attempt whose connection the server's side ended before its answer
 	// was whole. It does not block.
 	Broke(b ConnectionLoss)
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -91,7 +91,7 @@
 func (t *task) markReached() {
 	t.serversReached++
 	if t.x.Admission != nil {
-		t.x.Admission.Reached()
+		t.x.Admission.ServerReached()
 	}
 }
 
--- a/internal/relay/forward/pass_test.go
+++ b/internal/relay/forward/pass_test.go
@@ -20,7 +20,7 @@
 	retryErr error
 }
 
-func (p *admission) Reached()                      { p.reached++ }
+func (p *admission) ServerReached()                      { p.reached++ }
 func (p *admission) Broke(filter.ConnectionLoss)            { p.broke++ }
 func (p *admission) Again(context.Context) error   { return p.retryErr }
 func (p *admission) Answered()                     { p.answered++ }
