--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// Broke implements filter.Pass.
-func (p *pass) Broke(b filter.ConnectionLoss) { p.breaks = append(p.breaks, p.g.judge(p.id, b)) }
+// ConnectionLost implements filter.Pass.
+func (p *pass) ConnectionLost(b filter.ConnectionLoss) { p.breaks = append(p.breaks, p.g.judge(p.id, b)) }
 
 // Again implements filter.Pass. After a first break nothing waits for the verdict on it: most
 // requests whose connection breaks had no part in it.
--- a/internal/filter/dispatch/crash.go
+++ b/internal/filter/dispatch/crash.go
@@ -50,5 +50,5 @@
 	if c.Resume == nil && c.Lease != nil {
 		b.Incarnation.Started, b.OtherRequests = c.Lease.Server().GetIncarnation(), int(c.Lease.Server().GetRunning())
 	}
-	c.Admission.Broke(b)
+	c.Admission.ConnectionLost(b)
 }
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -21,9 +21,9 @@
 type Admission interface {
 	// ServerReached tells that an attempt reached a server.
 	ServerReached()
-	// Broke tells of an attempt whose connection the server's side ended before its answer
+	// ConnectionLost tells of an attempt whose connection the server's side ended before its answer
 	// was whole. It does not block.
-	Broke(b ConnectionLoss)
+	ConnectionLost(b ConnectionLoss)
 	// Again asks whether there may be a further attempt after one that broke.
 	Again(ctx context.Context) error
 	// Answered tells that a server gave its whole answer.
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -63,7 +63,7 @@
 	note.SetOutcome(out.cause, out.err)
 	lease.Done(out.result)
 	if t.x.Admission != nil && out.cause.CrashLike() {
-		t.x.Admission.Broke(filter.ConnectionLoss{
+		t.x.Admission.ConnectionLost(filter.ConnectionLoss{
 			Incarnation: choice.Instance.Incarnation(), Address: choice.Instance.Address, HealthPath: t.x.Service.HealthPath,
 			Started: started, OtherRequests: choice.Running, RequestID: t.x.ID,
 		})
--- a/internal/relay/forward/pass_test.go
+++ b/internal/relay/forward/pass_test.go
@@ -21,7 +21,7 @@
 }
 
 func (p *admission) ServerReached()                      { p.reached++ }
-func (p *admission) Broke(filter.ConnectionLoss)            { p.broke++ }
+func (p *admission) ConnectionLost(filter.ConnectionLoss)            { p.broke++ }
 func (p *admission) Again(context.Context) error   { return p.retryErr }
 func (p *admission) Answered()                     { p.answered++ }
 func (p *admission) Standing() quarantine.Status { return quarantine.Status{} }
