--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -17,7 +17,7 @@
 	id   quarantine.ID
 	name string
 	// standing is the request's standing when it was last looked up.
-	standing quarantine.Standing
+	standing quarantine.Status
 	// slotOwner is the host at which this execution holds the request's slot, which keeps other
 	// executions of the same request waiting; nil if it holds none.
 	slotOwner *owners.Host
@@ -29,7 +29,7 @@
 }
 
 // Standing implements filter.Pass.
-func (p *pass) Standing() quarantine.Standing { return p.standing }
+func (p *pass) Standing() quarantine.Status { return p.standing }
 
 // admit asks for admission if the request is suspected or quarantined.
 func (p *pass) admit(ctx context.Context) error {
@@ -116,15 +116,15 @@
 	}, true
 }
 
-// Reached implements filter.Pass.
-func (p *pass) Reached() {
+// ServerReached implements filter.Pass.
+func (p *pass) ServerReached() {
 	if p.trial {
 		p.g.recordTrial(p.id, p.name)
 	}
 }
 
-// Broke implements filter.Pass.
-func (p *pass) Broke(b filter.Break) { p.breaks = append(p.breaks, p.g.checkCrash(p.id, b)) }
+// ConnectionLost implements filter.Pass.
+func (p *pass) ConnectionLost(b filter.ConnectionLoss) { p.breaks = append(p.breaks, p.g.checkCrash(p.id, b)) }
 
 // Again implements filter.Pass. It does not wait for the crash check after a first break, since most
 // requests whose connection breaks did not cause it.
--- a/internal/controller/quarantine/probe.go
+++ b/internal/controller/quarantine/probe.go
@@ -22,7 +22,7 @@
 
 // checkCrash finds out whether a server's incarnation ended while it ran a request, and if so records
 // the crash. The channel is closed when the check is done.
-func (g *Guard) checkCrash(id quarantine.ID, b filter.Break) <-chan struct{} {
+func (g *Guard) checkCrash(id quarantine.ID, b filter.ConnectionLoss) <-chan struct{} {
 	checked, observedAt := make(chan struct{}), time.Now()
 	g.background.Go(func() {
 		defer panics.Log(g.cfg.Log, "checking a broken connection")
@@ -37,7 +37,7 @@
 // endedDuring reports whether a server's incarnation ended after an attempt had begun there. A server
 // that gives any answer has not ended. A broken connection alone proves nothing, since servers and
 // networks reset connections. observedAt is when the connection broke.
-func (g *Guard) endedDuring(b filter.Break, observedAt time.Time) bool {
+func (g *Guard) endedDuring(b filter.ConnectionLoss, observedAt time.Time) bool {
 	at, known := g.endTime(b)
 	if !known {
 		p, first := g.startProbe(b)
@@ -48,45 +48,45 @@
 		at, known = g.endTime(b)
 	}
 	// Attempts that began after the end did not reach the server and can't have caused it.
-	return known && b.Began.Before(at)
+	return known && b.Started.Before(at)
 }
 
-func (g *Guard) endTime(b filter.Break) (at time.Time, known bool) {
+func (g *Guard) endTime(b filter.ConnectionLoss) (at time.Time, known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	at, known = g.endedAt[b.Run]
+	at, known = g.endedAt[b.Incarnation]
 	return at, known
 }
 
 // startProbe returns the probe of a server's incarnation. If first is true, none was in progress and
 // the caller has to run it.
-func (g *Guard) startProbe(b filter.Break) (p *probe, first bool) {
+func (g *Guard) startProbe(b filter.ConnectionLoss) (p *probe, first bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p := g.probes[b.Run]; p != nil {
+	if p := g.probes[b.Incarnation]; p != nil {
 		return p, false
 	}
 	p = &probe{done: make(chan struct{})}
-	g.probes[b.Run] = p
+	g.probes[b.Incarnation] = p
 	return p, true
 }
 
 // runProbe finds out whether a server answers.
-func (g *Guard) runProbe(p *probe, b filter.Break, observedAt time.Time) {
+func (g *Guard) runProbe(p *probe, b filter.ConnectionLoss, observedAt time.Time) {
 	defer close(p.done)
 	ended := !g.answers(b)
 	g.metrics.probes.Add(1)
-	g.cfg.Log.Info().Str("event", "server-probed").Str("server", b.Run.ID).Uint64("incarnation", b.Run.Started).Str("address", b.Address).
+	g.cfg.Log.Info().Str("event", "server-probed").Str("server", b.Incarnation.ID).Uint64("incarnation", b.Incarnation.Started).Str("address", b.Address).
 		Bool("ended", ended).Str("request", b.RequestID).Dur("took", time.Since(observedAt)).Send()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.probes, b.Run)
-	if _, known := g.endedAt[b.Run]; ended && !known {
-		g.endedAt[b.Run] = observedAt
+	delete(g.probes, b.Incarnation)
+	if _, known := g.endedAt[b.Incarnation]; ended && !known {
+		g.endedAt[b.Incarnation] = observedAt
 	}
 }
 
-func (g *Guard) answers(b filter.Break) bool {
+func (g *Guard) answers(b filter.ConnectionLoss) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	for n := range probeTries {
--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -126,7 +126,7 @@
 func Key(id quarantine.ID) string { return "suspects/" + id.Account + "/" + id.Fingerprint.String() }
 
 // Admit implements filter.Quarantine.
-func (g *Guard) Admit(ctx context.Context, id quarantine.ID) (filter.Pass, error) {
+func (g *Guard) Admit(ctx context.Context, id quarantine.ID) (filter.Admission, error) {
 	p := g.newPass(id)
 	if err := p.admit(ctx); err != nil {
 		p.Close()
@@ -136,17 +136,17 @@
 }
 
 // Follow implements filter.Quarantine.
-func (g *Guard) Follow(id quarantine.ID) filter.Pass { return g.newPass(id) }
+func (g *Guard) Follow(id quarantine.ID) filter.Admission { return g.newPass(id) }
 
 func (g *Guard) newPass(id quarantine.ID) *pass {
 	return &pass{g: g, id: id, name: g.cfg.Incarnation + "/" + strconv.FormatUint(g.passes.Add(1), 10)}
 }
 
 // standing returns the standing of a request as this host knows it.
-func (g *Guard) standing(id quarantine.ID) quarantine.Standing {
+func (g *Guard) standing(id quarantine.ID) quarantine.Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.Standing(time.Now(), id)
+	return g.table.Status(time.Now(), id)
 }
 
 // decide decides at this host whether an execution is admitted.
@@ -173,7 +173,7 @@
 	if !apply(now, g.table) {
 		return nil
 	}
-	return g.table.State(now, id)
+	return g.table.Suspect(now, id)
 }
 
 // broadcast notifies all hosts of a change and logs it.
@@ -183,15 +183,15 @@
 }
 
 // recordCrash records that a server crashed while it ran a request.
-func (g *Guard) recordCrash(id quarantine.ID, b filter.Break) {
-	if g.update(id, func(now time.Time, t *quarantine.Table) bool { return t.Crashed(now, id, b.Run, g.cfg.Host, b.Others) }) {
+func (g *Guard) recordCrash(id quarantine.ID, b filter.ConnectionLoss) {
+	if g.update(id, func(now time.Time, t *quarantine.Table) bool { return t.RecordCrash(now, id, b.Incarnation, g.cfg.Host, b.OtherRequests) }) {
 		g.metrics.crashes.Add(1)
 	}
 }
 
 // recordTrial records that a trial has reached a server.
 func (g *Guard) recordTrial(id quarantine.ID, name string) {
-	g.update(id, func(now time.Time, t *quarantine.Table) bool { return t.Tried(now, id, name) })
+	g.update(id, func(now time.Time, t *quarantine.Table) bool { return t.RecordTrial(now, id, name) })
 }
 
 // clear removes all records about a request that was answered, or released by an operator.
@@ -205,7 +205,7 @@
 
 // logChange logs the state of a request after a change; from is the source of the change.
 func (g *Guard) logChange(s *pb.Suspect, from string) {
-	id, _ := quarantine.IDOf(s)
+	id, _ := quarantine.IDFromProto(s)
 	st := g.standing(id)
 	g.cfg.Log.Info().Str("event", "suspect-changed").Str("account", id.Account).Stringer("fingerprint", id.Fingerprint).
 		Str("level", string(st.Level)).Int("crashes", st.Crashes).Int("trials", st.Trials).Str("reporter", st.Reporter).
@@ -213,7 +213,7 @@
 }
 
 // refusal returns the error for a request that must not run now.
-func refusal(st quarantine.Standing, v quarantine.Verdict) error {
+func refusal(st quarantine.Status, v quarantine.Verdict) error {
 	if v.Decision == quarantine.Wait {
 		return errkind.New(errkind.RequestQuarantined, "a server crashed while it ran this request, and another execution of it is in progress").After(v.After)
 	}
--- a/internal/controller/quarantine/quarantine_test.go
+++ b/internal/controller/quarantine/quarantine_test.go
@@ -135,8 +135,8 @@
 
 // breakAt returns the break of an attempt's connection to server n, after the attempt had lasted
 // for a time.
-func breakAt(n int, lasted time.Duration) filter.Break {
-	return filter.Break{Run: instance.Incarnation{ID: fmt.Sprintf("server-%d", n)}, Began: time.Now().Add(-lasted)}
+func breakAt(n int, lasted time.Duration) filter.ConnectionLoss {
+	return filter.ConnectionLoss{Incarnation: instance.Incarnation{ID: fmt.Sprintf("server-%d", n)}, Started: time.Now().Add(-lasted)}
 }
 
 // crash simulates a crash of a server while it runs a request of the host.
--- a/internal/controller/quarantine/sync.go
+++ b/internal/controller/quarantine/sync.go
@@ -123,7 +123,7 @@
 func (g *Guard) state(id quarantine.ID) *pb.Suspect {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.State(time.Now(), id)
+	return g.table.Suspect(time.Now(), id)
 }
 
 // mergeUpdates merges states received from another host.
@@ -145,7 +145,7 @@
 	}
 	// Other hosts observed these ends: connections that this host opens from now on don't reach the
 	// incarnations that ended.
-	for inc, age := range g.table.Ends(now, id) {
+	for inc, age := range g.table.CrashedIncarnations(now, id) {
 		if _, known := g.endedAt[inc]; !known && age < endedRetention {
 			g.endedAt[inc] = now.Add(-age)
 		}
@@ -193,7 +193,7 @@
 	if version == g.savedVersion {
 		return nil, 0, false
 	}
-	return g.table.All(time.Now()), version, true
+	return g.table.Suspects(time.Now()), version, true
 }
 
 // HandleUpdates merges updates broadcast by another host.
@@ -205,7 +205,7 @@
 	defer g.mu.Unlock()
 	reply := &pb.FetchSuspectsReply{Complete: g.synced.Load()}
 	if r.GetDigest() != g.table.Digest() {
-		reply.Suspects = g.table.Some(time.Now(), maxFetched, rand.Uint64())
+		reply.Suspects = g.table.SomeSuspects(time.Now(), maxFetched, rand.Uint64())
 	}
 	return reply
 }
@@ -213,7 +213,7 @@
 // HandleAdmit decides on an execution of another host's request.
 func (g *Guard) HandleAdmit(r *pb.AdmitSuspectRequest) *pb.AdmitSuspectReply {
 	g.mergeUpdates([]*pb.Suspect{r.GetSuspect()}, r.GetName())
-	id, ok := quarantine.IDOf(r.GetSuspect())
+	id, ok := quarantine.IDFromProto(r.GetSuspect())
 	if !ok {
 		return &pb.AdmitSuspectReply{Decision: string(quarantine.Run)}
 	}
@@ -224,7 +224,7 @@
 // HandleEnd records that another host's execution has ended.
 func (g *Guard) HandleEnd(r *pb.EndSuspectRequest) *pb.EndSuspectReply {
 	g.mergeUpdates([]*pb.Suspect{r.GetSuspect()}, r.GetName())
-	if id, ok := quarantine.IDOf(r.GetSuspect()); ok {
+	if id, ok := quarantine.IDFromProto(r.GetSuspect()); ok {
 		g.end(id, r.GetName())
 	}
 	return &pb.EndSuspectReply{}
--- a/internal/filter/dispatch/crash.go
+++ b/internal/filter/dispatch/crash.go
@@ -26,29 +26,29 @@
 
 // reached tells the quarantine that a server has the call.
 func reached(c *filter.Call) {
-	if c.Pass != nil {
-		c.Pass.Reached()
+	if c.Admission != nil {
+		c.Admission.ServerReached()
 	}
 }
 
 // answered tells the quarantine of a whole answer.
 func answered(c *filter.Call) {
-	if c.Pass != nil {
-		c.Pass.Answered()
+	if c.Admission != nil {
+		c.Admission.Answered()
 	}
 }
 
 // broke tells the quarantine of a connection that the server's side ended. The run of a server
 // that another host took room at is not known here; its address stands for it.
 func broke(c *filter.Call, server string, began time.Time) {
-	if c.Pass == nil {
+	if c.Admission == nil {
 		return
 	}
-	b := filter.Break{
-		Run: instance.Incarnation{ID: server}, Address: server, HealthPath: healthPath, Began: began, RequestID: c.ID,
+	b := filter.ConnectionLoss{
+		Incarnation: instance.Incarnation{ID: server}, Address: server, HealthPath: healthPath, Started: began, RequestID: c.ID,
 	}
 	if c.Resume == nil && c.Lease != nil {
-		b.Run.Started, b.Others = c.Lease.Server().GetIncarnation(), int(c.Lease.Server().GetRunning())
+		b.Incarnation.Started, b.OtherRequests = c.Lease.Server().GetIncarnation(), int(c.Lease.Server().GetRunning())
 	}
-	c.Pass.Broke(b)
+	c.Admission.ConnectionLost(b)
 }
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -110,8 +110,8 @@
 
 	// Lease is the backend server's room taken by the route filter.
 	Lease ServerLease
-	// Pass to backend servers; nil: there is no quarantine.
-	Pass Pass
+	// Admission to backend servers; nil: there is no quarantine.
+	Admission Admission
 	// Attempts made at backend servers.
 	Attempts int
 	// Usage is what the backend server reported or what was counted.
@@ -137,9 +137,9 @@
 	TakenOver bool
 	// Answer is what the caller was sent.
 	Answer Answer
-	// Final: no further attempt may be made, since the caller has part of an answer
+	// NoRetry: no further attempt may be made, since the caller has part of an answer
 	// that another run does not repeat.
-	Final bool
+	NoRetry bool
 	// Replayed: the answer is that of an earlier arrival, whose record stands.
 	Replayed bool
 
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -12,38 +12,38 @@
 type Quarantine interface {
 	// Admit lets a request pass, or refuses it. It may block until another run of the same
 	// request has ended, or ctx ends.
-	Admit(ctx context.Context, id quarantine.ID) (Pass, error)
+	Admit(ctx context.Context, id quarantine.ID) (Admission, error)
 	// Follow lets a request pass that goes on with a run which was admitted before.
-	Follow(id quarantine.ID) Pass
+	Follow(id quarantine.ID) Admission
 }
 
-// Pass is the way of one request to backend servers. Exactly one Close follows.
-type Pass interface {
-	// Reached tells that an attempt reached a server.
-	Reached()
-	// Broke tells of an attempt whose connection the server's side ended before its answer
+// Admission is the way of one request to backend servers. Exactly one Close follows.
+type Admission interface {
+	// ServerReached tells that an attempt reached a server.
+	ServerReached()
+	// ConnectionLost tells of an attempt whose connection the server's side ended before its answer
 	// was whole. It does not block.
-	Broke(b Break)
+	ConnectionLost(b ConnectionLoss)
 	// Again asks whether there may be a further attempt after one that broke.
 	Again(ctx context.Context) error
 	// Answered tells that a server gave its whole answer.
 	Answered()
 	// Standing of the request when it was last asked for.
-	Standing() quarantine.Standing
+	Standing() quarantine.Status
 	Close()
 }
 
-// Break is the end of an attempt's connection.
-type Break struct {
-	// Run of the server, at an address.
-	Run     instance.Incarnation
+// ConnectionLoss is the end of an attempt's connection.
+type ConnectionLoss struct {
+	// Incarnation of the server, at an address.
+	Incarnation     instance.Incarnation
 	Address string
 	// HealthPath is where the server says whether it takes requests.
 	HealthPath string
-	// Began is when the attempt did.
-	Began time.Time
-	// Others is how many other requests this host had at the server.
-	Others int
+	// Started is when the attempt did.
+	Started time.Time
+	// OtherRequests is how many other requests this host had at the server.
+	OtherRequests int
 	// RequestID for the log.
 	RequestID string
 }
--- a/internal/filter/quarantine/quarantine.go
+++ b/internal/filter/quarantine/quarantine.go
@@ -29,12 +29,12 @@
 		c.Note(f.Clock.Now(), "quarantine", "refused "+id.Fingerprint.String()+": "+err.Error())
 		return err
 	}
-	c.Pass = pass
+	c.Admission = pass
 	defer pass.Close()
 	return next.ServeHTTP(w, r)
 }
 
-func (f *Filter) admit(r *http.Request, c *filter.Call, id quarantine.ID) (filter.Pass, error) {
+func (f *Filter) admit(r *http.Request, c *filter.Call, id quarantine.ID) (filter.Admission, error) {
 	if c.Resume != nil {
 		return f.Quarantine.Follow(id), nil
 	}
--- a/internal/filter/route/route.go
+++ b/internal/filter/route/route.go
@@ -51,7 +51,7 @@
 
 // passes tells whether the quarantine lets the call be sent to another server.
 func passes(r *http.Request, c *filter.Call) bool {
-	return c.Pass == nil || c.Pass.Again(r.Context()) == nil
+	return c.Admission == nil || c.Admission.Again(r.Context()) == nil
 }
 
 func workOf(c *filter.Call) filter.Work {
@@ -68,7 +68,7 @@
 
 // again tells whether the call may be sent to another server after err.
 func again(c *filter.Call, err error) bool {
-	if c.Final || !errkind.Is(err, errkind.BackendServerFailed) {
+	if c.NoRetry || !errkind.Is(err, errkind.BackendServerFailed) {
 		return false
 	}
 	return c.Idempotent || !c.Dispatched
--- a/internal/proof/caller.go
+++ b/internal/proof/caller.go
@@ -236,7 +236,7 @@
 	if f.node(host) != n {
 		return a // the host died before it answered
 	}
-	a.refusal = filter.Truthful(c, err)
+	a.refusal = filter.CorrectRan(c, err)
 	a.ok = a.refusal == nil
 	if a.ok && w.Body.String() != a.identity {
 		// This may be the replayed refusal of an earlier submission.
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -23,7 +23,7 @@
 		for a := range accounts {
 			for n := range maxPerAccount {
 				for c := range MaxCrashes {
-					table.Crashed(epochStart, request(fmt.Sprintf("account-%d", a), n), run(a*n+c), "host-12", c)
+					table.RecordCrash(epochStart, request(fmt.Sprintf("account-%d", a), n), run(a*n+c), "host-12", c)
 				}
 			}
 		}
@@ -31,7 +31,7 @@
 		runtime.ReadMemStats(&after)
 		entries := float64(accounts * maxPerAccount)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/entries, "B/request")
-		told := &pb.FetchSuspectsReply{Suspects: table.All(epochStart.Add(time.Second))}
+		told := &pb.FetchSuspectsReply{Suspects: table.Suspects(epochStart.Add(time.Second))}
 		b.ReportMetric(float64(proto.Size(told))/entries, "told-B/request")
 	}
 }
@@ -40,7 +40,7 @@
 func BenchmarkAdmitFree(b *testing.B) {
 	table := NewTable()
 	for n := range maxPerAccount {
-		table.Crashed(epochStart, request("account", n), run(n), "host", 0)
+		table.RecordCrash(epochStart, request("account", n), run(n), "host", 0)
 	}
 	id := request("account", maxPerAccount)
 	for b.Loop() {
--- a/internal/quarantine/state.go
+++ b/internal/quarantine/state.go
@@ -13,8 +13,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// State is what is known of a request, for other hosts; nil if it is nothing.
-func (t *Table) State(now time.Time, id ID) *pb.Suspect {
+// Suspect is what is known of a request, for other hosts; nil if it is nothing.
+func (t *Table) Suspect(now time.Time, id ID) *pb.Suspect {
 	s := t.find(id)
 	if s == nil {
 		return nil
@@ -32,11 +32,11 @@
 	return out
 }
 
-// All are the states of all requests, in order.
-func (t *Table) All(now time.Time) []*pb.Suspect {
+// Suspects are the states of all requests, in order.
+func (t *Table) Suspects(now time.Time) []*pb.Suspect {
 	var out []*pb.Suspect
 	for _, id := range t.ids() {
-		out = append(out, t.State(now, id))
+		out = append(out, t.Suspect(now, id))
 	}
 	return out
 }
@@ -44,7 +44,7 @@
 // Entry is what is held against one request.
 type Entry struct {
 	ID       ID
-	Standing Standing
+	Status Status
 	// Crashes, oldest first.
 	Crashes []*pb.ServerCrash
 }
@@ -53,20 +53,20 @@
 func (t *Table) Entries(now time.Time) []Entry {
 	var out []Entry
 	for _, id := range t.ids() {
-		st := t.Standing(now, id)
+		st := t.Status(now, id)
 		if st.Level == Free {
 			continue
 		}
-		crashes := t.State(now, id).GetCrashes()
+		crashes := t.Suspect(now, id).GetCrashes()
 		slices.SortStableFunc(crashes, func(a, b *pb.ServerCrash) int { return cmp.Compare(b.GetAgeMs(), a.GetAgeMs()) })
-		out = append(out, Entry{ID: id, Standing: st, Crashes: crashes})
+		out = append(out, Entry{ID: id, Status: st, Crashes: crashes})
 	}
 	return out
 }
 
-// Some are the states of at most n requests, those with the most crashes first. Of requests with
+// SomeSuspects are the states of at most n requests, those with the most crashes first. Of requests with
 // as many the ones from a place on come first: whoever asks again and again learns all of them.
-func (t *Table) Some(now time.Time, n int, from uint64) []*pb.Suspect {
+func (t *Table) SomeSuspects(now time.Time, n int, from uint64) []*pb.Suspect {
 	ids := t.ids()
 	if len(ids) > n {
 		at := int(from % uint64(len(ids)))
@@ -76,7 +76,7 @@
 	}
 	var out []*pb.Suspect
 	for _, id := range ids {
-		out = append(out, t.State(now, id))
+		out = append(out, t.Suspect(now, id))
 	}
 	return out
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -51,8 +51,8 @@
 	Quarantined Level = "quarantined"
 )
 
-// Standing of a request.
-type Standing struct {
+// Status of a request.
+type Status struct {
 	Level Level
 	// Crashes and trials that are known.
 	Crashes, Trials int
@@ -146,14 +146,14 @@
 	return s.touched.Before(than.touched)
 }
 
-// Standing of a request.
-func (t *Table) Standing(now time.Time, id ID) Standing {
+// Status of a request.
+func (t *Table) Status(now time.Time, id ID) Status {
 	s := t.find(id)
 	if s == nil || len(s.crashes) == 0 {
-		return Standing{Level: Free}
+		return Status{Level: Free}
 	}
 	last := s.last()
-	out := Standing{
+	out := Status{
 		Level: Suspected, Crashes: len(s.crashes), Trials: len(s.trials), LastCrash: now.Sub(last.at), Reporter: last.host,
 	}
 	if len(s.crashes) >= MaxCrashes {
@@ -214,9 +214,9 @@
 	return slices.ContainsFunc(s.crashes, func(c crash) bool { return c.run == run })
 }
 
-// Crashed takes that a run of a server ended while it ran a request; others is how many other
+// RecordCrash takes that a run of a server ended while it ran a request; others is how many other
 // requests it had of the same host. False if that was known.
-func (t *Table) Crashed(now time.Time, id ID, run instance.Incarnation, host string, others int) bool {
+func (t *Table) RecordCrash(now time.Time, id ID, run instance.Incarnation, host string, others int) bool {
 	s := t.suspectOf(now, id)
 	if !s.addCrash(crash{run: run, at: now, host: host, others: others}) {
 		return false
@@ -261,9 +261,9 @@
 	}
 }
 
-// Tried takes that a trial has reached a server; one that found none is made again. False if that
+// RecordTrial takes that a trial has reached a server; one that found none is made again. False if that
 // was known, or nothing is held against the request.
-func (t *Table) Tried(now time.Time, id ID, name string) bool {
+func (t *Table) RecordTrial(now time.Time, id ID, name string) bool {
 	s := t.find(id)
 	if s == nil || len(s.crashes) == 0 || !s.addTrial(trial{name: name, at: now}) {
 		return false
@@ -313,7 +313,7 @@
 
 // Merge takes what another host knows of a request; false if it is nothing new.
 func (t *Table) Merge(now time.Time, told *pb.Suspect) (id ID, news bool) {
-	id, ok := IDOf(told)
+	id, ok := IDFromProto(told)
 	if !ok {
 		return id, false
 	}
@@ -348,8 +348,8 @@
 	return now.Add(-age)
 }
 
-// Ends are the runs of servers that ended under a request, and how long ago.
-func (t *Table) Ends(now time.Time, id ID) map[instance.Incarnation]time.Duration {
+// CrashedIncarnations are the runs of servers that ended under a request, and how long ago.
+func (t *Table) CrashedIncarnations(now time.Time, id ID) map[instance.Incarnation]time.Duration {
 	out := make(map[instance.Incarnation]time.Duration)
 	if s := t.find(id); s != nil {
 		for _, c := range s.crashes {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -39,7 +39,7 @@
 
 // tell has one host learn all that another knows.
 func (f *fleet) tell(from, to int) {
-	for _, s := range f.hosts[from].All(f.now) {
+	for _, s := range f.hosts[from].Suspects(f.now) {
 		f.hosts[to].Merge(f.now, s)
 	}
 }
@@ -56,7 +56,7 @@
 
 func (f *fleet) crash(at int, id ID) {
 	f.servers++
-	f.hosts[at].Crashed(f.now, id, run(f.servers), fmt.Sprintf("host-%d", at), 0)
+	f.hosts[at].RecordCrash(f.now, id, run(f.servers), fmt.Sprintf("host-%d", at), 0)
 }
 
 func (f *fleet) admit(owner int, id ID) Verdict {
@@ -92,7 +92,7 @@
 			}
 			runs++
 			if v.Decision == Trial {
-				f.hosts[owner].Tried(f.now, id, f.pass())
+				f.hosts[owner].RecordTrial(f.now, id, f.pass())
 			}
 			f.crash(rapid.IntRange(0, len(f.hosts)-1).Draw(t, "host"), id)
 			f.tellAll()
@@ -125,7 +125,7 @@
 		f.hosts[rapid.IntRange(0, len(f.hosts)-1).Draw(t, "answering host")].Clear(f.now, id)
 		f.tellAll()
 		for i, h := range f.hosts {
-			if st := h.Standing(f.now, id); st.Level != Free {
+			if st := h.Status(f.now, id); st.Level != Free {
 				t.Fatalf("host %d: %+v", i, st)
 			}
 		}
@@ -147,7 +147,7 @@
 		f.hosts[0].End(id, f.pass())
 	}
 	f.admit(0, id)
-	f.hosts[0].Tried(f.now, id, f.pass())
+	f.hosts[0].RecordTrial(f.now, id, f.pass())
 	f.hosts[0].End(id, f.pass())
 	if v := f.admit(0, id); v.Decision != Refuse || v.After != trialPauses[1] {
 		t.Errorf("after a trial: %+v", v)
@@ -176,7 +176,7 @@
 			f.crash(s.host, id)
 		case 2:
 			if v := f.admit(s.host, id); v.Decision == Trial {
-				f.hosts[s.host].Tried(f.now, id, f.pass())
+				f.hosts[s.host].RecordTrial(f.now, id, f.pass())
 			}
 		case 3:
 			f.hosts[s.host].Clear(f.now, id)
@@ -187,7 +187,7 @@
 	f.tellAll()
 	for i, h := range f.hosts[1:] {
 		if h.Digest() != f.hosts[0].Digest() {
-			t.Fatalf("host %d knows %v, host 0 %v", i+1, h.All(f.now), f.hosts[0].All(f.now))
+			t.Fatalf("host %d knows %v, host 0 %v", i+1, h.Suspects(f.now), f.hosts[0].Suspects(f.now))
 		}
 	}
 	before := f.hosts[0].Version()
@@ -203,21 +203,21 @@
 	table := NewTable()
 	kept := request("small", 0)
 	for n := range MaxCrashes {
-		table.Crashed(epochStart, kept, run(n), "host", 0)
+		table.RecordCrash(epochStart, kept, run(n), "host", 0)
 	}
 	worst := request("large", 0)
 	for n := range MaxCrashes {
-		table.Crashed(epochStart, worst, run(n), "host", 0)
+		table.RecordCrash(epochStart, worst, run(n), "host", 0)
 	}
 	for n := 1; n < 10*maxPerAccount; n++ {
-		table.Crashed(epochStart.Add(time.Duration(n)*time.Second), request("large", n), run(n), "host", 0)
+		table.RecordCrash(epochStart.Add(time.Duration(n)*time.Second), request("large", n), run(n), "host", 0)
 	}
 	now := epochStart.Add(time.Hour)
-	if got := len(table.All(now)); got != maxPerAccount+1 {
+	if got := len(table.Suspects(now)); got != maxPerAccount+1 {
 		t.Errorf("%d requests are remembered", got)
 	}
 	for _, id := range []ID{kept, worst} {
-		if st := table.Standing(now, id); st.Level != Quarantined {
+		if st := table.Status(now, id); st.Level != Quarantined {
 			t.Errorf("account %s: %+v", id.Account, st)
 		}
 	}
@@ -228,7 +228,7 @@
 func TestSuspectedRequestRunsOnceAtATime(t *testing.T) {
 	table := NewTable()
 	id := request("account", 1)
-	table.Crashed(epochStart, id, run(1), "host", 0)
+	table.RecordCrash(epochStart, id, run(1), "host", 0)
 	at := epochStart
 	want := func(name string, decision Decision) {
 		t.Helper()
@@ -258,7 +258,7 @@
 	f := request("a", 1).Fingerprint
 	told := &pb.Suspect{Account: "a", Fingerprint: f[:], AgeMs: -1 << 62, Crashes: []*pb.ServerCrash{{AgeMs: 1 << 62}, nil}}
 	table.Merge(epochStart, told)
-	if st := table.Standing(epochStart, request("a", 1)); st.LastCrash < 0 || st.LastCrash > retention {
+	if st := table.Status(epochStart, request("a", 1)); st.LastCrash < 0 || st.LastCrash > retention {
 		t.Errorf("%+v", st)
 	}
 }
@@ -269,7 +269,7 @@
 	table := NewTable()
 	id := request("account", 1)
 	for n := range MaxCrashes {
-		table.Crashed(epochStart, id, run(n), "host", 0)
+		table.RecordCrash(epochStart, id, run(n), "host", 0)
 	}
 	if forgotten := table.Expire(epochStart.Add(retention - time.Second)); len(forgotten) != 0 {
 		t.Errorf("%v forgotten early", forgotten)
@@ -285,14 +285,14 @@
 	table, other := NewTable(), NewTable()
 	worst := request("account", 0)
 	for n := range MaxCrashes {
-		table.Crashed(epochStart, worst, run(n), "host", 0)
+		table.RecordCrash(epochStart, worst, run(n), "host", 0)
 	}
 	for n := 1; n < maxPerAccount; n++ {
-		table.Crashed(epochStart, request("account", n), run(n), "host", 0)
+		table.RecordCrash(epochStart, request("account", n), run(n), "host", 0)
 	}
 	const most = 5
 	for from := range uint64(maxPerAccount) {
-		some := table.Some(epochStart, most, from)
+		some := table.SomeSuspects(epochStart, most, from)
 		if len(some) != most || len(some[0].GetCrashes()) != MaxCrashes {
 			t.Fatalf("from %d: %v", from, some)
 		}
@@ -301,6 +301,6 @@
 		}
 	}
 	if table.Digest() != other.Digest() {
-		t.Errorf("%d of %d were told", len(other.All(epochStart)), maxPerAccount)
+		t.Errorf("%d of %d were told", len(other.Suspects(epochStart)), maxPerAccount)
 	}
 }
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -63,9 +63,9 @@
 	note.SetOutcome(out.cause, out.err)
 	lease.Done(out.result)
 	if t.x.Admission != nil && out.cause.CrashLike() {
-		t.x.Admission.Broke(filter.Break{
-			Run: choice.Instance.Incarnation(), Address: choice.Instance.Address, HealthPath: t.x.Service.HealthPath,
-			Began: started, Others: choice.Running, RequestID: t.x.ID,
+		t.x.Admission.ConnectionLost(filter.ConnectionLoss{
+			Incarnation: choice.Instance.Incarnation(), Address: choice.Instance.Address, HealthPath: t.x.Service.HealthPath,
+			Started: started, OtherRequests: choice.Running, RequestID: t.x.ID,
 		})
 	}
 	return out
@@ -91,7 +91,7 @@
 func (t *task) markReached() {
 	t.serversReached++
 	if t.x.Admission != nil {
-		t.x.Admission.Reached()
+		t.x.Admission.ServerReached()
 	}
 }
 
@@ -123,16 +123,16 @@
 
 // observeLimit records the rate limit that a server advertises, or no longer advertises, in its
 // answer to a request that was sent at the given time.
-func (t *task) observeLimit(run instance.Incarnation, reply relay.Reply, sent time.Time) {
+func (t *task) observeLimit(inc instance.Incarnation, reply relay.Reply, sent time.Time) {
 	if reply.LimitUnreadable {
-		t.f.Limits.Unreadable(run, t.x.ID)
+		t.f.Limits.Unreadable(inc, t.x.ID)
 		return
 	}
 	w := ratelimit.Observation{Limit: reply.Limit, At: time.Now()}
 	if !w.Limited() {
 		w.At = sent
 	}
-	t.f.Limits.Heard(run, w, t.x.ID)
+	t.f.Limits.Heard(inc, w, t.x.ID)
 }
 
 // observeCooldown records the cooldown that a server asks for in its answer.
