--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -124,7 +124,9 @@
 }
 
 // ConnectionLost implements filter.Pass.
-func (p *pass) ConnectionLost(b filter.ConnectionLoss) { p.breaks = append(p.breaks, p.g.checkCrash(p.id, b)) }
+func (p *pass) ConnectionLost(b filter.ConnectionLoss) {
+	p.breaks = append(p.breaks, p.g.checkCrash(p.id, b))
+}
 
 // Again implements filter.Pass. It does not wait for the crash check after a first break, since most
 // requests whose connection breaks did not cause it.
--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -184,7 +184,9 @@
 
 // recordCrash records that a server crashed while it ran a request.
 func (g *Guard) recordCrash(id quarantine.ID, b filter.ConnectionLoss) {
-	if g.update(id, func(now time.Time, t *quarantine.Table) bool { return t.RecordCrash(now, id, b.Incarnation, g.cfg.Host, b.OtherRequests) }) {
+	if g.update(id, func(now time.Time, t *quarantine.Table) bool {
+		return t.RecordCrash(now, id, b.Incarnation, g.cfg.Host, b.OtherRequests)
+	}) {
 		g.metrics.crashes.Add(1)
 	}
 }
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -36,8 +36,8 @@
 // ConnectionLoss is the end of an attempt's connection.
 type ConnectionLoss struct {
 	// Incarnation of the server, at an address.
-	Incarnation     instance.Incarnation
-	Address string
+	Incarnation instance.Incarnation
+	Address     string
 	// HealthPath is where the server says whether it takes requests.
 	HealthPath string
 	// Started is when the attempt did.
--- a/internal/quarantine/state.go
+++ b/internal/quarantine/state.go
@@ -43,7 +43,7 @@
 
 // Entry is what is held against one request.
 type Entry struct {
-	ID       ID
+	ID     ID
 	Status Status
 	// Crashes, oldest first.
 	Crashes []*pb.ServerCrash
