--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -307,7 +307,7 @@
 }
 
 // resetUnresponsive resets the leader's connections to members that don't answer. A
-// connection whose state a middlebox has lost stays unresponsive for good, while a new
+// connection whose state a middlebox has lost stays unresponsive, while a new
 // one would work.
 func (r *Replica) resetUnresponsive() {
 	if r.role != raft.Leader {
--- a/internal/control/replay_test.go
+++ b/internal/control/replay_test.go
@@ -46,11 +46,11 @@
 )
 
 // A replica must not apply all committed entries of its log in one go on the goroutine
-// that counts ticks and answers vote requests. When all replicas of a fleet with
-// hundreds of routing tables were killed and restarted, each applied old tables for 5
-// s. The group had no leader until the last table was applied (an election 0.2 s
-// later), so no newer table reached any host, and hosts rejected as unknown routes that
-// had been confirmed 4 s or more before.
+// that counts ticks and answers vote requests. All replicas of a fleet with hundreds of
+// routing tables were killed and restarted. Each applied old tables for 5 s; the group
+// had no leader until the last table was applied (the election came 0.2 s later), so no
+// newer table reached any host. Hosts rejected routes as unknown that had been
+// confirmed 4 s or more before.
 func TestReplayDoesNotDelayElection(t *testing.T) {
 	withCluster(t, slowApply(applyTime), func(t *testing.T, c *cluster) {
 		c.mustSet(replayedCommands, 0)
@@ -94,10 +94,10 @@
 	}
 }
 
-// Snapshots by number of entries alone, one per 10,000, are a day's worth of routing
-// tables: with a table of some kilobytes every 100 ms, a control host took the longer
-// to start the longer the fleet had run. The cost of applying an entry depends on its
-// size, so the size must bound the replay.
+// The cost of applying an entry depends on its size, so the size of the entries must
+// bound the replay. With one snapshot per 10,000 entries, which is a day's worth of
+// routing tables, and a table of some kilobytes sent every 100 ms, the time to start a
+// control host grew with the time that the fleet had run.
 func TestReplayIsBoundedBySize(t *testing.T) {
 	const changes, size = 1500, 8 << 10
 	withCluster(t, nil, func(t *testing.T, c *cluster) {
@@ -152,11 +152,12 @@
 	})
 }
 
-// With an election timeout of 6 ticks of 50 ms, as fleets that serve by a routing table
-// had, the lease lasts 4 ticks and heartbeat rounds begin every 2, so an answer after
-// 100 ms came too late. Hosts with a share of a processor stand still for 50 to 100 ms
-// at a time: the group changed its leader every second or two without any fault, and
-// each time committed and confirmed nothing for 0.3 s.
+// A fleet that serves by a routing table must keep its leader when answers take 130 ms.
+// With an election timeout of 6 ticks of 50 ms, as such fleets had, the lease lasts 4
+// ticks and heartbeat rounds begin every 2, so an answer after 100 ms came too late.
+// Hosts with a share of a processor stall for 50 to 100 ms at a time: logs showed such
+// a stall before each loss of leadership. The group changed its leader every second or
+// two without any fault, and each time committed and confirmed nothing for 0.3 s.
 func TestSlowAnswersCostNoLeadership(t *testing.T) {
 	routed := func(cfg *Config) { cfg.ElectionTicks = routedElectionTicks }
 	withCluster(t, routed, func(t *testing.T, c *cluster) {
--- a/internal/control/transport_test.go
+++ b/internal/control/transport_test.go
@@ -102,7 +102,7 @@
 
 // A middlebox may lose the state of an open connection: writes keep succeeding, but
 // nothing arrives. Unless the transport asks for an acknowledgment, the replica is cut
-// off from its group for good, although its host accepts new connections.
+// off from its group permanently, although its host accepts new connections.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	target := testutil.Listen(t)
 	front := testutil.Listen(t)
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -17,7 +17,7 @@
 
 const (
 	// attemptTimeout limits one call to one replica. A call that exceeds it also closes
-	// the connection, which may have become unresponsive for good.
+	// the connection, which may never recover.
 	attemptTimeout = time.Second
 	// localTarget denotes the replica in this process.
 	localTarget = "local"
@@ -54,10 +54,10 @@
 // replicas; it is called each time they are needed. The addresses passed to New are
 // still used after them. Replicas come and go: otherwise a process whose first replicas
 // were all replaced would no longer find a leader.
-func (c *Client) SetAddresses(learnt func() []string) {
+func (c *Client) SetAddresses(addresses func() []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.discovered = learnt
+	c.discovered = addresses
 }
 
 // SetSeeds replaces the addresses passed to New.
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -219,7 +219,7 @@
 
 // Only recent confirmations of at least the watcher's revision count as contact with
 // the quorum. A restarted host that follows a relay which is cut off, behind or sends
-// no settings would otherwise stay without confirmed settings for good.
+// no settings would otherwise stay without confirmed settings indefinitely.
 func TestOnlyFreshConfirmationsOfCurrentRevisionCount(t *testing.T) {
 	old := unconfirmedTimeout.Milliseconds()
 	w := &watcher{revision: 5}
--- a/internal/controlclient/silent_test.go
+++ b/internal/controlclient/silent_test.go
@@ -70,7 +70,7 @@
 }
 
 // A watch must leave a source that stops sending, or that keeps sending but is cut off
-// from the quorum. Otherwise the host keeps old settings for good although every
+// from the quorum. Otherwise the host keeps old settings indefinitely although every
 // replica is fine.
 func TestWatchLeavesSilentAndUnconfirmedSources(t *testing.T) {
 	for name, rest := range map[string]func(watchStream) error{"silent": hang, "unconfirmed": sendUnconfirmed} {
--- a/internal/controlclient/watch.go
+++ b/internal/controlclient/watch.go
@@ -76,7 +76,7 @@
 type watcher struct {
 	c        *Client
 	revision uint64
-	started  bool // a whole tree was received
+	started  bool // the watcher has a whole tree
 	fn       func(*pb.WatchEvent) error
 }
 
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -243,7 +243,7 @@
 	p.lastStamp = m.Hint
 	r.observeQuorum()
 	// Nothing asks for a lost append message again, so it would leave the follower
-	// behind for good. The loss shows as a follower that replies to heartbeats, lags
+	// behind permanently. The loss shows as a follower that replies to heartbeats, lags
 	// behind and was last sent entries more than resendTicks ago.
 	stalled := p.match < r.log.lastIndex() && r.now-p.sentTick >= r.resendTicks(p)
 	if stalled {
--- a/internal/raft/scenario_test.go
+++ b/internal/raft/scenario_test.go
@@ -119,7 +119,7 @@
 	commitEntries(t, s, 1)
 }
 
-// replace stops a replica for good and starts a new one in its place. Calls to repair
+// replace stops a replica permanently and starts a new one in its place. Calls to repair
 // complete the replacement.
 func replace(s *sim, lost, fresh uint64) map[uint64]bool {
 	s.stop(s.nodes[lost])
