--- a/internal/controlclient/attempt.go
+++ b/internal/controlclient/attempt.go
@@ -32,7 +32,8 @@
 	notSent bool
 }
 
-// localResult returns what the replica in this process returned as an attemptResult.
+// localResult converts the return values of the replica in this process to an
+// attemptResult.
 func localResult[T any](value T, err error) attemptResult[T] {
 	var nl *control.NotLeaderError
 	if errors.As(err, &nl) {
@@ -41,10 +42,10 @@
 	return attemptResult[T]{value: value, refusal: wire.EncodeError(err)}
 }
 
-// remoteResult calls a replica in another process. ask must pass the options on to its
+// callRemote calls a replica in another process. ask must pass the options on to its
 // call. They return the trailer, in which a replica that is not the leader sends the
 // leader's address, and the peer, which gRPC sets only if the call got a stream.
-func remoteResult[T any](c *Client, target string, ask func(pb.ControlClient, ...grpc.CallOption) attemptResult[T]) attemptResult[T] {
+func callRemote[T any](c *Client, target string, ask func(pb.ControlClient, ...grpc.CallOption) attemptResult[T]) attemptResult[T] {
 	svc, err := c.service(target)
 	if err != nil {
 		return attemptResult[T]{err: err, notSent: true}
@@ -63,7 +64,7 @@
 	if target == localTarget {
 		return localResult(c.local.Propose(ctx, cmd))
 	}
-	return remoteResult(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.CommandResult] {
+	return callRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.CommandResult] {
 		reply, err := svc.Propose(ctx, &pb.ProposeRequest{Command: cmd}, opts...)
 		if err == nil && reply.Result == nil && reply.Error == nil {
 			return attemptResult[*pb.CommandResult]{notLeader: true, leaderHint: reply.LeaderAddress}
@@ -76,7 +77,7 @@
 	if target == localTarget {
 		return localResult(c.local.Read(ctx, q))
 	}
-	return remoteResult(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.QueryResult] {
+	return callRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.QueryResult] {
 		res, err := svc.Read(ctx, q, opts...)
 		return attemptResult[*pb.QueryResult]{value: res, refusal: res.GetError(), err: err}
 	})
@@ -86,7 +87,7 @@
 	if target == localTarget {
 		return localResult(c.local.ChangeMembers(ctx, req))
 	}
-	return remoteResult(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.GroupStatus] {
+	return callRemote(c, target, func(svc pb.ControlClient, opts ...grpc.CallOption) attemptResult[*pb.GroupStatus] {
 		reply, err := svc.ChangeMembers(ctx, req, opts...)
 		return attemptResult[*pb.GroupStatus]{value: reply.GetGroup(), refusal: reply.GetError(), err: err}
 	})
