--- a/internal/control/transport_test.go
+++ b/internal/control/transport_test.go
@@ -103,7 +103,7 @@
 // A middlebox may lose the state of an open connection: writes keep succeeding, but
 // nothing arrives. Unless the transport asks for an acknowledgment, the replica is cut
 // off from its group permanently, although its host accepts new connections.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	target := testutil.Listen(t)
 	front := testutil.Listen(t)
 	s := &sink{receivedTerms: make(chan uint64, 1), snapshotComplete: make(chan bool, 10)}
