--- a/internal/ledger/reserve_test.go
+++ b/internal/ledger/reserve_test.go
@@ -22,7 +22,8 @@
 	// maxClockStepBack is how far the clocks of the leader and of the hosts may be set back;
 	// it is less than reserve.Margin.
 	maxClockStepBack = 900 * time.Millisecond
-	// suspendedDivisor: a suspended host doesn't measure 1/suspendedDivisor of the time.
+	// suspendedDivisor sets the part of the time, 1/suspendedDivisor, that a suspended host
+	// does not measure.
 	suspendedDivisor = 3
 )
 
