--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -124,9 +124,9 @@
 // ConnectionLost implements filter.Pass.
 func (p *pass) ConnectionLost(b filter.ConnectionLoss) { p.breaks = append(p.breaks, p.g.judge(p.id, b)) }
 
-// Again implements filter.Pass. After a first break nothing waits for the verdict on it: most
+// AllowRetry implements filter.Pass. After a first break nothing waits for the verdict on it: most
 // requests whose connection breaks had no part in it.
-func (p *pass) Again(ctx context.Context) error {
+func (p *pass) AllowRetry(ctx context.Context) error {
 	p.seen = p.g.standing(p.id)
 	if len(p.breaks) > 1 || p.seen.Level != quarantine.Free {
 		p.awaitVerdicts(ctx)
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -24,8 +24,8 @@
 	// ConnectionLost tells of an attempt whose connection the server's side ended before its answer
 	// was whole. It does not block.
 	ConnectionLost(b ConnectionLoss)
-	// Again asks whether there may be a further attempt after one that broke.
-	Again(ctx context.Context) error
+	// AllowRetry asks whether there may be a further attempt after one that broke.
+	AllowRetry(ctx context.Context) error
 	// Answered tells that a server gave its whole answer.
 	Answered()
 	// Standing of the request when it was last asked for.
--- a/internal/filter/route/route.go
+++ b/internal/filter/route/route.go
@@ -51,7 +51,7 @@
 
 // passes tells whether the quarantine lets the call be sent to another server.
 func passes(r *http.Request, c *filter.Call) bool {
-	return c.Admission == nil || c.Admission.Again(r.Context()) == nil
+	return c.Admission == nil || c.Admission.AllowRetry(r.Context()) == nil
 }
 
 func workOf(c *filter.Call) filter.Work {
--- a/internal/relay/forward/forward.go
+++ b/internal/relay/forward/forward.go
@@ -100,7 +100,7 @@
 		if t.x.Admission == nil {
 			continue
 		}
-		if err := t.x.Admission.Again(t.ctx); err != nil {
+		if err := t.x.Admission.AllowRetry(t.ctx); err != nil {
 			return t.giveUp(err)
 		}
 	}
--- a/internal/relay/forward/pass_test.go
+++ b/internal/relay/forward/pass_test.go
@@ -22,7 +22,7 @@
 
 func (p *admission) ServerReached()                      { p.reached++ }
 func (p *admission) ConnectionLost(filter.ConnectionLoss)            { p.broke++ }
-func (p *admission) Again(context.Context) error   { return p.retryErr }
+func (p *admission) AllowRetry(context.Context) error   { return p.retryErr }
 func (p *admission) Answered()                     { p.answered++ }
 func (p *admission) Standing() quarantine.Status { return quarantine.Status{} }
 func (p *admission) Close()                        {}
