--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -26,8 +26,8 @@
 	breaks []<-chan struct{}
 }
 
-// Standing implements filter.Pass.
-func (p *pass) Standing() quarantine.Status { return p.seen }
+// Status implements filter.Pass.
+func (p *pass) Status() quarantine.Status { return p.seen }
 
 // admit asks for a run if anything is held against the request.
 func (p *pass) admit(ctx context.Context) error {
--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -143,8 +143,8 @@
 	if !x.Deadline.IsZero() {
 		event = event.Stringer("fingerprint", x.QuarantineID.Fingerprint)
 	}
-	if x.Admission != nil && x.Admission.Standing().Crashes > 0 {
-		st := x.Admission.Standing()
+	if x.Admission != nil && x.Admission.Status().Crashes > 0 {
+		st := x.Admission.Status()
 		event = event.Str("level", string(st.Level)).Int("crashes", st.Crashes).Int("trials", st.Trials).
 			Str("crash_reporter", st.Reporter).Dur("last_crash_ago", st.LastCrash)
 	}
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -28,8 +28,8 @@
 	AllowRetry(ctx context.Context) error
 	// Answered tells that a server gave its whole answer.
 	Answered()
-	// Standing of the request when it was last asked for.
-	Standing() quarantine.Status
+	// Status of the request when it was last asked for.
+	Status() quarantine.Status
 	Close()
 }
 
