--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -131,8 +131,8 @@
 	return p, nil
 }
 
-// Follow implements filter.Quarantine.
-func (g *Guard) Follow(id quarantine.ID) filter.Admission { return g.newPass(id) }
+// AdmitResumed implements filter.Quarantine.
+func (g *Guard) AdmitResumed(id quarantine.ID) filter.Admission { return g.newPass(id) }
 
 func (g *Guard) newPass(id quarantine.ID) *pass {
 	return &pass{g: g, id: id, name: g.cfg.Run + "/" + strconv.FormatUint(g.passes.Add(1), 10)}
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -13,8 +13,8 @@
 	// Admit lets a request pass, or refuses it. It may block until another run of the same
 	// request has ended, or ctx ends.
 	Admit(ctx context.Context, id quarantine.ID) (Admission, error)
-	// Follow lets a request pass that goes on with a run which was admitted before.
-	Follow(id quarantine.ID) Admission
+	// AdmitResumed lets a request pass that goes on with a run which was admitted before.
+	AdmitResumed(id quarantine.ID) Admission
 }
 
 // Admission is the way of one request to backend servers. Exactly one Close follows.
--- a/internal/filter/quarantine/quarantine.go
+++ b/internal/filter/quarantine/quarantine.go
@@ -36,7 +36,7 @@
 
 func (f *Filter) admit(r *http.Request, c *filter.Call, id quarantine.ID) (filter.Admission, error) {
 	if c.Resume != nil {
-		return f.Quarantine.Follow(id), nil
+		return f.Quarantine.AdmitResumed(id), nil
 	}
 	return f.Quarantine.Admit(r.Context(), id)
 }
