--- a/internal/controller/scheduler/scheduler.go
+++ b/internal/controller/scheduler/scheduler.go
@@ -133,8 +133,8 @@
 	return s.core.Running()
 }
 
-// First counts a first try of the team.
-func (s *Scheduler) First(team string) {
+// CountRequest counts a first try of the team.
+func (s *Scheduler) CountRequest(team string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retries.First(s.now(), team)
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -327,8 +327,8 @@
 
 // Retries holds the teams' retry allowances.
 type Retries interface {
-	// First counts a first try of the team.
-	First(team string)
+	// CountRequest counts a first try of the team.
+	CountRequest(team string)
 	// Allow takes one retry from the team's allowance, or says no.
 	Allow(team string, r settings.Retry) bool
 }
--- a/internal/filter/route/route.go
+++ b/internal/filter/route/route.go
@@ -33,7 +33,7 @@
 		}
 		c.Resume = nil
 	}
-	f.Retries.First(c.TeamName)
+	f.Retries.CountRequest(c.TeamName)
 	work := workOf(c)
 	for {
 		err := f.attempt(w, r, next, &work)
