--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -28,8 +28,8 @@
 	breaks []<-chan struct{}
 }
 
-// Standing implements filter.Pass.
-func (p *pass) Standing() quarantine.Status { return p.standing }
+// Status implements filter.Pass.
+func (p *pass) Status() quarantine.Status { return p.standing }
 
 // admit asks for admission if the request is suspected or quarantined.
 func (p *pass) admit(ctx context.Context) error {
@@ -128,9 +128,9 @@
 	p.breaks = append(p.breaks, p.g.checkCrash(p.id, b))
 }
 
-// Again implements filter.Pass. It does not wait for the crash check after a first break, since most
+// AllowRetry implements filter.Pass. It does not wait for the crash check after a first break, since most
 // requests whose connection breaks did not cause it.
-func (p *pass) Again(ctx context.Context) error {
+func (p *pass) AllowRetry(ctx context.Context) error {
 	p.standing = p.g.standing(p.id)
 	if len(p.breaks) > 1 || p.standing.Level != quarantine.Free {
 		p.awaitCrashChecks(ctx)
--- a/internal/controller/scheduler/scheduler.go
+++ b/internal/controller/scheduler/scheduler.go
@@ -136,8 +136,8 @@
 	return s.core.Running()
 }
 
-// First counts a first attempt of the team.
-func (s *Scheduler) First(team string) {
+// CountRequest counts a first attempt of the team.
+func (s *Scheduler) CountRequest(team string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retries.CountFirst(s.now(), team)
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -13,8 +13,8 @@
 	// Admit lets a request pass, or refuses it. It may block until another run of the same
 	// request has ended, or ctx ends.
 	Admit(ctx context.Context, id quarantine.ID) (Admission, error)
-	// Follow lets a request pass that goes on with a run which was admitted before.
-	Follow(id quarantine.ID) Admission
+	// AdmitResumed lets a request pass that goes on with a run which was admitted before.
+	AdmitResumed(id quarantine.ID) Admission
 }
 
 // Admission is the way of one request to backend servers. Exactly one Close follows.
@@ -24,12 +24,12 @@
 	// ConnectionLost tells of an attempt whose connection the server's side ended before its answer
 	// was whole. It does not block.
 	ConnectionLost(b ConnectionLoss)
-	// Again asks whether there may be a further attempt after one that broke.
-	Again(ctx context.Context) error
+	// AllowRetry asks whether there may be a further attempt after one that broke.
+	AllowRetry(ctx context.Context) error
 	// Answered tells that a server gave its whole answer.
 	Answered()
-	// Standing of the request when it was last asked for.
-	Standing() quarantine.Status
+	// Status of the request when it was last asked for.
+	Status() quarantine.Status
 	Close()
 }
 
