--- a/internal/callerapi/fake_test.go
+++ b/internal/callerapi/fake_test.go
@@ -107,7 +107,7 @@
 func (h *fakeHost) InContact() error                   { return nil }
 func (h *fakeHost) Self() *pb.Holder                   { return &pb.Holder{Host: h.name, Incarnation: 1} }
 func (h *fakeHost) Alive(o *pb.Holder) bool            { return !h.dead[o.GetHost()] }
-func (h *fakeHost) CountRequest(string)                       {}
+func (h *fakeHost) CountRequest(string)                {}
 func (h *fakeHost) Allow(string, settings.Retry) bool  { return !h.noRetry }
 func (h *fakeHost) Announce(*pb.ServerState) bool      { return true }
 func (h *fakeHost) CacheEvent(backend.CacheEvent)      {}
