--- a/internal/bearer/bearer.go
+++ b/internal/bearer/bearer.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// scheme comes before the key in an Authorization header, in any case.
+// scheme precedes the key in an Authorization header, in any letter case.
 const scheme = "bearer "
 
-// Key returns the key of the request's Authorization header, and whether it has one.
+// Key returns the key in the request's Authorization header, and whether there is one.
 func Key(r *http.Request) (string, bool) {
 	h := r.Header.Get("Authorization")
 	if len(h) <= len(scheme) || !strings.EqualFold(h[:len(scheme)], scheme) {
--- a/internal/errkind/doc_test.go
+++ b/internal/errkind/doc_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// rowPattern matches a row of the page's table of kinds: five cells, the first in code marks.
+// rowPattern matches a row of the page's table of kinds: five cells, the first formatted as code.
 var rowPattern = regexp.MustCompile("(?m)^\\| `[^`|]+` \\|.*\\|$")
 
-// TestPageHasTheTable checks docs/ERRORS.md both ways: each row of Table stands on
-// the page as it is, in its order, and the page has no row besides.
-func TestPageHasTheTable(t *testing.T) {
+// TestErrorsPageMatchesTable checks docs/ERRORS.md in both directions: each row of Table is on the
+// page unchanged and in order, and the page has no other rows.
+func TestErrorsPageMatchesTable(t *testing.T) {
 	page, err := os.ReadFile("../../docs/ERRORS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -34,6 +34,6 @@
 		}
 	}
 	if !t.Failed() && !slices.Equal(got, want) {
-		t.Error("the page has the rows in another order, or one twice")
+		t.Error("the page has the rows in another order, or has a row twice")
 	}
 }
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -1,6 +1,6 @@
-// Package errkind is the closed list of error kinds of bluebellsail and the
-// table from each kind to the answer a caller or operator gets. Every refusal
-// passes through this table; docs/ERRORS.md is checked against it by a test.
+// Package errkind defines the closed list of error kinds of bluebellsail and the table that maps
+// each kind to the answer for a caller or operator. Every refusal is answered by this table; a test
+// checks docs/ERRORS.md against it.
 package errkind
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// Kind names one way a request or an operation can be refused.
+// Kind is one way in which a request or an operation can be rejected.
 type Kind string
 
-// The closed list of kinds.
+// Kinds of errors. The list is closed.
 const (
 	BadRequest           Kind = "bad_request"
 	BodyTooLarge         Kind = "body_too_large"
@@ -54,34 +54,34 @@
 	Internal             Kind = "internal"
 )
 
-// Ran says whether the refused request ran at a backend server.
+// Ran is whether the rejected request ran at a backend server.
 type Ran string
 
-// What a refusal can say of the run.
+// Values of Ran.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
-	// RanVaries stands only in the table: the error itself must say.
+	// RanVaries occurs in Table only: each error of such a kind sets its own value with WithRan.
 	RanVaries Ran = "varies"
 )
 
-// Retry says what a caller may do about a refusal.
+// Retry is what a caller may do after a refusal.
 type Retry string
 
-// Rules for coming back.
+// Values of Retry.
 const (
-	// RetryNever: the same request can only be refused again.
+	// RetryNever means that the same request would be rejected again.
 	RetryNever Retry = "never"
-	// RetryAfter: come back after the time in Retry-After.
+	// RetryAfter means that the caller may retry after the time in the header Retry-After.
 	RetryAfter Retry = "after"
-	// RetryElsewhere: ask another address at once.
+	// RetryElsewhere means that the caller should ask another address at once.
 	RetryElsewhere Retry = "elsewhere"
-	// RetrySameKey: ask again with the same idempotency key to learn the outcome.
+	// RetrySameKey means that the caller may ask for the outcome with the same idempotency key.
 	RetrySameKey Retry = "same_key"
 )
 
-// Answer is the row of the table for one kind.
+// Answer is the row of Table for one kind.
 type Answer struct {
 	Kind   Kind
 	Status int // HTTP status code
@@ -90,7 +90,7 @@
 	Means  string
 }
 
-// Table holds one row per kind, in the order of the list.
+// Table has one row per kind, in the order of the constants.
 var Table = []Answer{
 	{BadRequest, 400, RanNo, RetryNever, "the body or a header can't be understood"},
 	{BodyTooLarge, 413, RanNo, RetryNever, "the body is over the limit"},
@@ -139,7 +139,7 @@
 	return m
 }()
 
-// Lookup returns the table's row for a kind; an unknown kind gets the row of Internal.
+// Lookup returns the row of a kind, or the row of Internal for an unknown kind.
 func Lookup(k Kind) Answer {
 	a, ok := byKind[k]
 	if !ok {
@@ -148,21 +148,21 @@
 	return a
 }
 
-// Error is a refusal of a kind. It is the only error type that crosses a
-// package boundary towards an answer.
+// Error is a refusal of a certain kind. It is the only error type that is passed across package
+// boundaries to be answered.
 type Error struct {
 	Kind    Kind
 	Message string
-	// Path of the fault in a settings tree or file, if any.
+	// Path is the path of the invalid value in a settings tree or file; empty if there is none.
 	Path string
-	// RetryAfter is when to come back; zero: not said.
+	// RetryAfter is the time after which to retry; 0 if none is given.
 	RetryAfter time.Duration
-	// PresentVersion of the subtree, with VersionConflict.
+	// PresentVersion is the current version of the subtree; set with VersionConflict.
 	PresentVersion uint64
 	ran            Ran
 }
 
-// New makes an error of kind k.
+// New returns an error of kind k.
 func New(k Kind, format string, args ...any) *Error {
 	return &Error{Kind: k, Message: fmt.Sprintf(format, args...)}
 }
@@ -175,25 +175,25 @@
 	return string(e.Kind) + ": " + e.Message
 }
 
-// After sets when to come back and returns e.
+// After sets the time after which to retry and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// At sets the path of the fault and returns e.
+// At sets the path of the invalid value and returns e.
 func (e *Error) At(path string) *Error {
 	e.Path = path
 	return e
 }
 
-// WithRan sets what is known of the run and returns e; for kinds whose row says RanVaries.
+// WithRan sets whether the request ran, in place of the value in the kind's row, and returns e.
 func (e *Error) WithRan(r Ran) *Error {
 	e.ran = r
 	return e
 }
 
-// Ran says whether the request ran. A kind that varies and was not told is unknown.
+// Ran returns whether the request ran; RanUnknown if the kind varies and no value was set.
 func (e *Error) Ran() Ran {
 	if e.ran != "" {
 		return e.ran
@@ -205,10 +205,10 @@
 	return r
 }
 
-// Status is the HTTP status code of the answer.
+// Status returns the HTTP status code of the answer.
 func (e *Error) Status() int { return Lookup(e.Kind).Status }
 
-// From finds the *Error in err's chain; any other error becomes Internal. It returns nil for nil.
+// From returns the *Error in err's chain. Any other error becomes Internal; nil stays nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -220,7 +220,7 @@
 	return New(Internal, "%v", err)
 }
 
-// Is tells whether err is a refusal of kind k.
+// Is reports whether err is a refusal of kind k.
 func Is(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
--- a/internal/errkind/errkind_test.go
+++ b/internal/errkind/errkind_test.go
@@ -10,7 +10,7 @@
 	seen := map[Kind]bool{}
 	for _, a := range Table {
 		if seen[a.Kind] {
-			t.Errorf("%s stands twice", a.Kind)
+			t.Errorf("%s is in the table twice", a.Kind)
 		}
 		seen[a.Kind] = true
 		if a.Status < 400 || a.Status > 599 || a.Means == "" {
--- a/internal/filter/budget/budget.go
+++ b/internal/filter/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget sets the worst case of a call aside before anything is dispatched,
-// so that no run can spend tokens which the budget doesn't have.
+// Package budget reserves the maximum number of tokens that a call can use before anything is
+// dispatched, so that no run can spend tokens that the budget does not have.
 package budget
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter"
 )
 
-// Filter reserves. The settle filter around it bills or releases.
+// Filter reserves the tokens. The settle filter, which encloses it, bills or releases them.
 type Filter struct {
 	Budget filter.Budget
 	Clock  filter.Clock
--- a/internal/filter/callergone/callergone.go
+++ b/internal/filter/callergone/callergone.go
@@ -1,4 +1,4 @@
-// Package callergone ends a call's context once its caller has closed the connection.
+// Package callergone cancels a call's context once its caller has closed the connection.
 package callergone
 
 import (
@@ -15,17 +15,18 @@
 	"github.com/bluebellsail/bluebellsail/internal/panics"
 )
 
-// DefaultInterval between two looks at the connections.
+// DefaultInterval is the default interval between two polls of the connections.
 const DefaultInterval = 50 * time.Millisecond
 
-// Filter watches the connections of all calls with one goroutine, which runs while
-// there are any. nbhttp reports a closed connection to nobody, it has to be polled.
+// Filter polls the connections of all calls from one goroutine, which runs while there are any
+// calls. Polling is necessary since nbhttp reports closed connections to nobody.
 type Filter struct {
-	// Interval between two looks; 0: the default.
+	// Interval is the interval between two polls; 0 means DefaultInterval.
 	Interval time.Duration
-	// Closed tells whether the caller's connection is closed; nil: httpserver.ConnClosed.
+	// Closed reports whether the caller's connection is closed; nil means httpserver.ConnClosed.
 	Closed func(w http.ResponseWriter) bool
-	// ID is the id of a call in the log, by which its connection's line is found; nil: none.
+	// ID returns the ID of a call in the log, by which the line of its connection is found; nil if
+	// calls have none.
 	ID func(ctx context.Context) string
 
 	mu      sync.Mutex
@@ -64,7 +65,7 @@
 	}
 }
 
-// remove waits for a look under way: w must not be touched after the handler returns.
+// remove waits for a poll that is under way: w must not be used after the handler returns.
 func (f *Filter) remove(e *watch) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,21 +80,22 @@
 	t := time.NewTicker(interval)
 	defer t.Stop()
 	for range t.C {
-		if !f.lookSafely() {
+		if !f.pollSafely() {
 			return
 		}
 	}
 }
 
-// lookSafely is look; a panic costs one look.
-func (f *Filter) lookSafely() (more bool) {
+// pollSafely is poll, except that a panic only ends the current poll.
+func (f *Filter) pollSafely() (more bool) {
 	defer panics.Log(log.Logger, "watching callers")
 	more = true // after a panic
-	return f.look()
+	return f.poll()
 }
 
-// look cancels the calls whose callers have gone; false ends the watching.
-func (f *Filter) look() bool {
+// poll cancels the calls whose callers have closed their connections. It returns false if no calls
+// are left.
+func (f *Filter) poll() bool {
 	closed := f.Closed
 	if closed == nil {
 		closed = httpserver.ConnClosed
@@ -102,7 +104,7 @@
 	defer f.mu.Unlock()
 	for e := range f.watched {
 		if closed(e.w) {
-			e.cancel(goneError(e.w))
+			e.cancel(closeError(e.w))
 			delete(f.watched, e)
 		}
 	}
@@ -110,11 +112,11 @@
 	return f.running
 }
 
-// goneError says who closed the connection below w.
+// closeError returns an error that says which side closed the connection of w.
 //
-// What goes wrong without the difference: a connection that the server closed under a
-// request stands in the log as a caller that left, and nobody looks for the server's fault.
-func goneError(w http.ResponseWriter) error {
+// Without the distinction a connection that the host closed during a request would be logged as
+// closed by the caller, and the fault in the host would go unnoticed.
+func closeError(w http.ResponseWriter) error {
 	cause, known := httpserver.CloseCause(w)
 	if !known || cause.ByCaller() {
 		return errkind.New(errkind.CallerGone, "the caller closed its connection")
--- a/internal/filter/callergone/callergone_test.go
+++ b/internal/filter/callergone/callergone_test.go
@@ -21,10 +21,9 @@
 
 const patience = 5 * time.Second
 
-func TestCallEndsWithWhoClosedTheConnection(t *testing.T) {
-	// Symptom: the log says that callers leave, and they say that the host hangs up.
-	// Sequence: the connection below a call is closed, by the caller or by the host itself.
-	// Cause: a closed connection is taken for a caller that left.
+func TestCallEndsWithTheSideThatClosed(t *testing.T) {
+	// Guards against logging a connection that the host itself closed below a call as closed by the
+	// caller.
 	for name, test := range map[string]struct {
 		end  func(c net.Conn, w http.ResponseWriter)
 		want errkind.Kind
@@ -57,16 +56,16 @@
 			select {
 			case err := <-ended:
 				if e := errkind.From(err); e.Kind != test.want {
-					t.Errorf("the call ended with %v", e)
+					t.Errorf("the call's context ended with %v", e)
 				}
 			case <-time.After(patience):
-				t.Fatal("the call goes on")
+				t.Fatal("the call's context was not canceled")
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
 			testutil.NoError(t, s.Drain(ctx))
 			if !strings.Contains(logged.String(), `"request":"call-1"`) {
-				t.Errorf("no line names the call: %s", &logged)
+				t.Errorf("no log line has the call's ID: %s", &logged)
 			}
 		})
 	}
--- a/internal/filter/context.go
+++ b/internal/filter/context.go
@@ -6,21 +6,21 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// ContextError is the refusal for a call whose context has ended: its cause, if that
+// ContextError returns the refusal for a call whose context has ended: the context's cause if that
 // is a refusal, else DeadlineExceeded.
 func ContextError(ctx context.Context) *errkind.Error {
 	cause := errkind.From(context.Cause(ctx))
 	if cause != nil && cause.Kind != errkind.Internal {
 		return errkind.New(cause.Kind, "%s", cause.Message)
 	}
-	return errkind.New(errkind.DeadlineExceeded, "the deadline passed before the whole answer was there")
+	return errkind.New(errkind.DeadlineExceeded, "the deadline passed before the answer was complete")
 }
 
-// CorrectRan makes what err says of the run true for the whole call.
+// CorrectRan returns err with a value of Ran that holds for the whole call.
 //
-// What goes wrong without it: a first attempt may have run, and a second one is
-// refused by the scheduler with a kind whose row says "did not run". The caller
-// would send the work again under another key.
+// Without it a call whose first attempt may have run, and whose second attempt is rejected by the
+// scheduler, would be answered with the "did not run" of the latter kind's row, and the caller
+// would send the request again under another key.
 func CorrectRan(c *Call, err error) *errkind.Error {
 	e := errkind.From(err)
 	if e == nil {
@@ -38,7 +38,7 @@
 	return e
 }
 
-// ranEarlier is true for refusals about an earlier arrival of the same request.
+// ranEarlier reports whether a refusal of kind k is about an earlier arrival of the same request.
 func ranEarlier(k errkind.Kind) bool {
 	switch k {
 	case errkind.InProgress, errkind.AnswerNotKept, errkind.OutcomeUnknown:
--- a/internal/filter/deadline/deadline.go
+++ b/internal/filter/deadline/deadline.go
@@ -1,5 +1,5 @@
-// Package deadline sets the time by which a call must be answered. It is relative to
-// the request's arrival, so that no clocks need agree.
+// Package deadline sets the time by which a call must be answered. It is relative to the request's
+// arrival, so that no clocks need to agree.
 package deadline
 
 import (
@@ -12,17 +12,18 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter"
 )
 
-// Share of the time kept back for the answer's way to the caller, at most maxMargin.
+// The last 1/marginShare of the timeout, at most maxMargin, is kept for sending the answer to the
+// caller.
 const (
 	marginShare = 50
 	maxMargin   = 10 * time.Millisecond
 )
 
-// Filter puts the deadline on the call and its context.
+// Filter sets the deadline on the call and its context.
 type Filter struct{}
 
-// ServeHTTP implements filter.Filter. The context ends a little before the caller's
-// deadline: an answer begun at the deadline itself would arrive after it.
+// ServeHTTP implements filter.Filter. The context ends slightly before the caller's deadline: an
+// answer begun at the deadline itself would arrive late.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	c := filter.CallFrom(r.Context())
 	timeout, err := Timeout(c, r.Header.Get(filter.HeaderTimeout))
@@ -35,13 +36,13 @@
 	return next.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// Timeout is the time the call has from its arrival.
+// Timeout returns the time that the call has from its arrival.
 func Timeout(c *filter.Call, header string) (time.Duration, error) {
 	longest := c.Team.MaxTimeout.Std()
 	if header == "" {
 		d := c.Team.DefaultTimeout.Std()
 		if d <= 0 {
-			return 0, errkind.New(errkind.DeadlineMissing, "header %s is missing and team %s has no default", filter.HeaderTimeout, c.TeamName)
+			return 0, errkind.New(errkind.DeadlineMissing, "header %s is missing and team %s has no default timeout", filter.HeaderTimeout, c.TeamName)
 		}
 		return min(d, longest), nil
 	}
@@ -50,7 +51,7 @@
 		return 0, errkind.New(errkind.DeadlineInvalid, "header %s is not a positive number of milliseconds", filter.HeaderTimeout)
 	}
 	if ms > longest.Milliseconds() {
-		return 0, errkind.New(errkind.DeadlineInvalid, "header %s is over the team's limit of %d ms", filter.HeaderTimeout, longest.Milliseconds())
+		return 0, errkind.New(errkind.DeadlineInvalid, "header %s exceeds the team's limit of %d ms", filter.HeaderTimeout, longest.Milliseconds())
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
--- a/internal/filter/dispatch/assembly.go
+++ b/internal/filter/dispatch/assembly.go
@@ -10,7 +10,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter"
 )
 
-// assembly joins a stream into one answer for a caller that asked for no stream.
+// assembly joins a stream into one answer for a caller that did not ask for a stream.
 type assembly struct {
 	w       http.ResponseWriter
 	c       *filter.Call
@@ -19,7 +19,7 @@
 	usage   any
 }
 
-// object is a JSON object whose fields the router doesn't know.
+// object is a JSON object whose fields the router does not interpret.
 type object = map[string]any
 
 func newAssembly(w http.ResponseWriter, c *filter.Call) *assembly {
@@ -45,15 +45,15 @@
 	}
 	for _, v := range list {
 		if c, ok := v.(object); ok {
-			rename(c)
+			toWholeAnswer(c)
 		}
 	}
 	a.choices = mergeList(a.choices, list)
 	return nil
 }
 
-// rename makes a stream's choice one of a whole answer.
-func rename(choice object) {
+// toWholeAnswer converts a choice of a stream to one of a whole answer.
+func toWholeAnswer(choice object) {
 	if d, ok := choice["delta"]; ok {
 		choice["message"] = d
 		delete(choice, "delta")
@@ -63,7 +63,7 @@
 	}
 }
 
-// flush implements sink: nothing goes out before the end.
+// flush implements sink. Nothing is sent before the end.
 func (a *assembly) flush() {}
 
 // end implements sink.
@@ -84,7 +84,7 @@
 	}
 	ans := &a.c.Answer
 	*ans = filter.Answer{Begun: true, Status: http.StatusOK, ContentType: "application/json", Tokens: ans.Tokens}
-	keep(ans, body)
+	appendAnswer(ans, body)
 	h := a.w.Header()
 	h.Set("Content-Type", ans.ContentType)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// merge joins src into dst: texts grow, objects and lists join, the rest is replaced.
+// merge merges src into dst: texts are appended, objects and lists are merged, and other values are
+// replaced.
 func merge(dst, src object) {
 	for k, v := range src {
 		switch v := v.(type) {
@@ -115,7 +116,8 @@
 	}
 }
 
-// mergeText appends to a text that comes in pieces; names and the like come whole.
+// mergeText appends v to a text that arrives in pieces. Names and similar fields arrive whole and
+// are replaced.
 func mergeText(field string, old any, v string) string {
 	switch field {
 	case "role", "id", "type", "name", "finish_reason", "object":
@@ -125,7 +127,7 @@
 	return s + v
 }
 
-// mergeList joins elements that carry the same index and appends others.
+// mergeList merges elements that have the same index and appends the others.
 func mergeList(dst, src []any) []any {
 	for _, v := range src {
 		o, ok := v.(object)
--- a/internal/filter/dispatch/chunk.go
+++ b/internal/filter/dispatch/chunk.go
@@ -13,7 +13,7 @@
 	errorEvent = "error"
 )
 
-// chunk is what the router itself reads of a stream's event.
+// chunk contains the fields of a stream's event that the router itself reads.
 type chunk struct {
 	Choices []choice            `json:"choices"`
 	Usage   *engineclient.Usage `json:"usage"`
@@ -35,7 +35,7 @@
 func decodeChunk(raw []byte) (*chunk, error) {
 	var ch chunk
 	if err := json.Unmarshal(raw, &ch); err != nil {
-		return nil, errors.Wrap(errEngine, "event is no chunk")
+		return nil, errors.Wrap(errEngine, "the event is not a chunk")
 	}
 	if len(ch.Error) > 0 && string(ch.Error) != "null" {
 		return nil, errors.Wrap(errEngine, string(ch.Error))
@@ -43,7 +43,7 @@
 	return &ch, nil
 }
 
-// text is what the chunk adds to the answer.
+// text returns the text that the chunk adds to the answer.
 func (ch *chunk) text() string {
 	if len(ch.Choices) == 0 {
 		return ""
@@ -52,20 +52,21 @@
 	return c.Delta.Content + c.Text + c.Delta.ReasoningContent + string(c.Delta.ToolCalls)
 }
 
-// isToken: engines send one token per event; one that sends more is still held to
-// its cap by the usage it reports.
+// isToken reports whether the chunk carries a token. Engines send one token per event; one that
+// sends more is still held to its cap by the usage it reports.
 func (ch *chunk) isToken() bool { return ch.text() != "" }
 
 func (ch *chunk) finishes() bool {
 	return len(ch.Choices) > 0 && ch.Choices[0].FinishReason != ""
 }
 
-// stopped tells that the run was ended from outside, so that its answer is not whole.
+// stoppedExternally reports whether the run was stopped from outside, so that its answer is
+// incomplete.
 //
-// What goes wrong without it: a host that another one took for dead gives its call up
-// and cancels the run; the other host, which reads the same run, takes its end for
-// the answer's.
-func (ch *chunk) stopped() bool {
+// Without it, after a host that another host considered dead gives up its call and cancels the run,
+// the other host, which reads the same run, would take the end of the run for the end of the
+// answer.
+func (ch *chunk) stoppedExternally() bool {
 	if len(ch.Choices) == 0 {
 		return false
 	}
--- a/internal/filter/dispatch/crash.go
+++ b/internal/filter/dispatch/crash.go
@@ -9,38 +9,39 @@
 	"github.com/bluebellsail/bluebellsail/internal/instance"
 )
 
-// healthPath is where servers say whether they take work.
+// healthPath is the path at which servers report whether they accept work.
 const healthPath = "/healthz"
 
-// crashLike tells whether the reading of a run ended as it does when its engine crashes. What the
-// engine said itself, and what this host ended, is something else.
+// crashLike reports whether reading a run ended as it does when the engine crashes. Errors that the
+// engine reported itself and runs that this host ended are excluded.
 func crashLike(err error) bool {
-	for _, other := range []error{errSilent, errNoAnswer, errCut, errDiverged, errEngine, errStopped} {
+	for _, other := range []error{errSilent, errNoAnswer, errOverCap, errDiverged, errEngine, errStopped} {
 		if errors.Is(err, other) {
 			return false
 		}
 	}
-	_, _, status := judge(err)
+	_, _, status := errorDetails(err)
 	return status == 0
 }
 
-// reached tells the quarantine that a server has the call.
-func reached(c *filter.Call) {
+// reportReached reports to the quarantine that a server has received the call.
+func reportReached(c *filter.Call) {
 	if c.Admission != nil {
 		c.Admission.ServerReached()
 	}
 }
 
-// answered tells the quarantine of a whole answer.
-func answered(c *filter.Call) {
+// reportAnswered reports a whole answer to the quarantine.
+func reportAnswered(c *filter.Call) {
 	if c.Admission != nil {
 		c.Admission.Answered()
 	}
 }
 
-// broke tells the quarantine of a connection that the server's side ended. The run of a server
-// that another host took room at is not known here; its address stands for it.
-func broke(c *filter.Call, server string, began time.Time) {
+// reportConnectionLoss reports to the quarantine a connection that the server's side ended. If
+// another host acquired the slot, the server's incarnation is not known here; the server is then
+// identified by its address alone.
+func reportConnectionLoss(c *filter.Call, server string, began time.Time) {
 	if c.Admission == nil {
 		return
 	}
--- a/internal/filter/dispatch/dispatch.go
+++ b/internal/filter/dispatch/dispatch.go
@@ -1,9 +1,9 @@
-// Package dispatch is the end of the chain: one attempt at one backend server. It
-// sends the request, relays the answer and deals with connections that break or go
-// silent by reading the run again from where it stopped.
+// Package dispatch is the last handler of the chain: one attempt at one backend server. It sends
+// the request and relays the answer. If the connection breaks or becomes silent, it reads the run
+// again from where it stopped.
 //
-// What an error from here says of the run is true for this attempt: "no" only if no
-// byte of the request can have reached the server or the server itself said so.
+// The value of Ran in an error from this package holds for this attempt: "no" only if no byte of
+// the request can have reached the server, or the server itself reported that it did not run it.
 package dispatch
 
 import (
@@ -24,15 +24,15 @@
 
 const tracerName = "github.com/bluebellsail/bluebellsail/internal/filter/dispatch"
 
-// Bounds of what is kept and waited for.
+// Bounds of sizes and waits.
 const (
 	// maxKept bounds the answer kept per call for callers that ask again, in bytes.
 	maxKept       = 256 << 10
 	cancelTimeout = 2 * time.Second
-	// cancelWait is how long an answer waits for the engine's word on what a
-	// cancelled run used.
-	cancelWait = 5 * time.Millisecond
-	goneWait   = time.Second
+	// cancelUsageWait is how long an answer waits for the engine to report the usage of a canceled
+	// run.
+	cancelUsageWait     = 5 * time.Millisecond
+	callerGoneUsageWait = time.Second
 )
 
 // Filter is the last Handler of the chain.
@@ -41,12 +41,12 @@
 	Silence Silence
 	Clock   filter.Clock
 
-	behind sync.WaitGroup
+	background sync.WaitGroup
 }
 
-// Wait returns once what goes on behind answers has ended: orders to cancel, and ends
-// of bodies.
-func (f *Filter) Wait() { f.behind.Wait() }
+// Wait returns once the work that continues after answers has ended: cancel orders and the reading
+// of remaining response bodies.
+func (f *Filter) Wait() { f.background.Wait() }
 
 // ServeHTTP implements filter.Handler.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request) error {
@@ -69,7 +69,7 @@
 	return err
 }
 
-// target is the server and the run that the attempt is about.
+// target returns the server and the engine request ID of the attempt.
 func target(c *filter.Call) (server, id string) {
 	if c.Resume != nil {
 		return c.Resume.Server, c.Resume.EngineRequestID
@@ -77,9 +77,9 @@
 	return c.Lease.Address(), route.EngineRequestID(c)
 }
 
-// runContext ends at the deadline, and when the caller goes. A call that must not be
-// repeated goes on without its caller: cut short, its outcome would be unknown for
-// good, while its answer is kept for the caller that asks again.
+// runContext returns a context that ends at the deadline, and when the caller leaves. A call that
+// must not be repeated continues without its caller: if it were cut short, its outcome would stay
+// unknown, while its answer, if finished, is kept for the caller that asks again.
 func runContext(ctx context.Context, c *filter.Call) (context.Context, context.CancelFunc) {
 	if c.Idempotent {
 		return context.WithCancel(ctx)
@@ -87,7 +87,7 @@
 	return context.WithDeadline(context.WithoutCancel(ctx), c.Deadline)
 }
 
-// request is what goes to the server.
+// request returns the request to send to the server.
 func (f *Filter) request(c *filter.Call, server, id string) engineclient.Request {
 	path := c.Path
 	if c.Query != "" {
@@ -99,8 +99,8 @@
 	}
 }
 
-// keep appends to the answer that is kept for callers that ask again.
-func keep(a *filter.Answer, b []byte) {
+// appendAnswer appends b to the answer that is kept for callers that ask again.
+func appendAnswer(a *filter.Answer, b []byte) {
 	if a.Truncated {
 		return
 	}
@@ -111,14 +111,14 @@
 	a.Body = append(a.Body, b...)
 }
 
-// cancelRun orders the engine to stop a run and waits a little for what it used. The
-// order itself goes on after that.
+// cancelRun orders the engine to stop a run and waits up to wait for the usage it reports. The
+// order itself continues in the background.
 func (f *Filter) cancelRun(server, id string, wait time.Duration) *engineclient.Usage {
 	answer := make(chan *engineclient.Usage, 1)
-	f.behind.Go(func() {
+	f.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
-		usage, _ := f.Client.Cancel(ctx, server, id) // the engine also stops at the run's own deadline
+		usage, _ := f.Client.Cancel(ctx, server, id) // on an error the engine stops at the run's deadline anyway
 		answer <- usage
 	})
 	if wait <= 0 {
@@ -134,7 +134,7 @@
 	}
 }
 
-// failed is the refusal for an attempt that may be made elsewhere.
-func failed(ran errkind.Ran, server, message string) *errkind.Error {
+// attemptFailed returns the refusal for an attempt that may be repeated at another server.
+func attemptFailed(ran errkind.Ran, server, message string) *errkind.Error {
 	return errkind.New(errkind.BackendServerFailed, "backend server %s: %s", server, message).WithRan(ran)
 }
--- a/internal/filter/dispatch/model.go
+++ b/internal/filter/dispatch/model.go
@@ -14,42 +14,44 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter"
 )
 
-// Bounds of reading a run again.
+// Bounds for reading a run again.
 const (
-	// maxFailures to read a run again without a token in between: then a call that may
-	// run elsewhere does; stuckAfter bounds its patience.
-	maxFailures = 3
-	stuckAfter  = 10 * time.Second
-	// slackFirst times the predicted time to the first token is no reason to act.
-	slackFirst = 2
-	// minFirst is the least, and queuedFirst what is added for work that waits before
-	// it, of that prediction.
-	minFirst    = 250 * time.Millisecond
-	queuedFirst = 2 * time.Second
+	// maxFailures is the number of consecutive failures to read a run again, without a token in
+	// between, after which a call that may run elsewhere does so. stalledAfter bounds how long such
+	// a call waits for a token.
+	maxFailures  = 3
+	stalledAfter = 10 * time.Second
+	// firstTokenSlack is the multiple of the predicted time to the first token that is tolerated
+	// before acting on a slow engine.
+	firstTokenSlack = 2
+	// minFirstToken is the minimum of that prediction. queuedFirstToken is added to it if other
+	// work is waiting at the server.
+	minFirstToken    = 250 * time.Millisecond
+	queuedFirstToken = 2 * time.Second
 	// answerWait bounds the wait for the answer when a run is read again.
-	answerWait    = 500 * time.Millisecond
-	firstPause    = 50 * time.Millisecond
-	longestPause  = time.Second
-	noLimit       = 24 * time.Hour
-	waitedSilence = 2 // doublings of the limit for an engine that can't resume
+	answerWait            = 500 * time.Millisecond
+	minBackoff            = 50 * time.Millisecond
+	maxBackoff            = time.Second
+	noLimit               = 24 * time.Hour
+	nonResumableDoublings = 2 // number of times the limit is doubled for an engine that can't resume
 )
 
-// Ends of reading a stream, besides its whole end.
+// Errors that end the reading of a stream.
 var (
 	errSilent   = errors.New("no byte for longer than allowed")
 	errNoAnswer = errors.New("no answer for longer than allowed")
-	errCut      = errors.New("the run passed its output cap")
+	errOverCap  = errors.New("the run passed its output cap")
 	errDiverged = errors.New("a second run does not repeat what the caller has")
 	errEngine   = errors.New("the engine reported an error in its stream")
 	errStopped  = errors.New("the run was stopped from outside")
 	errEarlyEnd = errors.New("the stream ended before its last event")
 )
 
-// sink takes a run's tokens.
+// sink receives a run's events.
 type sink interface {
-	// chunk takes one event's data.
+	// chunk processes the data of one event.
 	chunk(raw []byte, ch *chunk) error
-	// flush sends what is buffered on to the caller.
+	// flush sends buffered events to the caller.
 	flush()
 	// end completes the answer.
 	end() error
@@ -62,18 +64,18 @@
 	server, id string
 	sink       sink
 	resumable  bool
-	// reached: a byte of the request may have reached the engine, which has not said
-	// that it did not run it.
+	// reached is set if a byte of the request may have reached the engine, and the engine has not
+	// reported that it did not run it.
 	reached bool
 	began   time.Time
-	// first is the predicted time to the first token; 0: unknown.
-	first time.Duration
-	// received counts the run's tokens.
+	// predictedFirstToken is the predicted time to the first token; 0 if unknown.
+	predictedFirstToken time.Duration
+	// received counts the tokens received from the run.
 	received uint64
-	// rereads counts the readings after the first; failures and silences those since
-	// the last token that ended so.
+	// rereads counts the times the run was read again. failures and silences count the readings
+	// since the last token that ended in an error or in silence.
 	rereads, failures, silences int
-	// lastToken is when the last one came, or when the run began.
+	// lastToken is when the last token arrived, or when the run began.
 	lastToken time.Time
 	usage     *engineclient.Usage
 	finished  bool
@@ -91,43 +93,43 @@
 		a.sink = newAssembly(w, c)
 	}
 	a.lastToken = a.began
-	a.first = predicted(c)
-	f.Silence.Open(a.began, id, server, a.first)
+	a.predictedFirstToken = predictFirstToken(c)
+	f.Silence.Open(a.began, id, server, a.predictedFirstToken)
 	defer f.Silence.Close(id)
 	before := c.Dispatched
 	c.Dispatched = true
 	c.Usage = filter.Usage{}
 	err := a.run(ctx)
-	a.account()
+	a.recordUsage()
 	if a.reached {
-		reached(c)
+		reportReached(c)
 	}
 	if err == nil {
 		c.Outcome.OK = true
-		answered(c)
+		reportAnswered(c)
 		return nil
 	}
 	if ctx.Err() == nil && a.reached && crashLike(err) {
-		broke(c, server, a.began)
+		reportConnectionLoss(c, server, a.began)
 	}
-	return a.judge(ctx, err, before)
+	return a.classify(ctx, err, before)
 }
 
-// predicted is the time to the first token by what the server announced of its speed
-// and queue; 0: unknown.
-func predicted(c *filter.Call) time.Duration {
+// predictFirstToken returns the time to the first token predicted from the speed and queue that the
+// server announced; 0 if unknown.
+func predictFirstToken(c *filter.Call) time.Duration {
 	if c.Lease == nil || c.Lease.Server().GetPrefillPerSecond() <= 0 {
 		return 0
 	}
 	st := c.Lease.Server()
 	d := time.Duration(float64(c.PromptTokens) / st.PrefillPerSecond * float64(time.Second))
 	if st.Waiting > 0 {
-		d += queuedFirst
+		d += queuedFirstToken
 	}
-	return max(d, minFirst)
+	return max(d, minFirstToken)
 }
 
-// run reads the run to its end, again from where it stopped if need be.
+// run reads the run to its end, resuming from where it stopped if necessary.
 func (a *attempt) run(ctx context.Context) error {
 	for {
 		err := a.read(ctx)
@@ -139,49 +141,50 @@
 		}
 		a.rereads++
 		a.c.Note(a.f.Clock.Now(), "dispatch", "reads the run again from token "+strconv.FormatUint(a.received, 10)+" after: "+err.Error())
-		if !pause(ctx, a.failures) {
+		if !backoff(ctx, a.failures) {
 			return err
 		}
 	}
 }
 
-// mayResume tells whether the run may go on at the engine after err.
+// mayResume reports whether reading the run at the same engine may be resumed after err.
 func (a *attempt) mayResume(err error) bool {
 	switch {
-	case errors.Is(err, errCut), errors.Is(err, errDiverged), errors.Is(err, errEngine), errors.Is(err, errStopped):
+	case errors.Is(err, errOverCap), errors.Is(err, errDiverged), errors.Is(err, errEngine), errors.Is(err, errStopped):
 		return false
 	case !a.resumable, !a.reached:
 		return false
 	}
-	if _, _, status := judge(err); status != 0 && status < http.StatusInternalServerError {
-		return false // the engine refuses, or doesn't know the run
+	if _, _, status := errorDetails(err); status != 0 && status < http.StatusInternalServerError {
+		return false // the engine rejects the request or does not know the run
 	}
 	if !a.c.Idempotent {
-		return true // the call has only this run
+		return true // the call must not have another run
 	}
 	if errors.Is(err, errSilent) {
-		return a.f.Clock.Now().Sub(a.lastToken) < a.patience()
+		return a.f.Clock.Now().Sub(a.lastToken) < a.stallLimit()
 	}
 	return a.failures < maxFailures
 }
 
-// patience is how long a call that may run elsewhere waits for a token of an engine
-// that answers but gives none: half of the time that was left at the last one, so
-// that another engine has the other half.
-func (a *attempt) patience() time.Duration {
-	wait := min(stuckAfter, a.c.Deadline.Sub(a.lastToken)/2)
+// stallLimit returns how long a call that may run elsewhere waits for a token from an engine that
+// answers but sends none: half of the time that was left at the last token, so that another engine
+// has the other half.
+func (a *attempt) stallLimit() time.Duration {
+	wait := min(stalledAfter, a.c.Deadline.Sub(a.lastToken)/2)
 	if a.received == 0 {
-		wait = max(wait, slackFirst*a.first)
+		wait = max(wait, firstTokenSlack*a.predictedFirstToken)
 	}
 	return wait
 }
 
-// pause waits after the n-th failure in a row; after the first not at all.
-func pause(ctx context.Context, n int) bool {
+// backoff waits after the n-th failure in a row; there is no wait after the first one. It returns
+// false if ctx ends.
+func backoff(ctx context.Context, n int) bool {
 	if n <= 1 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(min(firstPause<<min(n-2, 8), longestPause))
+	t := time.NewTimer(min(minBackoff<<min(n-2, 8), maxBackoff))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -191,21 +194,21 @@
 	}
 }
 
-// read opens the run, or reads it again, and passes its events on until they end.
+// read opens the run, or reads it again, and passes on its events until they end.
 func (a *attempt) read(ctx context.Context) error {
-	l := newLink(ctx)
-	a.heard(false)
+	l := newConnContext(ctx)
+	a.noteBytes(false)
 	silent := time.AfterFunc(a.openLimit(), func() { l.cancel(errSilent) })
 	defer silent.Stop()
-	// What was taken as relayed has to be with the caller before another attempt.
+	// Events counted as relayed must be sent to the caller before another attempt.
 	defer a.sink.flush()
 	stream, err := a.open(l.ctx)
 	if err != nil {
 		defer l.end()
-		if ran, _, _ := judge(err); ran != errkind.RanNo {
+		if ran, _, _ := errorDetails(err); ran != errkind.RanNo {
 			a.reached = true
 		}
-		return a.silentOr(l.ctx, err, errNoAnswer)
+		return a.silenceOrError(l.ctx, err, errNoAnswer)
 	}
 	a.reached = true
 	silent.Reset(a.limit())
@@ -214,9 +217,9 @@
 	for {
 		ev, err := stream.Next()
 		if err != nil {
-			return a.silentOr(l.ctx, err, errSilent)
+			return a.silenceOrError(l.ctx, err, errSilent)
 		}
-		done, err := a.event(ev)
+		done, err := a.handleEvent(ev)
 		silent.Reset(a.limit())
 		if done || err != nil {
 			whole = done
@@ -235,8 +238,8 @@
 	return a.f.Client.Open(ctx, a.f.request(a.c, a.server, a.id))
 }
 
-// openLimit is how long the engine may take to answer at all. An engine that is asked
-// for a run it has answers at once, however far the run is.
+// openLimit returns how long the engine may take to begin its answer. An engine that is asked for a
+// run that it has answers at once, however far the run has come.
 func (a *attempt) openLimit() time.Duration {
 	if a.rereads > 0 && a.c.Idempotent {
 		return answerWait
@@ -244,26 +247,26 @@
 	return a.limit()
 }
 
-// limit is how long the connection may stay silent now. It doubles with each new
-// connection that was as silent: then the engine is slow rather than a connection lost.
+// limit returns how long the connection may stay silent now. The limit doubles with each further
+// connection that was silent as well: then the engine is slow rather than the connection lost.
 func (a *attempt) limit() time.Duration {
 	doublings := a.silences
 	if !a.resumable && !a.c.Idempotent {
-		return noLimit // the run can neither be read again nor repeated: only waiting is left
+		return noLimit // the run can be neither read again nor repeated, so all it can do is wait
 	}
 	if !a.resumable {
-		doublings = waitedSilence
+		doublings = nonResumableDoublings
 	}
 	limit := a.f.Silence.Limit(a.f.Clock.Now(), a.id, a.received > 0) << min(doublings, 8)
 	if a.resumable && a.c.Idempotent {
-		// Asking again costs little; a lost connection must not use the deadline up.
-		limit = min(limit, max(a.c.Deadline.Sub(a.lastToken)/3, slackFirst*a.first))
+		// Reading again costs little, and a lost connection must not use up the deadline.
+		limit = min(limit, max(a.c.Deadline.Sub(a.lastToken)/3, firstTokenSlack*a.predictedFirstToken))
 	}
 	return limit
 }
 
-// heard notes that the connection gave bytes, or that a new one begins.
-func (a *attempt) heard(token bool) {
+// noteBytes records that the connection received bytes, or that a new connection is opened.
+func (a *attempt) noteBytes(token bool) {
 	now := a.f.Clock.Now()
 	a.f.Silence.Byte(now, a.id, token)
 	if token {
@@ -271,8 +274,8 @@
 	}
 }
 
-// silentOr is err, or silence if it was that which ended the reading.
-func (a *attempt) silentOr(ctx context.Context, err, silence error) error {
+// silenceOrError returns silence if the reading was ended by a silent connection, else err.
+func (a *attempt) silenceOrError(ctx context.Context, err, silence error) error {
 	if errors.Is(context.Cause(ctx), errSilent) {
 		a.silences++
 		if errors.Is(silence, errNoAnswer) && a.rereads > 0 {
@@ -283,7 +286,7 @@
 		return silence
 	}
 	if errors.Is(err, io.EOF) {
-		err = a.ended()
+		err = a.endError()
 	}
 	if err != nil {
 		a.failures++
@@ -291,18 +294,19 @@
 	return err
 }
 
-// ended judges a stream that ends without its last event.
-func (a *attempt) ended() error {
+// endError returns the error for a stream that ends without its last event; nil if the run was
+// finished.
+func (a *attempt) endError() error {
 	if a.finished {
 		return nil
 	}
 	return errEarlyEnd
 }
 
-// event takes one event; done: it was the stream's last.
-func (a *attempt) event(ev engineclient.Event) (done bool, err error) {
+// handleEvent processes one event. done is set if it was the last event of the stream.
+func (a *attempt) handleEvent(ev engineclient.Event) (done bool, err error) {
 	if string(ev.Data) == doneData {
-		return true, a.ended()
+		return true, a.endError()
 	}
 	if ev.Name == errorEvent {
 		return false, errEngine
@@ -314,7 +318,7 @@
 	if ch.Usage != nil {
 		a.usage = ch.Usage
 	}
-	a.heard(ch.isToken())
+	a.noteBytes(ch.isToken())
 	if ch.isToken() {
 		a.received++
 		a.failures, a.silences = 0, 0
@@ -322,21 +326,22 @@
 			a.c.Lease.FirstToken(a.lastToken.Sub(a.began))
 		}
 	}
-	if ch.stopped() {
+	if ch.stoppedExternally() {
 		return false, errStopped
 	}
 	if ch.finishes() {
 		a.finished = true
 	}
-	if a.pastCap() {
-		return false, errCut
+	if a.overCap() {
+		return false, errOverCap
 	}
 	return false, a.sink.chunk(ev.Data, ch)
 }
 
-// pastCap: an engine that ignores its output cap would spend tokens that were not
-// reserved. Usage that comes after the end is only billed within the reservation.
-func (a *attempt) pastCap() bool {
+// overCap reports whether the run exceeded its output cap. An engine that ignores the cap would
+// spend tokens that were not reserved. Usage reported after the end does not count here, since it
+// is billed only up to the reservation.
+func (a *attempt) overCap() bool {
 	if a.received > a.c.OutputCap {
 		return true
 	}
--- a/internal/filter/dispatch/relay.go
+++ b/internal/filter/dispatch/relay.go
@@ -12,9 +12,9 @@
 
 const streamType = "text/event-stream"
 
-// relay passes a stream on to a caller that asked for one. No token goes out twice:
-// of a second run it passes over as many as the caller has, and only if they are the
-// same ones, since otherwise the answer would be pieced together from two.
+// relay passes on a stream to a caller that asked for one. No token is sent twice: of a second run
+// it skips as many tokens as the caller has, and continues only if they are the same ones, since
+// the answer would otherwise be a mixture of two runs.
 type relay struct {
 	w    http.ResponseWriter
 	c    *filter.Call
@@ -22,7 +22,7 @@
 	seen uint64
 	hash xxhash.Digest
 	out  []byte
-	// finished: the chunk with the reason of the end has gone out.
+	// finished is set once the chunk with the finish reason was sent.
 	finished bool
 }
 
@@ -35,7 +35,7 @@
 // chunk implements sink.
 func (r *relay) chunk(raw []byte, ch *chunk) error {
 	if !ch.isToken() {
-		return r.other(raw, ch)
+		return r.nonToken(raw, ch)
 	}
 	r.seen++
 	_, _ = r.hash.WriteString(ch.text())
@@ -50,9 +50,9 @@
 	return nil
 }
 
-// other takes a chunk without a token: the role at the beginning, the reason of the
-// end, the usage.
-func (r *relay) other(raw []byte, ch *chunk) error {
+// nonToken processes a chunk without a token: the role at the beginning, the finish reason, or the
+// usage.
+func (r *relay) nonToken(raw []byte, ch *chunk) error {
 	switch {
 	case ch.finishes():
 		if r.seen < r.skip {
@@ -103,8 +103,8 @@
 	if len(r.out) == 0 {
 		return
 	}
-	keep(&r.c.Answer, r.out)
-	_, _ = r.w.Write(r.out) // a caller that is gone is noticed by its connection
+	appendAnswer(&r.c.Answer, r.out)
+	_, _ = r.w.Write(r.out) // a closed connection is detected by the callergone filter
 	r.out = r.out[:0]
 	if fl, ok := r.w.(http.Flusher); ok {
 		fl.Flush()
--- a/internal/filter/dispatch/service.go
+++ b/internal/filter/dispatch/service.go
@@ -13,10 +13,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter"
 )
 
-// minFirstTry is the least time for a first try at a plain service.
-const minFirstTry = 50 * time.Millisecond
+// minFirstAttempt is the minimum time limit of a first attempt at a plain service.
+const minFirstAttempt = 50 * time.Millisecond
 
-// service calls a plain service. Its answer, whatever its status, is the caller's.
+// service calls a plain service. Its answer is passed on to the caller whatever its status.
 func (f *Filter) service(ctx context.Context, w http.ResponseWriter, c *filter.Call, server, id string) error {
 	before := c.Dispatched
 	c.Dispatched = true
@@ -26,14 +26,14 @@
 	req.IdempotencyKey = c.Identity
 	began := f.Clock.Now()
 	answer, err := f.Client.Call(try, req)
-	ran, refused, status := judge(err)
+	ran, refused, status := errorDetails(err)
 	if err == nil || ran != errkind.RanNo {
-		reached(c)
+		reportReached(c)
 	}
 	if err == nil {
 		c.Outcome.OK = true
 		if answer.Status < http.StatusInternalServerError {
-			answered(c)
+			reportAnswered(c)
 		}
 		f.writeService(w, c, answer)
 		return nil
@@ -49,18 +49,18 @@
 		c.Outcome.Silent = true
 		f.Client.Renew(server)
 	} else if engineclient.CauseOf(err).CrashLike() {
-		broke(c, server, began)
+		reportConnectionLoss(c, server, began)
 	}
 	c.Note(f.Clock.Now(), "dispatch", "attempt failed with status "+strconv.Itoa(status)+": "+err.Error())
-	return failed(ran, server, err.Error())
+	return attemptFailed(ran, server, err.Error())
 }
 
-// tryContext keeps half of the time back for another server when a call may be
-// repeated: the connection may be one that has gone silent, which for a plain
-// service shows only by waiting.
+// tryContext returns the context of an attempt. For the first attempt of a call that may be
+// repeated it keeps half of the time for another server: the connection may have become silent,
+// which for a plain service can only be detected by waiting.
 func (f *Filter) tryContext(ctx context.Context, c *filter.Call) (context.Context, context.CancelFunc) {
 	half := c.Deadline.Sub(f.Clock.Now()) / 2
-	if !c.Idempotent || c.Attempts > 1 || half < minFirstTry {
+	if !c.Idempotent || c.Attempts > 1 || half < minFirstAttempt {
 		return context.WithCancel(ctx)
 	}
 	return context.WithTimeout(ctx, half)
@@ -68,7 +68,7 @@
 
 func (f *Filter) writeService(w http.ResponseWriter, c *filter.Call, a *engineclient.Answer) {
 	c.Answer = filter.Answer{Begun: true, Status: a.Status, ContentType: a.ContentType}
-	keep(&c.Answer, a.Body)
+	appendAnswer(&c.Answer, a.Body)
 	h := w.Header()
 	if a.ContentType != "" {
 		h.Set("Content-Type", a.ContentType)
@@ -80,8 +80,8 @@
 	_, _ = w.Write(a.Body)
 }
 
-// judge reads what a failed call says of the run.
-func judge(err error) (ran errkind.Ran, refused bool, status int) {
+// errorDetails returns what the error of a failed call says about the run.
+func errorDetails(err error) (ran errkind.Ran, refused bool, status int) {
 	var e *engineclient.Error
 	if errors.As(err, &e) {
 		return e.Ran, e.Refused, e.Status
--- a/internal/filter/dispatch/silence.go
+++ b/internal/filter/dispatch/silence.go
@@ -7,34 +7,35 @@
 	"github.com/bluebellsail/bluebellsail/internal/silence"
 )
 
-// Silence decides when the connection of a run counts as silent. A silent connection
-// is left and the run read again over a new one, so a false alarm costs little.
+// Silence decides when the connection of a run is considered silent. A silent connection is dropped
+// and the run read again over a new one, so a false alarm costs little.
 type Silence interface {
-	// Open begins to watch a run; first is the predicted time to its first token, 0: unknown.
+	// Open begins to watch a run. first is the predicted time to its first token; 0 if unknown.
 	Open(now time.Time, id, server string, first time.Duration)
-	// Byte notes that bytes came; token: with a part of the answer.
+	// Byte records that bytes arrived. token is set if they contained a part of the answer.
 	Byte(now time.Time, id string, token bool)
-	// Limit is how long from now on no byte may come; begun: a token has come.
+	// Limit returns how long, from now on, the connection may receive no byte. begun is set if a
+	// token has arrived.
 	Limit(now time.Time, id string, begun bool) time.Duration
-	// Close ends the watch.
+	// Close stops watching the run.
 	Close(id string)
 }
 
 // Bounds of LearnedSilence.
 const (
-	// unknownFirst is taken for the predicted time to the first token where none is known.
-	unknownFirst = 5 * time.Second
-	shortest     = 10 * time.Millisecond
+	// defaultFirstToken is used in place of an unknown predicted time to the first token.
+	defaultFirstToken = 5 * time.Second
+	minLimit          = 10 * time.Millisecond
 )
 
-// LearnedSilence learns the gaps between tokens per server and takes what is far
-// over them for silence.
+// LearnedSilence learns the gaps between tokens for each server and considers a connection silent
+// when its gap is far larger.
 type LearnedSilence struct {
 	mu       sync.Mutex
 	detector *silence.Detector
 }
 
-// NewLearnedSilence makes a LearnedSilence.
+// NewLearnedSilence returns a LearnedSilence.
 func NewLearnedSilence(cfg silence.Config) *LearnedSilence {
 	return &LearnedSilence{detector: silence.New(cfg)}
 }
@@ -42,7 +43,7 @@
 // Open implements Silence.
 func (l *LearnedSilence) Open(now time.Time, id, server string, first time.Duration) {
 	if first <= 0 {
-		first = unknownFirst
+		first = defaultFirstToken
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +61,7 @@
 func (l *LearnedSilence) Limit(now time.Time, id string, _ bool) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(l.detector.NextCheck(id).Sub(now), shortest)
+	return max(l.detector.NextCheck(id).Sub(now), minLimit)
 }
 
 // Close implements Silence.
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -1,7 +1,6 @@
-// Package filter is the frame of the request chain. Each filter is a package of
-// its own below this one, with one type and one job; this package holds what they
-// share: the Call they work on, the Handler they call next, and the ports through
-// which they reach the host's state.
+// Package filter defines the filter chain for requests. Each filter is a package of its own below
+// this one, with one type and one task. This package holds what they share: the Call they work on,
+// the Handler they call next, and the interfaces through which they reach the host's state.
 package filter
 
 import (
@@ -15,38 +14,39 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Headers of the callers' API that are not standard.
+// Non-standard headers of the callers' API.
 const (
-	// HeaderTimeout is the time in milliseconds, from the request's arrival, in which
-	// the whole answer must be with the caller. It is relative, so that no clocks need agree.
+	// HeaderTimeout is the time in milliseconds, counted from the request's arrival, within which
+	// the caller must have the whole answer. It is relative, so that no clocks need to agree.
 	HeaderTimeout = "Bluebellsail-Timeout-Ms"
-	// HeaderNotIdempotent set to "true" marks a request that must run at most once.
+	// HeaderNotIdempotent, if "true", marks a request that must run at most once.
 	HeaderNotIdempotent = "Bluebellsail-Not-Idempotent"
-	// HeaderRequestID is returned with every answer; `bluebellsail explain` takes it.
+	// HeaderRequestID is sent with every answer. Its value is the argument of `bluebellsail
+	// explain`.
 	HeaderRequestID = "Bluebellsail-Request-Id"
-	// HeaderIdempotencyKey is the caller's key, or the one the first host made.
+	// HeaderIdempotencyKey is the caller's idempotency key, or the one made by the first host.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// Handler is the rest of the chain as a filter sees it. An error that is not an
-// *errkind.Error is answered as Internal. Errors carry their status to one place
-// that answers; a filter writes to w only what belongs to a success.
+// Handler is the rest of the chain as a filter sees it. An error that is not an *errkind.Error is
+// answered as Internal. Errors are answered in one place; a filter writes to w only as part of a
+// successful answer.
 type Handler interface {
 	ServeHTTP(w http.ResponseWriter, r *http.Request) error
 }
 
-// HandlerFunc makes a function a Handler.
+// HandlerFunc adapts a function to Handler.
 type HandlerFunc func(w http.ResponseWriter, r *http.Request) error
 
 // ServeHTTP calls f.
 func (f HandlerFunc) ServeHTTP(w http.ResponseWriter, r *http.Request) error { return f(w, r) }
 
-// Filter is one link of the chain.
+// Filter is one element of the chain.
 type Filter interface {
 	ServeHTTP(w http.ResponseWriter, r *http.Request, next Handler) error
 }
 
-// Chain joins filters, first first, in front of last.
+// Chain returns a Handler that runs filters in order and then last.
 func Chain(last Handler, filters ...Filter) Handler {
 	h := last
 	for i := len(filters) - 1; i >= 0; i-- {
@@ -58,32 +58,32 @@
 	return h
 }
 
-// WorkKind says which kind of backend a call is for.
+// WorkKind is the kind of backend server that a call needs.
 type WorkKind int
 
 // Kinds of work.
 const (
 	// WorkModel is a completion by a language model.
 	WorkModel WorkKind = iota
-	// WorkService is a call of a plain service.
+	// WorkService is a call to a plain service.
 	WorkService
 )
 
-// Call is one request on its way through the chain. Filters fill it from the
-// outside in; it belongs to the request's goroutine.
+// Call is one request on its way through the chain. The filters fill it in, from the outermost to
+// the innermost. It is used by the request's goroutine only.
 type Call struct {
-	// ID is unique per arrival; Identity is account + "/" + idempotency key and is
-	// the same for a retry of the same request at any host.
+	// ID is unique per arrival. Identity is account + "/" + idempotency key; it is the same for a
+	// retry of the same request at any host.
 	ID       string
 	Identity string
-	// KeyGiven tells whether the caller gave the idempotency key.
+	// KeyGiven is set if the caller sent an idempotency key.
 	KeyGiven bool
 
 	AccountName string
 	Account     *settings.Account
 	TeamName    string
 	Team        *settings.Team
-	// Revision of the settings the call is served under.
+	// Revision is the revision of the settings under which the call is served.
 	Revision uint64
 
 	Kind       WorkKind
@@ -95,59 +95,63 @@
 	Idempotent bool
 	Body       []byte
 	BodyHash   uint64
-	// PromptTokens is the estimate before, PromptHashes the hashes of the prompt's
-	// successive prefix blocks, for cache knowledge.
+	// PromptTokens is an upper bound of the prompt's tokens, computed before the call runs.
+	// PromptHashes are the hashes of the prompt's successive prefix blocks, used to estimate cache
+	// hits.
 	PromptTokens uint64
 	PromptHashes []uint64
-	// OutputCap is sent to the engine; PromptTokens bound + OutputCap is reserved.
+	// OutputCap is the output cap sent to the engine. PromptTokens + OutputCap is reserved.
 	OutputCap uint64
 	Reserved  uint64
-	// ReservationHeld: the budget has set Reserved aside for ID.
+	// ReservationHeld is set while the budget holds a reservation of Reserved tokens for ID.
 	ReservationHeld bool
 
 	Arrived  time.Time
 	Deadline time.Time
 
-	// Lease is the backend server's room taken by the route filter.
+	// Lease is the slot at a backend server acquired by the route filter.
 	Lease ServerLease
-	// Admission to backend servers; nil: there is no quarantine.
+	// Admission reports the attempts to the quarantine; nil if there is no quarantine.
 	Admission Admission
-	// Attempts made at backend servers.
+	// Attempts is the number of attempts made at backend servers.
 	Attempts int
-	// Usage is what the backend server reported or what was counted.
+	// Usage is the number of tokens used, as reported by the backend server or counted by this
+	// host.
 	Usage Usage
-	// Dispatched tells whether any byte of the request may have reached a backend
-	// server that has not said that it didn't run it.
+	// Dispatched is set if any byte of the request may have reached a backend server that has not
+	// reported that it did not run the request.
 	Dispatched bool
-	// Outcome of the last attempt.
+	// Outcome is the outcome of the last attempt.
 	Outcome Outcome
 
-	// Method and Query of a plain service's call; ContentType of the caller's body.
+	// Method and Query are those of a call to a plain service. ContentType is that of the caller's
+	// body.
 	Method      string
 	Query       string
 	ContentType string
-	// WantsUsage: the caller asked for the usage chunk of a stream.
+	// WantsUsage is set if the caller asked for the usage chunk of a stream.
 	WantsUsage bool
 
-	// Record is the call's in-flight record, once begun.
+	// Record is the call's in-flight record, once one has been made.
 	Record *pb.InflightRecord
-	// Resume names the engine's stream of a former holder that this call takes over.
+	// Resume identifies the engine's stream of a former holder that this call continues; nil if
+	// none.
 	Resume *ResumePoint
-	// TakenOver: this host has taken the record of an earlier run over.
+	// TakenOver is set if this host took over the record of an earlier arrival.
 	TakenOver bool
-	// Answer is what the caller was sent.
+	// Answer is what was sent to the caller.
 	Answer Answer
-	// NoRetry: no further attempt may be made, since the caller has part of an answer
-	// that another run does not repeat.
+	// NoRetry is set if no further attempt may be made, since the caller has part of an answer that
+	// another run does not repeat.
 	NoRetry bool
-	// Replayed: the answer is that of an earlier arrival, whose record stands.
+	// Replayed is set if the answer is that of an earlier arrival, whose record stays as it is.
 	Replayed bool
 
-	// Span-like record of decisions for explain.
+	// Notes records the decisions made for the call, for explain.
 	Notes []Note
 }
 
-// ResumePoint is a run at a backend server that can be read again from its start.
+// ResumePoint identifies a run at a backend server whose output can be read again from its start.
 type ResumePoint struct {
 	Server          string
 	EngineRequestID string
@@ -155,36 +159,38 @@
 
 // Answer is what has been sent to the caller so far.
 type Answer struct {
-	// Begun: the status line has left, so a refusal can only be the stream's last event.
+	// Begun is set once the status line was sent. From then on a refusal can only be sent as the
+	// last event of a stream.
 	Begun       bool
 	Status      int
 	ContentType string
-	// Body is kept up to a bound for callers that ask again; Truncated: it went past.
+	// Body is kept for callers that ask again, up to a size limit. Truncated is set if the body
+	// exceeded the limit and was dropped.
 	Body      []byte
 	Truncated bool
-	// Tokens relayed of a stream, and the hash of their texts: a second run is
-	// continued only if it repeats what the caller has.
+	// Tokens is the number of tokens relayed of a stream, and TextHash the hash of their texts: a
+	// second run is relayed further only if it repeats what the caller has.
 	Tokens   uint64
 	TextHash uint64
 }
 
-// Usage of a finished run, in tokens.
+// Usage is the number of tokens used by a run.
 type Usage struct{ Prompt, Output uint64 }
 
-// Note is one decision with the figures it was made on.
+// Note describes one decision with the figures it was based on.
 type Note struct {
 	At   time.Time
 	Step string
 	Text string
 }
 
-// Note appends a decision to the call's record.
+// Note appends a decision to the call's notes.
 func (c *Call) Note(at time.Time, step, text string) {
 	c.Notes = append(c.Notes, Note{At: at, Step: step, Text: text})
 }
 
-// NextRecord makes the next version of the call's in-flight record. Versions handed
-// to Records are never changed afterwards.
+// NextRecord makes and returns the next version of the call's in-flight record. Versions passed to
+// Records are not modified afterwards.
 func (c *Call) NextRecord() *pb.InflightRecord {
 	rec := proto.CloneOf(c.Record)
 	rec.Version++
@@ -192,10 +198,10 @@
 	return rec
 }
 
-// Clock gives the time. Its zero value is the machine's clock.
+// Clock provides the time. The zero value uses time.Now.
 type Clock struct{ NowFunc func() time.Time }
 
-// Now is the present time.
+// Now returns the current time.
 func (c Clock) Now() time.Time {
 	if c.NowFunc == nil {
 		return time.Now()
@@ -205,76 +211,77 @@
 
 type callKey struct{}
 
-// WithCall returns r's context with c in it.
+// WithCall returns a copy of ctx that carries c.
 func WithCall(ctx context.Context, c *Call) context.Context {
 	return context.WithValue(ctx, callKey{}, c)
 }
 
-// CallFrom returns the Call in ctx; nil outside the chain.
+// CallFrom returns the Call carried by ctx; nil outside the chain.
 func CallFrom(ctx context.Context) *Call {
 	c, _ := ctx.Value(callKey{}).(*Call)
 	return c
 }
 
-// Settings is the host's view of the settings in force.
+// Settings provides the settings in force as known to the host.
 type Settings interface {
-	// AccountByKey finds the client account whose key hashes contain hash (hex SHA-256).
+	// AccountByKey returns the client account whose key hashes contain hash (hex SHA-256).
 	AccountByKey(hash string) (name string, a *settings.Account, ok bool)
 	// Team returns the team's settings with their defaults filled in.
 	Team(name string) (*settings.Team, bool)
 	Fleet() settings.Fleet
 	Revision() uint64
-	// Ready is nil, or the refusal while the host may not serve yet or any more.
+	// Ready returns nil, or the refusal while the host is not yet or no longer allowed to serve.
 	Ready() error
-	// InContact is nil while the settings were confirmed lately to be the newest, else the
-	// refusal in place of one for what the settings do not have: newer ones may have it.
+	// InContact returns nil if the settings were recently confirmed to be the newest. Otherwise it
+	// returns the refusal to use in place of a rejection for something that the settings lack,
+	// since newer settings may have it.
 	InContact() error
 }
 
-// Budget sets tokens of a budget aside and settles what was used. Implementations
-// never let more be reserved than the control group granted to this holder.
+// Budget reserves tokens of a budget and settles what was used. Implementations never reserve more
+// than the control group granted to this holder.
 type Budget interface {
-	// Reserve blocks until tokens are set aside for requestID, or returns a refusal
+	// Reserve blocks until tokens are reserved for requestID, or returns a refusal
 	// (BudgetExhausted, BudgetUnreachable, BudgetUnknown), at the latest when ctx ends.
 	Reserve(ctx context.Context, budget, requestID string, tokens uint64) error
-	// Settle bills bill.Tokens out of the reservation and frees the rest. bill.Tokens
-	// above the reservation is cut to it.
+	// Settle bills bill.Tokens from the reservation and frees the rest. If bill.Tokens exceeds the
+	// reservation, only the reservation is billed.
 	Settle(bill *pb.Bill)
-	// Release frees a reservation whose request surely did not run.
+	// Release frees the reservation of a request that certainly did not run.
 	Release(requestID string)
 }
 
-// Records keeps in-flight records here and at peers.
+// Records keeps in-flight records at this host and copies of them at peers.
 type Records interface {
-	// Begin makes the record known here and at the peers it is copied to. If the identity
-	// is known already, here or at a peer, it returns that record and begun is false.
+	// Begin stores the record at this host and at the peers it is copied to. If the identity is
+	// already known, here or at a peer, it returns the known record, and begun is false.
 	Begin(ctx context.Context, rec *pb.InflightRecord, copies int) (existing *pb.InflightRecord, begun bool, err error)
-	// Takeover makes this host the owner of a record whose owner died. rec goes on from
-	// the dead owner's record under a request id of this host.
+	// Takeover makes this host the holder of a record whose holder died. rec continues the dead
+	// holder's record under a request ID of this host.
 	Takeover(ctx context.Context, rec *pb.InflightRecord, copies int) error
-	// Update replaces the record here and, soon, at its copies.
+	// Update replaces the record at this host and, shortly after, its copies.
 	Update(rec *pb.InflightRecord)
-	// Abandon removes a record whose request surely did not run.
+	// Abandon removes the record of a request that certainly did not run.
 	Abandon(identity, requestID string)
-	// Find looks the identity up here and at the peers that would hold it.
+	// Find looks up the identity at this host and at the peers that would hold its record.
 	Find(ctx context.Context, identity string) (*pb.InflightRecord, bool, error)
 }
 
-// Claims commits the single run of a request marked not idempotent.
+// Claims commits the single run of a request that is marked as not idempotent.
 type Claims interface {
 	Claim(ctx context.Context, identity, requestID string) (*pb.ClaimResult, error)
 	Finish(ctx context.Context, identity, requestID string, state pb.ClaimState) error
 }
 
-// Hosts tells whether a holder of in-flight records is still at work.
+// Hosts reports whether the holder of an in-flight record is still alive.
 type Hosts interface {
-	// Self is this run of this host.
+	// Self returns the holder that is the current incarnation of this host.
 	Self() *pb.Holder
-	// Alive is false only for a holder that counts as dead.
+	// Alive returns false for a holder that is considered dead.
 	Alive(h *pb.Holder) bool
 }
 
-// Work is what scheduling needs to know of a call.
+// Work is what the scheduler needs to know about a call.
 type Work struct {
 	ID           string
 	Account      string
@@ -288,52 +295,52 @@
 	OutputCap    uint64
 	PromptHashes []uint64
 	Deadline     time.Time
-	// Exclude lists addresses of backend servers that failed this call already.
+	// Exclude lists the addresses of the backend servers that have failed this call.
 	Exclude []string
 	// Prefer is the address of the server that holds the stream or the KV cache.
 	Prefer string
 }
 
-// Scheduler admits work, queues it and gives it room at a backend server.
+// Scheduler admits work, queues it and assigns it a slot at a backend server.
 type Scheduler interface {
-	// Acquire blocks until a backend server has room for w, or refuses: at once when the
-	// deadline can't be met (DeadlineUnreachable), the queue is full (Overloaded) or no
-	// server is there (NoBackendServer, UnknownModel, UnknownService).
+	// Acquire blocks until a backend server has a free slot for w, or returns a refusal: at once if
+	// the deadline can't be met (DeadlineUnreachable), the queue is full (Overloaded) or no server
+	// is available (NoBackendServer, UnknownModel, UnknownService).
 	Acquire(ctx context.Context, w Work) (ServerLease, error)
 }
 
-// ServerLease is room at one backend server. Exactly one Done follows.
+// ServerLease is a slot at a backend server. Done must be called exactly once.
 type ServerLease interface {
 	Address() string
 	Server() *pb.ServerState
-	// Reason is the choice in words, with its figures, for explain.
+	// Reason describes why the server was chosen, with the figures, for explain.
 	Reason() string
 	// FirstToken reports the time from dispatch to the first token.
 	FirstToken(d time.Duration)
-	// Done reports how the run ended and frees the room.
+	// Done reports how the run ended and frees the slot.
 	Done(o Outcome)
 }
 
-// Outcome of one attempt at a backend server.
+// Outcome is the outcome of one attempt at a backend server.
 type Outcome struct {
 	OK bool
-	// Silent: the connection gave no byte for longer than allowed.
+	// Silent is set if the connection received no byte for longer than allowed.
 	Silent bool
-	// Refused: the server refused before running.
+	// Refused is set if the server rejected the request without running it.
 	Refused bool
 	Usage   Usage
 	Took    time.Duration
 }
 
-// Retries holds the teams' retry allowances.
+// Retries tracks the teams' retry allowances.
 type Retries interface {
-	// CountRequest counts a first try of the team.
+	// CountRequest counts the first attempt of a request of the team.
 	CountRequest(team string)
-	// Allow takes one retry from the team's allowance, or says no.
+	// Allow takes one retry from the team's allowance and reports whether there was one.
 	Allow(team string, r settings.Retry) bool
 }
 
-// Explainer keeps what was decided for finished calls.
+// Explainer stores the decisions made for finished calls.
 type Explainer interface {
 	Record(c *Call, status int, err error)
 }
--- a/internal/filter/idempotency/idempotency.go
+++ b/internal/filter/idempotency/idempotency.go
@@ -1,7 +1,7 @@
-// Package idempotency leads each arrival of the same request to the same run. It
-// makes the in-flight record known before anything is reserved or dispatched; if the
-// identity is known already, the finished answer is replayed, the engine's stream of
-// a dead host is taken over, or the caller is told how things stand.
+// Package idempotency directs all arrivals of the same request to the same run. It stores the
+// in-flight record before anything is reserved or dispatched. If the identity is already known, the
+// finished answer is replayed, the engine's stream of a dead host is taken over, or the caller is
+// told the request's state.
 package idempotency
 
 import (
@@ -14,10 +14,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// inProgressRetry is when a caller should ask again for a request that still runs.
+// inProgressRetry is the time after which a caller should ask again for a request that is still
+// running.
 const inProgressRetry = time.Second
 
-// Filter begins records and recognises requests that came before.
+// Filter begins in-flight records and recognizes requests that arrived before.
 type Filter struct {
 	Records  filter.Records
 	Hosts    filter.Hosts
@@ -36,21 +37,22 @@
 	} else if err := checkKey(key, now, f.Settings.Fleet().IdempotencyWindow.Std()); err != nil {
 		return err
 	}
-	// Set before anything can fail: a caller whose answer is lost asks again with it.
+	// The header is set before anything can fail: a caller whose answer is lost asks again with
+	// this key.
 	w.Header().Set(filter.HeaderIdempotencyKey, key)
 	c.Identity = c.AccountName + "/" + key
 	c.Record = f.newRecord(c)
 	known, begun, err := f.Records.Begin(r.Context(), c.Record, c.Team.Copies)
 	if err != nil {
-		return contextOr(r.Context(), err)
+		return contextErrorOr(r.Context(), err)
 	}
 	if begun {
 		return next.ServeHTTP(w, r)
 	}
-	return f.again(w, r, next, known)
+	return f.serveKnown(w, r, next, known)
 }
 
-func contextOr(ctx context.Context, err error) error {
+func contextErrorOr(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return filter.ContextError(ctx)
 	}
@@ -67,8 +69,8 @@
 	}
 }
 
-// again serves a request whose identity is known.
-func (f *Filter) again(w http.ResponseWriter, r *http.Request, next filter.Handler, known *pb.InflightRecord) error {
+// serveKnown serves a request whose identity is known.
+func (f *Filter) serveKnown(w http.ResponseWriter, r *http.Request, next filter.Handler, known *pb.InflightRecord) error {
 	c := filter.CallFrom(r.Context())
 	if known.BodyHash != c.BodyHash {
 		return errkind.New(errkind.KeyConflict, "the idempotency key was used with another body")
@@ -86,17 +88,17 @@
 		return errkind.New(errkind.InProgress, "request %s with this idempotency key is still running", known.RequestId).After(inProgressRetry)
 	}
 	c.Dispatched = true
-	// Only a model engine keeps its streams for another reader.
+	// Only model engines keep their streams for another reader.
 	if c.Kind == filter.WorkModel && known.Server != "" && known.EngineRequestId != "" {
 		c.Resume = &filter.ResumePoint{Server: known.Server, EngineRequestID: known.EngineRequestId}
 	}
 	if !c.Idempotent && c.Resume == nil {
-		return errkind.New(errkind.OutcomeUnknown, "the host that ran request %s is gone and its outcome is not known", known.RequestId)
+		return errkind.New(errkind.OutcomeUnknown, "the host that ran request %s is dead, and the outcome of the request is not known", known.RequestId)
 	}
 	return f.takeOver(w, r, next, known)
 }
 
-// takeOver makes this host the holder of the record and goes on.
+// takeOver makes this host the holder of the record and calls the rest of the chain.
 func (f *Filter) takeOver(w http.ResponseWriter, r *http.Request, next filter.Handler, known *pb.InflightRecord) error {
 	c := filter.CallFrom(r.Context())
 	c.Record.Version = known.Version
@@ -105,16 +107,16 @@
 	}
 	c.Note(f.Clock.Now(), "idempotency", "took over request "+known.RequestId+" of host "+known.Holder.GetHost())
 	if err := f.Records.Takeover(r.Context(), c.Record, c.Team.Copies); err != nil {
-		return contextOr(r.Context(), err)
+		return contextErrorOr(r.Context(), err)
 	}
 	c.TakenOver = true
 	return next.ServeHTTP(w, r)
 }
 
-// Replay answers with what a finished run's record holds.
+// Replay answers with the answer stored in the record of a finished run.
 func Replay(w http.ResponseWriter, c *filter.Call, rec *pb.InflightRecord) error {
 	if rec.AnswerStatus == 0 {
-		return errkind.New(errkind.AnswerNotKept, "request %s ran and its answer is no longer kept", rec.RequestId)
+		return errkind.New(errkind.AnswerNotKept, "request %s ran, but its answer is no longer kept", rec.RequestId)
 	}
 	c.Usage = filter.Usage{Prompt: rec.PromptTokens, Output: rec.OutputTokens}
 	c.Answer = filter.Answer{Begun: true, Status: int(rec.AnswerStatus), ContentType: rec.AnswerContentType, Body: rec.Answer}
--- a/internal/filter/idempotency/key.go
+++ b/internal/filter/idempotency/key.go
@@ -10,18 +10,18 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// Keys made by hosts carry their time, so that one which comes back after the window
-// is known as expired without having been remembered.
+// Keys made by hosts contain their time, so that a key that is used after the window is recognized
+// as expired without having been remembered.
 const (
 	madePrefix = "bbs-"
 	randBytes  = 15
 	maxKey     = 255
 	timeBase   = 36
-	// clockSkew is how far the wall clocks of two hosts may differ.
+	// clockSkew is the tolerated difference between the wall clocks of two hosts.
 	clockSkew = time.Minute
 )
 
-// NewKey makes a key for a request that came without one.
+// NewKey returns a key for a request that arrived without one.
 func NewKey(now time.Time) string {
 	var b [randBytes]byte
 	_, _ = rand.Read(b[:]) // never fails
@@ -29,14 +29,14 @@
 	return madePrefix + strconv.FormatInt(now.UnixMilli(), timeBase) + "-" + random
 }
 
-// checkKey refuses a malformed key, and a made one that is older than the window.
+// checkKey rejects a malformed key, and a key made by a host that is older than the window.
 func checkKey(key string, now time.Time, window time.Duration) error {
 	if len(key) > maxKey {
 		return errkind.New(errkind.BadRequest, "the idempotency key is over %d bytes", maxKey)
 	}
 	for _, b := range []byte(key) {
 		if b <= ' ' || b > '~' {
-			return errkind.New(errkind.BadRequest, "the idempotency key has characters other than printable ASCII without spaces")
+			return errkind.New(errkind.BadRequest, "the idempotency key contains characters other than printable ASCII without spaces")
 		}
 	}
 	made, ok := madeAt(key)
--- a/internal/filter/identify/identify.go
+++ b/internal/filter/identify/identify.go
@@ -1,4 +1,4 @@
-// Package identify finds out whose request it is: bearer key, client account, team.
+// Package identify determines the client account and the team of a request from its bearer key.
 package identify
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Filter fills in a call's account, team and settings revision.
+// Filter sets a call's account, team and settings revision.
 type Filter struct {
 	Settings filter.Settings
 }
@@ -25,8 +25,9 @@
 		return errkind.New(errkind.Unauthenticated, "no bearer key in the Authorization header")
 	}
 	if err := f.identify(filter.CallFrom(r.Context()), key); err != nil {
-		// A host that is out of contact may lack a key, or know as disabled an account, that
-		// newer settings have; told that its key is wrong, a caller would not come back.
+		// A host that is out of contact with the control group may lack a key, or consider an
+		// account disabled, where newer settings differ. A caller told that its key is wrong would
+		// not retry.
 		if stale := f.Settings.InContact(); stale != nil {
 			return stale
 		}
@@ -35,7 +36,7 @@
 	return next.ServeHTTP(w, r)
 }
 
-// identify fills in c by the settings that this host has.
+// identify sets the account and the team of c according to the settings of this host.
 func (f *Filter) identify(c *filter.Call, key string) error {
 	name, account, ok := f.Settings.AccountByKey(settings.HashKey(key))
 	if !ok {
@@ -46,7 +47,7 @@
 	}
 	team, ok := f.Settings.Team(account.Team)
 	if !ok {
-		return errkind.New(errkind.Forbidden, "client account %s is of team %s, which does not exist", name, account.Team)
+		return errkind.New(errkind.Forbidden, "client account %s belongs to team %s, which does not exist", name, account.Team)
 	}
 	c.AccountName, c.Account = name, account
 	c.TeamName, c.Team = account.Team, team
--- a/internal/filter/identify/identify_test.go
+++ b/internal/filter/identify/identify_test.go
@@ -11,7 +11,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// host has one account, and is in contact or not.
+// host has one account and is in contact with the control group unless contact is set.
 type host struct {
 	account settings.Account
 	contact error
@@ -26,10 +26,10 @@
 func (host) Ready() error                              { return nil }
 func (h host) InContact() error                        { return h.contact }
 
-// Symptom: callers are told that their key is wrong, though it was added minutes ago.
-// Sequence: the key is added while the host is cut off from the control group.
-// Cause: what the host's own settings do not have was taken for unknown, however old they were.
-func TestStaleSettingsSayNoToNobody(t *testing.T) {
+// Guards against rejecting as unknown what the host's own settings lack, however old they are.
+// Callers were told that their key is wrong after it was added while the host was cut off from the
+// control group.
+func TestStaleSettingsRejectNoKeyAsUnknown(t *testing.T) {
 	cut := errkind.New(errkind.HostNotReady, "out of contact")
 	sound := settings.Account{Team: "books"}
 	for name, c := range map[string]struct {
--- a/internal/filter/limit/limit.go
+++ b/internal/filter/limit/limit.go
@@ -1,5 +1,5 @@
-// Package limit bounds a team's requests in flight at this host, so that one team
-// cannot take the host's memory from the others.
+// Package limit bounds the requests in flight at this host per team, so that one team can't use up
+// the host's memory.
 package limit
 
 import (
@@ -13,7 +13,7 @@
 
 const retryAfter = time.Second
 
-// Filter counts calls per team.
+// Filter counts the calls in flight per team.
 type Filter struct {
 	mu    sync.Mutex
 	teams map[string]int
--- a/internal/filter/parse/model.go
+++ b/internal/filter/parse/model.go
@@ -10,22 +10,22 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter"
 )
 
-// Bounds of a completion request.
+// Limits of a completion request.
 const (
 	maxModelName = 256
 	maxMessages  = 10_000
-	// maxAsked is over any engine's output; a larger number is a mistake and would
+	// maxRequestedTokens exceeds any engine's output. A larger number is a mistake and would
 	// overflow sums.
-	maxAsked = 1 << 32
+	maxRequestedTokens = 1 << 32
 )
 
-// fields of a completion's body, by name, as the caller wrote them.
+// fields are the fields of a completion's body by name, as sent by the caller.
 type fields map[string]json.RawMessage
 
-// known are the fields the router itself reads or sets.
-var known = []string{"model", "adapter", "stream", "stream_options", "max_tokens", "max_completion_tokens", "n", "best_of", "messages", "prompt"}
+// knownFields are the fields that the router itself reads or sets.
+var knownFields = []string{"model", "adapter", "stream", "stream_options", "max_tokens", "max_completion_tokens", "n", "best_of", "messages", "prompt"}
 
-// model takes a chat completion or completion and writes the engine's body.
+// model parses a chat completion or completion and builds the engine's body.
 func (f *Filter) model(c *filter.Call, body []byte) error {
 	req, err := decode(body)
 	if err != nil {
@@ -46,7 +46,7 @@
 	if c.WantsUsage, err = req.wantsUsage(); err != nil {
 		return err
 	}
-	if err := req.onlyOne(); err != nil {
+	if err := req.checkSingleOutput(); err != nil {
 		return err
 	}
 	p, err := req.prompt(c.Path)
@@ -62,13 +62,13 @@
 	c.PromptTokens = promptBound(len(body), p.messages)
 	c.PromptHashes = PrefixHashes(c.Model, p.text)
 	c.Reserved = c.PromptTokens + c.OutputCap
-	c.Body, err = req.forEngine(c.OutputCap)
+	c.Body, err = req.engineBody(c.OutputCap)
 	return err
 }
 
-// decode reads the body's top level. A field that differs from a known one only in
-// case is refused: an engine whose decoder ignores case would take it for that one
-// and, say, generate past the output cap that was reserved.
+// decode parses the top level of the body. A field that differs from a known one only in letter
+// case is rejected: an engine whose decoder ignores case would take it for the known field and
+// could, for example, exceed the output cap that was reserved.
 func decode(body []byte) (fields, error) {
 	if !utf8.Valid(body) {
 		return nil, errkind.New(errkind.BadRequest, "the body is not UTF-8")
@@ -78,9 +78,9 @@
 		return nil, errkind.New(errkind.BadRequest, "the body is not a JSON object")
 	}
 	for name := range req {
-		for _, k := range known {
+		for _, k := range knownFields {
 			if name != k && strings.EqualFold(name, k) {
-				return nil, errkind.New(errkind.BadRequest, "field %q is written %q", name, k)
+				return nil, errkind.New(errkind.BadRequest, "field %q must be written %q", name, k)
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 	}
 	var s string
 	if json.Unmarshal(raw, &s) != nil || s == "" || len(s) > maxModelName {
-		return "", errkind.New(errkind.BadRequest, "field %q is not a name", field)
+		return "", errkind.New(errkind.BadRequest, "field %q is not a valid name", field)
 	}
 	return s, nil
 }
@@ -114,15 +114,15 @@
 	return b, nil
 }
 
-// number is the whole number in field; 0: absent.
+// number returns the positive integer in field; 0 if the field is absent.
 func (req fields) number(field string) (uint64, error) {
 	raw, ok := req[field]
 	if !ok || isNull(raw) {
 		return 0, nil
 	}
 	var n uint64
-	if json.Unmarshal(raw, &n) != nil || n == 0 || n > maxAsked {
-		return 0, errkind.New(errkind.BadRequest, "field %q is not a positive whole number within bounds", field)
+	if json.Unmarshal(raw, &n) != nil || n == 0 || n > maxRequestedTokens {
+		return 0, errkind.New(errkind.BadRequest, "field %q is not a positive integer within bounds", field)
 	}
 	return n, nil
 }
@@ -139,8 +139,8 @@
 	return opts.flag("include_usage")
 }
 
-// onlyOne refuses requests for several outputs: each would need its own cap.
-func (req fields) onlyOne() error {
+// checkSingleOutput rejects requests for several outputs, since each would need its own cap.
+func (req fields) checkSingleOutput() error {
 	for _, field := range []string{"n", "best_of"} {
 		n, err := req.number(field)
 		if err != nil {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// outputCap is what the caller asked for, within the team's limit.
+// outputCap returns the smallest of the caller's limits and the team's limit.
 func (req fields) outputCap(limit uint64) (uint64, error) {
 	limited := limit
 	for _, field := range []string{"max_tokens", "max_completion_tokens"} {
@@ -168,15 +168,15 @@
 	return limited, nil
 }
 
-// forEngine is the body sent on: always a stream with its usage, since only a stream
-// shows how far a run has come and can be resumed, and with the output cap.
-func (req fields) forEngine(outputCap uint64) ([]byte, error) {
+// engineBody returns the body for the engine. It contains the output cap and always asks for a
+// stream with its usage, since only a stream shows how far a run has come and can be resumed.
+func (req fields) engineBody(outputCap uint64) ([]byte, error) {
 	delete(req, "max_completion_tokens")
 	req["max_tokens"], _ = json.Marshal(outputCap)
 	req["stream"] = json.RawMessage("true")
 	opts := fields{}
 	if raw, ok := req["stream_options"]; ok && !isNull(raw) {
-		_ = json.Unmarshal(raw, &opts) // wantsUsage has read it before
+		_ = json.Unmarshal(raw, &opts) // wantsUsage has already checked it
 	}
 	opts["include_usage"] = json.RawMessage("true")
 	req["stream_options"], _ = json.Marshal(opts)
--- a/internal/filter/parse/parse.go
+++ b/internal/filter/parse/parse.go
@@ -1,6 +1,6 @@
-// Package parse reads what a call asks for: model or service, streaming, the output
-// cap and an upper bound of the prompt in tokens. It is strict where the router
-// itself relies on a field and passes on what it doesn't know.
+// Package parse parses a call: model or service, streaming, the output cap and an upper bound of
+// the prompt's tokens. It is strict about the fields on which the router itself relies and passes
+// on all others.
 package parse
 
 import (
@@ -21,21 +21,21 @@
 	PrefixServices  = "/services/"
 )
 
-// The worst case of a prompt is reckoned from the request's body. It must not
-// undercount for any engine of the fleet: a stream is cut when it passes its reservation.
+// The maximum number of tokens of a prompt is derived from the request's body. It must not be an
+// underestimate for any engine of the fleet: a stream is cut when it exceeds its reservation.
 const (
-	// bytesPerToken: one token is counted for as many bytes of the whole body.
+	// bytesPerToken is the number of bytes of the whole body that are counted as one token.
 	bytesPerToken = 2
-	// tokensPerMessage are counted for each message besides.
+	// tokensPerMessage is the number of tokens added for each message.
 	tokensPerMessage = 8
 )
 
-// promptBound is the most tokens that a body with the given number of messages can have.
+// promptBound returns the maximum number of tokens of a body with the given number of messages.
 func promptBound(bodyBytes, messages int) uint64 {
 	return uint64((bodyBytes+bytesPerToken-1)/bytesPerToken + tokensPerMessage*messages)
 }
 
-// Filter fills in what a call asks for.
+// Filter sets the fields of a call that describe its request.
 type Filter struct{ Settings filter.Settings }
 
 // ServeHTTP implements filter.Filter.
@@ -71,7 +71,7 @@
 		return nil, errkind.New(errkind.BadRequest, "the body can't be read: %v", err)
 	}
 	if int64(b.Len()) > limit {
-		return nil, errkind.New(errkind.BodyTooLarge, "the body is over %d bytes", limit)
+		return nil, errkind.New(errkind.BodyTooLarge, "the body exceeds %d bytes", limit)
 	}
 	return b.Bytes(), nil
 }
@@ -86,7 +86,7 @@
 	return false, errkind.New(errkind.BadRequest, "header %s is neither true nor false", filter.HeaderNotIdempotent)
 }
 
-// hash covers all that makes two requests the same.
+// hash returns a hash of everything that makes two requests the same.
 func hash(method, path, query string, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/internal/filter/parse/parse_test.go
+++ b/internal/filter/parse/parse_test.go
@@ -18,7 +18,7 @@
 
 func (fixedSettings) Fleet() settings.Fleet { return settings.Fleet{}.WithDefaults() }
 
-// run passes one request through the filter.
+// run sends one request through the filter.
 func run(kind filter.WorkKind, path, body string) (*filter.Call, error) {
 	team := settings.Team{MaxOutputTokens: teamCap}.WithDefaults()
 	c := &filter.Call{Kind: kind, Path: path, Team: &team, TeamName: "t"}
@@ -30,8 +30,8 @@
 	return c, err
 }
 
-// engineTokens counts a prompt as an engine does that takes one token for 4 bytes of
-// text, rounded up, and 4 for each message.
+// engineTokens counts a prompt like an engine that takes one token for 4 bytes of text, rounded up,
+// and 4 tokens for each message.
 func engineTokens(t *testing.T, body []byte) uint64 {
 	t.Helper()
 	var req struct {
@@ -90,7 +90,7 @@
 		c, err := run(filter.WorkModel, path, body)
 		if err != nil {
 			if e := errkind.From(err); e.Kind == errkind.Internal {
-				t.Fatalf("not a refusal of the caller's: %v", err)
+				t.Fatalf("the refusal is an internal error: %v", err)
 			}
 			return
 		}
@@ -132,7 +132,7 @@
 	})
 }
 
-func TestPrefixHashesShareTheSharedBlocks(t *testing.T) {
+func TestPrefixHashesOfSharedBlocksAreEqual(t *testing.T) {
 	a := strings.Repeat("a", 3*BlockBytes)
 	x, y := PrefixHashes("m", []byte(a+strings.Repeat("x", BlockBytes))), PrefixHashes("m", []byte(a+strings.Repeat("y", BlockBytes)))
 	if len(x) != 4 || x[2] != y[2] || x[3] == y[3] || x[0] == PrefixHashes("n", []byte(a))[0] {
--- a/internal/filter/parse/prompt.go
+++ b/internal/filter/parse/prompt.go
@@ -12,17 +12,17 @@
 const (
 	// BlockBytes is the length of one block, about 128 tokens of text.
 	BlockBytes = 512
-	// MaxBlocks bounds the hashes of one prompt.
+	// MaxBlocks bounds the number of hashes of one prompt.
 	MaxBlocks = 64
 )
 
 type prompt struct {
 	messages int
-	// text is what engines see in the same order: each message's role and content.
+	// text is what engines see, in the same order: the role and content of each message.
 	text []byte
 }
 
-// prompt reads the messages or the prompt, depending on the path.
+// prompt parses the messages or the prompt, depending on the path.
 func (req fields) prompt(path string) (prompt, error) {
 	if path == PathChat {
 		return req.chatPrompt()
@@ -56,8 +56,8 @@
 	return p, nil
 }
 
-// textOnly refuses content other than text: nothing in the body bounds the tokens
-// of, say, an image behind a link.
+// textOnly rejects content other than text: nothing in the body bounds the number of tokens of,
+// say, an image behind a link.
 func textOnly(content json.RawMessage) *errkind.Error {
 	if len(content) == 0 || isNull(content) || content[0] == '"' {
 		return nil
@@ -70,13 +70,13 @@
 	}
 	for _, part := range parts {
 		if part.Type != "text" {
-			return errkind.New(errkind.BadRequest, "content part of type %q has no bound in tokens", part.Type)
+			return errkind.New(errkind.BadRequest, "content of type %q is not supported, since its number of tokens is not bounded", part.Type)
 		}
 	}
 	return nil
 }
 
-// plainPrompt takes one text, also in a list of one, or one list of token numbers.
+// plainPrompt accepts one text, which may be in a list of one, or one list of token numbers.
 func (req fields) plainPrompt() (prompt, error) {
 	raw := req["prompt"]
 	var text string
@@ -89,16 +89,16 @@
 	}
 	var tokens []uint64
 	if json.Unmarshal(raw, &tokens) == nil && len(tokens) > 0 {
-		// A token number takes at least two bytes with its comma, so the bound by
-		// bytes holds here only with bytesPerToken of at most 2; count them as messages.
+		// A token number with its comma takes at least two bytes, so the bound by bytes would hold
+		// only with a bytesPerToken of at most 2. Each token is therefore counted as a message.
 		return prompt{messages: len(tokens), text: raw}, nil
 	}
-	return prompt{}, errkind.New(errkind.BadRequest, "field \"prompt\" is not one text")
+	return prompt{}, errkind.New(errkind.BadRequest, "field \"prompt\" is neither a single text nor a list of token numbers")
 }
 
-// PrefixHashes are the hashes of the text's successive prefixes, one for each whole
-// block, with the model in each. Two prompts share their first k hashes if they
-// share their first k blocks.
+// PrefixHashes returns the hashes of the successive prefixes of text, one for each whole block,
+// with the model included in each. Two prompts have the same first k hashes if they have the same
+// first k blocks.
 func PrefixHashes(model string, text []byte) []uint64 {
 	n := min(len(text)/BlockBytes, MaxBlocks)
 	if n == 0 {
--- a/internal/filter/parse/service.go
+++ b/internal/filter/parse/service.go
@@ -10,7 +10,7 @@
 
 const maxName = 64
 
-// service takes a call of a plain service: /services/{name}/...
+// service parses a call to a plain service: /services/{name}/...
 func (f *Filter) service(c *filter.Call, r *http.Request, body []byte) error {
 	name, err := serviceName(r.URL.Path)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// serviceName is the name in a path of a plain service. A path with dot segments is
-// refused: the server might take it for another service than the router did.
+// serviceName returns the service's name in the path of a call to a plain service. A path with dot
+// segments is rejected: the server might take it for another service than the router did.
 func serviceName(path string) (string, error) {
 	rest, ok := strings.CutPrefix(path, PrefixServices)
 	if !ok {
@@ -39,11 +39,11 @@
 	}
 	name, _, _ := strings.Cut(rest, "/")
 	if !validName(name) {
-		return "", errkind.New(errkind.UnknownService, "not the name of a service")
+		return "", errkind.New(errkind.UnknownService, "the path does not contain a valid service name")
 	}
 	for _, segment := range strings.Split(rest, "/") {
 		if segment == "." || segment == ".." {
-			return "", errkind.New(errkind.BadRequest, "the path has dot segments")
+			return "", errkind.New(errkind.BadRequest, "the path contains dot segments")
 		}
 	}
 	return name, nil
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -8,42 +8,44 @@
 	"github.com/bluebellsail/bluebellsail/internal/quarantine"
 )
 
-// Quarantine keeps requests from backend servers that crash the servers which run them.
+// Quarantine keeps requests that crash servers away from backend servers.
 type Quarantine interface {
-	// Admit lets a request pass, or refuses it. It may block until another run of the same
-	// request has ended, or ctx ends.
+	// Admit admits a request or rejects it. It may block until another run of the same request has
+	// ended or ctx ends.
 	Admit(ctx context.Context, id quarantine.ID) (Admission, error)
-	// AdmitResumed lets a request pass that goes on with a run which was admitted before.
+	// AdmitResumed admits a request that resumes a run that was admitted before.
 	AdmitResumed(id quarantine.ID) Admission
 }
 
-// Admission is the way of one request to backend servers. Exactly one Close follows.
+// Admission is the permission of one request to use backend servers. It receives the outcomes of
+// the request's attempts. Close must be called exactly once.
 type Admission interface {
-	// ServerReached tells that an attempt reached a server.
+	// ServerReached records that an attempt reached a server.
 	ServerReached()
-	// ConnectionLost tells of an attempt whose connection the server's side ended before its answer
-	// was whole. It does not block.
+	// ConnectionLost reports an attempt whose connection was ended by the server's side before the
+	// answer was complete. It does not block.
 	ConnectionLost(b ConnectionLoss)
-	// AllowRetry asks whether there may be a further attempt after one that broke.
+	// AllowRetry returns nil if there may be a further attempt after one that lost its connection,
+	// else the refusal.
 	AllowRetry(ctx context.Context) error
-	// Answered tells that a server gave its whole answer.
+	// Answered records that a server sent its whole answer.
 	Answered()
-	// Status of the request when it was last asked for.
+	// Status returns the request's quarantine status as of the last check.
 	Status() quarantine.Status
 	Close()
 }
 
-// ConnectionLoss is the end of an attempt's connection.
+// ConnectionLoss describes the unexpected end of an attempt's connection.
 type ConnectionLoss struct {
-	// Incarnation of the server, at an address.
-	Incarnation     instance.Incarnation
-	Address string
-	// HealthPath is where the server says whether it takes requests.
+	// Incarnation is the server's incarnation, and Address its address.
+	Incarnation instance.Incarnation
+	Address     string
+	// HealthPath is the path at which the server reports whether it accepts requests.
 	HealthPath string
-	// Started is when the attempt did.
+	// Started is when the attempt began.
 	Started time.Time
-	// OtherRequests is how many other requests this host had at the server.
+	// OtherRequests is the number of other requests that this host had at the server.
 	OtherRequests int
-	// RequestID for the log.
+	// RequestID is the ID of the request, for the log.
 	RequestID string
 }
--- a/internal/filter/quarantine/quarantine.go
+++ b/internal/filter/quarantine/quarantine.go
@@ -1,5 +1,4 @@
-// Package quarantine is the filter that keeps calls from backend servers that crash the
-// servers which run them.
+// Package quarantine is the filter that keeps calls that crash servers away from backend servers.
 package quarantine
 
 import (
@@ -15,8 +14,8 @@
 	Clock      filter.Clock
 }
 
-// ServeHTTP fills the call's Pass. Who reads the run of a former holder again makes no new one,
-// so nothing is asked before it.
+// ServeHTTP sets the call's Admission. A call that resumes the run of a former holder starts no new
+// run, so it is admitted without a check.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	c := filter.CallFrom(r.Context())
 	target := c.Path
--- a/internal/filter/route/route.go
+++ b/internal/filter/route/route.go
@@ -1,6 +1,6 @@
-// Package route gets a call room at a backend server and, when an attempt fails,
-// tries again at another one: only if the call surely did not run or may run twice,
-// within the team's retry allowance and the deadline.
+// Package route acquires a slot for a call at a backend server and, if an attempt fails, tries
+// again at another one: only if the call certainly did not run or may run twice, and within the
+// team's retry allowance and the deadline.
 package route
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter"
 )
 
-// Step names this filter in the notes of a call.
+// Step is the name of this filter in the notes of a call.
 const Step = "route"
 
 // Filter runs the loop of attempts.
@@ -28,8 +28,8 @@
 	c := filter.CallFrom(r.Context())
 	if c.Resume != nil {
 		err := f.resume(w, r, next)
-		if !again(c, err) || !passes(r, c) {
-			return final(c, err)
+		if !mayRetry(c, err) || !quarantineAllows(r, c) {
+			return finalError(c, err)
 		}
 		c.Resume = nil
 	}
@@ -37,20 +37,20 @@
 	work := workOf(c)
 	for {
 		err := f.attempt(w, r, next, &work)
-		if err == nil || !again(c, err) {
-			return final(c, err)
+		if err == nil || !mayRetry(c, err) {
+			return finalError(c, err)
 		}
 		if c.Attempts >= c.Team.Retry.MaxAttempts || !f.Retries.Allow(c.TeamName, *c.Team.Retry) {
-			return final(c, err)
+			return finalError(c, err)
 		}
-		if !passes(r, c) {
-			return final(c, err)
+		if !quarantineAllows(r, c) {
+			return finalError(c, err)
 		}
 	}
 }
 
-// passes tells whether the quarantine lets the call be sent to another server.
-func passes(r *http.Request, c *filter.Call) bool {
+// quarantineAllows reports whether the quarantine allows the call to be sent to another server.
+func quarantineAllows(r *http.Request, c *filter.Call) bool {
 	return c.Admission == nil || c.Admission.AllowRetry(r.Context()) == nil
 }
 
@@ -66,24 +66,24 @@
 	}
 }
 
-// again tells whether the call may be sent to another server after err.
-func again(c *filter.Call, err error) bool {
+// mayRetry reports whether the call may be sent to another server after err.
+func mayRetry(c *filter.Call, err error) bool {
 	if c.NoRetry || !errkind.Is(err, errkind.BackendServerFailed) {
 		return false
 	}
 	return c.Idempotent || !c.Dispatched
 }
 
-// final is the refusal when no attempt is left. A run that must not be repeated and
-// may have happened has an unknown outcome.
-func final(c *filter.Call, err error) error {
+// finalError returns the error to answer if no attempt is left. The outcome of a run that must not
+// be repeated and may have happened is unknown.
+func finalError(c *filter.Call, err error) error {
 	if errkind.Is(err, errkind.BackendServerFailed) && !c.Idempotent && c.Dispatched {
 		return errkind.New(errkind.OutcomeUnknown, "%s", errkind.From(err).Message)
 	}
 	return err
 }
 
-// attempt gets room at one server and runs the call there.
+// attempt acquires a slot at one server and runs the call there.
 func (f *Filter) attempt(w http.ResponseWriter, r *http.Request, next filter.Handler, work *filter.Work) error {
 	c := filter.CallFrom(r.Context())
 	lease, err := f.Scheduler.Acquire(r.Context(), *work)
@@ -106,7 +106,7 @@
 	return next.ServeHTTP(w, r)
 }
 
-// noteServer lets the peers that hold the record know where the run is.
+// noteServer updates the in-flight record, so that the peers with a copy know where the call runs.
 func (f *Filter) noteServer(c *filter.Call, now time.Time) {
 	c.Note(now, Step, "attempt "+strconv.Itoa(c.Attempts)+" at "+c.Lease.Address()+": "+c.Lease.Reason())
 	rec := c.NextRecord()
@@ -115,13 +115,13 @@
 	f.Records.Update(rec)
 }
 
-// EngineRequestID names the call's present attempt at its engine.
+// EngineRequestID returns the ID of the call's current attempt at its engine.
 func EngineRequestID(c *filter.Call) string { return AttemptID(c.ID, c.Attempts) }
 
-// AttemptID names an attempt of a request at its engine.
+// AttemptID returns the ID of an attempt of a request at its engine.
 func AttemptID(requestID string, attempt int) string { return requestID + "-" + strconv.Itoa(attempt) }
 
-// resume reads the stream of a former holder. It takes no room: the run has its own.
+// resume reads the stream of a former holder. It acquires no slot, since the run already has one.
 func (f *Filter) resume(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	c := filter.CallFrom(r.Context())
 	c.Note(f.Clock.Now(), Step, "resumed "+c.Resume.EngineRequestID+" at "+c.Resume.Server)
--- a/internal/filter/settle/settle.go
+++ b/internal/filter/settle/settle.go
@@ -1,15 +1,15 @@
-// Package settle ends each call that began a record: it bills once what was used,
-// frees the rest of the reservation and writes down how the call ended.
+// Package settle ends each call that began a record: it bills once what was used, frees the rest of
+// the reservation and records how the call ended.
 //
 // What is billed:
 //
-//   - a whole answer: the usage that the engine reports, else the tokens counted;
-//   - a stream that was cut or cancelled after at least one token: the usage that the
-//     engine reports on cancelling, else the bound of the prompt plus the tokens
-//     received, since the engine stops there;
-//   - a stream that passed its output cap: the whole reservation;
-//   - a call of a plain service: its fixed price once it has answered, and also if it
-//     may not be repeated and its outcome is unknown, since it may have run;
+//   - a whole answer: the usage reported by the engine, else the tokens counted;
+//   - a stream that was cut or canceled after at least one token: the usage that the engine reports when
+//     it is canceled, else the upper bound of the prompt plus the tokens received, since the engine
+//     stops there;
+//   - a stream that exceeded its output cap: the whole reservation;
+//   - a call to a plain service: its fixed price once it has answered, and also if it must not be
+//     repeated and its outcome is unknown, since it may have run;
 //   - anything else: nothing.
 package settle
 
@@ -22,8 +22,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Filter stands inside idempotency, so that a replay is never billed, and around
-// budget, so that every reservation is ended.
+// Filter comes after idempotency, so that a replay is never billed, and before budget, so that
+// every reservation is ended.
 type Filter struct {
 	Budget  filter.Budget
 	Records filter.Records
@@ -35,8 +35,8 @@
 	c := filter.CallFrom(r.Context())
 	ended := false
 	defer func() {
-		if !ended { // a panic further in: nothing is known of the run
-			f.end(c, errkind.New(errkind.Internal, "a fault of the host"))
+		if !ended { // an inner filter panicked; nothing is known of the run
+			f.end(c, errkind.New(errkind.Internal, "an internal error of the host"))
 		}
 	}()
 	err := next.ServeHTTP(w, r)
@@ -50,12 +50,13 @@
 }
 
 func (f *Filter) end(c *filter.Call, e *errkind.Error) {
-	// The record first: once it is billed it counts as done, with what it then says.
+	// The record is updated first: once it is billed it counts as done, with its contents at that
+	// time.
 	f.record(c, e)
 	f.bill(c, e)
 }
 
-// bill ends the reservation.
+// bill bills or releases the reservation.
 func (f *Filter) bill(c *filter.Call, e *errkind.Error) {
 	if !c.ReservationHeld {
 		return
@@ -87,7 +88,7 @@
 	return min(c.Usage.Prompt+c.Usage.Output, c.Reserved)
 }
 
-// record writes down how the call ended, for callers that ask again.
+// record stores how the call ended, for callers that ask again.
 func (f *Filter) record(c *filter.Call, e *errkind.Error) {
 	if c.Replayed {
 		return
@@ -103,7 +104,7 @@
 		rec.State = pb.InflightState_INFLIGHT_STATE_DONE
 		keepAnswer(rec, c)
 	case c.Idempotent && errkind.Lookup(e.Kind).Retry != errkind.RetryNever:
-		// No whole answer went out and the work may be repeated: a retry runs anew.
+		// No whole answer was sent and the work may be repeated: a retry runs it again.
 		rec.State = pb.InflightState_INFLIGHT_STATE_ABANDONED
 	default:
 		rec.State = pb.InflightState_INFLIGHT_STATE_DONE
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -3,45 +3,46 @@
 import "time"
 
 const (
-	// exclusiveFor is how long a suspected request keeps others of its kind waiting; one that
-	// crashes servers mostly has done so by then.
-	exclusiveFor = 2 * time.Second
-	// soon is when to ask again for a request that another run keeps waiting.
-	soon = time.Second
+	// exclusiveTime is how long a suspected request blocks other runs of itself. A request that
+	// crashes servers has mostly done so by then.
+	exclusiveTime = 2 * time.Second
+	// waitRetryAfter is when to ask again for a request that is blocked by another run of itself.
+	waitRetryAfter = time.Second
 )
 
-// slot is the place of the one run of a suspected or quarantined request.
+// slot is the permission to run a suspected or quarantined request, held by one run at a time.
 type slot struct {
 	name  string
 	until time.Time
 }
 
-// Decision says what is to be done with a request.
+// Decision is what is to be done with a request.
 type Decision string
 
 // Decisions.
 const (
-	// Run: it may be sent to a server.
+	// Run means that the request may be sent to a server.
 	Run Decision = "run"
-	// Exclusive: it may be sent to one server, and others wait until End.
+	// Exclusive means that the request may be sent to one server, while other runs of it wait until
+	// End.
 	Exclusive Decision = "exclusive"
 	// Trial is Exclusive for a quarantined request.
 	Trial Decision = "trial"
-	// Wait: another run of it is under way.
+	// Wait means that another run of the request is under way.
 	Wait Decision = "wait"
-	// Refuse: it may not be sent to a server before Verdict.After.
+	// Refuse means that the request may not be sent to a server before Verdict.After.
 	Refuse Decision = "refuse"
 )
 
-// Verdict on a request that wants to run.
+// Verdict is the decision on a request that asks to run.
 type Verdict struct {
 	Decision Decision
-	// After is when it may run, with Wait and Refuse.
+	// After is the time after which the request may run, for Wait and Refuse.
 	After time.Duration
 }
 
-// Admit decides on a request. name names the pass that it would run under, lifetime bounds
-// the run. The host that owns a request decides for the whole fleet.
+// Admit decides whether a request may run. name is the name of the admission under which it would
+// run; lifetime bounds the run. The host that owns a request decides for the whole fleet.
 func (t *Table) Admit(now time.Time, id ID, name string, lifetime time.Duration) Verdict {
 	st := t.Status(now, id)
 	held, taken := t.slots[id]
@@ -50,18 +51,18 @@
 	case st.Level == Free:
 		return Verdict{Decision: Run}
 	case st.Level == Suspected && taken:
-		return Verdict{Decision: Wait, After: soon}
+		return Verdict{Decision: Wait, After: waitRetryAfter}
 	case st.Level == Suspected:
-		t.slots[id] = slot{name: name, until: now.Add(min(lifetime, exclusiveFor))}
+		t.slots[id] = slot{name: name, until: now.Add(min(lifetime, exclusiveTime))}
 		return Verdict{Decision: Exclusive}
 	case taken, st.NextTrial > 0:
-		return Verdict{Decision: Refuse, After: max(st.NextTrial, soon)}
+		return Verdict{Decision: Refuse, After: max(st.NextTrial, waitRetryAfter)}
 	}
 	t.slots[id] = slot{name: name, until: now.Add(lifetime)}
 	return Verdict{Decision: Trial}
 }
 
-// End takes that the run under a name has ended.
+// End ends the run with the given name.
 func (t *Table) End(id ID, name string) {
 	if t.slots[id].name == name {
 		delete(t.slots, id)
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// BenchmarkMemory is what a request with three crashes takes in memory, and in the message that
-// tells another host of it.
+// BenchmarkMemory measures the size of a request with three crashes in memory, and in the message
+// that sends it to another host.
 func BenchmarkMemory(b *testing.B) {
 	const accounts = 400
 	for b.Loop() {
@@ -23,7 +23,7 @@
 		for a := range accounts {
 			for n := range maxPerAccount {
 				for c := range MaxCrashes {
-					table.RecordCrash(epochStart, request(fmt.Sprintf("account-%d", a), n), run(a*n+c), "host-12", c)
+					table.RecordCrash(epochStart, request(fmt.Sprintf("account-%d", a), n), incarnation(a*n+c), "host-12", c)
 				}
 			}
 		}
@@ -31,16 +31,16 @@
 		runtime.ReadMemStats(&after)
 		entries := float64(accounts * maxPerAccount)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/entries, "B/request")
-		told := &pb.FetchSuspectsReply{Suspects: table.Suspects(epochStart.Add(time.Second))}
-		b.ReportMetric(float64(proto.Size(told))/entries, "told-B/request")
+		reply := &pb.FetchSuspectsReply{Suspects: table.Suspects(epochStart.Add(time.Second))}
+		b.ReportMetric(float64(proto.Size(reply))/entries, "told-B/request")
 	}
 }
 
-// BenchmarkAdmitFree is what a request costs that nothing is held against.
+// BenchmarkAdmitFree measures the cost of admitting a request that has no recorded crashes.
 func BenchmarkAdmitFree(b *testing.B) {
 	table := NewTable()
 	for n := range maxPerAccount {
-		table.RecordCrash(epochStart, request("account", n), run(n), "host", 0)
+		table.RecordCrash(epochStart, request("account", n), incarnation(n), "host", 0)
 	}
 	id := request("account", maxPerAccount)
 	for b.Loop() {
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,15 +1,15 @@
-// Package quarantine decides which requests are kept from backend servers because servers
-// crash while they run them.
+// Package quarantine decides which requests are kept away from backend servers because servers
+// crash while running them.
 //
-// A request is known by its Fingerprint. The first crash under it makes it suspected: it runs
-// once at a time in the whole fleet. After MaxCrashes it is quarantined: it is refused but for
-// a few trials with growing pauses between them, so that a request which was only running
-// beside the cause is served again. A whole answer of a server clears it, as a request that
-// crashes each server that runs it has none.
+// A request is identified by its Fingerprint. After the first crash of a server that was running
+// it, the request is suspected: it runs once at a time in the whole fleet. After MaxCrashes crashes
+// it is quarantined: it is rejected except for a few trials with growing pauses between them, so
+// that a request that only happened to run beside the cause is served again. A whole answer from a
+// server clears it, since a request that crashes every server that runs it never gets one.
 //
-// A Table holds what one host knows. Tables of several hosts are merged in any order and as
-// often as one likes, with the same result: within an epoch crashes and trials only come
-// to be known, and a later epoch, which a clearance begins, replaces an earlier one.
+// A Table holds what one host knows. The tables of several hosts can be merged in any order and any
+// number of times with the same result: within an epoch crashes and trials are only ever added, and
+// clearing a request begins a later epoch, which replaces the earlier one.
 //
-// The package is pure: time is passed in, and the caller serialises the calls.
+// The package is pure: time is passed in, and the caller serializes the calls.
 package quarantine
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -12,11 +12,12 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Fingerprint is a hash of what a request asks. Requests of one client account with the
-// same fingerprint are the same request, whatever their ids, deadlines and headers are.
+// Fingerprint is a hash of a request's content. Requests of one client account with the same
+// fingerprint are the same request, whatever their IDs, deadlines and headers.
 type Fingerprint [16]byte
 
-// FingerprintOf hashes a request. Its parts are told apart by their lengths.
+// FingerprintOf returns the fingerprint of a request. The length of each part is hashed too, so
+// that different divisions of the same bytes have different fingerprints.
 func FingerprintOf(account, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, text := range []string{account, host, target} {
@@ -36,18 +37,19 @@
 	_, _ = h.Write(length[:])
 }
 
-// String is the fingerprint as logs and operators have it.
+// String returns the fingerprint in hexadecimal, as logs and operators use it.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// IDFromProto is the request that a message is of; ok is false if it names none.
-func IDFromProto(told *pb.Suspect) (id ID, ok bool) {
-	id.Account = told.GetAccount()
-	ok = len(told.GetFingerprint()) == len(id.Fingerprint)
-	copy(id.Fingerprint[:], told.GetFingerprint())
+// IDFromProto returns the ID of the request in a message. ok is false if the message has no valid
+// ID.
+func IDFromProto(msg *pb.Suspect) (id ID, ok bool) {
+	id.Account = msg.GetAccount()
+	ok = len(msg.GetFingerprint()) == len(id.Fingerprint)
+	copy(id.Fingerprint[:], msg.GetFingerprint())
 	return id, ok
 }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the result of String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	b, err := hex.DecodeString(text)
@@ -58,8 +60,8 @@
 	return f, nil
 }
 
-// ID names a request in the fleet. The account stands beside the hash, so that each
-// account has a part of the memory of its own.
+// ID identifies a request in the fleet. The account is kept beside the hash, so that the number of
+// requests remembered can be limited per account.
 type ID struct {
 	Account     string
 	Fingerprint Fingerprint
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against two different requests of which one is refused for the other's crashes:
-// parts that meet at another border make another fingerprint.
-func TestFingerprintTellsPartsApart(t *testing.T) {
+// Guards against rejecting a request for the crashes of a different one: the same bytes divided
+// differently into parts must have different fingerprints.
+func TestFingerprintSeparatesParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := rapid.SliceOfN(rapid.StringN(0, 4, 8), 4, 4).Draw(t, "a")
 		b := rapid.SliceOfN(rapid.StringN(0, 4, 8), 4, 4).Draw(t, "b")
--- a/internal/quarantine/state.go
+++ b/internal/quarantine/state.go
@@ -13,16 +13,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Suspect is what is known of a request, for other hosts; nil if it is nothing.
+// Suspect returns what is known of a request as a message for other hosts; nil if nothing is known.
 func (t *Table) Suspect(now time.Time, id ID) *pb.Suspect {
 	s := t.find(id)
 	if s == nil {
 		return nil
 	}
-	out := &pb.Suspect{Account: id.Account, Fingerprint: bytes.Clone(id.Fingerprint[:]), Epoch: s.epoch, AgeMs: now.Sub(s.touched).Milliseconds()}
+	out := &pb.Suspect{Account: id.Account, Fingerprint: bytes.Clone(id.Fingerprint[:]), Epoch: s.epoch, AgeMs: now.Sub(s.lastChange).Milliseconds()}
 	for _, c := range s.crashes {
 		out.Crashes = append(out.Crashes, &pb.ServerCrash{
-			Server: &pb.ServerRun{Id: c.run.ID, Incarnation: c.run.Started}, AgeMs: now.Sub(c.at).Milliseconds(),
+			Server: &pb.ServerRun{Id: c.inc.ID, Incarnation: c.inc.Started}, AgeMs: now.Sub(c.at).Milliseconds(),
 			Host: c.host, Others: uint32(max(c.others, 0)),
 		})
 	}
@@ -32,7 +32,7 @@
 	return out
 }
 
-// Suspects are the states of all requests, in order.
+// Suspects returns the messages for all known requests, in order of their IDs.
 func (t *Table) Suspects(now time.Time) []*pb.Suspect {
 	var out []*pb.Suspect
 	for _, id := range t.ids() {
@@ -41,15 +41,15 @@
 	return out
 }
 
-// Entry is what is held against one request.
+// Entry describes a suspected or quarantined request.
 type Entry struct {
-	ID       ID
+	ID     ID
 	Status Status
-	// Crashes, oldest first.
+	// Crashes are the known crashes, oldest first.
 	Crashes []*pb.ServerCrash
 }
 
-// Entries are the requests that something is held against, in order.
+// Entries returns the suspected and quarantined requests in order of their IDs.
 func (t *Table) Entries(now time.Time) []Entry {
 	var out []Entry
 	for _, id := range t.ids() {
@@ -64,8 +64,9 @@
 	return out
 }
 
-// SomeSuspects are the states of at most n requests, those with the most crashes first. Of requests with
-// as many the ones from a place on come first: whoever asks again and again learns all of them.
+// SomeSuspects returns the messages for at most n requests, those with the most crashes first.
+// Among requests with equally many crashes it begins at position from, so that a host that asks
+// repeatedly with different positions receives all of them.
 func (t *Table) SomeSuspects(now time.Time, n int, from uint64) []*pb.Suspect {
 	ids := t.ids()
 	if len(ids) > n {
@@ -83,8 +84,8 @@
 
 func (t *Table) ids() []ID {
 	var out []ID
-	for account, of := range t.accounts {
-		for f := range of {
+	for account, suspects := range t.accounts {
+		for f := range suspects {
 			out = append(out, ID{account, f})
 		}
 	}
@@ -97,24 +98,24 @@
 	return out
 }
 
-// Digest is the same at two hosts that know the same, whenever each of them learnt it.
+// Digest is equal at two hosts that have the same knowledge, whenever each of them received it.
 func (t *Table) Digest() uint64 {
-	if t.digestOf == t.version {
+	if t.digestVersion == t.version {
 		return t.digest
 	}
-	t.digest, t.digestOf = 0, t.version
+	t.digest, t.digestVersion = 0, t.version
 	for _, id := range t.ids() {
 		t.digest += t.digestEntry(id)
 	}
 	return t.digest
 }
 
-// digestEntry hashes one request's crashes and trials, whatever their order.
+// digestEntry hashes one request's crashes and trials, independently of their order.
 func (t *Table) digestEntry(id ID) uint64 {
 	s := t.find(id)
 	sum := xxhash.Sum64String(fmt.Sprintf("%q %v %d", id.Account, id.Fingerprint, s.epoch))
 	for _, c := range s.crashes {
-		sum += xxhash.Sum64String(fmt.Sprintf("crash %q %d %v %d", c.run.ID, c.run.Started, id.Fingerprint, s.epoch))
+		sum += xxhash.Sum64String(fmt.Sprintf("crash %q %d %v %d", c.inc.ID, c.inc.Started, id.Fingerprint, s.epoch))
 	}
 	for _, tr := range s.trials {
 		sum += xxhash.Sum64String(fmt.Sprintf("trial %q %v %d", tr.name, id.Fingerprint, s.epoch))
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -11,142 +11,146 @@
 )
 
 const (
-	// MaxCrashes quarantine a request.
+	// MaxCrashes is the number of crashes after which a request is quarantined.
 	MaxCrashes = 3
-	// maxKept bounds the crashes that are kept of a request.
-	maxKept = 8
-	// maxPerAccount bounds the requests that are remembered of one client account.
+	// maxKeptCrashes bounds the crashes recorded per request.
+	maxKeptCrashes = 8
+	// maxPerAccount bounds the requests remembered per client account.
 	maxPerAccount = 64
 	// retention is how long a request is remembered after its last crash or trial.
 	retention = 24 * time.Hour
-	// clearedRetention is how long a clearance is remembered: hosts that were cut off
-	// may tell of the crashes before it.
+	// clearedRetention is how long it is remembered that a request was cleared: hosts that were cut
+	// off may still report the crashes before it.
 	clearedRetention = 10 * time.Minute
 )
 
-// trialPauses are the pauses before the trials of a quarantined request. There are no
-// further ones.
+// trialPauses are the pauses before the trials of a quarantined request. There are no further
+// trials.
 var trialPauses = []time.Duration{2 * time.Second, time.Minute, time.Hour}
 
-// doubtfulPauses are those of a request whose crashes were mostly among others. There are as many.
+// doubtfulPauses are the pauses for a request that may not be the cause, since most of its crashes
+// were part of a loss of several servers. It has as many elements as trialPauses.
 var doubtfulPauses = []time.Duration{2 * time.Second, 5 * time.Second, time.Minute}
 
 const (
-	// A crash is among others if lossSize servers or more ended within lossTime of it that did not
-	// run the request: they were lost together, and the request has hardly caused that.
-	lossSize = 2
-	lossTime = time.Second
+	// A crash is part of a mass loss if at least lossSize servers that did not run the request
+	// ended within lossWindow of it: the servers were lost together, and the request hardly caused
+	// that.
+	lossSize   = 2
+	lossWindow = time.Second
 )
 
-// Level says how a request is treated.
+// Level is how a request is treated.
 type Level string
 
 // Levels.
 const (
-	// Free: no server crashed under it since it was last answered.
+	// Free means that no server has crashed while running the request since it was last answered.
 	Free Level = "free"
-	// Suspected: it runs once at a time.
+	// Suspected means that the request runs once at a time.
 	Suspected Level = "suspected"
-	// Quarantined: it runs in trials only.
+	// Quarantined means that the request runs in trials only.
 	Quarantined Level = "quarantined"
 )
 
-// Status of a request.
+// Status is how a request is treated now, and why.
 type Status struct {
 	Level Level
-	// Crashes and trials that are known.
+	// Crashes and Trials are the numbers of known crashes and trials.
 	Crashes, Trials int
-	// LastCrash is how long ago the newest crash was; Reporter the host that saw it.
+	// LastCrash is the age of the newest crash; Reporter is the host that observed it.
 	LastCrash time.Duration
 	Reporter  string
-	// NextTrial is the time until the next trial; negative or 0: now. With Quarantined only.
+	// NextTrial is the time until the next trial; 0 or negative if it may run now. It is set for
+	// Quarantined only.
 	NextTrial time.Duration
 }
 
-// crash of a server under a request.
+// crash is a crash of a server that was running a request.
 type crash struct {
-	run instance.Incarnation
+	inc instance.Incarnation
 	at  time.Time
-	// host saw it, with others requests at the server.
+	// host observed the crash. It had others further requests at the server.
 	host   string
 	others int
 }
 
 type trial struct {
-	// name of the pass under which it was made.
+	// name is the name of the admission under which the trial was made.
 	name string
 	at   time.Time
 }
 
 // suspect is what is known of one request.
 type suspect struct {
-	epoch   uint64
-	crashes []crash
-	trials  []trial
-	touched time.Time
-	// doubtful is whether its crashes were among others, as of a version of the table.
-	doubtful   bool
-	doubtfulOf uint64
+	epoch      uint64
+	crashes    []crash
+	trials     []trial
+	lastChange time.Time
+	// doubtful is set if too few of the crashes happened outside mass losses to quarantine the
+	// request. It is computed for version doubtfulVersion of the table.
+	doubtful        bool
+	doubtfulVersion uint64
 }
 
-// Table of the requests under which servers crashed.
+// Table holds the requests that were running when servers crashed.
 type Table struct {
 	accounts map[string]map[Fingerprint]*suspect
 	slots    map[ID]slot
-	// version counts the changes; digest is that of digestOf.
-	version, digestOf, digest uint64
+	// version counts the changes. digest is the digest of version digestVersion.
+	version, digestVersion, digest uint64
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{accounts: make(map[string]map[Fingerprint]*suspect), slots: make(map[ID]slot)}
 }
 
-// Version changes with each change of what is known.
+// Version changes whenever the contents change.
 func (t *Table) Version() uint64 { return t.version }
 
 func (t *Table) find(id ID) *suspect { return t.accounts[id.Account][id.Fingerprint] }
 
-// suspectOf is the entry of a request; a new one takes the place of the least telling one of
-// its account if there is no room.
-func (t *Table) suspectOf(now time.Time, id ID) *suspect {
+// findOrAdd returns the entry of a request, adding one if there is none. If its account has no
+// room, the new entry replaces the account's least severe one.
+func (t *Table) findOrAdd(now time.Time, id ID) *suspect {
 	if s := t.find(id); s != nil {
 		return s
 	}
-	of := t.accounts[id.Account]
-	if of == nil {
-		of = make(map[Fingerprint]*suspect)
-		t.accounts[id.Account] = of
+	suspects := t.accounts[id.Account]
+	if suspects == nil {
+		suspects = make(map[Fingerprint]*suspect)
+		t.accounts[id.Account] = suspects
 	}
-	if len(of) >= maxPerAccount {
-		delete(of, leastTelling(of))
+	if len(suspects) >= maxPerAccount {
+		delete(suspects, leastSevere(suspects))
 	}
-	s := &suspect{touched: now}
-	of[id.Fingerprint] = s
+	s := &suspect{lastChange: now}
+	suspects[id.Fingerprint] = s
 	return s
 }
 
-// leastTelling is the request with the fewest crashes, of these the one that was heard of
-// longest ago.
-func leastTelling(of map[Fingerprint]*suspect) Fingerprint {
+// leastSevere returns the request with the fewest crashes; among several, the one whose last change
+// is the oldest.
+func leastSevere(suspects map[Fingerprint]*suspect) Fingerprint {
 	var least Fingerprint
 	var found *suspect
-	for f, s := range of {
-		if found == nil || s.lessTelling(found) {
+	for f, s := range suspects {
+		if found == nil || s.lessSevereThan(found) {
 			least, found = f, s
 		}
 	}
 	return least
 }
 
-func (s *suspect) lessTelling(than *suspect) bool {
+func (s *suspect) lessSevereThan(than *suspect) bool {
 	if len(s.crashes) != len(than.crashes) {
 		return len(s.crashes) < len(than.crashes)
 	}
-	return s.touched.Before(than.touched)
+	return s.lastChange.Before(than.lastChange)
 }
 
-// Status of a request.
+// Status returns the status of a request.
 func (t *Table) Status(now time.Time, id ID) Status {
 	s := t.find(id)
 	if s == nil || len(s.crashes) == 0 {
@@ -162,19 +166,19 @@
 	return out
 }
 
-// nextTrial is when a quarantined request may run again: the next trial, or the time at which
-// it is forgotten.
+// nextTrial returns when a quarantined request may run again: at its next trial, or when it is
+// forgotten.
 func (s *suspect) nextTrial(pauses []time.Duration) time.Time {
 	if len(s.trials) >= len(pauses) {
-		return s.touched.Add(retention)
+		return s.lastChange.Add(retention)
 	}
-	return s.touched.Add(pauses[len(s.trials)])
+	return s.lastChange.Add(pauses[len(s.trials)])
 }
 
-// pauses are those before the trials of a request.
+// pauses returns the pauses before the trials of a request.
 func (t *Table) pauses(s *suspect) []time.Duration {
-	if s.doubtfulOf != t.version {
-		s.doubtful, s.doubtfulOf = t.isDoubtful(s), t.version
+	if s.doubtfulVersion != t.version {
+		s.doubtful, s.doubtfulVersion = t.isDoubtful(s), t.version
 	}
 	if s.doubtful {
 		return doubtfulPauses
@@ -182,26 +186,26 @@
 	return trialPauses
 }
 
-// isDoubtful tells whether too few crashes under a request were its own to quarantine it.
+// isDoubtful reports whether fewer than MaxCrashes crashes happened outside mass losses.
 func (t *Table) isDoubtful(s *suspect) bool {
 	alone := 0
 	for _, c := range s.crashes {
-		if !t.amongOthers(s, c) {
+		if !t.inMassLoss(s, c) {
 			alone++
 		}
 	}
 	return alone < MaxCrashes
 }
 
-// amongOthers tells whether a crash under a request was one of a loss of several servers, as far as
-// the crashes under other requests show it.
-func (t *Table) amongOthers(s *suspect, c crash) bool {
+// inMassLoss reports whether a crash was part of a loss of several servers, as far as the crashes
+// recorded for other requests show it.
+func (t *Table) inMassLoss(s *suspect, c crash) bool {
 	lost := make(map[instance.Incarnation]bool)
-	for _, of := range t.accounts {
-		for _, other := range of {
+	for _, suspects := range t.accounts {
+		for _, other := range suspects {
 			for _, o := range other.crashes {
-				if o.at.Sub(c.at).Abs() <= lossTime && !s.ran(o.run) {
-					lost[o.run] = true
+				if o.at.Sub(c.at).Abs() <= lossWindow && !s.ranAt(o.inc) {
+					lost[o.inc] = true
 				}
 			}
 		}
@@ -209,16 +213,17 @@
 	return len(lost) >= lossSize
 }
 
-// ran tells whether the request is known to have run at a run of a server that ended.
-func (s *suspect) ran(run instance.Incarnation) bool {
-	return slices.ContainsFunc(s.crashes, func(c crash) bool { return c.run == run })
+// ranAt reports whether the request is known to have run at an incarnation of a server that ended.
+func (s *suspect) ranAt(inc instance.Incarnation) bool {
+	return slices.ContainsFunc(s.crashes, func(c crash) bool { return c.inc == inc })
 }
 
-// RecordCrash takes that a run of a server ended while it ran a request; others is how many other
-// requests it had of the same host. False if that was known.
-func (t *Table) RecordCrash(now time.Time, id ID, run instance.Incarnation, host string, others int) bool {
-	s := t.suspectOf(now, id)
-	if !s.addCrash(crash{run: run, at: now, host: host, others: others}) {
+// RecordCrash records that a server ended while it ran a request of the given host. others is the
+// number of other requests that the host had at the server. It returns false if the crash was
+// known.
+func (t *Table) RecordCrash(now time.Time, id ID, inc instance.Incarnation, host string, others int) bool {
+	s := t.findOrAdd(now, id)
+	if !s.addCrash(crash{inc: inc, at: now, host: host, others: others}) {
 		return false
 	}
 	t.version++
@@ -227,21 +232,21 @@
 
 func (s *suspect) addCrash(c crash) bool {
 	at, known := slices.BinarySearchFunc(s.crashes, c, crash.compare)
-	if known || at >= maxKept {
+	if known || at >= maxKeptCrashes {
 		return false
 	}
-	// Hosts that heard of more crashes than are kept, in any order, keep the same ones.
+	// Hosts that receive more crashes than are kept, in whatever order, must keep the same ones.
 	s.crashes = slices.Insert(s.crashes, at, c)
-	s.crashes = s.crashes[:min(len(s.crashes), maxKept)]
+	s.crashes = s.crashes[:min(len(s.crashes), maxKeptCrashes)]
 	s.touch(c.at)
 	return true
 }
 
 func (c crash) compare(with crash) int {
-	return cmp.Or(strings.Compare(c.run.ID, with.run.ID), cmp.Compare(c.run.Started, with.run.Started))
+	return cmp.Or(strings.Compare(c.inc.ID, with.inc.ID), cmp.Compare(c.inc.Started, with.inc.Started))
 }
 
-// last is the newest crash.
+// last returns the newest crash.
 func (s *suspect) last() crash {
 	return slices.MaxFunc(s.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 }
@@ -256,13 +261,13 @@
 }
 
 func (s *suspect) touch(at time.Time) {
-	if at.After(s.touched) {
-		s.touched = at
+	if at.After(s.lastChange) {
+		s.lastChange = at
 	}
 }
 
-// RecordTrial takes that a trial has reached a server; one that found none is made again. False if that
-// was known, or nothing is held against the request.
+// RecordTrial records that a trial has reached a server; a trial that reaches none is repeated. It
+// returns false if the trial was known or the request has no recorded crashes.
 func (t *Table) RecordTrial(now time.Time, id ID, name string) bool {
 	s := t.find(id)
 	if s == nil || len(s.crashes) == 0 || !s.addTrial(trial{name: name, at: now}) {
@@ -272,38 +277,38 @@
 	return true
 }
 
-// Clear takes that a server answered a request, or that an operator released it. False if
-// nothing was held against it.
+// Clear removes a request's crashes after a server answered it or an operator released it. It
+// returns false if the request has none.
 func (t *Table) Clear(now time.Time, id ID) bool {
 	s := t.find(id)
 	if s == nil || len(s.crashes) == 0 {
 		return false
 	}
-	*s = suspect{epoch: s.epoch + 1, touched: now}
+	*s = suspect{epoch: s.epoch + 1, lastChange: now}
 	delete(t.slots, id)
 	t.version++
 	return true
 }
 
-// Expire forgets what is old, and returns the requests that were still held against.
+// Expire removes old entries. It returns the removed requests that still had recorded crashes.
 func (t *Table) Expire(now time.Time) []ID {
 	var out []ID
-	for account, of := range t.accounts {
-		for f, s := range of {
+	for account, suspects := range t.accounts {
+		for f, s := range suspects {
 			keep := retention
 			if len(s.crashes) == 0 {
 				keep = clearedRetention
 			}
-			if now.Sub(s.touched) < keep {
+			if now.Sub(s.lastChange) < keep {
 				continue
 			}
 			if len(s.crashes) > 0 {
 				out = append(out, ID{account, f})
 			}
-			delete(of, f)
+			delete(suspects, f)
 			t.version++
 		}
-		if len(of) == 0 {
+		if len(suspects) == 0 {
 			delete(t.accounts, account)
 		}
 	}
@@ -311,49 +316,50 @@
 	return out
 }
 
-// Merge takes what another host knows of a request; false if it is nothing new.
-func (t *Table) Merge(now time.Time, told *pb.Suspect) (id ID, news bool) {
-	id, ok := IDFromProto(told)
+// Merge adds what another host knows of a request. It returns false if nothing in it is new.
+func (t *Table) Merge(now time.Time, msg *pb.Suspect) (id ID, changed bool) {
+	id, ok := IDFromProto(msg)
 	if !ok {
 		return id, false
 	}
-	s, touched := t.find(id), agedBy(now, told.GetAgeMs())
+	s, lastChange := t.find(id), timeFromAge(now, msg.GetAgeMs())
 	switch {
 	case s == nil:
-		s = t.suspectOf(now, id)
-		s.epoch, s.touched, news = told.GetEpoch(), touched, true
-	case told.GetEpoch() < s.epoch:
+		s = t.findOrAdd(now, id)
+		s.epoch, s.lastChange, changed = msg.GetEpoch(), lastChange, true
+	case msg.GetEpoch() < s.epoch:
 		return id, false
-	case told.GetEpoch() > s.epoch:
-		*s = suspect{epoch: told.GetEpoch(), touched: touched}
+	case msg.GetEpoch() > s.epoch:
+		*s = suspect{epoch: msg.GetEpoch(), lastChange: lastChange}
 		delete(t.slots, id)
-		news = true
+		changed = true
 	}
-	for _, c := range told.GetCrashes() {
-		run := instance.Incarnation{ID: c.GetServer().GetId(), Started: c.GetServer().GetIncarnation()}
-		news = s.addCrash(crash{run: run, at: agedBy(now, c.GetAgeMs()), host: c.GetHost(), others: int(c.GetOthers())}) || news
+	for _, c := range msg.GetCrashes() {
+		inc := instance.Incarnation{ID: c.GetServer().GetId(), Started: c.GetServer().GetIncarnation()}
+		changed = s.addCrash(crash{inc: inc, at: timeFromAge(now, c.GetAgeMs()), host: c.GetHost(), others: int(c.GetOthers())}) || changed
 	}
-	for _, tr := range told.GetTrials() {
-		news = s.addTrial(trial{name: tr.GetName(), at: agedBy(now, tr.GetAgeMs())}) || news
+	for _, tr := range msg.GetTrials() {
+		changed = s.addTrial(trial{name: tr.GetName(), at: timeFromAge(now, tr.GetAgeMs())}) || changed
 	}
-	if news {
+	if changed {
 		t.version++
 	}
-	return id, news
+	return id, changed
 }
 
-// agedBy is the time of something of an age; ages out of range are taken for the nearest.
-func agedBy(now time.Time, ms int64) time.Time {
+// timeFromAge converts an age to a time. Ages out of range are clamped.
+func timeFromAge(now time.Time, ms int64) time.Time {
 	age := min(max(time.Duration(ms), 0), retention/time.Millisecond) * time.Millisecond
 	return now.Add(-age)
 }
 
-// CrashedIncarnations are the runs of servers that ended under a request, and how long ago.
+// CrashedIncarnations returns the incarnations of servers that ended while running a request, and
+// how long ago each of them ended.
 func (t *Table) CrashedIncarnations(now time.Time, id ID) map[instance.Incarnation]time.Duration {
 	out := make(map[instance.Incarnation]time.Duration)
 	if s := t.find(id); s != nil {
 		for _, c := range s.crashes {
-			out[c.run] = now.Sub(c.at)
+			out[c.inc] = now.Sub(c.at)
 		}
 	}
 	return out
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -17,11 +17,11 @@
 	return ID{Account: account, Fingerprint: FingerprintOf(account, "host", "/x", fmt.Appendf(nil, "%d", n))}
 }
 
-func run(n int) instance.Incarnation {
+func incarnation(n int) instance.Incarnation {
 	return instance.Incarnation{ID: fmt.Sprintf("server-%d", n), Started: 1}
 }
 
-// fleet is hosts whose tables hear of each other.
+// fleet is a set of hosts whose tables exchange their entries.
 type fleet struct {
 	now     time.Time
 	hosts   []*Table
@@ -37,18 +37,18 @@
 	return f
 }
 
-// tell has one host learn all that another knows.
-func (f *fleet) tell(from, to int) {
+// sync merges all entries of one host's table into another's.
+func (f *fleet) sync(from, to int) {
 	for _, s := range f.hosts[from].Suspects(f.now) {
 		f.hosts[to].Merge(f.now, s)
 	}
 }
 
-func (f *fleet) tellAll() {
+func (f *fleet) syncAll() {
 	for range 2 {
 		for from := range f.hosts {
 			for to := range f.hosts {
-				f.tell(from, to)
+				f.sync(from, to)
 			}
 		}
 	}
@@ -56,19 +56,19 @@
 
 func (f *fleet) crash(at int, id ID) {
 	f.servers++
-	f.hosts[at].RecordCrash(f.now, id, run(f.servers), fmt.Sprintf("host-%d", at), 0)
+	f.hosts[at].RecordCrash(f.now, id, incarnation(f.servers), fmt.Sprintf("host-%d", at), 0)
 }
 
 func (f *fleet) admit(owner int, id ID) Verdict {
 	f.passes++
-	return f.hosts[owner].Admit(f.now, id, f.pass(), 10*time.Second)
+	return f.hosts[owner].Admit(f.now, id, f.admission(), 10*time.Second)
 }
 
-// pass is the name of the last one.
-func (f *fleet) pass() string { return fmt.Sprintf("pass-%d", f.passes) }
+// admission returns the name of the last admission.
+func (f *fleet) admission() string { return fmt.Sprintf("pass-%d", f.passes) }
 
-// Guards against a request that is sent to servers for ever: whatever hosts decide on it, in
-// whatever order, and however the owner changes, it runs MaxCrashes times and in the trials.
+// Guards against sending a crashing request to servers without end: whatever hosts decide on it, in
+// whatever order, and however its owner changes, it runs MaxCrashes times and in the trials.
 func TestCrashingRequestRunsInTrialsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 5).Draw(t, "hosts"))
@@ -83,7 +83,7 @@
 			v := f.admit(owner, id)
 			if v.Decision == Wait || v.Decision == Refuse {
 				if v.After <= 0 {
-					t.Fatalf("refused without a time to come back: %+v", v)
+					t.Fatalf("rejected without a time to retry: %+v", v)
 				}
 				continue
 			}
@@ -92,10 +92,10 @@
 			}
 			runs++
 			if v.Decision == Trial {
-				f.hosts[owner].RecordTrial(f.now, id, f.pass())
+				f.hosts[owner].RecordTrial(f.now, id, f.admission())
 			}
 			f.crash(rapid.IntRange(0, len(f.hosts)-1).Draw(t, "host"), id)
-			f.tellAll()
+			f.syncAll()
 		}
 		if late > len(trialPauses) {
 			t.Fatalf("ran %d times after %d crashes", late, MaxCrashes)
@@ -103,16 +103,16 @@
 	})
 }
 
-// Guards against a request that is refused for good because it ran beside others that crash
-// servers: a trial comes, and its answer clears it at all hosts.
-func TestUnluckyRequestIsServedAgain(t *testing.T) {
+// Guards against rejecting a request forever because it ran beside others that crash servers: it
+// gets a trial, and a whole answer clears it at all hosts.
+func TestInnocentRequestIsServedAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 5).Draw(t, "hosts"))
 		id := request("account", 1)
-		for range rapid.IntRange(1, 2*maxKept).Draw(t, "crashes") {
+		for range rapid.IntRange(1, 2*maxKeptCrashes).Draw(t, "crashes") {
 			f.crash(rapid.IntRange(0, len(f.hosts)-1).Draw(t, "host"), id)
 		}
-		f.tellAll()
+		f.syncAll()
 		owner := rapid.IntRange(0, len(f.hosts)-1).Draw(t, "owner")
 		v := f.admit(owner, id)
 		if v.Decision == Refuse {
@@ -120,10 +120,10 @@
 			v = f.admit(owner, id)
 		}
 		if v.Decision != Trial && v.Decision != Exclusive {
-			t.Fatalf("not run when it was to come back: %+v", v)
+			t.Fatalf("not admitted at the time to retry: %+v", v)
 		}
 		f.hosts[rapid.IntRange(0, len(f.hosts)-1).Draw(t, "answering host")].Clear(f.now, id)
-		f.tellAll()
+		f.syncAll()
 		for i, h := range f.hosts {
 			if st := h.Status(f.now, id); st.Level != Free {
 				t.Fatalf("host %d: %+v", i, st)
@@ -132,7 +132,7 @@
 	})
 }
 
-// Guards against a request that waits for an hour because no server was up when it had its trials.
+// Guards against a request that waits for an hour because no server was up during its trials.
 func TestTrialThatReachesNoServerIsMadeAgain(t *testing.T) {
 	f := newFleet(1)
 	id := request("account", 1)
@@ -144,18 +144,19 @@
 		if v := f.admit(0, id); v.Decision != Trial {
 			t.Fatalf("%+v", v)
 		}
-		f.hosts[0].End(id, f.pass())
+		f.hosts[0].End(id, f.admission())
 	}
 	f.admit(0, id)
-	f.hosts[0].RecordTrial(f.now, id, f.pass())
-	f.hosts[0].End(id, f.pass())
+	f.hosts[0].RecordTrial(f.now, id, f.admission())
+	f.hosts[0].End(id, f.admission())
 	if v := f.admit(0, id); v.Decision != Refuse || v.After != trialPauses[1] {
 		t.Errorf("after a trial: %+v", v)
 	}
 }
 
-// Guards against hosts that never agree, each of which tells the others all it knows for ever.
-func TestTablesAgreeOnceAllWasTold(t *testing.T) {
+// Guards against tables that never converge, so that each host keeps sending all its entries to the
+// others.
+func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 5).Draw(t, "hosts"))
 		host := rapid.IntRange(0, len(f.hosts)-1)
@@ -176,41 +177,41 @@
 			f.crash(s.host, id)
 		case 2:
 			if v := f.admit(s.host, id); v.Decision == Trial {
-				f.hosts[s.host].RecordTrial(f.now, id, f.pass())
+				f.hosts[s.host].RecordTrial(f.now, id, f.admission())
 			}
 		case 3:
 			f.hosts[s.host].Clear(f.now, id)
 		case 4:
-			f.tell(s.host, s.to)
+			f.sync(s.host, s.to)
 		}
 	}
-	f.tellAll()
+	f.syncAll()
 	for i, h := range f.hosts[1:] {
 		if h.Digest() != f.hosts[0].Digest() {
 			t.Fatalf("host %d knows %v, host 0 %v", i+1, h.Suspects(f.now), f.hosts[0].Suspects(f.now))
 		}
 	}
 	before := f.hosts[0].Version()
-	f.tell(1, 0)
+	f.sync(1, 0)
 	if f.hosts[0].Version() != before {
-		t.Fatal("what was known is news")
+		t.Fatal("merging known entries changed the table")
 	}
 }
 
-// Guards against one client account whose many crashing requests push out what is known of
-// another's, and against memory that grows with them.
-func TestAccountsHaveTheirOwnRoom(t *testing.T) {
+// Guards against one client account's many crashing requests displacing those of another account,
+// and against unbounded memory use.
+func TestAccountsHaveSeparateLimits(t *testing.T) {
 	table := NewTable()
 	kept := request("small", 0)
 	for n := range MaxCrashes {
-		table.RecordCrash(epochStart, kept, run(n), "host", 0)
+		table.RecordCrash(epochStart, kept, incarnation(n), "host", 0)
 	}
 	worst := request("large", 0)
 	for n := range MaxCrashes {
-		table.RecordCrash(epochStart, worst, run(n), "host", 0)
+		table.RecordCrash(epochStart, worst, incarnation(n), "host", 0)
 	}
 	for n := 1; n < 10*maxPerAccount; n++ {
-		table.RecordCrash(epochStart.Add(time.Duration(n)*time.Second), request("large", n), run(n), "host", 0)
+		table.RecordCrash(epochStart.Add(time.Duration(n)*time.Second), request("large", n), incarnation(n), "host", 0)
 	}
 	now := epochStart.Add(time.Hour)
 	if got := len(table.Suspects(now)); got != maxPerAccount+1 {
@@ -223,12 +224,12 @@
 	}
 }
 
-// Guards against a suspected request that crashes a server for each caller who sends it at the
-// same time, and against callers who wait for one that takes long.
+// Guards against a suspected request that crashes a server for each caller that sends it at the
+// same time, and against blocking callers for long behind a slow run.
 func TestSuspectedRequestRunsOnceAtATime(t *testing.T) {
 	table := NewTable()
 	id := request("account", 1)
-	table.RecordCrash(epochStart, id, run(1), "host", 0)
+	table.RecordCrash(epochStart, id, incarnation(1), "host", 0)
 	at := epochStart
 	want := func(name string, decision Decision) {
 		t.Helper()
@@ -243,33 +244,33 @@
 	want("second", Wait)
 	table.End(id, "first")
 	want("second", Exclusive)
-	at = at.Add(exclusiveFor)
+	at = at.Add(exclusiveTime)
 	want("third", Exclusive)
 }
 
-// Guards against a table that a message of another program, or a damaged file, spoils.
+// Guards against a malformed message, from another program or a damaged file, corrupting the table.
 func TestMalformedStatesChangeNothing(t *testing.T) {
 	table := NewTable()
 	for _, s := range []*pb.Suspect{nil, {}, {Account: "a", Fingerprint: []byte("short")}, {Account: "a", Fingerprint: make([]byte, 17)}} {
-		if _, news := table.Merge(epochStart, s); news {
-			t.Errorf("%v was taken", s)
+		if _, changed := table.Merge(epochStart, s); changed {
+			t.Errorf("%v was accepted", s)
 		}
 	}
 	f := request("a", 1).Fingerprint
-	told := &pb.Suspect{Account: "a", Fingerprint: f[:], AgeMs: -1 << 62, Crashes: []*pb.ServerCrash{{AgeMs: 1 << 62}, nil}}
-	table.Merge(epochStart, told)
+	msg := &pb.Suspect{Account: "a", Fingerprint: f[:], AgeMs: -1 << 62, Crashes: []*pb.ServerCrash{{AgeMs: 1 << 62}, nil}}
+	table.Merge(epochStart, msg)
 	if st := table.Status(epochStart, request("a", 1)); st.LastCrash < 0 || st.LastCrash > retention {
 		t.Errorf("%+v", st)
 	}
 }
 
-// Guards against a request that is kept from servers for days after the cause was mended, and
-// against one that is forgotten within hours.
+// Guards against rejecting a request for days after the cause was fixed, and against forgetting one
+// within hours.
 func TestOldCrashesAreForgotten(t *testing.T) {
 	table := NewTable()
 	id := request("account", 1)
 	for n := range MaxCrashes {
-		table.RecordCrash(epochStart, id, run(n), "host", 0)
+		table.RecordCrash(epochStart, id, incarnation(n), "host", 0)
 	}
 	if forgotten := table.Expire(epochStart.Add(retention - time.Second)); len(forgotten) != 0 {
 		t.Errorf("%v forgotten early", forgotten)
@@ -279,16 +280,16 @@
 	}
 }
 
-// Guards against a host that starts and never learns of some requests, because there are too many
-// for one message.
-func TestAllAreToldInTheEnd(t *testing.T) {
+// Guards against a starting host that never receives some entries because there are too many for
+// one message.
+func TestAllSuspectsAreSentEventually(t *testing.T) {
 	table, other := NewTable(), NewTable()
 	worst := request("account", 0)
 	for n := range MaxCrashes {
-		table.RecordCrash(epochStart, worst, run(n), "host", 0)
+		table.RecordCrash(epochStart, worst, incarnation(n), "host", 0)
 	}
 	for n := 1; n < maxPerAccount; n++ {
-		table.RecordCrash(epochStart, request("account", n), run(n), "host", 0)
+		table.RecordCrash(epochStart, request("account", n), incarnation(n), "host", 0)
 	}
 	const most = 5
 	for from := range uint64(maxPerAccount) {
@@ -301,6 +302,6 @@
 		}
 	}
 	if table.Digest() != other.Digest() {
-		t.Errorf("%d of %d were told", len(other.Suspects(epochStart)), maxPerAccount)
+		t.Errorf("%d of %d requests were sent", len(other.Suspects(epochStart)), maxPerAccount)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire maps refusals to the form in which they cross a process boundary, and
-// back. It is the one place for it, so that no field of a refusal is lost on the way.
+// Package wire converts refusals to and from the form in which they cross a process boundary. It is
+// the only place that does so, so that no field of a refusal is lost on the way.
 package wire
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// EncodeError returns err as a message; nil for nil. An error that is no refusal is
-// encoded as errkind.Internal.
+// EncodeError returns err as a message; nil for nil. An error that is not a refusal is encoded as
+// errkind.Internal.
 func EncodeError(err error) *pb.Error {
 	e := errkind.From(err)
 	if e == nil {
@@ -22,8 +22,8 @@
 	}
 }
 
-// DecodeError returns the *errkind.Error that was encoded as e; nil for nil. What an
-// error says of the run beyond its kind's row in errkind.Table isn't encoded.
+// DecodeError returns the *errkind.Error encoded in e; nil for nil. A value of Ran that differs
+// from the kind's row in errkind.Table is not encoded.
 func DecodeError(e *pb.Error) error {
 	if e == nil {
 		return nil
