--- a/internal/filter/callergone/callergone_test.go
+++ b/internal/filter/callergone/callergone_test.go
@@ -19,7 +19,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-const patience = 5 * time.Second
+const testTimeout = 5 * time.Second
 
 func TestCallEndsWithTheSideThatClosed(t *testing.T) {
 	// Guards against logging a connection that the host itself closed below a call as closed by the
@@ -58,10 +58,10 @@
 				if e := errkind.From(err); e.Kind != test.want {
 					t.Errorf("the call's context ended with %v", e)
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("the call's context was not canceled")
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			testutil.NoError(t, s.Drain(ctx))
 			if !strings.Contains(logged.String(), `"request":"call-1"`) {
--- a/internal/filter/quarantine/quarantine.go
+++ b/internal/filter/quarantine/quarantine.go
@@ -23,13 +23,13 @@
 		target += "?" + c.Query
 	}
 	id := quarantine.ID{Account: c.AccountName, Fingerprint: quarantine.FingerprintOf(c.AccountName, c.Service, target, c.Body)}
-	pass, err := f.admit(r, c, id)
+	admission, err := f.admit(r, c, id)
 	if err != nil {
 		c.Note(f.Clock.Now(), "quarantine", "refused "+id.Fingerprint.String()+": "+err.Error())
 		return err
 	}
-	c.Admission = pass
-	defer pass.Close()
+	c.Admission = admission
+	defer admission.Close()
 	return next.ServeHTTP(w, r)
 }
 
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -23,10 +23,10 @@
 
 // fleet is a set of hosts whose tables exchange their entries.
 type fleet struct {
-	now     time.Time
-	hosts   []*Table
-	servers int
-	passes  int
+	now        time.Time
+	hosts      []*Table
+	servers    int
+	admissions int
 }
 
 func newFleet(hosts int) *fleet {
@@ -60,12 +60,12 @@
 }
 
 func (f *fleet) admit(owner int, id ID) Verdict {
-	f.passes++
+	f.admissions++
 	return f.hosts[owner].Admit(f.now, id, f.admission(), 10*time.Second)
 }
 
 // admission returns the name of the last admission.
-func (f *fleet) admission() string { return fmt.Sprintf("pass-%d", f.passes) }
+func (f *fleet) admission() string { return fmt.Sprintf("pass-%d", f.admissions) }
 
 // Guards against sending a crashing request to servers without end: whatever hosts decide on it, in
 // whatever order, and however its owner changes, it runs MaxCrashes times and in the trials.
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -87,7 +87,8 @@
 	Ending Ending
 }
 
-// SelectRoute serves the request under a table: it finds the route and picks the service.
+// SelectRoute sets the exchange's Table, Route and Service: it finds the request's route in the
+// table and picks one of the route's services by weight.
 func (x *Exchange) SelectRoute(table *routes.Index) error {
 	x.Table = table
 	route, err := table.Route(x.Host, x.Path)
@@ -97,7 +98,7 @@
 	name := route.Pick(rand.Uint64N(route.Weights()))
 	service, ok := table.Service(name)
 	if !ok {
-		return errkind.New(errkind.Internal, "route %q names service %q, which the table does not have", route.Name, name)
+		return errkind.New(errkind.Internal, "route %q targets service %q, which is not in the table", route.Name, name)
 	}
 	x.Route, x.Service = route, service
 	return nil
--- a/internal/relay/forward/early_test.go
+++ b/internal/relay/forward/early_test.go
@@ -22,7 +22,7 @@
 func TestEarlyAnswerKeepsBodiesApart(t *testing.T) {
 	readOn, rest := make(chan struct{}), make(chan []byte, 1)
 	b := newBackend(t, func(b *backend) serve {
-		whole := sound(b)
+		whole := healthy(b)
 		return func(n int, c net.Conn, r *bufio.Reader) bool {
 			head, err := r.Peek(len("POST /early"))
 			if err != nil || !bytes.HasSuffix(head, []byte("/early")) {
@@ -73,7 +73,7 @@
 			return false
 		}
 	})
-	address, _ := entryHost(t, routes.Route{Kind: routes.NonIdempotent}, full, newBackend(t, sound))
+	address, _ := entryHost(t, routes.Route{Kind: routes.NonIdempotent}, full, newBackend(t, healthy))
 	caller := dialCaller(t, address)
 	lost := 0
 	for range rounds {
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -255,7 +255,7 @@
 
 // Guards against retrying a non-idempotent request, say a payment, after its connection broke: that
 // no answer came does not mean that it did not run.
-func TestLostAnswerIsNotSentAgain(t *testing.T) {
+func TestRequestWithLostAnswerIsNotRetried(t *testing.T) {
 	r := newRun(t, routes.NonIdempotent, fails(errkind.RanUnknown))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 	if !r.x.PromptConsumed {
@@ -301,13 +301,13 @@
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 }
 
-func TestAllowanceBoundsRepeats(t *testing.T) {
+func TestAllowanceBoundsRetries(t *testing.T) {
 	r := newRun(t, routes.Idempotent, fails(errkind.RanUnknown))
 	r.allowed.left = 0
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 }
 
-func TestAttemptsOfTheRouteBoundRepeats(t *testing.T) {
+func TestMaxAttemptsOfTheRouteBoundRetries(t *testing.T) {
 	r := newRun(t, routes.Idempotent, fails(errkind.RanUnknown), fails(errkind.RanUnknown))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanUnknown)
 }
--- a/internal/relay/forward/matrix_test.go
+++ b/internal/relay/forward/matrix_test.go
@@ -20,8 +20,8 @@
 	// request handles the connection in place of an answer; nil if the connection ends before the
 	// request.
 	request func(b *backend, c net.Conn, r *bufio.Reader)
-	// causes are the causes that may be logged. A request that was written in part may have been
-	// read completely.
+	// causes are the causes that may be logged. There are several where the outcome varies, since a
+	// request that was written in part may have been read completely.
 	causes []engineclient.Cause
 	// served is set if the request certainly did not run, so that even a non-idempotent one is
 	// retried.
@@ -68,7 +68,7 @@
 // connection at its second request. It closes ended once that connection has ended.
 func (d connDeath) script(ended chan struct{}, answered <-chan struct{}) func(b *backend) serve {
 	return func(b *backend) serve {
-		whole := sound(b)
+		whole := healthy(b)
 		var died atomic.Bool
 		return func(n int, c net.Conn, r *bufio.Reader) bool {
 			if n == 1 || died.Swap(true) {
@@ -106,7 +106,7 @@
 
 func testConnDeath(t *testing.T, route routes.Route, d connDeath) {
 	answered, ended := make(chan struct{}), make(chan struct{})
-	first, second := newBackend(t, d.script(ended, answered)), newBackend(t, sound)
+	first, second := newBackend(t, d.script(ended, answered)), newBackend(t, healthy)
 	address, log := entryHost(t, route, first, second)
 	path, want := "/whole", wholeBody
 	if route.Kind == routes.Stream {
--- a/internal/relay/forward/pass_test.go
+++ b/internal/relay/forward/pass_test.go
@@ -20,12 +20,12 @@
 	retryErr error
 }
 
-func (p *admission) ServerReached()                      { p.reached++ }
-func (p *admission) ConnectionLost(filter.ConnectionLoss)            { p.broke++ }
-func (p *admission) AllowRetry(context.Context) error   { return p.retryErr }
-func (p *admission) Answered()                     { p.answered++ }
-func (p *admission) Status() quarantine.Status { return quarantine.Status{} }
-func (p *admission) Close()                        {}
+func (p *admission) ServerReached()                       { p.reached++ }
+func (p *admission) ConnectionLost(filter.ConnectionLoss) { p.broke++ }
+func (p *admission) AllowRetry(context.Context) error     { return p.retryErr }
+func (p *admission) Answered()                            { p.answered++ }
+func (p *admission) Status() quarantine.Status            { return quarantine.Status{} }
+func (p *admission) Close()                               {}
 
 // breaks returns a step in which the server's side ends the connection with a cause.
 func breaks(cause engineclient.Cause, ran errkind.Ran) func(context.Context, *engineclient.Forward) (*http.Response, error) {
--- a/internal/relay/forward/property_test.go
+++ b/internal/relay/forward/property_test.go
@@ -28,7 +28,8 @@
 	unread bool
 	// unframed is set if the answer has neither a length nor chunks and ends with its connection.
 	unframed bool
-	// sent is how much of the answer is sent, in thousandths of it.
+	// sent is how much of the answer is sent, in thousandths of it; the constant whole means all of
+	// it.
 	sent int
 	// piece is how much is written at a time, in bytes.
 	piece int
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -19,18 +19,18 @@
 // The status line is sent with the first event, so that a stream that is interrupted before its
 // first event can be replaced by that of another server, with headers of its own.
 func (t *task) relayStream(lease relay.Lease, res *http.Response) outcome {
-	var whole sse.Splitter
+	var splitter sse.Splitter
 	buf := make([]byte, copyBuffer)
 	for {
 		n, readErr := res.Body.Read(buf)
 		if n > 0 {
 			lease.FirstByte()
 			t.x.PromptConsumed = true
-			t.writeEvents(res, whole.Take(buf[:n]))
+			t.writeEvents(res, splitter.Take(buf[:n]))
 		}
 		switch {
 		case readErr == io.EOF:
-			t.writeEvents(res, whole.Rest())
+			t.writeEvents(res, splitter.Rest())
 			t.writeStatus(res) // the status line of a stream without events
 			return servedOutcome(res)
 		case t.ctx.Err() != nil:
--- a/internal/relay/forward/wire_test.go
+++ b/internal/relay/forward/wire_test.go
@@ -27,9 +27,9 @@
 
 // Answers of the servers and bounds in the tests over sockets.
 const (
-	wholeBody    = "a whole answer"
-	wholeEvents  = 6
-	testPatience = 10 * time.Second
+	wholeBody   = "a whole answer"
+	wholeEvents = 6
+	testTimeout = 10 * time.Second
 	// maxAttempts is the maximum number of attempts of every route.
 	maxAttempts = 2
 )
@@ -62,19 +62,19 @@
 	if len(w.Exclude) >= len(s) {
 		return nil, errkind.New(errkind.NoBackendServer, "no server is left").After(time.Second)
 	}
-	return turn{choice: balance.Choice{Instance: s[len(w.Exclude)]}}, nil
+	return inTurnLease{choice: balance.Choice{Instance: s[len(w.Exclude)]}}, nil
 }
 
-type turn struct{ choice balance.Choice }
+type inTurnLease struct{ choice balance.Choice }
 
-func (l turn) Choice() balance.Choice       { return l.choice }
-func (turn) FirstByte()                     {}
-func (turn) Report(balance.Load)            {}
-func (turn) CoolDown(time.Duration, string) {}
-func (turn) Leaving()                       {}
-func (turn) CooldownUnreadable(string)      {}
-func (turn) WrongInstance()                 {}
-func (turn) Done(balance.Result)            {}
+func (l inTurnLease) Choice() balance.Choice       { return l.choice }
+func (inTurnLease) FirstByte()                     {}
+func (inTurnLease) Report(balance.Load)            {}
+func (inTurnLease) CoolDown(time.Duration, string) {}
+func (inTurnLease) Leaving()                       {}
+func (inTurnLease) CooldownUnreadable(string)      {}
+func (inTurnLease) WrongInstance()                 {}
+func (inTurnLease) Done(balance.Result)            {}
 
 // backend is a server whose connections are scripted by a test.
 type backend struct {
@@ -155,8 +155,8 @@
 	return head + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks.String() + "0\r\n\r\n"
 }
 
-// sound returns a server script that answers every request.
-func sound(b *backend) serve {
+// healthy returns a server script that answers every request.
+func healthy(b *backend) serve {
 	return func(_ int, c net.Conn, r *bufio.Reader) bool {
 		req, ok := b.read(r)
 		if !ok {
@@ -179,10 +179,11 @@
 	f.all[x.ID] = x
 }
 
-// wait returns the finished exchange of a request. It may finish after the caller has its answer.
+// wait waits for the exchange of a request to finish and returns it. The caller may have the answer
+// before that.
 func (f *exchangeLog) wait(t *testing.T, id string) *relay.Exchange {
 	t.Helper()
-	for deadline := time.Now().Add(testPatience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		f.mu.Lock()
 		x := f.all[id]
 		f.mu.Unlock()
@@ -201,7 +202,7 @@
 	for i, b := range backends {
 		servers = append(servers, instance.Announcement{ID: "s" + strconv.Itoa(i), Address: b.address})
 	}
-	route.MaxAttempts, route.Timeout = maxAttempts, settings.Duration(testPatience)
+	route.MaxAttempts, route.Timeout = maxAttempts, settings.Duration(testTimeout)
 	seen := &exchangeLog{all: map[string]*relay.Exchange{}}
 	client := engineclient.New(engineclient.Config{})
 	s := httpserver.New(httpserver.Config{Address: "127.0.0.1:0", Handler: relay.NewHandler(wireDialect{}, seen,
@@ -256,7 +257,7 @@
 
 func (c *keptCaller) ask(id, path, body string) got {
 	c.t.Helper()
-	testutil.NoError(c.t, c.c.SetDeadline(time.Now().Add(testPatience)))
+	testutil.NoError(c.t, c.c.SetDeadline(time.Now().Add(testTimeout)))
 	_, err := fmt.Fprintf(c.c, "POST %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", path, hID, id, len(body), body)
 	testutil.NoError(c.t, err)
 	res, err := http.ReadResponse(c.r, nil)
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -69,9 +69,9 @@
 	// Await returns the table in force, after a short wait while the host is starting. It returns a
 	// refusal if there is no table to serve under.
 	Await(ctx context.Context) (*routes.Index, error)
-	// Newest returns the table in force after confirming recently that no newer one exists, so that
-	// a request may be rejected for what the table lacks. It may be newer than the table that Await
-	// returned.
+	// Newest returns the table in force if it was recently confirmed to be the newest one, else a
+	// refusal. Requests may be rejected for what this table lacks. It may be newer than the table
+	// that Await returned.
 	Newest(ctx context.Context) (*routes.Index, error)
 }
 
--- a/internal/relay/quarantine/quarantine.go
+++ b/internal/relay/quarantine/quarantine.go
@@ -22,11 +22,11 @@
 		Account:     x.AccountName(),
 		Fingerprint: quarantine.FingerprintOf(x.AccountName(), x.Host, x.Target, x.Body),
 	}
-	pass, err := f.Quarantine.Admit(r.Context(), x.QuarantineID)
+	admission, err := f.Quarantine.Admit(r.Context(), x.QuarantineID)
 	if err != nil {
 		return err
 	}
-	x.Admission = pass
-	defer pass.Close()
+	x.Admission = admission
+	defer admission.Close()
 	return next.ServeHTTP(w, r)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -181,11 +181,11 @@
 }
 
 func TestDeadlineIsTheSoonerOfCallerAndRouteTimeout(t *testing.T) {
-	for patience, want := range map[time.Duration]time.Duration{
+	for callerTimeout, want := range map[time.Duration]time.Duration{
 		0: time.Minute, 10 * time.Second: 10 * time.Second, 2 * time.Minute: time.Minute,
 	} {
 		x := exchange("/keyed/")
-		x.CallerTimeout = patience
+		x.CallerTimeout = callerTimeout
 		err := runFilters(x, func(_ http.ResponseWriter, r *http.Request) error {
 			if at, ok := r.Context().Deadline(); !ok || !at.Equal(x.Deadline) {
 				t.Errorf("the context's deadline is %v, the exchange's %v", at, x.Deadline)
@@ -194,7 +194,7 @@
 		}, &match.Filter{Tables: tables{index: index(t)}}, deadline.Filter{})
 		testutil.NoError(t, err)
 		if got := x.Deadline.Sub(x.Arrived); got != want {
-			t.Errorf("caller timeout %v: the deadline is after %v", patience, got)
+			t.Errorf("caller timeout %v: the deadline is after %v", callerTimeout, got)
 		}
 	}
 }
