--- a/internal/filter/dispatch/chunk.go
+++ b/internal/filter/dispatch/chunk.go
@@ -63,9 +63,9 @@
 // stoppedExternally reports whether the run was stopped from outside, so that its answer is
 // incomplete.
 //
-// Without it, after a host that another host considered dead gives up its call and cancels the run,
-// the other host, which reads the same run, would take the end of the run for the end of the
-// answer.
+// Such a stop occurs if a host that was wrongly considered dead gives up its call and cancels the
+// run. Without this check the host that took over the call, and reads the same run, would take the
+// end of the run for the end of the answer.
 func (ch *chunk) stoppedExternally() bool {
 	if len(ch.Choices) == 0 {
 		return false
--- a/internal/filter/dispatch/model.go
+++ b/internal/filter/dispatch/model.go
@@ -38,10 +38,10 @@
 
 // Errors that end the reading of a stream.
 var (
-	errSilent   = errors.New("no byte for longer than allowed")
-	errNoAnswer = errors.New("no answer for longer than allowed")
-	errOverCap  = errors.New("the run passed its output cap")
-	errDiverged = errors.New("a second run does not repeat what the caller has")
+	errSilent   = errors.New("the connection received no byte for longer than allowed")
+	errNoAnswer = errors.New("the engine did not begin its answer within the time allowed")
+	errOverCap  = errors.New("the run exceeded its output cap")
+	errDiverged = errors.New("the second run does not repeat the tokens that the caller already has")
 	errEngine   = errors.New("the engine reported an error in its stream")
 	errStopped  = errors.New("the run was stopped from outside")
 	errEarlyEnd = errors.New("the stream ended before its last event")
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -24,12 +24,13 @@
 	clearedRetention = 10 * time.Minute
 )
 
-// trialPauses are the pauses before the trials of a quarantined request. There are no further
-// trials.
+// trialPauses are the pauses before the trials of a quarantined request. No trial follows the last
+// one.
 var trialPauses = []time.Duration{2 * time.Second, time.Minute, time.Hour}
 
-// doubtfulPauses are the pauses for a request that may not be the cause, since most of its crashes
-// were part of a loss of several servers. It has as many elements as trialPauses.
+// doubtfulPauses are the pauses for a request that may not be the cause, since fewer than
+// MaxCrashes of its crashes happened outside losses of several servers. It has as many elements as
+// trialPauses.
 var doubtfulPauses = []time.Duration{2 * time.Second, 5 * time.Second, time.Minute}
 
 const (
@@ -70,7 +71,8 @@
 type crash struct {
 	inc instance.Incarnation
 	at  time.Time
-	// host observed the crash. It had others further requests at the server.
+	// host is the host that observed the crash; others is the number of other requests that it had
+	// at the server.
 	host   string
 	others int
 }
@@ -87,8 +89,7 @@
 	crashes    []crash
 	trials     []trial
 	lastChange time.Time
-	// doubtful is set if too few of the crashes happened outside mass losses to quarantine the
-	// request. It is computed for version doubtfulVersion of the table.
+	// doubtful is the result of isDoubtful for version doubtfulVersion of the table.
 	doubtful        bool
 	doubtfulVersion uint64
 }
@@ -218,9 +219,9 @@
 	return slices.ContainsFunc(s.crashes, func(c crash) bool { return c.inc == inc })
 }
 
-// RecordCrash records that a server ended while it ran a request of the given host. others is the
-// number of other requests that the host had at the server. It returns false if the crash was
-// known.
+// RecordCrash records that an incarnation of a server ended while it ran a request, as observed by
+// host. others is the number of other requests that the host had at the server. It returns false if
+// the crash was known.
 func (t *Table) RecordCrash(now time.Time, id ID, inc instance.Incarnation, host string, others int) bool {
 	s := t.findOrAdd(now, id)
 	if !s.addCrash(crash{inc: inc, at: now, host: host, others: others}) {
