--- a/internal/daemon/certificates.go
+++ b/internal/daemon/certificates.go
@@ -16,7 +16,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/tlsutil"
 )
 
-// certificates are those of the settings file; nil parts mean plain TCP.
+// certificates holds the certificates that the settings file names; a nil field means
+// plain TCP.
 type certificates struct {
 	callers   *tlsutil.KeyPair
 	operators *tlsutil.KeyPair
@@ -52,7 +53,7 @@
 	return pair, err
 }
 
-// serverTLS is the configuration of an nbhttp listener; nil for plain HTTP.
+// serverTLS returns the TLS configuration of an nbhttp listener; nil for plain HTTP.
 func serverTLS(pair *tlsutil.KeyPair) *llibtls.Config {
 	if pair == nil {
 		return nil
@@ -60,7 +61,8 @@
 	return pair.NBServerConfig()
 }
 
-// peerCredentials are for both ends of connections between the fleet's processes.
+// peerCredentials returns the credentials for both ends of connections between the fleet's
+// processes.
 func (c *certificates) peerCredentials() credentials.TransportCredentials {
 	if c.peers == nil {
 		return insecure.NewCredentials()
@@ -68,7 +70,7 @@
 	return c.peers.Credentials()
 }
 
-// dialOptions are those of connections to control replicas.
+// dialOptions returns the options of connections to control replicas.
 func (d *Daemon) dialOptions() []grpc.DialOption {
 	options := append(peerconn.Fleet(d.cfg.Fleet).DialOptions(),
 		peerconn.KeepaliveOption(), peerconn.ReconnectOption(),
@@ -78,8 +80,8 @@
 	return options
 }
 
-// dialer opens connections between the fleet's processes, from the address that the settings
-// name, if they do.
+// dialer returns a function that opens connections between the fleet's processes, from the
+// source address of the settings if there is one.
 func (d *Daemon) dialer() func(ctx context.Context, address string) (net.Conn, error) {
 	from := &net.Dialer{}
 	if d.cfg.Listen.Source != "" {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -38,21 +38,21 @@
 	gateway   *gateway
 
 	tasks *tasks
-	// watch notices when this process stands still.
+	// watch detects pauses of this process.
 	watch   *procstat.Watch
 	lastRun lastrun.Run
 }
 
-// Environment is what a process takes from its machine. The zero value is the machine's
-// own; tests of failures give another.
+// Environment is what a process uses of its machine. The zero value uses the real file
+// system and clock; tests of failures replace them.
 type Environment struct {
-	// Files hold the replica's log and snapshots; nil: the machine's.
+	// Files is the file system of the replica's log and snapshots; nil means the machine's.
 	Files wal.FS
-	// Wall is the time of day; nil: time.Now.
+	// Wall reads the wall clock; nil means time.Now.
 	Wall func() time.Time
 }
 
-// wall is the time of day.
+// wall reads the wall clock.
 func (d *Daemon) wall() time.Time {
 	if d.env.Wall == nil {
 		return time.Now()
@@ -63,7 +63,7 @@
 // Run starts the process and serves until ctx ends; then it shuts down gracefully.
 func Run(ctx context.Context, cfg *procconfig.Config) error {
 	if cfg.Routed != nil {
-		return errors.New("the settings ask for a routing table, which needs a program that speaks its callers' protocol")
+		return errors.New("the settings have a part /routed, which bluebellsaild does not support: it needs a program that implements the callers' protocol")
 	}
 	return run(ctx, cfg, Environment{}, (*Daemon).start)
 }
@@ -88,13 +88,13 @@
 		return errors.Wrap(d.replica.Err(), "the replica stopped")
 	case <-d.tasks.failed:
 		d.tel.Log.Error().Str("event", "ending-after-a-fault").Err(d.tasks.err).Send()
-		_ = d.shutDown() // it has been logged
+		_ = d.shutDown() // the error has been logged
 		return d.tasks.err
 	}
 	return d.shutDown()
 }
 
-// build makes the parts that every role has; nothing is sent yet.
+// build creates the parts that every role has. It sends nothing yet.
 func build(cfg *procconfig.Config, env Environment) (*Daemon, error) {
 	d := &Daemon{cfg: cfg, env: env}
 	if err := d.openTelemetry(); err != nil {
@@ -122,7 +122,7 @@
 	return d, nil
 }
 
-// start brings the parts up in the order that package doc gives.
+// start starts the parts in the order that the package documentation gives.
 func (d *Daemon) start(ctx context.Context) error {
 	d.peers = newPeerServer(d)
 	if err := d.peers.start(d.tasks); err != nil {
@@ -158,7 +158,8 @@
 	}
 	join := d.cfg.Control.Join
 	if len(d.cfg.Seeds) > 0 {
-		// The founders agree on ids without a word, as all know the same addresses.
+		// The founders agree on ids without exchanging messages, since all know the same
+		// addresses.
 		for _, address := range d.cfg.Founders() {
 			members = append(members, control.Member{Address: address, Host: address})
 		}
@@ -180,7 +181,8 @@
 	return nil
 }
 
-// replicaStopped is closed when the replica can't go on; nil without a replica.
+// replicaStopped returns a channel that is closed when the replica can't continue; nil
+// without a replica.
 func (d *Daemon) replicaStopped() <-chan struct{} {
 	if d.replica == nil {
 		return nil
@@ -188,7 +190,8 @@
 	return d.replica.Done()
 }
 
-// shutDown stops the parts in the order that package doc gives, within the drain timeout.
+// shutDown stops the parts in the order that the package documentation gives, within the
+// drain timeout.
 func (d *Daemon) shutDown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), d.cfg.Limits.DrainTimeout.Std())
 	defer cancel()
@@ -204,7 +207,7 @@
 	return err
 }
 
-// close ends everything that build and start began; each part may be missing.
+// close stops everything that build and start started; any part may be missing.
 func (d *Daemon) close() {
 	if d.operators != nil {
 		d.operators.stop()
@@ -233,8 +236,8 @@
 	d.closeTelemetry()
 }
 
-// memberAddresses are the peer addresses at which the control group's replicas are
-// looked for first.
+// memberAddresses returns the peer addresses that are tried first to reach the control
+// group's replicas.
 func memberAddresses(cfg *procconfig.Config) []string {
 	out := cfg.SeedPeers()
 	for _, m := range cfg.Control.Members {
@@ -243,7 +246,7 @@
 	return out
 }
 
-// self is this run of this host; the incarnation is 0 before registration.
+// self returns this host with its incarnation, which is 0 before registration.
 func (d *Daemon) self() *pb.Holder {
 	switch {
 	case d.entry != nil:
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// probeEvery is the time between two tries whether the disk takes writes again.
+	// probeEvery is the interval between probes of whether the disk accepts writes again.
 	probeEvery = 250 * time.Millisecond
-	// probeBytes is how much a try writes: what a few seconds of the log need.
+	// probeBytes is how much a probe writes: what a few seconds of the log need.
 	probeBytes = 256 << 10
 	probeFile  = "probe.tmp"
 )
 
-// files is where the data folder is.
+// files returns the file system of the data folder.
 func (d *Daemon) files() wal.FS {
 	if d.env.Files == nil {
 		return wal.OS{}
@@ -25,10 +25,10 @@
 	return d.env.Files
 }
 
-// awaitDisk returns once the data folder takes writes, or ctx ends. A process whose
-// replica stopped because its disk refused a write ends after that and starts anew from
-// what the disk holds. Ending at once would have it start and stop again and again while
-// the disk is full.
+// awaitDisk returns once the data folder accepts writes, or ctx ends. A process whose
+// replica stopped because its disk refused a write exits after that and restarts from
+// what is on the disk. If it exited at once, it would restart and fail in a loop while the
+// disk is full.
 func (d *Daemon) awaitDisk(ctx context.Context) {
 	path := filepath.Join(d.cfg.DataDir, probeFile)
 	fs := d.files()
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,10 +1,11 @@
 // Package daemon assembles a bluebellsaild process from its settings file: which
-// parts run for its roles, in which order they start and in which they stop.
+// parts run for its roles, and in which order they start and stop.
 //
 // Start: the peer address first, since a replica needs it to reach the others; then
-// the operators' address, so that a host that waits for the control group can say so;
-// then registration, which gives this run its incarnation; last the callers' address.
+// the operators' address, so that a host that waits for the control group can report it;
+// then registration, which gives this process its incarnation; last the callers' address.
 //
-// Stop: the host leaves the address answers, waits as long as callers keep them,
-// finishes what is in flight, settles and returns its grants, and only then closes.
+// Stop: the host is no longer listed for callers, waits for as long as callers may use a
+// list that they have, finishes the requests in flight, settles and returns its grants, and
+// only then closes.
 package daemon
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -36,9 +36,9 @@
 )
 
 const (
-	// explained is how many finished requests a host can explain.
+	// explained is the number of finished requests for which a host keeps an explanation.
 	explained = 4096
-	// announceEvery is what backend servers are told to announce in.
+	// announceEvery is the interval at which backend servers are asked to announce themselves.
 	announceEvery = 500 * time.Millisecond
 	// fleetEvery is how often lists of hosts are passed to the parts that use them.
 	fleetEvery = 100 * time.Millisecond
@@ -46,20 +46,21 @@
 	learnEvery = 5 * time.Second
 	// learnTimeout bounds one such read.
 	learnTimeout = time.Second
-	// settleLeast and settleMost bound how long a started host learns of backend
-	// servers before it serves: two announcements at least, and not for ever in a
-	// fleet that has none.
+	// settleLeast and settleMost bound how long a host that has started waits for
+	// announcements of backend servers before it serves: for at least two announcement
+	// intervals, and not forever in a fleet that has no servers.
 	settleLeast = 2 * announceEvery
 	settleMost  = 3 * time.Second
 )
 
-// entry is what serves callers. Its controllers that belong to one incarnation are
-// made once the host is registered.
+// entry holds the parts that serve callers. Controllers that belong to one incarnation are
+// created once the host is registered.
 type entry struct {
 	d       *Daemon
 	self    atomic.Pointer[pb.Holder]
 	leaving atomic.Bool
-	// settled tells that this run has heard of the fleet's backend servers.
+	// settled is true once this host knows the fleet's backend servers and suspects, or has
+	// waited for them long enough.
 	settled atomic.Bool
 
 	sched   *scheduler.Scheduler
@@ -80,7 +81,7 @@
 	http    *httpserver.Server
 }
 
-// newEntry makes the parts that need no incarnation.
+// newEntry creates the parts that need no incarnation.
 func newEntry(d *Daemon) *entry {
 	cfg := d.cfg
 	e := &entry{d: d}
@@ -116,17 +117,18 @@
 	return e
 }
 
-// ticks is how many whole intervals d lasts, at least one.
+// ticks returns the number of whole intervals in d, at least one.
 func ticks(d, interval time.Duration) int64 { return max(1, int64(d/interval)) }
 
-// seedOf gives each host a seed of its own, the same after a restart.
+// seedOf derives a random seed from the host's name: it differs between hosts and is the
+// same after a restart.
 func seedOf(host string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(host))
 	return h.Sum64()
 }
 
-// seeds are the peer addresses to contact first, without this host's own.
+// seeds returns the peer addresses to contact first, without this host's own.
 func (e *entry) seeds() []string {
 	var out []string
 	for _, p := range e.d.cfg.Peers {
@@ -137,10 +139,11 @@
 	return out
 }
 
-// holder is this run; the incarnation is 0 before registration.
+// holder returns this host with its incarnation, which is 0 before registration.
 func (e *entry) holder() *pb.Holder { return e.self.Load() }
 
-// start registers this run, makes what belongs to it and opens the callers' address.
+// start registers this host, creates the controllers of its incarnation and opens the
+// callers' address.
 func (e *entry) start(ctx context.Context) error {
 	reg, err := e.d.register(ctx)
 	if err != nil {
@@ -170,9 +173,9 @@
 	return e.settle(ctx)
 }
 
-// settle waits until this run has heard of the fleet's backend servers, and of the requests that
-// crash them. Without it a restarted host refuses work as unknown_model, which tells callers not
-// to come back, because its registry is still empty.
+// settle waits until this host knows the fleet's backend servers and the requests that crash
+// them. Otherwise a restarted host, whose registry is still empty, would reject requests as
+// unknown_model, an error that callers do not retry.
 func (e *entry) settle(ctx context.Context) error {
 	begun := time.Now()
 	ticker := time.NewTicker(fleetEvery)
@@ -191,8 +194,8 @@
 	}
 }
 
-// chainSettings are the settings as the request chain sees them: not ready before
-// this run has settled. A leaving host still serves who was sent to it.
+// chainSettings are the settings as the request chain sees them: not ready before this host
+// knows the backend servers. A leaving host still serves callers that were sent to it.
 type chainSettings struct {
 	*settingsctl.Controller
 	e *entry
@@ -207,10 +210,11 @@
 }
 
 func errNotSettled() error {
-	return errkind.New(errkind.HostNotReady, "this host has just started and is still learning of the backend servers").After(time.Second)
+	return errkind.New(errkind.HostNotReady, "this host has just started and is still discovering the backend servers").After(time.Second)
 }
 
-// makeControllers makes the controllers of one incarnation and the callers' API on them.
+// makeControllers creates the controllers of one incarnation and the callers' API on top of
+// them.
 func (e *entry) makeControllers(self *pb.Holder) {
 	cfg := e.d.cfg
 	e.records = records.New(records.Config{
@@ -245,7 +249,7 @@
 	}
 }
 
-// policyFor is the grant policy of the team whose accounts draw on the budget.
+// policyFor returns the grant policy of the team whose accounts draw on the budget.
 func (e *entry) policyFor(budget string) grant.Policy {
 	team, ok := e.d.settings.View().TeamOfBudget(budget)
 	if ok {
@@ -254,10 +258,10 @@
 	return grant.PolicyFrom(nil)
 }
 
-// ready is nil while this host takes new work from callers.
+// ready returns nil while this host accepts new requests from callers.
 func (e *entry) ready() error {
 	if e.holder().GetIncarnation() == 0 {
-		return errkind.New(errkind.HostNotReady, "not registered with the control group yet").After(time.Second)
+		return errkind.New(errkind.HostNotReady, "this host is not registered with the control group yet").After(time.Second)
 	}
 	if !e.settled.Load() {
 		return errNotSettled()
@@ -268,7 +272,7 @@
 	return e.d.settings.Ready()
 }
 
-// load is what this host tells its peers of itself.
+// load returns what this host reports about itself to its peers.
 func (e *entry) load() members.Load {
 	const full = 1000
 	spare := uint32(0)
--- a/internal/daemon/explain.go
+++ b/internal/daemon/explain.go
@@ -10,13 +10,13 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// explainTimeout bounds the question to one peer.
+// explainTimeout bounds the query to all peers.
 const explainTimeout = 500 * time.Millisecond
 
-// explainer implements adminapi.Explainer: from this host's store, else its peers'.
+// explainer implements adminapi.Explainer. It looks in this host's store, then in its peers'.
 type explainer struct{ d *Daemon }
 
-// Explain finds what was decided for a request at any host that can be reached.
+// Explain finds the decisions about a request at any reachable host.
 func (x explainer) Explain(ctx context.Context, id string) (json.RawMessage, error) {
 	e := x.d.entry
 	if e == nil {
@@ -32,7 +32,8 @@
 	return nil, err
 }
 
-// askPeers asks all peers at once and takes the first answer; nil if none knows.
+// askPeers asks all peers in parallel and returns the first answer; nil if no peer knows the
+// request.
 func (e *entry) askPeers(ctx context.Context, id string) json.RawMessage {
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// registry is the scheduler's registry of backend servers as the heartbeats see it.
+// registry adapts the scheduler's registry of backend servers to the heartbeats.
 type registry struct{ s *scheduler.Scheduler }
 
 func (r registry) Servers() []*pb.ServerState { return r.s.Servers() }
@@ -55,7 +55,7 @@
 	return client.AskTokens(ctx, req)
 }
 
-// Peers implements grants.Asker: the hosts that seem reachable.
+// Peers implements grants.Asker. It returns the hosts that are neither suspected nor dead.
 func (p peers) Peers() []string {
 	var out []string
 	for _, m := range p.e.members.Peers() {
@@ -71,11 +71,12 @@
 
 func (h hosts) Self() *pb.Holder { return h.e.holder() }
 
-// Alive is false for a holder whose host is suspect or dead, or runs under a newer
-// incarnation. Suspicion is enough here: who takes a request over reads the engine's
-// stream of the same run again, and the ledger bills an identity once, so a holder
-// that was suspected wrongly costs a second reader and no second run. Waiting until it
-// counts as dead outlasted most deadlines, seen as in_progress until the caller gave up.
+// Alive returns false for a holder whose host is suspected or dead, or runs under a newer
+// incarnation. Suspicion is enough here: the host that takes a request over reads the
+// engine's stream of the same run again, and the ledger bills an identity once, so a holder
+// that was suspected wrongly costs a second reader and no second run. Waiting until the
+// holder counted as dead took longer than most deadlines: callers got in_progress until they
+// gave up.
 func (h hosts) Alive(holder *pb.Holder) bool {
 	self := h.e.holder()
 	if holder.GetHost() == self.GetHost() {
@@ -106,8 +107,9 @@
 	return slices.Compact(out)
 }
 
-// relayAddresses are where other hosts hand on what they know, dead ones and seeds as well: a host
-// that has just started has heard of nobody yet.
+// relayAddresses returns the peer addresses of the hosts that may relay information from
+// other hosts. It includes dead hosts and seeds, since a host that has just started knows no
+// other host yet.
 func (e *entry) relayAddresses() []string {
 	out := e.seeds()
 	for _, m := range e.members.Peers() {
@@ -118,7 +120,7 @@
 	return out
 }
 
-// followFleet passes the list of hosts to those who choose among them.
+// followFleet passes changes of the list of live hosts to the records and the scheduler.
 func (e *entry) followFleet(ctx context.Context) {
 	var last []inflight.Host
 	pass := func() {
@@ -132,7 +134,7 @@
 	every(ctx, fleetEvery, pass)
 }
 
-// liveHosts are this host and the peers that may take copies of records.
+// liveHosts returns this host and the peers that may hold copies of records.
 func (e *entry) liveHosts() []inflight.Host {
 	self := e.holder()
 	out := []inflight.Host{{Name: self.Host, Zone: e.d.cfg.Zone, Incarnation: self.Incarnation}}
@@ -152,8 +154,8 @@
 	return out
 }
 
-// learnHosts reads the registered hosts, so that a host finds peers which no seed and
-// no heartbeat named.
+// learnHosts reads the registered hosts periodically, to find peers that are neither seeds
+// nor known from heartbeats.
 func (e *entry) learnHosts(ctx context.Context) {
 	every(ctx, learnEvery, func() {
 		readCtx, cancel := context.WithTimeout(ctx, learnTimeout)
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -36,12 +36,13 @@
 	"github.com/bluebellsail/bluebellsail/internal/surface"
 )
 
-// gateway is a process of a fleet that serves by a routing table: one that serves
-// callers, one with a replica only, or both.
+// gateway is a process of a fleet that serves by a routing table. It serves callers, runs a
+// replica, or both.
 type gateway struct {
 	d        *Daemon
 	protocol surface.Protocol
-	// run names this run of the host from its start; no other run has the same.
+	// run identifies this run of the process from its start, before it is registered. It is
+	// unique.
 	run     string
 	self    atomic.Pointer[pb.Holder]
 	leaving atomic.Bool
@@ -59,7 +60,7 @@
 	owners   *owners.Table
 	budgets  *budgets.Reserver
 	assigner *assign.Assigner
-	// grants is nil until this run is registered; then registered is closed.
+	// grants is nil until this host is registered; then registered is closed.
 	grants     atomic.Pointer[grants.Manager]
 	registered chan struct{}
 	client     *engineclient.Client
@@ -70,11 +71,11 @@
 	others   []*httpserver.Server
 }
 
-// RunRouted starts the process that the settings file at path describes, which serves by
-// a routing table in the protocol given, until ctx ends; then it shuts down gracefully.
-// SIGHUP, or a change of the file, has it read the file again.
+// RunRouted starts the process that the settings file at path describes. It serves by a
+// routing table in the given protocol until ctx ends, then shuts down gracefully. It reloads
+// the file on SIGHUP and when the file changes.
 func RunRouted(ctx context.Context, path string, p surface.Protocol, env Environment) error {
-	// From the start: a signal without a handler would end the process.
+	// Installed first, since a SIGHUP without a handler would end the process.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
@@ -97,7 +98,7 @@
 	})
 }
 
-// reconfigure takes what may change while the process runs: the seeds.
+// reconfigure applies the settings that may change while the process runs: the seeds.
 func (g *gateway) reconfigure(cfg *procconfig.Config) {
 	g.setSeeds(cfg.SeedPeers())
 	g.members.SetSeeds(cfg.SeedPeers())
@@ -106,7 +107,7 @@
 
 func (g *gateway) setSeeds(addresses []string) { g.seeds.Store(&addresses) }
 
-// useLimits keeps the Go runtime within the process's limits.
+// useLimits sets the Go runtime's limits from those of the process.
 func useLimits(l procconfig.Limits) {
 	if l.Processors > 0 {
 		runtime.GOMAXPROCS(l.Processors)
@@ -118,36 +119,37 @@
 }
 
 const (
-	// dialServerTimeout bounds the opening of a connection to a backend server, which takes
-	// some milliseconds. The next server is tried after it.
+	// dialServerTimeout bounds the opening of a connection to a backend server, which usually
+	// takes a few milliseconds. After the timeout the next server is tried.
 	dialServerTimeout = 400 * time.Millisecond
 	// idleServerTimeout is below the 10 s after which backend servers close idle
-	// connections: a request sent as one closes may have run or not.
+	// connections: it is unknown whether a request that was sent while the server closed the
+	// connection has run.
 	idleServerTimeout = 8 * time.Second
 	// lostServerTimeout is how long a backend server may leave bytes unacknowledged. Round
-	// trips take milliseconds; a packet that is lost is sent again within this time.
+	// trips take milliseconds; a lost packet is retransmitted within this time.
 	lostServerTimeout = 800 * time.Millisecond
-	// maxFirst bounds the place in the list of hosts at which a host begins to ask.
+	// maxFirst bounds the index of the host that is asked first for a routing table.
 	maxFirst = 1 << 16
-	// followEvery is how often the replica's routing table is looked at.
+	// followEvery is how often the replica is checked for a newer routing table.
 	followEvery = 50 * time.Millisecond
-	// gatewayNeighbours lets fleets of up to 17 hosts exchange heartbeats each with each:
-	// what one host hears of a server or of a routing table then reaches all at once. It
+	// gatewayNeighbours lets fleets of up to 17 hosts exchange heartbeats as a full mesh:
+	// an update about a server or a routing table then reaches all hosts in one hop. It
 	// costs a host 16 calls of about 0.1 ms per interval.
 	gatewayNeighbours = 16
-	// meshTurns halves the heartbeats of such a fleet. In larger ones word passes from
-	// neighbour to neighbour and needs each tick.
+	// meshTurns halves the heartbeats of such a fleet. In larger fleets updates pass from
+	// neighbor to neighbor, which needs heartbeats at each tick.
 	meshTurns = 2
-	// memoryShare is the part of the memory limit, in percent, that the Go runtime keeps
-	// to; the rest is for what it does not count, such as the sockets' buffers.
+	// memoryShare is the part of the memory limit, in percent, that is the Go runtime's
+	// limit. The rest is for memory that the runtime does not count, such as socket buffers.
 	memoryShare = 75
-	// gcPercent lets the heap grow to four times what is live before it is collected: the
-	// live heap of a process is a few megabytes, and collecting it costs processor time.
+	// gcPercent lets the heap grow to four times the live heap before a collection: the
+	// live heap of a process is a few megabytes, and collections cost processor time.
 	gcPercent = 300
 )
 
-// startRouted brings the parts up: the peer address first, as replicas need it to find
-// each other; callers' requests are refused as not ready until there is a routing table.
+// startRouted starts the parts: the peer address first, as replicas need it to find each
+// other. Callers' requests are rejected as host_not_ready until there is a routing table.
 func (d *Daemon) startRouted(_ context.Context, p surface.Protocol) error {
 	g := newGateway(d, p)
 	d.gateway = g
@@ -178,7 +180,7 @@
 	return g.serve()
 }
 
-// newRun names a run of a host; no other run has the same.
+// newRun returns a unique identifier of a run of a host.
 func newRun(host string) string { return host + "/" + rand.Text() }
 
 func newGateway(d *Daemon, p surface.Protocol) *gateway {
@@ -227,15 +229,15 @@
 	return g
 }
 
-// holder is this run; the incarnation is 0 before registration.
+// holder returns this host with its incarnation, which is 0 before registration.
 func (g *gateway) holder() *pb.Holder { return g.self.Load() }
 
-// join registers this run with the control group and makes what belongs to its
-// incarnation: its grants, and its place among the hosts.
+// join registers this host with the control group, sets its incarnation and creates the
+// grants of that incarnation.
 func (g *gateway) join(ctx context.Context) {
 	reg, err := g.d.register(ctx)
 	if err != nil {
-		return // this process stops
+		return // this process is stopping
 	}
 	registered := time.Now()
 	g.self.Store(reg.Holder)
@@ -254,8 +256,8 @@
 	g.d.tasks.run("learn hosts", g.learnHosts)
 }
 
-// learnHosts reads the registered hosts now and then, so that a host finds peers which
-// no seed and no heartbeat named.
+// learnHosts reads the registered hosts periodically, to find peers that are neither seeds
+// nor known from heartbeats.
 func (g *gateway) learnHosts(ctx context.Context) {
 	every(ctx, learnEvery, func() {
 		readCtx, cancel := context.WithTimeout(ctx, learnTimeout)
@@ -266,15 +268,18 @@
 	})
 }
 
-// servesCallers tells whether this host passes requests on, and so needs the table.
+// servesCallers reports whether this host forwards callers' requests and so needs the
+// routing table.
 func (g *gateway) servesCallers() bool { return g.d.cfg.Has(procconfig.RoleGateway) }
 
-// ownReplica stands for this host's own replica where logs name the host that a table came from.
+// ownReplica is the source in log lines about a routing table that came from this host's own
+// replica.
 const ownReplica = "own replica"
 
-// followReplica hands each newer routing table that this host's replica applies to its
-// own gateway, if it is one, and tells the other hosts at once. Decoding a table of 150 routes
-// takes a millisecond of processor time, so a host that serves no callers does not.
+// followReplica passes each newer routing table that this host's replica applies to this
+// host's gateway, if it serves callers, and notifies the other hosts at once. A host that
+// serves no callers does not decode the table: for 150 routes that takes a millisecond of
+// processor time.
 func (g *gateway) followReplica(ctx context.Context) {
 	every(ctx, followEvery, func() {
 		table, _ := g.d.replica.Routes()
@@ -293,8 +298,8 @@
 	})
 }
 
-// tableChanged tells the peers of a newer table, and returns what this host holds of
-// budgets whose funds were lowered.
+// tableChanged notifies the peers of a newer routing table, and returns the free tokens of
+// budgets whose prepaid amount was lowered.
 func (g *gateway) tableChanged(before, after *routes.Index) {
 	g.members.Kick()
 	manager := g.grants.Load()
@@ -309,12 +314,13 @@
 	}
 }
 
-// lacks tells what this host, which has just started, does not know yet: a host that
-// holds tokens, which requests crash servers, or a server of one of the table's services.
+// lacks returns what this host, which has just started, does not know yet: a host that
+// holds tokens, the requests that crash servers, or a server of one of the table's services.
+// It returns an empty string if nothing is missing.
 //
-// What goes wrong without it: the table comes some milliseconds before the first
-// heartbeats of hosts and servers, and a host that calls itself ready refuses what every
-// other host could serve.
+// The routing table arrives some milliseconds before the first heartbeats of hosts and
+// servers. A host that became ready at once would reject requests that every other host
+// could serve.
 func (g *gateway) lacks(x *routes.Index) string {
 	if g.grants.Load() == nil && len(g.owners.FirstRanked("", 1)) == 0 {
 		return "a host that holds tokens"
@@ -330,7 +336,7 @@
 	return ""
 }
 
-// ready is nil while this host takes callers' requests.
+// ready returns nil while this host accepts callers' requests.
 func (g *gateway) ready() error {
 	if g.leaving.Load() {
 		return errkind.New(errkind.HostLeaving, "this host is shutting down")
@@ -339,7 +345,7 @@
 	return err
 }
 
-// load is what this host tells its peers of itself.
+// load returns what this host reports about itself to its peers.
 func (g *gateway) load() members.Load {
 	const full = 1000
 	limit, used := g.d.cfg.Limits.Streams, g.balancer.Running()
--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -10,7 +10,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/procstat"
 )
 
-// asOwner is this host as an owner of keys, once its run is registered.
+// asOwner returns this host as an owner of keys; ok is false until it is registered.
 func (g *gateway) asOwner() (owners.Host, bool) {
 	self := g.holder()
 	ok := g.servesCallers() && g.grants.Load() != nil && !g.leaving.Load()
@@ -25,7 +25,7 @@
 	})
 }
 
-// localGrants are this run's; nil before it is registered.
+// localGrants returns this host's grants; nil before it is registered.
 func (g *gateway) localGrants() budgets.Local {
 	if manager := g.grants.Load(); manager != nil {
 		return manager
@@ -33,15 +33,14 @@
 	return nil
 }
 
-// startGrace is how old a process is at most whose requests wait for its registration. A
-// fleet that lost power has a leader again within it; later the control group is out of
-// reach, and callers are told so at once.
+// startGrace is the age of a process up to which its requests wait for its registration. A
+// fleet that restarts after a power loss elects a leader within this time. After it, the
+// control group is taken for unreachable and requests are rejected at once.
 const startGrace = 2 * time.Second
 
-// awaitGrants waits for this run's registration while the process starts.
-//
-// What goes wrong without it: a host that has just started has its routing table a moment
-// before its incarnation, and refuses in between what it could serve.
+// awaitGrants waits for this host's registration while the process starts. A host that has
+// just started has its routing table a moment before its incarnation; without the wait, it
+// would reject requests in between that it could serve.
 func (g *gateway) awaitGrants(ctx context.Context) budgets.Local {
 	ctx, cancel := context.WithDeadline(ctx, procstat.Started.Add(startGrace))
 	defer cancel()
@@ -52,53 +51,53 @@
 	return g.localGrants()
 }
 
-// contactEvery is how long a gateway goes without a settlement batch. The longer it is, the
-// more of their reserves counts as spent when hosts are lost.
+// contactEvery is the longest time between a gateway's settlement batches. The longer it is,
+// the more of the reserves counts as spent when hosts are lost.
 const contactEvery = 150 * time.Millisecond
 
-// gatewayHolder bounds the messages of a gateway's holder.
+// gatewayHolder returns the configuration of a gateway's grant holder.
 func gatewayHolder(d *Daemon) grant.Config {
 	return grant.Config{
 		BatchWait:       d.cfg.Timing.SettleEvery.Std(),
 		ContactInterval: contactEvery,
-		// A batch that a partition held up is sent again soon after it has ended: until two
-		// are answered, the loss of this host would cost what it held in reserve.
+		// A batch that was delayed by a partition is resent soon after the partition ends:
+		// until two batches are answered, the loss of this host would strand its reserve.
 		ResendMax: 400 * time.Millisecond,
 		WallClock: d.env.Wall,
 	}
 }
 
-// gatewayPolicy is how the owner of a budget holds its tokens.
+// gatewayPolicy is the grant policy of the owner of a budget.
 var gatewayPolicy = grant.Policy{
-	// In a partition an owner lives from the open part of its grant until it may use the
-	// reserve. What is open is lost with the owner.
+	// In a partition an owner spends the open part of its grant until it may use the reserve.
+	// The open part is lost with the owner.
 	Horizon: 2 * time.Second,
-	// A large reserve costs no more than a small one: it opens by its rate, above the demand
-	// that is known, for callers come in bursts.
+	// A large reserve costs no more than a small one, since it opens at its rate. The rate is
+	// above the known demand because callers come in bursts.
 	Reserve:             30 * time.Second,
 	ReserveRatePermille: 1300,
 	Window:              4 * time.Second,
 	IdleReturn:          30 * time.Second,
 	MinHistory:          2 * time.Second,
 	// Near the end of a budget the open part shrinks with what is left: the loss of all hosts
-	// strands it, and 402 would be answered to accounts that have tokens.
+	// strands the open part, and accounts that have tokens would get status 402.
 	OpenPermille: 400,
-	// A part of what is left stays with the ledger, for whoever stands in for an owner. It is
-	// small: what an owner lacks in a partition it can't have until the partition ends.
+	// A part of what is left stays with the ledger for a backup owner. It is small, since an
+	// owner in a partition can't get more tokens until the partition ends.
 	AtRiskPermille: 900,
 }
 
-// policyFor is how this host holds tokens of a budget.
+// policyFor returns the policy under which this host holds tokens of a budget.
 func (g *gateway) policyFor(budget string) grant.Policy {
 	p := gatewayPolicy
 	if owner, ok := g.owners.Owner(budgets.Key(budget)); !ok || !owner.Self() {
-		// Whoever stands in for an owner that gave no answer takes what each request needs. What
-		// it held ahead besides would be open at two hosts, and lost twice.
+		// A backup owner gets only the tokens that each request needs. Tokens that it held in
+		// advance would be open at two hosts, and would be stranded twice.
 		p.Horizon, p.Reserve, p.IdleReturn = 0, 0, strangerReturn
 	}
 	return p
 }
 
-// strangerReturn is how soon a host returns unused tokens of a budget that it does not own:
-// it had them while the owner was out of reach.
+// strangerReturn is how soon a host returns unused tokens of a budget that it does not own.
+// It got them as a backup owner while the owner was unreachable.
 const strangerReturn = 2 * time.Second
--- a/internal/daemon/gatewaybudgets_test.go
+++ b/internal/daemon/gatewaybudgets_test.go
@@ -7,10 +7,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/controller/owners"
 )
 
-// Symptom: the loss of all hosts strands the open part of a budget twice.
-// Sequence: a budget's owner gives no answer for a moment; the next in rank is asked, holds
-// tokens ahead and a reserve from then on; the owner still has its own.
-// Cause: whoever was asked for tokens held them as the owner does.
+// A budget's owner does not answer for a moment, and the backup owner is asked for tokens. If
+// it held tokens in advance and a reserve as the owner still does, the loss of all hosts would
+// strand the open part of the budget twice.
 func TestOnlyTheOwnerHoldsTokensAhead(t *testing.T) {
 	self := owners.Host{Name: "a", Incarnation: 1}
 	g := &gateway{owners: owners.New(owners.Config{
@@ -28,14 +27,14 @@
 		p := g.policyFor(name)
 		owned[owner.Self()]++
 		if holds := p.Horizon > 0 && p.Reserve > 0; holds != owner.Self() {
-			t.Errorf("budget %s of %s is held ahead here: %t", name, owner.Name, holds)
+			t.Errorf("budget %s of owner %s: tokens held in advance here: %t", name, owner.Name, holds)
 		}
 		if p.Transfers {
-			t.Error("asks others for what they hold")
+			t.Error("the policy allows transfers from other hosts")
 		}
 		g.owners.MarkAnswered("b")
 	}
 	if owned[true] == 0 || owned[false] == 0 {
-		t.Fatalf("owners %v", owned)
+		t.Fatalf("all budgets have the same owner: %v", owned)
 	}
 }
--- a/internal/daemon/gatewaydrain.go
+++ b/internal/daemon/gatewaydrain.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// acceptShare of the drain timeout, one in so many, is how long a leaving host takes
-	// requests at most, from callers that were told of it before.
+	// acceptShare is the divisor of the drain timeout that gives the longest time for which a
+	// leaving host accepts requests, from callers that already have its address.
 	acceptShare = 3
-	// returnTime is what a leaving host keeps of the drain timeout to settle its last bills
-	// and return its grants. That takes one or two batches of 100 ms.
+	// returnTime is the part of the drain timeout that is kept to settle the last bills and
+	// return the grants. That takes one or two batches of 100 ms.
 	returnTime = time.Second
 	// exitTime is what is left of the drain timeout when the drain gives up: a process that
-	// is killed at its end may not have written its last lines.
+	// is killed at the end of the timeout may not have written its last log lines.
 	exitTime = 300 * time.Millisecond
 )
 
-// drain lets this host go without cutting off a request: the directory and its readiness
-// stop naming it first, and it serves on for those who were told of it before, one answer
-// for each connection. Then it waits for the streams that run, and returns its grants.
+// drain stops serving callers without cutting off a request. First the directory no longer
+// lists this host and its readiness check fails; callers that already have its address are
+// still served, with one answer per connection. Then it waits for the running streams, and
+// returns its grants.
 //
-// What goes wrong when it takes requests for as long as callers may keep its address: the
-// last of them still run when the drain timeout ends, and are cut off. Callers who come
-// later are told to go to another host, where they are served whole.
+// It does not accept requests for as long as callers may cache its address: the last of them
+// would still run at the end of the drain timeout and be cut off. Later callers are sent to
+// another host, which can complete their requests.
 func (g *gateway) drain(ctx context.Context) error {
 	g.leaving.Store(true)
 	g.members.Leave()
--- a/internal/daemon/gatewayhosts.go
+++ b/internal/daemon/gatewayhosts.go
@@ -15,18 +15,19 @@
 	"github.com/bluebellsail/bluebellsail/internal/surface"
 )
 
-// controlAddresses are the peer addresses of the hosts that run a replica and are not
+// controlAddresses returns the peer addresses of the hosts that run a replica and are not
 // known to be dead.
 func (g *gateway) controlAddresses() []string {
 	return peerAddresses(g.members.Peers(), func(m members.PeerInfo) bool { return m.Control })
 }
 
-// livePeers are the peer addresses of all hosts not known to be dead.
+// livePeers returns the peer addresses of all hosts that are not known to be dead.
 func (g *gateway) livePeers() []string { return peerAddresses(g.members.Peers(), isPeer) }
 
 func isPeer(members.PeerInfo) bool { return true }
 
-// peerAddresses are those of the hosts not known to be dead of which a condition holds.
+// peerAddresses returns the peer addresses of the hosts that are not known to be dead and for
+// which holds returns true.
 func peerAddresses(peers []members.PeerInfo, holds func(members.PeerInfo) bool) []string {
 	var out []string
 	for _, m := range peers {
@@ -37,8 +38,8 @@
 	return out
 }
 
-// sources are the hosts that a routing table can be fetched from: those that live and,
-// for a host that has just started and has heard of few, the seeds.
+// sources returns the hosts from which a routing table can be fetched: the live ones, and the
+// seeds, since a host that has just started knows few others.
 func (g *gateway) sources() []routesctl.Source {
 	var out []routesctl.Source
 	known := make(map[string]bool)
@@ -56,7 +57,7 @@
 	return out
 }
 
-// sourceAddresses are the peer addresses of sources.
+// sourceAddresses returns the peer addresses of sources, without this host's own.
 func (g *gateway) sourceAddresses() []string {
 	var out []string
 	for _, s := range g.sources() {
@@ -72,8 +73,8 @@
 	return g.d.pool.Client(address).FetchRoutes(ctx, req)
 }
 
-// gateways counts the hosts that serve callers, this one included, dead ones too: they
-// may serve beyond a partition.
+// gateways counts the hosts that serve callers, including this one and those that seem dead:
+// they may be serving on the other side of a partition.
 func (g *gateway) gateways() int {
 	n := 1
 	for _, m := range g.members.Peers() {
@@ -84,8 +85,9 @@
 	return n
 }
 
-// addressesPerCaller is how many hosts a caller is named: enough to go on when two of them
-// are lost before it asks again, and few enough for the fleet to decide who goes where.
+// addressesPerCaller is how many hosts a caller gets: enough to continue when two of them are
+// lost before it asks again, and few enough that the fleet controls how callers spread over
+// the hosts.
 const addressesPerCaller = 3
 
 // Addresses implements surface.Directory.
@@ -100,13 +102,13 @@
 	return out
 }
 
-// announceTo is the host that a backend server should send its announcements to, if this
-// one serves no callers: a live host of the server's zone that does, the same for a
-// server as long as it lives.
+// announceTo returns the registry address to which a backend server should send its
+// announcements instead, if this host serves no callers: that of a live host that serves
+// callers, preferably in the server's zone, and the same one as long as that host is alive.
 //
 // Without it half of the servers announce themselves to hosts that only run a replica. In
-// a partition between these and the hosts that serve callers, the latter hear nothing of
-// the former's servers and take them for lost.
+// a partition between these and the hosts that serve callers, the latter would receive no
+// announcements of those servers and take them for lost.
 func (g *gateway) announceTo(a instance.Announcement) string {
 	if g.servesCallers() {
 		return ""
@@ -130,13 +132,13 @@
 // sameZoneBit ranks hosts of the server's zone before all others.
 const sameZoneBit = 1 << 63
 
-// registryAddress is the registry of the host with a peer address: all hosts of a fleet
-// have it at the same port.
+// registryAddress returns the registry address of the host with the given peer address: all
+// hosts of a fleet have the registry at the same port.
 func (g *gateway) registryAddress(peer string) string {
 	ip, _, errIP := net.SplitHostPort(peer)
 	_, port, errPort := net.SplitHostPort(g.d.cfg.Routed.Registry)
 	if errIP != nil || errPort != nil {
-		return "" // no address to name; the server stays with this host
+		return "" // no address known; the server stays with this host
 	}
 	return net.JoinHostPort(ip, port)
 }
@@ -155,7 +157,7 @@
 	return nil, errkind.New(errkind.NotFound, "no address of host %s", host)
 }
 
-// Peers are the hosts that serve callers and seem reachable.
+// Peers returns the hosts that serve callers and are neither suspected nor dead.
 func (p gatewayPeers) Peers() []string {
 	var out []string
 	for _, m := range p.g.members.Peers() {
@@ -168,14 +170,14 @@
 }
 
 // noCopies implements grants.TransferRecorder for fleets that never free a dead host's
-// grants: what it held counts as spent, so no copy of a transfer has to tell otherwise.
+// grants. What such a host held counts as spent, so copies of transfers are not needed.
 type noCopies struct{}
 
-// CopyTransfer has nothing to copy.
+// CopyTransfer does nothing.
 func (noCopies) CopyTransfer(context.Context, *pb.Transfer) error { return nil }
 
-// AbandonTransfer has no copy to take back.
+// AbandonTransfer does nothing.
 func (noCopies) AbandonTransfer(context.Context, *pb.Transfer) error { return nil }
 
-// TransferSettled has no copy to let go.
+// TransferSettled does nothing.
 func (noCopies) TransferSettled(*pb.Transfer) {}
--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -22,19 +22,19 @@
 	"github.com/bluebellsail/bluebellsail/internal/relay/quarantine"
 )
 
-// maxHeaderBytes bounds what a routing table may allow for headers.
+// maxHeaderBytes is the largest header size that a routing table may allow.
 const maxHeaderBytes = 1 << 20
 
-// bodiesPart of the memory limit, one in so many, may be held of callers' requests as they came.
-// A body of megabytes takes up to four times its size until it is with the backend server:
-// what has arrived, that joined, the request made of it, and what of these is not
-// collected yet. The other half is for everything else. Forty callers who send 4 MB each at
-// once took a process with a limit of 134 MB to 141 to 175 MB, and to 83 to 98 MB with
-// the bound.
+// bodiesPart is the divisor of the memory limit that gives the bound on buffered request
+// bodies. A body of megabytes takes up to four times its size until it has reached the backend
+// server: the received pieces, the joined body, the request made of it, and garbage of these
+// that is not collected yet. So bodies use up to half of the limit; the other half is for
+// everything else. With 40 callers that sent 4 MB each at once, a process with a limit of
+// 134 MB reached 141 to 175 MB without the bound, and 83 to 98 MB with it.
 const bodiesPart = 8
 
-// bodiesBound is how many bytes of requests are held at once; 0: without a bound. One of the
-// largest size always finds room.
+// bodiesBound returns the bound on the bytes of requests that are buffered at once; 0 means
+// unbounded. It always allows one request of the largest size.
 func bodiesBound(l procconfig.Limits) int64 {
 	if l.MemoryBytes == 0 {
 		return 0
@@ -42,7 +42,7 @@
 	return max(l.MemoryBytes/bodiesPart, l.MaxBodyBytes+maxHeaderBytes)
 }
 
-// serve opens the addresses that the settings give.
+// serve opens the listeners that the settings configure.
 func (g *gateway) serve() error {
 	r := g.d.cfg.Routed
 	if r.Requests != "" {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// requestID is the id under which Finished logs the request.
+// requestID returns the id under which Finished logs the request.
 func requestID(ctx context.Context) string { return relay.ExchangeFrom(ctx).ID }
 
 func (g *gateway) server(name, address string, h http.Handler) *httpserver.Server {
@@ -102,7 +102,8 @@
 	})
 }
 
-// callerLimits are those of the routing table in force; without one, the server's own.
+// callerLimits returns the limits of the current routing table; without a table, the
+// server's defaults.
 func (g *gateway) callerLimits() httpserver.Limits {
 	x, err := g.routes.Current()
 	if err != nil {
@@ -128,7 +129,7 @@
 // EndKnown implements surface.Servers.
 func (g *gateway) EndKnown(id string) error { return g.balancer.EndKnown(id) }
 
-// Finished implements relay.Observer: one line for each request.
+// Finished implements relay.Observer. It logs one line per request.
 func (g *gateway) Finished(x *relay.Exchange, err error) {
 	g.metrics.finished(x, err)
 	g.traffic.add(time.Now(), len(x.Body)+x.BytesSent)
@@ -180,12 +181,12 @@
 	event.Send()
 }
 
-// close ends what serve began.
+// close stops the servers that serve started.
 func (g *gateway) close() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, s := range g.others {
-		_ = s.Drain(ctx) // nobody waits for these: their callers go to another host
+		_ = s.Drain(ctx) // not waited for, since callers of these can use another host
 	}
 	if g.requests != nil {
 		_ = g.requests.Drain(ctx)
--- a/internal/daemon/gatewaynews.go
+++ b/internal/daemon/gatewaynews.go
@@ -8,7 +8,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// newNews makes what tells all hosts of servers that leave and of newer routing tables.
+// newNews creates the broadcaster of updates about suspects, rate limits, servers that leave
+// and newer routing tables.
 func (g *gateway) newNews() *news.Spreader {
 	return news.New(news.Config{
 		Self: g.d.cfg.PeerAddress(), Peers: g.livePeers, Client: g.d.pool.Client,
@@ -18,14 +19,16 @@
 	})
 }
 
-// fetchTold fetches the routing table that a host told of, if this host needs it.
+// fetchTold fetches the routing table that another host notified this one of, if this host
+// serves callers.
 func (g *gateway) fetchTold(ctx context.Context, address string, revision uint64) {
 	if g.servesCallers() {
 		g.routes.FetchFrom(ctx, address, revision)
 	}
 }
 
-// serverChanged tells the peers of a server: at once if they must not use it any more.
+// serverChanged sends a changed server state with the next heartbeats, and broadcasts it at
+// once if hosts must stop using the server.
 func (g *gateway) serverChanged(st *pb.ServerState) {
 	g.members.Kick()
 	if st.GetLeaving() || st.GetGone() {
--- a/internal/daemon/gatewaypeer.go
+++ b/internal/daemon/gatewaypeer.go
@@ -9,19 +9,19 @@
 	"github.com/bluebellsail/bluebellsail/internal/peerservice"
 )
 
-// gatewayPeer answers the other hosts of a fleet that serves by a routing table. What it
-// does not implement belongs to in-flight records, which routed requests don't leave.
+// gatewayPeer implements the Peer service of a host that serves by a routing table. It leaves
+// out the methods for in-flight records, since routed requests have none.
 type gatewayPeer struct {
 	peerservice.Shared
 	g *gateway
 }
 
-// Heartbeat exchanges liveness and what is known of backend servers.
+// Heartbeat exchanges the liveness of hosts and the state of backend servers.
 func (p gatewayPeer) Heartbeat(_ context.Context, r *pb.HeartbeatRequest) (*pb.HeartbeatReply, error) {
 	return p.g.members.HandleHeartbeat(r), nil
 }
 
-// AskTokens hands over part of this host's grant.
+// AskTokens transfers part of this host's grant.
 func (p gatewayPeer) AskTokens(_ context.Context, r *pb.AskTokensRequest) (*pb.AskTokensReply, error) {
 	manager := p.g.grants.Load()
 	if manager == nil {
@@ -35,27 +35,27 @@
 	return p.g.budgets.HandleReserve(ctx, r), nil
 }
 
-// SpendTokens ends reservations of another host's requests.
+// SpendTokens settles reservations of another host's requests.
 func (p gatewayPeer) SpendTokens(_ context.Context, r *pb.SpendTokensRequest) (*pb.SpendTokensReply, error) {
 	return p.g.budgets.HandleSpend(r), nil
 }
 
-// Assign finds a server for a request of another host.
+// Assign chooses a server for a request of another host.
 func (p gatewayPeer) Assign(ctx context.Context, r *pb.AssignRequest) (*pb.AssignReply, error) {
 	return p.g.assigner.HandleAssign(ctx, r), nil
 }
 
-// ReportRuns takes how requests of another host went.
+// ReportRuns receives the outcomes of another host's attempts.
 func (p gatewayPeer) ReportRuns(_ context.Context, r *pb.ReportRunsRequest) (*pb.ReportRunsReply, error) {
 	return p.g.assigner.HandleReportRuns(r), nil
 }
 
-// ShareParts takes what another host knows of engines' caches.
+// ShareParts receives what another host knows about the engines' prefix caches.
 func (p gatewayPeer) ShareParts(_ context.Context, r *pb.SharePartsRequest) (*pb.SharePartsReply, error) {
 	return p.g.assigner.HandleShareParts(r), nil
 }
 
-// FetchRoutes gives the routing table that this host has.
+// FetchRoutes returns the routing table that this host has.
 func (p gatewayPeer) FetchRoutes(_ context.Context, r *pb.FetchRoutesRequest) (*pb.FetchRoutesReply, error) {
 	if p.g.d.replica != nil {
 		return routesctl.FromReplica(p.g.d.replica, r), nil
--- a/internal/daemon/gatewaytables.go
+++ b/internal/daemon/gatewaytables.go
@@ -14,14 +14,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// tableTimeout bounds one call for the routing table. Its callers give an answer a
-// second and go to another host then.
+// tableTimeout bounds an operator's call about the routing table. Operators' clients wait one
+// second for an answer and then try another host.
 const tableTimeout = 900 * time.Millisecond
 
-// cutOffTimeout bounds one while the control group gives no answer to this host.
+// cutOffTimeout bounds such a call while the control group does not answer this host.
 const cutOffTimeout = 250 * time.Millisecond
 
-// tablePatience is how long the operator waits for this host's answer.
+// tablePatience returns the timeout of an operator's call about the routing table.
 func (g *gateway) tablePatience() time.Duration {
 	if g.d.client.LastCallAnswered() {
 		return tableTimeout
@@ -29,11 +29,12 @@
 	return cutOffTimeout
 }
 
-// elsewhere sends the operator to a control host when the group gives this host no answer.
+// elsewhere returns a redirect to a control host when the control group does not answer this
+// host, and err otherwise.
 //
-// What goes wrong without it: in a partition between gateways and control hosts most of the
-// hosts that the operator can ask are gateways. It is refused by one after the other, a raise
-// of a budget comes into force after the partition, and a table that holds can't be read back.
+// In a partition between gateways and control hosts, most of the hosts that an operator can
+// ask are gateways. Without the redirect they reject the operator's calls one after the other:
+// a raised budget takes effect only after the partition, and a table in force can't be read.
 func (g *gateway) elsewhere(err error) error {
 	if !errkind.Is(err, errkind.NoQuorum) || g.d.replica != nil {
 		return err
@@ -45,8 +46,8 @@
 	return &surface.Redirect{Address: addresses[rand.IntN(len(addresses))], Refusal: errkind.From(err)}
 }
 
-// controlRegistries are the addresses at which control hosts take the operator's calls: the
-// seeds, and the hosts that say they run a replica. All hosts listen on the same ports.
+// controlRegistries returns the addresses at which control hosts serve operators' calls: those
+// of the seeds and of the hosts that report a replica. All hosts listen on the same ports.
 func (g *gateway) controlRegistries() []string {
 	_, port, err := net.SplitHostPort(g.d.cfg.Routed.Registry)
 	if err != nil {
@@ -87,15 +88,15 @@
 	return nil
 }
 
-// fromOperator stands for the operator where logs name the host that a table came from.
+// fromOperator is the source in log lines about a routing table that an operator sent.
 const fromOperator = "operator"
 
-// takeReplaced puts a table that the group has just taken in force here, before the operator
-// hears of it, and so has the other hosts fetch it from here, too.
+// takeReplaced applies a table that the control group has just committed on this host, before
+// the operator gets the answer. Other hosts can then fetch it from here, too.
 //
-// What goes wrong if it comes by way of the group only: the control hosts are lost as they
-// answer. The operator was told that the table holds, and no host that serves callers has it
-// until the group is back.
+// If the control hosts were the only source and were lost just after the commit, the operator
+// would have a success answer, while no host that serves callers would have the table until
+// the control group is back.
 func (g *gateway) takeReplaced(packed *pb.ReplaceRoutes) {
 	g.routes.Apply(fromOperator, &pb.FetchRoutesReply{
 		Routes: &pb.Routes{Revision: packed.GetRevision(), TableJson: packed.GetTableJson()}, Confirmed: true,
--- a/internal/daemon/group.go
+++ b/internal/daemon/group.go
@@ -10,9 +10,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// group is the control group as the operators' API and the grants see it: a refusal
-// by the replicated state stands in the result and is no error, since it is the
-// definite answer, while an error leaves the outcome open.
+// group adapts the control group to the operators' API and the grants. A rejection by the
+// replicated state is returned in the result and not as an error, since it is a definite
+// answer, while an error leaves the outcome unknown.
 type group struct{ client *controlclient.Client }
 
 // Propose commits a command.
@@ -24,7 +24,7 @@
 	return res, err
 }
 
-// Read answers from the leader's state.
+// Read reads from the leader's state.
 func (g group) Read(ctx context.Context, q *pb.Query) (*pb.QueryResult, error) {
 	res, err := g.client.Read(ctx, q)
 	if err != nil && !errkind.Is(err, errkind.NoQuorum) {
@@ -42,7 +42,7 @@
 	return res.GetHosts(), wire.DecodeError(res.GetError())
 }
 
-// ChangeMembers changes the group by one replica.
+// ChangeMembers adds, promotes or removes one replica of the group.
 func (g group) ChangeMembers(ctx context.Context, r *pb.ChangeMembersRequest) (*pb.ChangeMembersReply, error) {
 	status, err := g.client.ChangeMembers(ctx, r)
 	if err != nil {
@@ -51,10 +51,9 @@
 	return &pb.ChangeMembersReply{Group: status}, nil
 }
 
-// claimTimeout bounds the wait for a claim; the election of a new leader fits in. With
-// the caller's deadline as the only bound, a caller without a quorum behind its host
-// would wait its whole time for a refusal that was certain long before, and have none
-// left to come back.
+// claimTimeout bounds the wait for a claim; the election of a new leader fits into it. With
+// the caller's deadline as the only bound, a caller whose host reaches no quorum would wait
+// until its deadline for a refusal that was certain long before, with no time left to retry.
 const claimTimeout = 3 * time.Second
 
 // claims implements filter.Claims.
@@ -63,7 +62,7 @@
 	self   *pb.Holder
 }
 
-// Claim asks for the single run of an identity.
+// Claim claims the exclusive right to run the request with the given identity.
 func (c claims) Claim(ctx context.Context, identity, requestID string) (*pb.ClaimResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -72,7 +71,7 @@
 	return res.GetClaim(), err
 }
 
-// Finish records how the claimed run ended.
+// Finish records the final state of a claim.
 func (c claims) Finish(ctx context.Context, identity, requestID string, state pb.ClaimState) error {
 	_, err := c.client.Propose(ctx, &pb.Command{Actor: c.self.GetHost(), Body: &pb.Command_FinishClaim{
 		FinishClaim: &pb.FinishClaim{Identity: identity, RequestId: requestID, State: state}}})
--- a/internal/daemon/join.go
+++ b/internal/daemon/join.go
@@ -8,17 +8,17 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// joinEvery is the time between two looks whether this host's replica is outside the
-// group.
+// joinEvery is the interval between checks of whether this host's replica is outside the
+// control group.
 const joinEvery = time.Second
 
-// membersTimeout bounds the question for the group's membership.
+// membersTimeout bounds a read or a change of the group's membership.
 const membersTimeout = time.Second
 
-// keepInGroup has this host's replica take its place in the control group whenever it
-// is outside: after a lost disk, under the new id that it drew, as a new replica, or when
-// it was removed while it was out of reach. Until it holds everything committed it has no
-// vote, and the leader does not report it as repaired.
+// keepInGroup adds this host's replica to the control group whenever it is outside: as a new
+// replica, under a new id after a lost disk, or when it was removed while it was unreachable.
+// Until it has all committed entries it has no vote, and the leader does not report it as
+// repaired.
 func (d *Daemon) keepInGroup(ctx context.Context) {
 	every(ctx, joinEvery, func() {
 		if d.replica.Joining() || d.removedUnheard(ctx) {
@@ -27,8 +27,8 @@
 	})
 }
 
-// removedUnheard tells whether the group goes on without this replica, which has not
-// heard so: the leader sends nothing to those it doesn't count.
+// removedUnheard reports whether the group has removed this replica without the replica having
+// been notified: a leader sends nothing to replicas that are not members.
 func (d *Daemon) removedUnheard(ctx context.Context) bool {
 	if d.replica.Status().GetLeader() != 0 {
 		return false
@@ -37,7 +37,7 @@
 	defer cancel()
 	res, err := d.client.Read(ctx, &pb.Query{Body: &pb.Query_Members{Members: &pb.MembersQuery{}}})
 	if err != nil {
-		return false // nobody knows better
+		return false // the membership is unknown
 	}
 	for _, m := range res.GetGroup().GetMembers() {
 		if m.GetMember().GetId() == d.replica.ID() {
@@ -57,7 +57,7 @@
 	})
 }
 
-// votersEvery is the time between two looks at the group's voters.
+// votersEvery is the interval between checks of the group's voters.
 const votersEvery = 500 * time.Millisecond
 
 func (d *Daemon) joinGroup(ctx context.Context) {
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -41,7 +41,7 @@
 				Action: func(ctx context.Context, c *cli.Command) error { return withConfig(c, &code, Run, ctx) },
 			},
 			{
-				Name: "check", Usage: "check FILE and name every fault in it", ArgsUsage: "FILE",
+				Name: "check", Usage: "check FILE and list every fault in it", ArgsUsage: "FILE",
 				Action: func(ctx context.Context, c *cli.Command) error {
 					return withConfig(c, &code, func(context.Context, *procconfig.Config) error {
 						_, err := fmt.Fprintln(stdout, "no faults found")
@@ -61,10 +61,10 @@
 	return code
 }
 
-// withConfig loads the settings file named on the command line and hands it to do.
+// withConfig loads the settings file given on the command line and calls do with it.
 func withConfig(c *cli.Command, code *int, do func(context.Context, *procconfig.Config) error, ctx context.Context) error {
 	if c.Args().Len() != 1 {
-		return fmt.Errorf("name one settings file")
+		return fmt.Errorf("exactly one settings file is required")
 	}
 	cfg, err := procconfig.Load(c.Args().First())
 	if err == nil {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -13,22 +13,23 @@
 
 // routedMetrics are the counters and histograms of routed requests.
 type routedMetrics struct {
-	// byRoute counts the requests of a route by status; attempts those at servers by cause,
-	// endings the requests by the end of their callers' side.
+	// byRoute counts requests by route and status, attempts counts attempts by cause, endings
+	// counts requests by how the caller's connection ended, and refused counts refusals by
+	// error kind.
 	byRoute  expvar.Map
 	attempts expvar.Map
 	endings  expvar.Map
 	refused  expvar.Map
-	// early counts answers that came before the whole request was sent.
+	// early counts server answers that began before the whole request was sent.
 	early expvar.Int
-	// first is the time to the first byte of a server's answer, took that of the whole
-	// request, by kind of route.
+	// first has the time to the first byte of a server's answer, took the duration of the
+	// whole request, both by kind of route.
 	first map[string]*telemetry.Histogram
 	took  map[string]*telemetry.Histogram
 	vars  expvar.Map
 }
 
-// kindNames are the kinds of routes that histograms are kept of.
+// kindNames are the kinds of routes that have histograms.
 var kindNames = []string{"idempotent", "non_idempotent", "stream"}
 
 func newRoutedMetrics() *routedMetrics {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -9,7 +9,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// operatorDrain bounds the end of operators' requests in flight.
+// operatorDrain bounds the wait for operators' requests in flight at shutdown.
 const operatorDrain = 2 * time.Second
 
 // operatorServer serves the operators' address.
@@ -36,7 +36,7 @@
 	_ = o.http.Drain(ctx)
 }
 
-// quarantine is this host's guard; nil without one.
+// quarantine returns this host's quarantine guard; nil without one.
 func (d *Daemon) quarantine() adminapi.Quarantine {
 	switch {
 	case d.entry != nil:
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// localReplica tells of this host's replica; nil without one.
+// localReplica returns a function that describes this host's replica; nil without a replica.
 func (d *Daemon) localReplica() func() adminapi.LocalReplica {
 	if d.replica == nil {
 		return nil
@@ -57,7 +57,7 @@
 	}
 }
 
-// operatorKeyHashes are those of the settings file and of the settings tree.
+// operatorKeyHashes returns the hashes of the settings file and of the fleet's settings.
 func (d *Daemon) operatorKeyHashes() []string {
 	tree := d.settings.Fleet().OperatorKeyHashes
 	out := make([]string, 0, len(d.cfg.OperatorKeyHashes)+len(tree))
@@ -65,8 +65,8 @@
 	return append(out, tree...)
 }
 
-// ready is nil while this host serves callers; a host without the role entry serves
-// none and is ready when its settings are.
+// ready returns nil while this host serves callers. A host that serves no callers is ready
+// when its settings are.
 func (d *Daemon) ready() error {
 	switch {
 	case d.entry != nil:
@@ -80,7 +80,7 @@
 // fleetView implements adminapi.Fleet.
 type fleetView struct{ d *Daemon }
 
-// Self is this host's own state.
+// Self returns this host's own state.
 func (f fleetView) Self() *pb.HostState {
 	cfg := f.d.cfg
 	return &pb.HostState{
@@ -90,7 +90,7 @@
 	}
 }
 
-// Hosts are all hosts heard of, this one included.
+// Hosts returns all known hosts, this one included.
 func (f fleetView) Hosts() []*pb.HostState {
 	out := []*pb.HostState{f.Self()}
 	if f.d.entry == nil {
@@ -106,7 +106,7 @@
 	return out
 }
 
-// Servers are the backend servers whose announcements are known here.
+// Servers returns the backend servers that this host knows from announcements.
 func (f fleetView) Servers() []*pb.ServerState {
 	if f.d.entry == nil {
 		return nil
--- a/internal/daemon/outcomes.go
+++ b/internal/daemon/outcomes.go
@@ -11,7 +11,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/telemetry"
 )
 
-// outcomes implements filter.Explainer: what came of each call goes to the explain
+// outcomes implements filter.Explainer: it passes the outcome of each call to the explain
 // store, the metrics and the event log.
 type outcomes struct {
 	next    filter.Explainer
@@ -19,7 +19,7 @@
 	log     zerolog.Logger
 }
 
-// Record takes a finished call.
+// Record records a finished call.
 func (o outcomes) Record(c *filter.Call, status int, err error) {
 	o.next.Record(c, status, err)
 	outcome, refusal := outcomeOf(c, err), errkind.From(err)
@@ -39,7 +39,7 @@
 	o.observeAdded(c)
 }
 
-// write logs the call, as one event.
+// write logs the call as one event.
 func (o outcomes) write(c *filter.Call, outcome telemetry.RequestOutcome, status int, refusal *errkind.Error) {
 	event := o.log.Info().Str("event", "request").Str("request", c.ID).Str("outcome", string(outcome)).Int("status", status).
 		Str("account", c.AccountName).Str("team", c.TeamName).Uint64("revision", c.Revision).Int("attempts", c.Attempts).
@@ -53,7 +53,7 @@
 	event.Send()
 }
 
-// observeAdded notes what the fleet spent on a call before its first attempt.
+// observeAdded records the time between the arrival of a call and its first attempt.
 func (o outcomes) observeAdded(c *filter.Call) {
 	for _, n := range c.Notes {
 		if n.Step == route.Step {
@@ -80,5 +80,5 @@
 	return telemetry.OutcomeRefused
 }
 
-// statusFault is the first HTTP status that blames the service and not the request.
+// statusFault is the lowest HTTP status for a fault of the service and not of the request.
 const statusFault = 500
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -17,7 +17,7 @@
 )
 
 // peerServer serves the peer address: the Control service, and the Peer service once
-// this run has its incarnation.
+// this host has its incarnation.
 type peerServer struct {
 	address string
 	server  *grpc.Server
@@ -58,8 +58,8 @@
 
 func (p *peerServer) stop() { p.server.Stop() }
 
-// waitForPeer refuses peer calls while this run has no incarnation. Without it a
-// record could be taken in the name of a run that the control group does not know.
+// waitForPeer rejects calls of the Peer service until setPeer is called. Otherwise this host
+// could accept a record before the control group knows its incarnation.
 func (p *peerServer) waitForPeer(ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
 	if _, isLate := info.Server.(*latePeer); isLate && p.peer.Load() == nil {
 		return nil, status.Error(codes.Unavailable, "this host has not registered yet")
@@ -67,9 +67,9 @@
 	return next(ctx, req)
 }
 
-// latePeer hands calls to the service set by setPeer; waitForPeer stands before it. It
-// embeds the unsafe variant so that a method that it forgets to hand on does not compile:
-// its callers would be told that the service does not have it.
+// latePeer forwards calls to the service set by setPeer; waitForPeer rejects calls that come
+// earlier. It embeds the unsafe variant so that a missing method fails to compile instead of
+// being answered as unimplemented.
 type latePeer struct {
 	pb.UnsafePeerServer
 	p *peerServer
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -9,7 +9,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// usableServers are the backend servers that may get orders: announced, not lapsed.
+// usableServers lists the backend servers that may get placement orders: the usable ones and
+// those that are leaving.
 type usableServers struct{ s *scheduler.Scheduler }
 
 // Servers implements placement.Servers.
@@ -23,14 +24,14 @@
 	return out
 }
 
-// noLeadership is that of a host without a replica: it never orders by itself.
+// noLeadership is the leadership of a host without a replica, which never plans placements.
 type noLeadership struct{}
 
 // Leading implements placement.Leadership.
 func (noLeadership) Leading() (uint64, time.Time, bool) { return 0, time.Time{}, false }
 
-// newPlacement makes the controller of model placement. It plans only where the
-// control group's leader runs beside an entry host, which hears the announcements.
+// newPlacement creates the controller of model placement. It plans only on a host that has
+// both the control group's leader and the role entry, which receives the announcements.
 func (e *entry) newPlacement() *placement.Controller {
 	cfg := placement.Config{
 		Leadership: noLeadership{}, Proposer: group{e.d.client}, Servers: usableServers{e.sched},
@@ -42,7 +43,8 @@
 	return placement.New(cfg)
 }
 
-// orders sends operators' orders to backend servers.
+// orders returns the sender of operators' orders to backend servers; nil on a host without
+// the role entry.
 func (d *Daemon) orders() adminapi.Orders {
 	if d.entry == nil {
 		return nil
--- a/internal/daemon/register.go
+++ b/internal/daemon/register.go
@@ -14,26 +14,27 @@
 	"github.com/bluebellsail/bluebellsail/internal/procstat"
 )
 
-// registerTimeout bounds one attempt; attempts go on until the process is stopped.
+// registerTimeout bounds one attempt. Attempts are repeated until the process is stopped.
 const registerTimeout = 5 * time.Second
 
-// registerPause bounds the pause between attempts. A host that serves nobody must not
-// wait out a long backoff after the control group is back.
+// registerPause bounds the backoff between attempts. A host that can't serve yet must not
+// wait for a long backoff to end after the control group is back.
 const registerPause = 500 * time.Millisecond
 
-// register gets this run's incarnation from the control group. A host that reaches
-// no quorum waits here and serves nobody: without an incarnation of its own it could
-// spend what its former run held.
+// register gets this host's incarnation from the control group. A host that reaches no
+// quorum waits here and serves no callers: without an incarnation of its own it could spend
+// what its former incarnation held.
 func (d *Daemon) register(ctx context.Context) (*pb.RegisterHostResult, error) {
 	started, startedWall := procstat.Started, d.wall().Add(-time.Since(procstat.Started)).UnixMilli()
-	// bootID makes a resend after a lost answer give the same incarnation.
+	// bootID makes the registration idempotent: a resend after a lost answer gets the same
+	// incarnation.
 	bootID := rand.Text()
 	attempt := func() (*pb.RegisterHostResult, error) {
 		tryCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 		defer cancel()
-		// The age is that of the moment of sending. What goes wrong when it is that of the first
-		// try: a control group that elects its leader meanwhile takes the time for one in which
-		// the former run may have lived on without contact, and counts more as spent.
+		// The age is computed when the command is sent, not at the first attempt. Otherwise, if
+		// the control group elects a leader meanwhile, it takes that time for one in which the
+		// former incarnation may still have run without contact, and counts more as spent.
 		res, err := d.client.ProposeFunc(tryCtx, func() *pb.Command {
 			return &pb.Command{Actor: d.cfg.Host, Body: &pb.Command_RegisterHost{RegisterHost: &pb.RegisterHost{
 				Host: d.cfg.Host, Zone: d.cfg.Zone, CallerAddress: d.callerAddress(),
@@ -58,8 +59,9 @@
 	return res, nil
 }
 
-// tellFormerRun logs what this host's former run still held, budget by budget. What was not
-// freed counts as spent from now on: refusals of a budget with tokens left trace back to it.
+// tellFormerRun logs what this host's former incarnation still held of each budget. What was
+// not freed counts as spent from now on. These lines explain why a budget that seems to have
+// tokens left is exhausted.
 func (d *Daemon) tellFormerRun(former *pb.FormerRun) {
 	for _, g := range former.GetGrants() {
 		stranded := g.GetOpen() + g.GetReserve() - g.GetFreed()
@@ -70,7 +72,8 @@
 	}
 }
 
-// callerAddress is where callers reach this host; empty if they don't.
+// callerAddress returns the address at which callers reach this host; empty if it serves no
+// callers.
 func (d *Daemon) callerAddress() string {
 	if d.cfg.Routed != nil {
 		return d.cfg.Routed.CallerAddress()
--- a/internal/daemon/repair.go
+++ b/internal/daemon/repair.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// repairEvery is the time between two looks for dead incarnations.
+	// repairEvery is the interval between searches for dead incarnations.
 	repairEvery = 2 * time.Second
-	// repairTimeout bounds one look.
+	// repairTimeout bounds one search with its recoveries.
 	repairTimeout = 30 * time.Second
-	// usageWait bounds the question to a backend server about one run.
+	// usageWait bounds the queries to backend servers about the usage of one request.
 	usageWait = 300 * time.Millisecond
-	// maxAsked bounds the questions to servers under way at once.
+	// maxAsked bounds the concurrent queries to servers.
 	maxAsked = 64
 )
 
-// serveRepair starts the controllers that mend what failed hosts left behind.
+// serveRepair starts the controllers of model placement and of the recovery of failed hosts.
 func (e *entry) serveRepair(t *tasks) {
 	if e.d.replica != nil {
 		t.run("placement", e.placement.Run)
@@ -33,7 +33,7 @@
 	t.run("repair", e.repairLoop)
 }
 
-// repairLoop recovers dead incarnations while this host is the one to do so.
+// repairLoop recovers dead incarnations while this host is responsible for that.
 func (e *entry) repairLoop(ctx context.Context) {
 	controller := repair.New(repair.Config{
 		Self: e.holder(), Control: group{e.d.client}, Peers: gatherers{e}, Requests: e.records,
@@ -51,7 +51,7 @@
 	})
 }
 
-// serverAddresses are those of the backend servers that this host knows.
+// serverAddresses returns the addresses of the backend servers that this host knows.
 func (e *entry) serverAddresses() []string {
 	var out []string
 	for _, s := range e.sched.Servers() {
@@ -60,9 +60,9 @@
 	return out
 }
 
-// repairs tells whether this host is the first by name of those alive in its view.
-// Two hosts with different views may both repair: recovery is idempotent, so this
-// only saves work.
+// repairs reports whether this host is the first by name among the live hosts in its view.
+// Two hosts with different views may both repair. Recovery is idempotent, so this check only
+// saves work.
 func (e *entry) repairs() bool {
 	if e.leaving.Load() {
 		return false
@@ -76,10 +76,10 @@
 	return true
 }
 
-// gatherers implements repair.Peers: every live host, this one included.
+// gatherers implements repair.Peers for every host, this one included.
 type gatherers struct{ e *entry }
 
-// Gather asks one host for what it holds of a dead incarnation.
+// Gather asks one host for what it has recorded of a dead incarnation.
 func (g gatherers) Gather(ctx context.Context, host string, req *pb.GatherRequest) (*pb.GatherReply, error) {
 	if host == g.e.holder().GetHost() {
 		return g.e.records.HandleGather(req), nil
@@ -91,15 +91,15 @@
 	return client.Gather(ctx, req)
 }
 
-// maxAttemptsAsked bounds the attempts of a request that is looked for at all servers.
+// maxAttemptsAsked bounds the attempts of a request for which all servers are queried.
 const maxAttemptsAsked = 3
 
-// engineUsage asks what a run that lost its host has used: the backend server that its record
-// names, or all of them if it names none.
+// engineUsage returns a function that asks for the token usage of a request whose host is
+// dead: at the backend server of its record, or at all servers if the record has none.
 //
-// Without the latter a host that is killed before its peers know where a request runs leaves its
-// tokens locked until the request's deadline and a minute are over, though the engine could say
-// at once how the run ended.
+// Without the latter, a host that is killed before its peers know where a request runs leaves
+// the request's tokens locked until a minute after its deadline, though the engine could report
+// at once what the request has used.
 func engineUsage(client *engineclient.Client, servers func() []string) func(context.Context, *pb.InflightRecord) (uint64, uint64, bool) {
 	return func(ctx context.Context, rec *pb.InflightRecord) (prompt, output uint64, known bool) {
 		ctx, cancel := context.WithTimeout(ctx, usageWait)
@@ -117,8 +117,8 @@
 	}
 }
 
-// usageAnywhere asks all servers for the runs of a request, and takes the last attempt that one of
-// them has finished.
+// usageAnywhere queries all servers for the attempts of a request and returns the usage of the
+// last attempt that a server has finished; nil if there is none.
 func usageAnywhere(ctx context.Context, client *engineclient.Client, servers []string, requestID string) *engineclient.Usage {
 	var mu sync.Mutex
 	var found *engineclient.Usage
@@ -138,6 +138,6 @@
 			})
 		}
 	}
-	_ = asked.Wait() // no question fails but by having no answer
+	_ = asked.Wait() // the functions return no errors
 	return found
 }
--- a/internal/daemon/repair_test.go
+++ b/internal/daemon/repair_test.go
@@ -11,7 +11,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// engine knows the finished runs by name, with their output in tokens.
+// engine starts an engine that reports the output tokens of finished runs by id, and returns
+// its address.
 func engine(t *testing.T, runs map[string]int) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		output, known := runs[strings.TrimPrefix(r.URL.Path, "/v1/streams/")]
@@ -26,8 +27,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// Guards against tokens of a dead host that stay locked for over a minute because its last word of
-// where a request runs did not reach its peers.
+// If a host is killed before its peers know at which server a request runs, the request's tokens
+// would stay locked for over a minute. The usage must be found by querying all servers.
 func TestRunWithoutItsServersNameIsFound(t *testing.T) {
 	gone := httptest.NewServer(nil)
 	gone.Close()
--- a/internal/daemon/sight.go
+++ b/internal/daemon/sight.go
@@ -13,21 +13,22 @@
 	"github.com/bluebellsail/bluebellsail/internal/procstat"
 )
 
-// outliveLogReader has writes to a log whose reader is gone fail, and nothing else.
+// outliveLogReader ignores SIGPIPE, so that a write to a log whose reader has exited only
+// fails.
 //
-// What goes wrong without it: what reads the process's standard output ends, for a moment
-// only, and with the next line Go ends the process by SIGPIPE: all requests of the host
-// are cut off, on all hosts of a machine image at once, and no log says why.
+// Otherwise, when the reader of the process's standard output restarts, Go ends the process
+// by SIGPIPE at its next log line. All requests of the host are cut off, at once on all hosts
+// that use the same machine image, and no log shows the reason.
 func outliveLogReader() { signal.Ignore(syscall.SIGPIPE) }
 
-// watchSelf has this process tell what it uses, and when it stands still.
+// watchSelf publishes metrics of this process's resource usage and pauses.
 func (d *Daemon) watchSelf() {
 	d.watch = procstat.NewWatch(d.cfg.Timing.Heartbeat.Std(), d.tel.Log)
 	d.tel.Metrics.Set("process", expvar.Func(func() any { return procstat.Read() }))
 	d.tel.Metrics.Set("stood_still", expvar.Func(func() any { return d.watch.Stood() }))
 }
 
-// logStart writes what this process runs under and how its run before ended.
+// logStart logs this process's settings and limits, and how its previous run ended.
 func (d *Daemon) logStart() {
 	cfg := d.cfg
 	roles := make([]string, 0, len(cfg.Roles))
@@ -56,7 +57,7 @@
 		Time("started", before.Started).Str("detail", before.Detail).Send()
 }
 
-// runtimeMemory is the Go runtime's memory limit; 0: none.
+// runtimeMemory returns the Go runtime's memory limit; 0 without a limit.
 func runtimeMemory() int64 {
 	if limit := debug.SetMemoryLimit(-1); limit != math.MaxInt64 {
 		return limit
@@ -64,7 +65,8 @@
 	return 0
 }
 
-// logEnd writes how this process ends: the last line of an orderly end's log.
+// logEnd records and logs how this process ends. This is the last log line of a process that
+// exits by itself.
 func (d *Daemon) logEnd(err error) {
 	d.lastRun.End(err)
 	event := d.tel.Log.Info()
--- a/internal/daemon/sight_test.go
+++ b/internal/daemon/sight_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// brokenPipeVariable is set for a process that writes to a log which nobody reads.
+// brokenPipeVariable is set for a child process that writes to a closed standard output.
 const brokenPipeVariable = "DAEMON_BROKEN_PIPE"
 
-// wroteOn is the exit code of such a process that outlived its writes.
+// wroteOn is the exit code of a child process that survived its writes.
 const wroteOn = 7
 
 func TestMain(m *testing.M) {
@@ -27,9 +27,9 @@
 	os.Exit(wroteOn)
 }
 
-// Symptom: all hosts of a machine image end at once, with all their requests, and no log says why.
-// Sequence: what reads their standard output is started anew; each writes its next line.
-// Cause: Go ends a process by SIGPIPE that writes to a closed standard output.
+// Go ends a process by SIGPIPE if it writes to a closed standard output. When the reader of the
+// log restarted, all hosts of a machine image ended at once with all their requests, and no log
+// showed the reason.
 func TestHostOutlivesTheReaderOfItsLog(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
--- a/internal/daemon/suspects.go
+++ b/internal/daemon/suspects.go
@@ -10,8 +10,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// newGuard makes what keeps requests from servers that crash under them. cfg lacks what is the
-// same for all kinds of hosts.
+// newGuard creates the guard that quarantines requests that crash servers. It sets the fields of
+// cfg that are the same for all kinds of hosts.
 func (d *Daemon) newGuard(cfg quarantinectl.Config) *quarantinectl.Guard {
 	cfg.Host, cfg.Client, cfg.Store, cfg.Log = d.cfg.Host, d.pool.Client, d.suspectStore(), d.tel.Log
 	guard := quarantinectl.New(cfg)
@@ -19,14 +19,15 @@
 	return guard
 }
 
-// newLimiter makes what keeps requests to servers' rate limits. tell tells all hosts of a change.
+// newLimiter creates the limiter that enforces the servers' rate limits. tell broadcasts a
+// changed limit to all hosts.
 func (d *Daemon) newLimiter(o *owners.Table, tell func(*pb.ServerLimit)) *ratelimits.Limiter {
 	l := ratelimits.New(ratelimits.Config{Host: d.cfg.Host, Owners: o, Client: d.pool.Client, Broadcast: tell, Log: d.tel.Log})
 	d.tel.Metrics.Set("server_limits", l.Metrics())
 	return l
 }
 
-// suspectStore is in this host's data folder; nil without one.
+// suspectStore returns the store of suspects in this host's data folder; nil without a folder.
 func (d *Daemon) suspectStore() quarantinectl.Store {
 	if d.cfg.DataDir == "" {
 		return nil
@@ -34,7 +35,7 @@
 	return quarantinectl.File{FS: d.files(), Dir: d.cfg.DataDir}
 }
 
-// newSuspects makes the guard of a gateway.
+// newSuspects creates the quarantine guard of a gateway.
 func (g *gateway) newSuspects() *quarantinectl.Guard {
 	return g.d.newGuard(quarantinectl.Config{
 		Incarnation: g.run, Owners: g.owners, Peers: g.sourceAddresses, Responds: g.client.Answers,
@@ -42,7 +43,7 @@
 	})
 }
 
-// makeSuspects makes the guard of an entry host, and what it tells the others by.
+// makeSuspects creates the quarantine guard of an entry host and the broadcaster of its updates.
 func (e *entry) makeSuspects() {
 	e.suspects = e.d.newGuard(quarantinectl.Config{
 		Incarnation: newRun(e.d.cfg.Host), Owners: e.owners, Peers: e.relayAddresses, Responds: e.client.Answers,
@@ -54,11 +55,11 @@
 	})
 }
 
-// asOwner is this host as an owner of keys, once its run is registered.
+// asOwner returns this host as an owner of keys; ok is false until it is registered.
 func (e *entry) asOwner() (owners.Host, bool) {
 	self := e.holder()
 	return owners.Host{Name: self.GetHost(), Incarnation: self.GetIncarnation()}, self.GetIncarnation() > 0 && !e.leaving.Load()
 }
 
-// livePeers are the peer addresses of all hosts not known to be dead.
+// livePeers returns the peer addresses of all hosts that are not known to be dead.
 func (e *entry) livePeers() []string { return peerAddresses(e.members.Peers(), isPeer) }
--- a/internal/daemon/tasks.go
+++ b/internal/daemon/tasks.go
@@ -11,19 +11,19 @@
 	"github.com/bluebellsail/bluebellsail/internal/panics"
 )
 
-// restartPause is how long a loop that has panicked rests before it starts again: a fault
-// that lasts must not fill the log nor use up the processor.
+// restartPause is the pause before a loop that panicked is restarted, so that a persistent
+// fault neither fills the log nor uses up the processor.
 const restartPause = time.Second
 
-// tasks are the loops of a process. stop ends them and waits.
+// tasks are the background loops of a process. stop ends them and waits for them.
 //
-// A loop that panics is started again. All of them look at how things are and bring them to
-// how they should be, and keep their state under locks that are released by defer, so that
-// a new start goes on where the old one ended. What goes wrong when the process ends
-// instead: what made the loop panic is often something that all hosts hear of, and all of
-// them end at the same moment, with all requests that they serve.
+// A loop that panics is restarted. All loops compare the actual with the desired state and
+// reconcile them, and they keep their state under locks that are released by defer, so a
+// restarted loop continues where the old one ended. If the process ended instead, all hosts
+// could end at the same moment with all requests that they serve: what makes a loop panic is
+// often an update that reaches all hosts.
 //
-// A loop whose state must not be trusted after a panic runs under runTrusted instead.
+// A loop whose state can't be trusted after a panic runs under runTrusted instead.
 type tasks struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -31,7 +31,7 @@
 	log    zerolog.Logger
 
 	failure sync.Once
-	// failed is closed once the process has to end; err is then set.
+	// failed is closed once the process has to shut down; err is then set.
 	failed chan struct{}
 	err    error
 }
@@ -41,7 +41,8 @@
 	return &tasks{ctx: ctx, cancel: cancel, log: log, failed: make(chan struct{})}
 }
 
-// run starts a loop that returns soon after its context ends, and again after a panic.
+// run starts a loop, and restarts it after a panic. The loop must return soon after its
+// context ends.
 func (t *tasks) run(name string, loop func(context.Context)) {
 	t.wg.Go(func() {
 		for !t.try(name, loop) {
@@ -53,8 +54,9 @@
 	})
 }
 
-// runTrusted starts a loop whose panic has the process end in order: it takes no further
-// requests, finishes those that it has and is started anew, with a state that is sound.
+// runTrusted starts a loop that is not restarted after a panic: the process then shuts down
+// gracefully. It accepts no further requests, finishes those that it has, and is restarted
+// with a consistent state.
 func (t *tasks) runTrusted(name string, loop func(context.Context)) {
 	t.wg.Go(func() {
 		if !t.try(name, loop) {
@@ -63,14 +65,14 @@
 	})
 }
 
-// try runs a loop to its end; false: it panicked.
+// try runs a loop until it returns; ended is false if it panicked.
 func (t *tasks) try(name string, loop func(context.Context)) (ended bool) {
 	defer panics.Log(t.log, name)
 	loop(t.ctx)
 	return true
 }
 
-// fail has the process end in order; only the first cause counts.
+// fail makes the process shut down gracefully; only the first error is kept.
 func (t *tasks) fail(err error) {
 	t.failure.Do(func() {
 		t.err = err
--- a/internal/daemon/tasks_test.go
+++ b/internal/daemon/tasks_test.go
@@ -12,10 +12,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Symptom: all requests of a host end at one moment without an answer.
-// Sequence: a loop beside the requests, such as that of the heartbeats, panics over what it
-// heard from a peer.
-// Cause: a panic that nobody recovers ends the process.
+// A panic that is not recovered ends the process: if a background loop, such as the one of the
+// heartbeats, panicked over a peer's message, all requests of the host would end at once without
+// an answer.
 func TestLoopThatPanicsIsStartedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -23,7 +22,7 @@
 		var starts atomic.Int64
 		ts.run("heartbeats", func(ctx context.Context) {
 			if starts.Add(1) <= 2 {
-				panic("a peer's word")
+				panic("a peer's message")
 			}
 			<-ctx.Done()
 		})
@@ -34,17 +33,17 @@
 		}
 		select {
 		case <-ts.failed:
-			t.Error("the process ends over a loop that can start again")
+			t.Error("the process shuts down though the loop can be restarted")
 		default:
 		}
 		ts.stop()
 		if got := strings.Count(out.String(), `"in":"heartbeats"`); got != 2 {
-			t.Errorf("%d lines on two panics: %s", got, out.String())
+			t.Errorf("%d log lines for two panics, want 2: %s", got, out.String())
 		}
 	})
 }
 
-// Sequence: a loop panics again and again, and the process is told to stop meanwhile.
+// A process must stop at once even while it waits to restart a loop that keeps panicking.
 func TestStopEndsALoopThatPanics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ts := newTasks(zerolog.Nop())
@@ -54,9 +53,8 @@
 	})
 }
 
-// Symptom: a budget is overspent after a host's log told of a panic.
-// Sequence: the loop that keeps the tokens panics half-way through a change of them.
-// Cause: it goes on with books that are wrong.
+// If the loop that manages tokens panicked in the middle of a change and were restarted, it would
+// continue with wrong counts, and a budget could be overspent.
 func TestPanicOfATrustedLoopEndsTheProcessInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ts := newTasks(zerolog.Nop())
@@ -67,7 +65,7 @@
 		})
 		<-ts.failed
 		if ts.err == nil || !strings.Contains(ts.err.Error(), "grants") {
-			t.Errorf("the cause is %v", ts.err)
+			t.Errorf("got error %v, want one that names the loop grants", ts.err)
 		}
 		time.Sleep(10 * restartPause)
 		if got := starts.Load(); got != 1 {
--- a/internal/daemon/telemetry.go
+++ b/internal/daemon/telemetry.go
@@ -20,7 +20,7 @@
 	logFileMode  = 0o640
 )
 
-// closer closes the log file; nil when events go to standard error.
+// closer closes the log file; nil when log lines go to a standard stream.
 type closer = io.Closer
 
 func (d *Daemon) openTelemetry() error {
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// trafficWindow is the time over which traffic is averaged: longer than callers keep an
-// answer of the directory, so that what an answer does shows before the next one.
+// trafficWindow is the time over which traffic is averaged. It is longer than callers cache
+// an answer of the directory, so that the effect of an answer shows before the next one.
 const trafficWindow = 4 * time.Second
 
-// requestBytes is what a request costs beside its bytes, as bytes: its headers, and those
-// of its answer.
+// requestBytes is the overhead of a request in bytes: its headers and those of its answer.
 const requestBytes = 1 << 10
 
-// traffic measures what callers send and get. It is safe for concurrent use.
+// traffic measures the bytes that callers send and receive. It is safe for concurrent use.
 type traffic struct {
 	mu sync.Mutex
-	// sum of bytes, decayed to at.
+	// sum is the exponentially decayed sum of bytes at time at.
 	sum float64
 	at  time.Time
 }
@@ -30,7 +29,7 @@
 	t.sum += float64(bytes + requestBytes)
 }
 
-// rate is the traffic in KiB a second.
+// rate returns the traffic in KiB per second.
 func (t *traffic) rate(now time.Time) uint32 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
