--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -69,13 +69,13 @@
 }
 
 func run(ctx context.Context, cfg *procconfig.Config, env Environment, start func(*Daemon, context.Context) error) (err error) {
-	outliveLogReader()
+	ignoreBrokenPipe()
 	d, err := build(cfg, env)
 	if err != nil {
 		return err
 	}
 	defer d.close()
-	defer func() { d.logEnd(err) }()
+	defer func() { d.logExit(err) }()
 	if err := start(d, ctx); err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	d.tasks = newTasks(d.tel.Log)
-	d.watchSelf()
+	d.watchProcess()
 	d.logStart()
 	certs, err := loadCertificates(cfg, d.tel.Log)
 	if err != nil {
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -36,8 +36,8 @@
 )
 
 const (
-	// explained is the number of finished requests for which a host keeps an explanation.
-	explained = 4096
+	// maxExplanations is the number of finished requests for which a host keeps an explanation.
+	maxExplanations = 4096
 	// announceEvery is the interval at which backend servers are asked to announce themselves.
 	announceEvery = 500 * time.Millisecond
 	// fleetEvery is how often lists of hosts are passed to the parts that use them.
@@ -46,11 +46,11 @@
 	learnEvery = 5 * time.Second
 	// learnTimeout bounds one such read.
 	learnTimeout = time.Second
-	// settleLeast and settleMost bound how long a host that has started waits for
+	// minDiscoveryWait and settleMost bound how long a host that has started waits for
 	// announcements of backend servers before it serves: for at least two announcement
 	// intervals, and not forever in a fleet that has no servers.
-	settleLeast = 2 * announceEvery
-	settleMost  = 3 * time.Second
+	minDiscoveryWait = 2 * announceEvery
+	maxDiscoveryWait  = 3 * time.Second
 )
 
 // entry holds the parts that serve callers. Controllers that belong to one incarnation are
@@ -59,9 +59,9 @@
 	d       *Daemon
 	self    atomic.Pointer[pb.Holder]
 	leaving atomic.Bool
-	// settled is true once this host knows the fleet's backend servers and suspects, or has
+	// discovered is true once this host knows the fleet's backend servers and suspects, or has
 	// waited for them long enough.
-	settled atomic.Bool
+	discovered atomic.Bool
 
 	sched   *scheduler.Scheduler
 	members *members.Controller
@@ -86,7 +86,7 @@
 	cfg := d.cfg
 	e := &entry{d: d}
 	e.self.Store(&pb.Holder{Host: cfg.Host})
-	e.explain = explain.New(cfg.Host, cfg.Zone, explained)
+	e.explain = explain.New(cfg.Host, cfg.Zone, maxExplanations)
 	e.owners = owners.New(owners.Config{Self: e.asOwner, Peers: func() []members.PeerInfo { return e.members.Peers() }})
 	e.limits = d.newLimiter(e.owners, func(l *pb.ServerLimit) { e.news.Limit(l) })
 	e.sched = scheduler.New(scheduler.Options{
@@ -110,7 +110,7 @@
 		Log: d.tel.Log, Metrics: d.tel.Metrics, Ticked: d.watch.Tick,
 	})
 	e.client = engineclient.New(engineclient.Config{Heard: e.sched.Observe})
-	e.makeSuspects()
+	e.makeQuarantine()
 	e.placement = e.newPlacement()
 	d.tel.Metrics.Set("scheduler", e.sched.Metrics().Map())
 	d.tel.Metrics.Set("late_answers_dropped", expvar.Func(func() any { return engineclient.CrossedAnswers.Load() }))
@@ -162,21 +162,21 @@
 	t.run("news", e.news.Run)
 	t.run("suspects", e.suspects.Run)
 	t.run("keep suspects", e.suspects.RunStore)
-	t.runTrusted("records", e.records.Run)
-	t.runTrusted("grants", e.grants.Run)
+	t.runUntilPanic("records", e.records.Run)
+	t.runUntilPanic("grants", e.grants.Run)
 	t.run("follow fleet", e.followFleet)
 	t.run("learn hosts", e.learnHosts)
-	e.serveRepair(t)
+	e.startRepair(t)
 	if err := e.http.Start(); err != nil {
 		return errors.Wrap(err, "callers' address")
 	}
-	return e.settle(ctx)
+	return e.awaitDiscovery(ctx)
 }
 
-// settle waits until this host knows the fleet's backend servers and the requests that crash
+// awaitDiscovery waits until this host knows the fleet's backend servers and the requests that crash
 // them. Otherwise a restarted host, whose registry is still empty, would reject requests as
 // unknown_model, an error that callers do not retry.
-func (e *entry) settle(ctx context.Context) error {
+func (e *entry) awaitDiscovery(ctx context.Context) error {
 	begun := time.Now()
 	ticker := time.NewTicker(fleetEvery)
 	defer ticker.Stop()
@@ -187,8 +187,8 @@
 		case <-ticker.C:
 		}
 		waited := time.Since(begun)
-		if waited >= settleMost || waited >= settleLeast && len(e.sched.Servers()) > 0 && e.suspects.Synced() {
-			e.settled.Store(true)
+		if waited >= maxDiscoveryWait || waited >= minDiscoveryWait && len(e.sched.Servers()) > 0 && e.suspects.Synced() {
+			e.discovered.Store(true)
 			return nil
 		}
 	}
@@ -203,13 +203,13 @@
 
 // Ready implements filter.Settings.
 func (c chainSettings) Ready() error {
-	if !c.e.settled.Load() {
-		return errNotSettled()
+	if !c.e.discovered.Load() {
+		return errNotDiscovered()
 	}
 	return c.Controller.Ready()
 }
 
-func errNotSettled() error {
+func errNotDiscovered() error {
 	return errkind.New(errkind.HostNotReady, "this host has just started and is still discovering the backend servers").After(time.Second)
 }
 
@@ -263,8 +263,8 @@
 	if e.holder().GetIncarnation() == 0 {
 		return errkind.New(errkind.HostNotReady, "this host is not registered with the control group yet").After(time.Second)
 	}
-	if !e.settled.Load() {
-		return errNotSettled()
+	if !e.discovered.Load() {
+		return errNotDiscovered()
 	}
 	if e.leaving.Load() {
 		return errkind.New(errkind.HostLeaving, "this host is shutting down")
@@ -277,7 +277,7 @@
 	const full = 1000
 	spare := uint32(0)
 	limit, used := e.d.cfg.Limits.Streams, e.sched.Running()+e.sched.Waiting()
-	if used < limit && e.settled.Load() {
+	if used < limit && e.discovered.Load() {
 		spare = uint32(full * (limit - used) / limit)
 	}
 	return members.Load{SparePermille: spare, ConfigRevision: e.d.settings.Revision()}
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -129,14 +129,14 @@
 	// lostServerTimeout is how long a backend server may leave bytes unacknowledged. Round
 	// trips take milliseconds; a lost packet is retransmitted within this time.
 	lostServerTimeout = 800 * time.Millisecond
-	// maxFirst bounds the index of the host that is asked first for a routing table.
-	maxFirst = 1 << 16
+	// maxFirstSource bounds the index of the host that is asked first for a routing table.
+	maxFirstSource = 1 << 16
 	// followEvery is how often the replica is checked for a newer routing table.
 	followEvery = 50 * time.Millisecond
-	// gatewayNeighbours lets fleets of up to 17 hosts exchange heartbeats as a full mesh:
+	// gatewayNeighbors lets fleets of up to 17 hosts exchange heartbeats as a full mesh:
 	// an update about a server or a routing table then reaches all hosts in one hop. It
 	// costs a host 16 calls of about 0.1 ms per interval.
-	gatewayNeighbours = 16
+	gatewayNeighbors = 16
 	// meshTurns halves the heartbeats of such a fleet. In larger fleets updates pass from
 	// neighbor to neighbor, which needs heartbeats at each tick.
 	meshTurns = 2
@@ -160,7 +160,7 @@
 	d.peers.setPeer(gatewayPeer{g: g, Shared: peerservice.Shared{Suspects: g.suspects, News: g.news, Limits: g.limits}})
 	if d.replica != nil {
 		d.tasks.run("keep in group", d.keepInGroup)
-		d.tasks.run("keep voters", d.keepVoters)
+		d.tasks.run("keep voters", d.reconcileVoters)
 		d.tasks.run("follow replica", g.followReplica)
 	}
 	d.operators = newOperatorServer(d)
@@ -171,7 +171,7 @@
 	d.tasks.run("news", g.news.Run)
 	d.tasks.run("suspects", g.suspects.Run)
 	d.tasks.run("keep suspects", g.suspects.RunStore)
-	d.tasks.runTrusted("join", g.join)
+	d.tasks.runUntilPanic("join", g.join)
 	if g.servesCallers() {
 		d.tasks.run("routes", g.routes.Run)
 		d.tasks.run("budgets", g.budgets.Run)
@@ -192,8 +192,8 @@
 	d.tel.Metrics.Set("routed", &g.metrics.vars)
 	g.self.Store(&pb.Holder{Host: cfg.Host})
 	g.routes = routesctl.New(routesctl.Config{
-		Sources: g.sources, Fetch: g.fetchRoutes, OnChange: g.tableChanged, Missing: g.lacks, Log: d.tel.Log,
-		FirstSource: int(rendezvous.Hash(cfg.Host) % maxFirst),
+		Sources: g.sources, Fetch: g.fetchRoutes, OnChange: g.tableChanged, Missing: g.missing, Log: d.tel.Log,
+		FirstSource: int(rendezvous.Hash(cfg.Host) % maxFirstSource),
 	})
 	d.client.SetAddresses(g.controlAddresses)
 	retries := cfg.Routed.Retry
@@ -213,15 +213,15 @@
 				Host: cfg.Host, Zone: cfg.Zone, CallerAddress: cfg.Routed.CallerAddress(), PeerAddress: cfg.PeerAddress(),
 				Control: cfg.Has(procconfig.RoleControl),
 			},
-			Seeds: cfg.SeedPeers(), Interval: interval, Neighbours: gatewayNeighbours, MeshTurns: meshTurns,
+			Seeds: cfg.SeedPeers(), Interval: interval, Neighbours: gatewayNeighbors, MeshTurns: meshTurns,
 			SuspectAfter: ticks(cfg.Timing.SuspectAfter.Std(), interval),
 			DeadAfter:    ticks(cfg.Timing.DeadAfter.Std(), interval),
 		},
 		Seed: seedOf(cfg.Host), Peers: d.pool, Registry: g.balancer, Limits: g.limits, Load: g.load,
 		Log: d.tel.Log, Metrics: d.tel.Metrics, Ticked: d.watch.Tick,
 	})
-	g.suspects = g.newSuspects()
-	g.news = g.newNews()
+	g.suspects = g.newQuarantine()
+	g.news = g.newBroadcaster()
 	g.budgets = g.newBudgets()
 	g.assigner = assign.New(assign.Config{
 		Incarnation: g.run, Self: g.holder, Local: g.balancer, Owners: g.owners, Client: d.pool.Client, Log: d.tel.Log,
@@ -245,14 +245,14 @@
 	g.members.Learn(reg.Hosts)
 	manager := grants.New(grants.Config{
 		Self: reg.Holder, Holder: gatewayHolder(g.d),
-		Proposer: group{g.d.client}, Asker: gatewayPeers{g}, Recorder: noCopies{},
+		Proposer: group{g.d.client}, Asker: gatewayPeers{g}, Recorder: noTransferRecorder{},
 		PolicyFor: g.policyFor,
 		Log:       g.d.tel.Log, Seed: int64(reg.Holder.Incarnation), Failed: g.d.tasks.fail,
 	})
 	manager.Contact(registered)
 	g.grants.Store(manager)
 	close(g.registered)
-	g.d.tasks.runTrusted("grants", manager.Run)
+	g.d.tasks.runUntilPanic("grants", manager.Run)
 	g.d.tasks.run("learn hosts", g.learnHosts)
 }
 
@@ -314,14 +314,14 @@
 	}
 }
 
-// lacks returns what this host, which has just started, does not know yet: a host that
+// missing returns what this host, which has just started, does not know yet: a host that
 // holds tokens, the requests that crash servers, or a server of one of the table's services.
 // It returns an empty string if nothing is missing.
 //
 // The routing table arrives some milliseconds before the first heartbeats of hosts and
 // servers. A host that became ready at once would reject requests that every other host
 // could serve.
-func (g *gateway) lacks(x *routes.Index) string {
+func (g *gateway) missing(x *routes.Index) string {
 	if g.grants.Load() == nil && len(g.owners.FirstRanked("", 1)) == 0 {
 		return "a host that holds tokens"
 	}
--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -33,16 +33,16 @@
 	return nil
 }
 
-// startGrace is the age of a process up to which its requests wait for its registration. A
+// registrationGrace is the age of a process up to which its requests wait for its registration. A
 // fleet that restarts after a power loss elects a leader within this time. After it, the
 // control group is taken for unreachable and requests are rejected at once.
-const startGrace = 2 * time.Second
+const registrationGrace = 2 * time.Second
 
 // awaitGrants waits for this host's registration while the process starts. A host that has
 // just started has its routing table a moment before its incarnation; without the wait, it
 // would reject requests in between that it could serve.
 func (g *gateway) awaitGrants(ctx context.Context) budgets.Local {
-	ctx, cancel := context.WithDeadline(ctx, procstat.Started.Add(startGrace))
+	ctx, cancel := context.WithDeadline(ctx, procstat.Started.Add(registrationGrace))
 	defer cancel()
 	select {
 	case <-g.registered:
@@ -93,11 +93,11 @@
 	if owner, ok := g.owners.Owner(budgets.Key(budget)); !ok || !owner.Self() {
 		// A backup owner gets only the tokens that each request needs. Tokens that it held in
 		// advance would be open at two hosts, and would be stranded twice.
-		p.Horizon, p.Reserve, p.IdleReturn = 0, 0, strangerReturn
+		p.Horizon, p.Reserve, p.IdleReturn = 0, 0, nonOwnerIdleReturn
 	}
 	return p
 }
 
-// strangerReturn is how soon a host returns unused tokens of a budget that it does not own.
+// nonOwnerIdleReturn is how soon a host returns unused tokens of a budget that it does not own.
 // It got them as a backup owner while the owner was unreachable.
-const strangerReturn = 2 * time.Second
+const nonOwnerIdleReturn = 2 * time.Second
--- a/internal/daemon/gatewaybudgets_test.go
+++ b/internal/daemon/gatewaybudgets_test.go
@@ -10,7 +10,7 @@
 // A budget's owner does not answer for a moment, and the backup owner is asked for tokens. If
 // it held tokens in advance and a reserve as the owner still does, the loss of all hosts would
 // strand the open part of the budget twice.
-func TestOnlyTheOwnerHoldsTokensAhead(t *testing.T) {
+func TestOnlyOwnerHoldsTokensInAdvance(t *testing.T) {
 	self := owners.Host{Name: "a", Incarnation: 1}
 	g := &gateway{owners: owners.New(owners.Config{
 		Self: func() (owners.Host, bool) { return self, true },
--- a/internal/daemon/gatewaydrain.go
+++ b/internal/daemon/gatewaydrain.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// acceptShare is the divisor of the drain timeout that gives the longest time for which a
+	// acceptDivisor is the divisor of the drain timeout that gives the longest time for which a
 	// leaving host accepts requests, from callers that already have its address.
-	acceptShare = 3
-	// returnTime is the part of the drain timeout that is kept to settle the last bills and
+	acceptDivisor = 3
+	// returnReserve is the part of the drain timeout that is kept to settle the last bills and
 	// return the grants. That takes one or two batches of 100 ms.
-	returnTime = time.Second
-	// exitTime is what is left of the drain timeout when the drain gives up: a process that
+	returnReserve = time.Second
+	// exitReserve is what is left of the drain timeout when the drain gives up: a process that
 	// is killed at the end of the timeout may not have written its last log lines.
-	exitTime = 300 * time.Millisecond
+	exitReserve = 300 * time.Millisecond
 )
 
 // drain stops serving callers without cutting off a request. First the directory no longer
@@ -34,12 +34,12 @@
 		return nil
 	}
 	whole := g.d.cfg.Limits.DrainTimeout.Std()
-	end := time.Now().Add(whole - exitTime)
+	end := time.Now().Add(whole - exitReserve)
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	g.requests.CloseAfterAnswers()
-	wait(ctx, min(2*g.d.cfg.Routed.AddressTTL.Std(), whole/acceptShare))
-	streams, cancelStreams := context.WithDeadline(ctx, end.Add(-returnTime))
+	wait(ctx, min(2*g.d.cfg.Routed.AddressTTL.Std(), whole/acceptDivisor))
+	streams, cancelStreams := context.WithDeadline(ctx, end.Add(-returnReserve))
 	defer cancelStreams()
 	err := g.requests.Drain(streams)
 	g.budgets.Drain(ctx)
--- a/internal/daemon/gatewayhosts.go
+++ b/internal/daemon/gatewayhosts.go
@@ -22,9 +22,9 @@
 }
 
 // livePeers returns the peer addresses of all hosts that are not known to be dead.
-func (g *gateway) livePeers() []string { return peerAddresses(g.members.Peers(), isPeer) }
+func (g *gateway) livePeers() []string { return peerAddresses(g.members.Peers(), anyPeer) }
 
-func isPeer(members.PeerInfo) bool { return true }
+func anyPeer(members.PeerInfo) bool { return true }
 
 // peerAddresses returns the peer addresses of the hosts that are not known to be dead and for
 // which holds returns true.
@@ -169,15 +169,15 @@
 	return out
 }
 
-// noCopies implements grants.TransferRecorder for fleets that never free a dead host's
+// noTransferRecorder implements grants.TransferRecorder for fleets that never free a dead host's
 // grants. What such a host held counts as spent, so copies of transfers are not needed.
-type noCopies struct{}
+type noTransferRecorder struct{}
 
 // CopyTransfer does nothing.
-func (noCopies) CopyTransfer(context.Context, *pb.Transfer) error { return nil }
+func (noTransferRecorder) CopyTransfer(context.Context, *pb.Transfer) error { return nil }
 
 // AbandonTransfer does nothing.
-func (noCopies) AbandonTransfer(context.Context, *pb.Transfer) error { return nil }
+func (noTransferRecorder) AbandonTransfer(context.Context, *pb.Transfer) error { return nil }
 
 // TransferSettled does nothing.
-func (noCopies) TransferSettled(*pb.Transfer) {}
+func (noTransferRecorder) TransferSettled(*pb.Transfer) {}
--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -25,21 +25,21 @@
 // maxHeaderBytes is the largest header size that a routing table may allow.
 const maxHeaderBytes = 1 << 20
 
-// bodiesPart is the divisor of the memory limit that gives the bound on buffered request
+// bodiesDivisor is the divisor of the memory limit that gives the bound on buffered request
 // bodies. A body of megabytes takes up to four times its size until it has reached the backend
 // server: the received pieces, the joined body, the request made of it, and garbage of these
 // that is not collected yet. So bodies use up to half of the limit; the other half is for
 // everything else. With 40 callers that sent 4 MB each at once, a process with a limit of
 // 134 MB reached 141 to 175 MB without the bound, and 83 to 98 MB with it.
-const bodiesPart = 8
+const bodiesDivisor = 8
 
-// bodiesBound returns the bound on the bytes of requests that are buffered at once; 0 means
+// maxBodiesBytes returns the bound on the bytes of requests that are buffered at once; 0 means
 // unbounded. It always allows one request of the largest size.
-func bodiesBound(l procconfig.Limits) int64 {
+func maxBodiesBytes(l procconfig.Limits) int64 {
 	if l.MemoryBytes == 0 {
 		return 0
 	}
-	return max(l.MemoryBytes/bodiesPart, l.MaxBodyBytes+maxHeaderBytes)
+	return max(l.MemoryBytes/bodiesDivisor, l.MaxBodyBytes+maxHeaderBytes)
 }
 
 // serve opens the listeners that the settings configure.
@@ -56,7 +56,7 @@
 		g.requests = httpserver.New(httpserver.Config{
 			Name: "requests", Address: r.Requests, Handler: handler, Limits: g.callerLimits,
 			MaxHeaderBytes: maxHeaderBytes, MaxBodyBytes: g.d.cfg.Limits.MaxBodyBytes, Streams: g.d.cfg.Limits.Streams,
-			RequestsPerConnection: max(r.RequestsPerConnection, 0), MaxBodiesBytes: bodiesBound(g.d.cfg.Limits),
+			RequestsPerConnection: max(r.RequestsPerConnection, 0), MaxBodiesBytes: maxBodiesBytes(g.d.cfg.Limits),
 		})
 		if err := g.requests.Start(); err != nil {
 			return errors.Wrap(err, "callers' address")
--- a/internal/daemon/gatewaynews.go
+++ b/internal/daemon/gatewaynews.go
@@ -8,20 +8,20 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// newNews creates the broadcaster of updates about suspects, rate limits, servers that leave
+// newBroadcaster creates the broadcaster of updates about suspects, rate limits, servers that leave
 // and newer routing tables.
-func (g *gateway) newNews() *news.Spreader {
+func (g *gateway) newBroadcaster() *news.Spreader {
 	return news.New(news.Config{
 		Self: g.d.cfg.PeerAddress(), Peers: g.livePeers, Client: g.d.pool.Client,
 		Suspects: g.suspects.HandleUpdates, Limits: g.limits.Merge,
 		Servers: func(states []*pb.ServerState) { g.balancer.Merge(states, backend.TransitUnknown) },
-		Fetch:   g.fetchTold, Log: g.d.tel.Log,
+		Fetch:   g.fetchAdvertised, Log: g.d.tel.Log,
 	})
 }
 
-// fetchTold fetches the routing table that another host notified this one of, if this host
+// fetchAdvertised fetches the routing table that another host notified this one of, if this host
 // serves callers.
-func (g *gateway) fetchTold(ctx context.Context, address string, revision uint64) {
+func (g *gateway) fetchAdvertised(ctx context.Context, address string, revision uint64) {
 	if g.servesCallers() {
 		g.routes.FetchFrom(ctx, address, revision)
 	}
--- a/internal/daemon/gatewaytables.go
+++ b/internal/daemon/gatewaytables.go
@@ -18,24 +18,24 @@
 // second for an answer and then try another host.
 const tableTimeout = 900 * time.Millisecond
 
-// cutOffTimeout bounds such a call while the control group does not answer this host.
-const cutOffTimeout = 250 * time.Millisecond
+// disconnectedTimeout bounds such a call while the control group does not answer this host.
+const disconnectedTimeout = 250 * time.Millisecond
 
-// tablePatience returns the timeout of an operator's call about the routing table.
-func (g *gateway) tablePatience() time.Duration {
+// tableCallTimeout returns the timeout of an operator's call about the routing table.
+func (g *gateway) tableCallTimeout() time.Duration {
 	if g.d.client.LastCallAnswered() {
 		return tableTimeout
 	}
-	return cutOffTimeout
+	return disconnectedTimeout
 }
 
-// elsewhere returns a redirect to a control host when the control group does not answer this
+// redirect returns a redirect to a control host when the control group does not answer this
 // host, and err otherwise.
 //
 // In a partition between gateways and control hosts, most of the hosts that an operator can
 // ask are gateways. Without the redirect they reject the operator's calls one after the other:
 // a raised budget takes effect only after the partition, and a table in force can't be read.
-func (g *gateway) elsewhere(err error) error {
+func (g *gateway) redirect(err error) error {
 	if !errkind.Is(err, errkind.NoQuorum) || g.d.replica != nil {
 		return err
 	}
@@ -72,18 +72,18 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, g.tablePatience())
+	ctx, cancel := context.WithTimeout(ctx, g.tableCallTimeout())
 	defer cancel()
 	res, err := g.d.client.Propose(ctx, &pb.Command{Actor: g.d.cfg.Host, Body: &pb.Command_ReplaceRoutes{ReplaceRoutes: packed}})
 	event := g.d.tel.Log.Info().Str("event", "routes-replaced").Uint64("revision", c.GetRevision())
 	if err != nil {
-		err = g.elsewhere(err)
+		err = g.redirect(err)
 		event.Err(err).Send()
 		return err
 	}
 	event.Bool("changed", res.GetReplaceRoutes().GetChanged()).Uint64("present", res.GetReplaceRoutes().GetRevision()).Send()
 	if res.GetReplaceRoutes().GetChanged() && g.servesCallers() {
-		g.takeReplaced(packed)
+		g.applyReplaced(packed)
 	}
 	return nil
 }
@@ -91,13 +91,13 @@
 // fromOperator is the source in log lines about a routing table that an operator sent.
 const fromOperator = "operator"
 
-// takeReplaced applies a table that the control group has just committed on this host, before
+// applyReplaced applies a table that the control group has just committed on this host, before
 // the operator gets the answer. Other hosts can then fetch it from here, too.
 //
 // If the control hosts were the only source and were lost just after the commit, the operator
 // would have a success answer, while no host that serves callers would have the table until
 // the control group is back.
-func (g *gateway) takeReplaced(packed *pb.ReplaceRoutes) {
+func (g *gateway) applyReplaced(packed *pb.ReplaceRoutes) {
 	g.routes.Apply(fromOperator, &pb.FetchRoutesReply{
 		Routes: &pb.Routes{Revision: packed.GetRevision(), TableJson: packed.GetTableJson()}, Confirmed: true,
 	})
@@ -117,11 +117,11 @@
 
 // Present implements surface.Tables.
 func (g *gateway) Present(ctx context.Context) (*pb.Routes, error) {
-	ctx, cancel := context.WithTimeout(ctx, g.tablePatience())
+	ctx, cancel := context.WithTimeout(ctx, g.tableCallTimeout())
 	defer cancel()
 	res, err := g.d.client.Read(ctx, &pb.Query{Body: &pb.Query_Routes{Routes: &pb.RoutesQuery{}}})
 	if err != nil {
-		return nil, g.elsewhere(err)
+		return nil, g.redirect(err)
 	}
 	if err := wire.DecodeError(res.GetError()); err != nil {
 		return nil, err
--- a/internal/daemon/gatewaytables_test.go
+++ b/internal/daemon/gatewaytables_test.go
@@ -24,18 +24,18 @@
 	g.setSeeds([]string{"10.0.0.4:7340", "10.0.1.4:7340"})
 	cutOff := errkind.New(errkind.NoQuorum, "no leader was found in time")
 	var elsewhere *surface.Redirect
-	if err := g.elsewhere(cutOff); !errors.As(err, &elsewhere) || !slices.Contains([]string{"10.0.0.4:8229", "10.0.1.4:8229"}, elsewhere.Address) {
+	if err := g.redirect(cutOff); !errors.As(err, &elsewhere) || !slices.Contains([]string{"10.0.0.4:8229", "10.0.1.4:8229"}, elsewhere.Address) {
 		t.Errorf("redirected to %v, want a control host", err)
 	}
 	if !errkind.Is(elsewhere, errkind.NoQuorum) {
 		t.Error("the redirect lost the error kind no_quorum")
 	}
 	invalid := errkind.New(errkind.InvalidSettings, "two routes are the same")
-	if err := g.elsewhere(invalid); err != error(invalid) {
+	if err := g.redirect(invalid); err != error(invalid) {
 		t.Errorf("a rejection by the control group became %v", err)
 	}
 	g.d.replica = &control.Replica{}
-	if err := g.elsewhere(cutOff); err != error(cutOff) {
+	if err := g.redirect(cutOff); err != error(cutOff) {
 		t.Errorf("a control host redirects the operator: %v", err)
 	}
 }
--- a/internal/daemon/join.go
+++ b/internal/daemon/join.go
@@ -21,15 +21,15 @@
 // repaired.
 func (d *Daemon) keepInGroup(ctx context.Context) {
 	every(ctx, joinEvery, func() {
-		if d.replica.Joining() || d.removedUnheard(ctx) {
+		if d.replica.Joining() || d.removedWithoutNotice(ctx) {
 			d.joinGroup(ctx)
 		}
 	})
 }
 
-// removedUnheard reports whether the group has removed this replica without the replica having
+// removedWithoutNotice reports whether the group has removed this replica without the replica having
 // been notified: a leader sends nothing to replicas that are not members.
-func (d *Daemon) removedUnheard(ctx context.Context) bool {
+func (d *Daemon) removedWithoutNotice(ctx context.Context) bool {
 	if d.replica.Status().GetLeader() != 0 {
 		return false
 	}
@@ -47,8 +47,8 @@
 	return true
 }
 
-// keepVoters removes lost replicas while this host's replica leads.
-func (d *Daemon) keepVoters(ctx context.Context) {
+// reconcileVoters removes lost replicas while this host's replica leads.
+func (d *Daemon) reconcileVoters(ctx context.Context) {
 	controller := voters.New(voters.Config{Group: d.replica, Enough: d.cfg.Control.EnoughVoters(), Log: d.tel.Log})
 	every(ctx, votersEvery, func() {
 		changeCtx, cancel := context.WithTimeout(ctx, membersTimeout)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -20,11 +20,11 @@
 	attempts expvar.Map
 	endings  expvar.Map
 	refused  expvar.Map
-	// early counts server answers that began before the whole request was sent.
-	early expvar.Int
-	// first has the time to the first byte of a server's answer, took the duration of the
+	// earlyAnswers counts server answers that began before the whole request was sent.
+	earlyAnswers expvar.Int
+	// firstByte has the time to the firstByte byte of a server's answer, took the duration of the
 	// whole request, both by kind of route.
-	first map[string]*telemetry.Histogram
+	firstByte map[string]*telemetry.Histogram
 	took  map[string]*telemetry.Histogram
 	vars  expvar.Map
 }
@@ -33,15 +33,15 @@
 var kindNames = []string{"idempotent", "non_idempotent", "stream"}
 
 func newRoutedMetrics() *routedMetrics {
-	m := &routedMetrics{first: map[string]*telemetry.Histogram{}, took: map[string]*telemetry.Histogram{}}
+	m := &routedMetrics{firstByte: map[string]*telemetry.Histogram{}, took: map[string]*telemetry.Histogram{}}
 	m.vars.Set("requests", &m.byRoute)
 	m.vars.Set("attempts", &m.attempts)
 	m.vars.Set("endings", &m.endings)
 	m.vars.Set("refused", &m.refused)
-	m.vars.Set("early_answers", &m.early)
+	m.vars.Set("early_answers", &m.earlyAnswers)
 	for _, kind := range kindNames {
-		m.first[kind], m.took[kind] = telemetry.NewHistogram(), telemetry.NewHistogram()
-		m.vars.Set("first_byte_"+kind, m.first[kind])
+		m.firstByte[kind], m.took[kind] = telemetry.NewHistogram(), telemetry.NewHistogram()
+		m.vars.Set("first_byte_"+kind, m.firstByte[kind])
 		m.vars.Set("took_"+kind, m.took[kind])
 	}
 	return m
@@ -64,9 +64,9 @@
 	for _, a := range x.Attempts {
 		m.attempts.Add(string(a.Cause), 1)
 		if a.Early {
-			m.early.Add(1)
+			m.earlyAnswers.Add(1)
 		}
-		if h := m.first[kind]; h != nil && a.FirstByte > 0 {
+		if h := m.firstByte[kind]; h != nil && a.FirstByte > 0 {
 			h.Observe(a.FirstByte)
 		}
 	}
--- a/internal/daemon/outcomes.go
+++ b/internal/daemon/outcomes.go
@@ -24,7 +24,7 @@
 	o.next.Record(c, status, err)
 	outcome, refusal := outcomeOf(c, err), errkind.From(err)
 	o.count(c, outcome, refusal)
-	o.write(c, outcome, status, refusal)
+	o.logCall(c, outcome, status, refusal)
 }
 
 func (o outcomes) count(c *filter.Call, outcome telemetry.RequestOutcome, refusal *errkind.Error) {
@@ -36,11 +36,11 @@
 	if c.TakenOver {
 		o.metrics.Takeovers.Add(1)
 	}
-	o.observeAdded(c)
+	o.observeOverhead(c)
 }
 
-// write logs the call as one event.
-func (o outcomes) write(c *filter.Call, outcome telemetry.RequestOutcome, status int, refusal *errkind.Error) {
+// logCall logs the call as one event.
+func (o outcomes) logCall(c *filter.Call, outcome telemetry.RequestOutcome, status int, refusal *errkind.Error) {
 	event := o.log.Info().Str("event", "request").Str("request", c.ID).Str("outcome", string(outcome)).Int("status", status).
 		Str("account", c.AccountName).Str("team", c.TeamName).Uint64("revision", c.Revision).Int("attempts", c.Attempts).
 		Uint64("prompt", c.Usage.Prompt).Uint64("output", c.Usage.Output).Dur("took", time.Since(c.Arrived))
@@ -53,8 +53,8 @@
 	event.Send()
 }
 
-// observeAdded records the time between the arrival of a call and its first attempt.
-func (o outcomes) observeAdded(c *filter.Call) {
+// observeOverhead records the time between the arrival of a call and its first attempt.
+func (o outcomes) observeOverhead(c *filter.Call) {
 	for _, n := range c.Notes {
 		if n.Step == route.Step {
 			o.metrics.FirstTokenAdded.Observe(n.At.Sub(c.Arrived))
@@ -74,11 +74,11 @@
 		return telemetry.OutcomeCallerGone
 	case e.Kind == errkind.DeadlineExceeded && e.Ran() != errkind.RanNo:
 		return telemetry.OutcomeLate
-	case e.Status() >= statusFault && e.Ran() != errkind.RanNo:
+	case e.Status() >= minServerFault && e.Ran() != errkind.RanNo:
 		return telemetry.OutcomeFailed
 	}
 	return telemetry.OutcomeRefused
 }
 
-// statusFault is the lowest HTTP status for a fault of the service and not of the request.
-const statusFault = 500
+// minServerFault is the lowest HTTP status for a fault of the service and not of the request.
+const minServerFault = 500
--- a/internal/daemon/register.go
+++ b/internal/daemon/register.go
@@ -55,14 +55,14 @@
 		return nil, errors.Wrap(err, "register this host")
 	}
 	d.tel.Log.Info().Str("event", "registered").Uint64("incarnation", res.GetHolder().GetIncarnation()).Send()
-	d.tellFormerRun(res.GetFormer())
+	d.logFormerRun(res.GetFormer())
 	return res, nil
 }
 
-// tellFormerRun logs what this host's former incarnation still held of each budget. What was
+// logFormerRun logs what this host's former incarnation still held of each budget. What was
 // not freed counts as spent from now on. These lines explain why a budget that seems to have
 // tokens left is exhausted.
-func (d *Daemon) tellFormerRun(former *pb.FormerRun) {
+func (d *Daemon) logFormerRun(former *pb.FormerRun) {
 	for _, g := range former.GetGrants() {
 		stranded := g.GetOpen() + g.GetReserve() - g.GetFreed()
 		d.tel.Log.Info().Str("event", "former-run").Str("budget", g.GetBudget()).Uint64("incarnation", former.GetIncarnation()).
--- a/internal/daemon/repair.go
+++ b/internal/daemon/repair.go
@@ -19,14 +19,14 @@
 	repairEvery = 2 * time.Second
 	// repairTimeout bounds one search with its recoveries.
 	repairTimeout = 30 * time.Second
-	// usageWait bounds the queries to backend servers about the usage of one request.
-	usageWait = 300 * time.Millisecond
-	// maxAsked bounds the concurrent queries to servers.
-	maxAsked = 64
+	// usageTimeout bounds the queries to backend servers about the usage of one request.
+	usageTimeout = 300 * time.Millisecond
+	// maxConcurrentQueries bounds the concurrent queries to servers.
+	maxConcurrentQueries = 64
 )
 
-// serveRepair starts the controllers of model placement and of the recovery of failed hosts.
-func (e *entry) serveRepair(t *tasks) {
+// startRepair starts the controllers of model placement and of the recovery of failed hosts.
+func (e *entry) startRepair(t *tasks) {
 	if e.d.replica != nil {
 		t.run("placement", e.placement.Run)
 	}
@@ -40,7 +40,7 @@
 		EngineUsage: engineUsage(e.client, e.serverAddresses), Log: e.d.tel.Log,
 	})
 	every(ctx, repairEvery, func() {
-		if !e.repairs() {
+		if !e.isRepairer() {
 			return
 		}
 		lookCtx, cancel := context.WithTimeout(ctx, repairTimeout)
@@ -60,10 +60,10 @@
 	return out
 }
 
-// repairs reports whether this host is the first by name among the live hosts in its view.
+// isRepairer reports whether this host is the first by name among the live hosts in its view.
 // Two hosts with different views may both repair. Recovery is idempotent, so this check only
 // saves work.
-func (e *entry) repairs() bool {
+func (e *entry) isRepairer() bool {
 	if e.leaving.Load() {
 		return false
 	}
@@ -91,8 +91,8 @@
 	return client.Gather(ctx, req)
 }
 
-// maxAttemptsAsked bounds the attempts of a request for which all servers are queried.
-const maxAttemptsAsked = 3
+// maxAttemptsQueried bounds the attempts of a request for which all servers are queried.
+const maxAttemptsQueried = 3
 
 // engineUsage returns a function that asks for the token usage of a request whose host is
 // dead: at the backend server of its record, or at all servers if the record has none.
@@ -102,11 +102,11 @@
 // at once what the request has used.
 func engineUsage(client *engineclient.Client, servers func() []string) func(context.Context, *pb.InflightRecord) (uint64, uint64, bool) {
 	return func(ctx context.Context, rec *pb.InflightRecord) (prompt, output uint64, known bool) {
-		ctx, cancel := context.WithTimeout(ctx, usageWait)
+		ctx, cancel := context.WithTimeout(ctx, usageTimeout)
 		defer cancel()
 		var usage *engineclient.Usage
 		if rec.GetServer() == "" {
-			usage = usageAnywhere(ctx, client, servers(), rec.GetRequestId())
+			usage = usageAtAnyServer(ctx, client, servers(), rec.GetRequestId())
 		} else {
 			usage = client.FinalUsage(ctx, rec.GetServer(), rec.GetEngineRequestId())
 		}
@@ -117,16 +117,16 @@
 	}
 }
 
-// usageAnywhere queries all servers for the attempts of a request and returns the usage of the
+// usageAtAnyServer queries all servers for the attempts of a request and returns the usage of the
 // last attempt that a server has finished; nil if there is none.
-func usageAnywhere(ctx context.Context, client *engineclient.Client, servers []string, requestID string) *engineclient.Usage {
+func usageAtAnyServer(ctx context.Context, client *engineclient.Client, servers []string, requestID string) *engineclient.Usage {
 	var mu sync.Mutex
 	var found *engineclient.Usage
 	last := 0
 	var asked errgroup.Group
-	asked.SetLimit(maxAsked)
+	asked.SetLimit(maxConcurrentQueries)
 	for _, server := range servers {
-		for attempt := 1; attempt <= maxAttemptsAsked; attempt++ {
+		for attempt := 1; attempt <= maxAttemptsQueried; attempt++ {
 			asked.Go(func() error {
 				usage := client.FinalUsage(ctx, server, route.AttemptID(requestID, attempt))
 				mu.Lock()
--- a/internal/daemon/sight.go
+++ b/internal/daemon/sight.go
@@ -13,16 +13,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/procstat"
 )
 
-// outliveLogReader ignores SIGPIPE, so that a write to a log whose reader has exited only
+// ignoreBrokenPipe ignores SIGPIPE, so that a write to a log whose reader has exited only
 // fails.
 //
 // Otherwise, when the reader of the process's standard output restarts, Go ends the process
 // by SIGPIPE at its next log line. All requests of the host are cut off, at once on all hosts
 // that use the same machine image, and no log shows the reason.
-func outliveLogReader() { signal.Ignore(syscall.SIGPIPE) }
+func ignoreBrokenPipe() { signal.Ignore(syscall.SIGPIPE) }
 
-// watchSelf publishes metrics of this process's resource usage and pauses.
-func (d *Daemon) watchSelf() {
+// watchProcess publishes metrics of this process's resource usage and pauses.
+func (d *Daemon) watchProcess() {
 	d.watch = procstat.NewWatch(d.cfg.Timing.Heartbeat.Std(), d.tel.Log)
 	d.tel.Metrics.Set("process", expvar.Func(func() any { return procstat.Read() }))
 	d.tel.Metrics.Set("stood_still", expvar.Func(func() any { return d.watch.Stood() }))
@@ -65,9 +65,9 @@
 	return 0
 }
 
-// logEnd records and logs how this process ends. This is the last log line of a process that
+// logExit records and logs how this process ends. This is the last log line of a process that
 // exits by itself.
-func (d *Daemon) logEnd(err error) {
+func (d *Daemon) logExit(err error) {
 	d.lastRun.End(err)
 	event := d.tel.Log.Info()
 	if err != nil {
--- a/internal/daemon/sight_test.go
+++ b/internal/daemon/sight_test.go
@@ -11,20 +11,20 @@
 // brokenPipeVariable is set for a child process that writes to a closed standard output.
 const brokenPipeVariable = "DAEMON_BROKEN_PIPE"
 
-// wroteOn is the exit code of a child process that survived its writes.
-const wroteOn = 7
+// exitSurvived is the exit code of a child process that survived its writes.
+const exitSurvived = 7
 
 func TestMain(m *testing.M) {
 	if os.Getenv(brokenPipeVariable) == "" {
 		os.Exit(m.Run())
 	}
-	outliveLogReader()
+	ignoreBrokenPipe()
 	for range 3 {
 		if _, err := os.Stdout.WriteString("a line\n"); !errors.Is(err, syscall.EPIPE) {
 			os.Exit(exitFailed)
 		}
 	}
-	os.Exit(wroteOn)
+	os.Exit(exitSurvived)
 }
 
 // Go ends a process by SIGPIPE if it writes to a closed standard output. When the reader of the
@@ -41,7 +41,7 @@
 	cmd.Env, cmd.Stdout = append(os.Environ(), brokenPipeVariable+"=1"), w
 	err = cmd.Run()
 	var exit *exec.ExitError
-	if !errors.As(err, &exit) || exit.ExitCode() != wroteOn {
+	if !errors.As(err, &exit) || exit.ExitCode() != exitSurvived {
 		t.Errorf("the process ended with %v", err)
 	}
 }
--- a/internal/daemon/suspects.go
+++ b/internal/daemon/suspects.go
@@ -35,16 +35,16 @@
 	return quarantinectl.File{FS: d.files(), Dir: d.cfg.DataDir}
 }
 
-// newSuspects creates the quarantine guard of a gateway.
-func (g *gateway) newSuspects() *quarantinectl.Guard {
+// newQuarantine creates the quarantine guard of a gateway.
+func (g *gateway) newQuarantine() *quarantinectl.Guard {
 	return g.d.newGuard(quarantinectl.Config{
 		Incarnation: g.run, Owners: g.owners, Peers: g.sourceAddresses, Responds: g.client.Answers,
 		Broadcast: func(s *pb.Suspect) { g.news.Suspect(s) },
 	})
 }
 
-// makeSuspects creates the quarantine guard of an entry host and the broadcaster of its updates.
-func (e *entry) makeSuspects() {
+// makeQuarantine creates the quarantine guard of an entry host and the broadcaster of its updates.
+func (e *entry) makeQuarantine() {
 	e.suspects = e.d.newGuard(quarantinectl.Config{
 		Incarnation: newRun(e.d.cfg.Host), Owners: e.owners, Peers: e.relayAddresses, Responds: e.client.Answers,
 		Broadcast: func(s *pb.Suspect) { e.news.Suspect(s) },
@@ -62,4 +62,4 @@
 }
 
 // livePeers returns the peer addresses of all hosts that are not known to be dead.
-func (e *entry) livePeers() []string { return peerAddresses(e.members.Peers(), isPeer) }
+func (e *entry) livePeers() []string { return peerAddresses(e.members.Peers(), anyPeer) }
--- a/internal/daemon/tasks.go
+++ b/internal/daemon/tasks.go
@@ -54,10 +54,10 @@
 	})
 }
 
-// runTrusted starts a loop that is not restarted after a panic: the process then shuts down
+// runUntilPanic starts a loop that is not restarted after a panic: the process then shuts down
 // gracefully. It accepts no further requests, finishes those that it has, and is restarted
 // with a consistent state.
-func (t *tasks) runTrusted(name string, loop func(context.Context)) {
+func (t *tasks) runUntilPanic(name string, loop func(context.Context)) {
 	t.wg.Go(func() {
 		if !t.try(name, loop) {
 			t.fail(errors.Errorf("%s panicked", name))
--- a/internal/daemon/tasks_test.go
+++ b/internal/daemon/tasks_test.go
@@ -59,7 +59,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ts := newTasks(zerolog.Nop())
 		var starts atomic.Int64
-		ts.runTrusted("grants", func(context.Context) {
+		ts.runUntilPanic("grants", func(context.Context) {
 			starts.Add(1)
 			panic("half a change")
 		})
--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,4 +1,4 @@
-// Package defaults fills in what a configuration leaves out.
+// Package defaults sets the defaults of values that a configuration leaves out.
 package defaults
 
 // Set replaces *p by value if *p is the zero value of its type.
--- a/internal/devfleet/devfleet_test.go
+++ b/internal/devfleet/devfleet_test.go
@@ -81,11 +81,11 @@
 		t.Fatal(err)
 	}
 	for want, o := range map[string]Options{
-		"not empty":        {Dir: used, Hosts: 1, Controls: 1, Zones: []string{"x"}},
-		"0 hosts":          {Dir: t.TempDir(), Controls: 1, Zones: []string{"x"}},
-		"2 control":        {Dir: t.TempDir(), Hosts: 1, Controls: 2, Zones: []string{"x"}},
-		"at least one":     {Dir: t.TempDir(), Hosts: 1, Controls: 1},
-		`"x y" is no name`: {Dir: t.TempDir(), Hosts: 1, Controls: 1, Zones: []string{"x y"}},
+		"not empty":                 {Dir: used, Hosts: 1, Controls: 1, Zones: []string{"x"}},
+		"0 hosts":                   {Dir: t.TempDir(), Controls: 1, Zones: []string{"x"}},
+		"2 control":                 {Dir: t.TempDir(), Hosts: 1, Controls: 2, Zones: []string{"x"}},
+		"at least one":              {Dir: t.TempDir(), Hosts: 1, Controls: 1},
+		`"x y" is not a valid name`: {Dir: t.TempDir(), Hosts: 1, Controls: 1, Zones: []string{"x y"}},
 	} {
 		if _, err := Init(o); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q, got %v", want, err)
--- a/internal/jsonobject/jsonobject.go
+++ b/internal/jsonobject/jsonobject.go
@@ -1,5 +1,5 @@
-// Package jsonobject takes a JSON object apart without losing what encoding/json
-// passes over: the order of its keys, and keys that stand twice.
+// Package jsonobject splits a JSON object into its members. Unlike encoding/json, it keeps the
+// order of the keys and repeated keys.
 package jsonobject
 
 import (
@@ -9,14 +9,13 @@
 	"github.com/pkg/errors"
 )
 
-// Member is one key of an object, with its value as written.
+// Member is one key of an object with its raw value.
 type Member struct {
 	Key   string
 	Value json.RawMessage
 }
 
-// Members returns the members of the object raw in the order in which they stand,
-// repeated keys included.
+// Members returns the members of the object raw in their order, including repeated keys.
 func Members(raw json.RawMessage) ([]Member, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	start, err := d.Token()
@@ -27,11 +26,11 @@
 	for d.More() {
 		key, err := d.Token()
 		if err != nil {
-			return nil, errors.Wrap(err, "not JSON")
+			return nil, errors.Wrap(err, "invalid JSON")
 		}
 		m := Member{Key: key.(string)}
 		if err := d.Decode(&m.Value); err != nil {
-			return nil, errors.Wrap(err, "not JSON")
+			return nil, errors.Wrap(err, "invalid JSON")
 		}
 		out = append(out, m)
 	}
--- a/internal/lastrun/lastrun.go
+++ b/internal/lastrun/lastrun.go
@@ -1,13 +1,13 @@
-// Package lastrun tells a process how its run before ended. A run notes in the data folder that
-// it began, and in what way it ended; Go writes there what ends a process against its will.
+// Package lastrun reports how the previous run of a process ended. A run records in the data
+// folder that it started and how it ended, and the Go runtime writes its crash output there.
 //
-// What goes wrong without it: a process that was started again looks as if nothing had
-// happened. Who asks why a host's requests ended at one moment has to find the end of its log
-// before, and a kill leaves none there.
+// Without it, a restarted process looks as if nothing had happened. To find out why all requests
+// of a host ended at once, an operator would have to find the end of the previous run's log, and
+// a killed process leaves no line there.
 //
-// A process without a data folder can't know: what it leaves behind is gone. There the log
-// before counts: one that does not end with event=ended ended against its will, and Go's
-// own words on a panic or a fatal error stand on standard error.
+// A process without a data folder can't report its previous run. There, the log of that run has
+// to be read: if it does not end with event=ended, the process crashed or was killed. The Go
+// runtime's message about a panic or a fatal error is on standard error.
 package lastrun
 
 import (
@@ -27,42 +27,42 @@
 )
 
 const (
-	// maxCrash is how much of Go's words on a crash is read again: the cause and the stack
-	// of the goroutine that met it stand first.
+	// maxCrash is how many bytes of the crash output are read: it begins with the cause and the
+	// stack of the goroutine that crashed.
 	maxCrash = 4 << 10
-	// closeWait is how long the end of a process waits for its disk.
+	// closeWait bounds the wait of a process that exits for its disk.
 	closeWait = 200 * time.Millisecond
 	fileMode  = 0o640
 )
 
-// Ended says how a run ended.
+// Ended is how a run ended.
 type Ended string
 
-// The ends.
+// The ways in which a run can end.
 const (
-	// Unknown: there is no note of a run before.
+	// Unknown means that there is no record of a previous run.
 	Unknown Ended = "unknown"
-	// InOrder: it was told to stop, and did.
+	// InOrder means that the run was requested to stop, and stopped cleanly.
 	InOrder Ended = "in order"
-	// Fault: it ended itself over an error; Report.Detail names it.
+	// Fault means that the run exited because of an error, which is in Report.Detail.
 	Fault Ended = "fault"
-	// Crash: the Go runtime ended it; Report.Detail holds its words.
+	// Crash means that the Go runtime ended the run; Report.Detail has its crash output.
 	Crash Ended = "crash"
-	// Silent: it left no word. It was killed, its machine lost power, or it passed its
-	// memory limit.
+	// Silent means that the run recorded no end: it was killed, its machine lost power, or it
+	// exceeded its memory limit.
 	Silent Ended = "silent"
 )
 
-// Report is what is known of the run before.
+// Report describes the previous run.
 type Report struct {
 	Ended Ended
-	// Started is when it began, by its machine's clock.
+	// Started is when the run started, by the machine's wall clock.
 	Started time.Time
 	Version string
 	Detail  string
 }
 
-// note is what a run leaves in the data folder.
+// note is the record of a run in the data folder.
 type note struct {
 	Version string    `json:"version"`
 	Started time.Time `json:"started"`
@@ -70,19 +70,19 @@
 	Detail  string    `json:"detail,omitempty"`
 }
 
-// Run is the present run. The zero value keeps no notes.
+// Run is the current run. The zero value records nothing.
 type Run struct {
 	dir  string
 	note note
 }
 
-// Begin reads how the run before ended and notes that this one began. An error leaves the
-// process without notes of its own; the report is what could be read.
+// Begin reads how the previous run ended and records that this one started. After an error this
+// run is not recorded or has no crash output; the report is still valid.
 func Begin(dir, version string, now time.Time) (*Run, Report, error) {
 	report := before(dir)
 	r := &Run{dir: dir, note: note{Version: version, Started: now}}
 	if err := os.MkdirAll(dir, 0o750); err != nil {
-		return &Run{}, report, errors.Wrap(err, "note of this run")
+		return &Run{}, report, errors.Wrap(err, "record of this run")
 	}
 	if err := r.write(); err != nil {
 		return &Run{}, report, err
@@ -90,7 +90,7 @@
 	return r, report, r.keepCrash()
 }
 
-// before reads what the run before has left.
+// before reads the record and the crash output of the previous run.
 func before(dir string) Report {
 	text, err := os.ReadFile(filepath.Join(dir, noteFile))
 	if err != nil {
@@ -98,7 +98,7 @@
 	}
 	var n note
 	if json.Unmarshal(text, &n) != nil {
-		return Report{Ended: Silent} // it ended before it had written its note whole
+		return Report{Ended: Silent} // the run ended while it wrote its record
 	}
 	report := Report{Ended: n.Ended, Started: n.Started, Version: n.Version, Detail: n.Detail}
 	if crash := head(filepath.Join(dir, crashFile)); crash != "" {
@@ -110,7 +110,7 @@
 	return report
 }
 
-// head is the beginning of a file; empty if there is none.
+// head returns the beginning of a file; empty if there is no file.
 func head(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
@@ -118,11 +118,11 @@
 	}
 	defer func() { _ = f.Close() }()
 	buf := make([]byte, maxCrash)
-	n, _ := f.Read(buf) // an error leaves nothing to tell
+	n, _ := f.Read(buf) // after an error there is nothing to report
 	return string(buf[:n])
 }
 
-// keepCrash has Go write what ends this process to the data folder as well.
+// keepCrash makes the Go runtime write its crash output also to the data folder.
 func (r *Run) keepCrash() error {
 	f, err := os.OpenFile(filepath.Join(r.dir, crashFile), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -132,7 +132,8 @@
 	return errors.Wrap(debug.SetCrashOutput(f, debug.CrashOptions{}), "crash file")
 }
 
-// End notes how this run ends: in order if err is nil. A disk that hangs is not waited for.
+// End records how this run ends: cleanly if err is nil. It does not wait long for a disk that
+// hangs.
 func (r *Run) End(err error) {
 	if r.dir == "" {
 		return
@@ -144,7 +145,7 @@
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		_ = r.write() // the next run then takes the end for a silent one
+		_ = r.write() // after an error the next run reports Silent
 	}()
 	select {
 	case <-written:
@@ -155,12 +156,12 @@
 func (r *Run) write() error {
 	text, err := json.Marshal(r.note)
 	if err != nil {
-		return errors.Wrap(err, "note of this run")
+		return errors.Wrap(err, "record of this run")
 	}
 	path := filepath.Join(r.dir, noteFile)
 	next := path + ".next"
 	if err := os.WriteFile(next, text, fileMode); err != nil {
-		return errors.Wrap(err, "note of this run")
+		return errors.Wrap(err, "record of this run")
 	}
-	return errors.Wrap(os.Rename(next, path), "note of this run")
+	return errors.Wrap(os.Rename(next, path), "record of this run")
 }
--- a/internal/lastrun/lastrun_test.go
+++ b/internal/lastrun/lastrun_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// folderVariable names the data folder of a process that endVariable tells how to end.
+// Environment variables of a child process: its data folder, and how it must end.
 const (
 	folderVariable = "LASTRUN_FOLDER"
 	endVariable    = "LASTRUN_END"
 )
 
-// TestMain is also the program of the processes that end.
+// TestMain is also the program of the child processes.
 func TestMain(m *testing.M) {
 	if os.Getenv(folderVariable) == "" {
 		os.Exit(m.Run())
@@ -42,7 +42,7 @@
 	os.Exit(0)
 }
 
-// crowd has the runtime find two writers of a map. It never returns.
+// crowd makes the runtime detect concurrent writes to a map. It never returns.
 func crowd() {
 	m := map[int]int{}
 	for range 4 {
@@ -55,10 +55,8 @@
 	select {}
 }
 
-// Symptom: a host's requests ended at one moment; its log after that begins as if nothing had
-// happened.
-// Sequence: the process ends and is started again.
-// Cause: nothing that the run before left is read.
+// When all requests of a host end at once, the log of the restarted process must show how the
+// previous run ended.
 func TestNextRunKnowsHowThisOneEnded(t *testing.T) {
 	for _, c := range []struct {
 		end    string
@@ -68,7 +66,8 @@
 		{"in order", InOrder, ""},
 		{"fault", Fault, "the replica stopped"},
 		{"panic", Crash, "index out of range"},
-		// The runtime writes the line "fatal error: ..." to standard error only.
+		// The runtime writes the line "fatal error: ..." to standard error only, so the stack
+		// is checked.
 		{"concurrent map writes", Crash, "maps.fatal"},
 		{"killed", Silent, ""},
 	} {
@@ -76,17 +75,17 @@
 			dir := filepath.Join(t.TempDir(), "data")
 			cmd := exec.Command(os.Args[0])
 			cmd.Env = append(os.Environ(), folderVariable+"="+dir, endVariable+"="+c.end)
-			_ = cmd.Run() // most of them fail
+			_ = cmd.Run() // most of the processes fail
 			run, report, err := Begin(dir, "v2", time.Now())
 			if err != nil {
 				t.Fatal(err)
 			}
 			if report.Ended != c.want || !strings.Contains(report.Detail, c.detail) || report.Version != "v1" {
-				t.Errorf("the run before is told as %+v, want %s: %s", report, c.want, c.detail)
+				t.Errorf("the previous run is reported as %+v, want %s: %s", report, c.want, c.detail)
 			}
 			run.End(nil)
 			if _, again, _ := Begin(dir, "v3", time.Now()); again.Ended != InOrder {
-				t.Errorf("the crash before it is told of an orderly run: %+v", again)
+				t.Errorf("a clean run is reported with the end of the run before it: %+v", again)
 			}
 		})
 	}
@@ -94,23 +93,24 @@
 
 func TestNoRunBefore(t *testing.T) {
 	if _, report, err := Begin(t.TempDir(), "v1", time.Now()); err != nil || report.Ended != Unknown {
-		t.Errorf("told %+v, %v", report, err)
+		t.Errorf("reported %+v, %v, want Unknown", report, err)
 	}
 }
 
-// Sequence: a process is killed while it writes its note, or its disk refuses that.
+// A record that is incomplete because the process was killed, or that can't be written, must not
+// keep a process from starting or stopping.
 func TestFaultyNotesStopNobody(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, noteFile), []byte(`{"ver`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, report, err := Begin(dir, "v1", time.Now()); err != nil || report.Ended != Silent {
-		t.Errorf("told %+v, %v", report, err)
+		t.Errorf("reported %+v, %v, want Silent", report, err)
 	}
 	file := filepath.Join(dir, noteFile)
-	run, report, err := Begin(file, "v1", time.Now()) // a folder that can't be one
+	run, report, err := Begin(file, "v1", time.Now()) // a file in place of the folder
 	if err == nil || report.Ended != Unknown {
-		t.Errorf("told %+v, %v", report, err)
+		t.Errorf("reported %+v, %v, want Unknown and an error", report, err)
 	}
 	run.End(nil)
 }
--- a/internal/logreport/line.go
+++ b/internal/logreport/line.go
@@ -1,6 +1,6 @@
-// Package logreport tells from the logs of a fleet's hosts how a request ended and what its
-// host was going through then. It reads what package telemetry writes, lines of key=value
-// pairs, and needs no host: it works on the logs of a fleet that is down.
+// Package logreport reports from the logs of a fleet's hosts how a request ended and what
+// happened on its host around that time. It reads the lines of key=value pairs that package
+// telemetry writes. It needs no running host, so it works on the logs of a fleet that is down.
 package logreport
 
 import (
@@ -11,10 +11,11 @@
 
 // Line is one event of a host's log.
 type Line struct {
-	// Time as the line has it, to the second.
+	// Time is the time of the line, to the second.
 	Time time.Time `json:"time"`
-	// Host that wrote it, and Event that it tells of; empty: the line names none.
-	Host  string `json:"host"`
+	// Host is the host that wrote the line; empty if the line has no host.
+	Host string `json:"host"`
+	// Event is the name of the event; empty if the line has none.
 	Event string `json:"event"`
 	// Fields are all pairs, in the line's order.
 	Fields []Field `json:"fields"`
@@ -26,7 +27,7 @@
 	Value string `json:"value"`
 }
 
-// Get is the value of a key; empty if the line does not have it.
+// Get returns the value of a key; empty if the line does not have it.
 func (l Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -36,8 +37,8 @@
 	return ""
 }
 
-// Parse reads a line. Words that are no pairs, as collectors of logs put in front, are left
-// out; ok is false if there are no pairs at all.
+// Parse parses a line. It skips words that are not pairs, such as the prefixes that log
+// collectors add. ok is false if the line has no pairs.
 func Parse(text string) (l Line, ok bool) {
 	for text = strings.TrimSpace(text); text != ""; text = strings.TrimLeft(text, " ") {
 		var f Field
@@ -53,13 +54,13 @@
 		case "event":
 			l.Event = f.Value
 		case "time":
-			l.Time, _ = time.Parse(time.RFC3339, f.Value) // one that is not readable stays zero and sorts first
+			l.Time, _ = time.Parse(time.RFC3339, f.Value) // an invalid time stays zero and sorts first
 		}
 	}
 	return l, len(l.Fields) > 0
 }
 
-// cutPair cuts the first word off a line; pair is false if it is none.
+// cutPair splits off the first word of a line; pair is false if it is not a key=value pair.
 func cutPair(text string) (f Field, rest string, pair bool) {
 	end := strings.IndexAny(text, " =")
 	if end <= 0 || text[end] == ' ' {
@@ -69,7 +70,7 @@
 	f.Key, text = text[:end], text[end+1:]
 	if strings.HasPrefix(text, `"`) {
 		if quoted, err := strconv.QuotedPrefix(text); err == nil {
-			f.Value, _ = strconv.Unquote(quoted) // QuotedPrefix has read it
+			f.Value, _ = strconv.Unquote(quoted) // can't fail: QuotedPrefix has accepted it
 			return f, text[len(quoted):], true
 		}
 	}
--- a/internal/logreport/report.go
+++ b/internal/logreport/report.go
@@ -12,36 +12,37 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// Report is what logs tell of a request.
+// Report describes a request from the logs.
 type Report struct {
-	// Request holds the lines that name the request, of all hosts.
+	// Request has the lines of all hosts about the request.
 	Request []Line `json:"request"`
-	// Around holds what the hosts of these lines, and the control group, told of themselves
-	// near them, in the order of time.
+	// Around has the lines about the state of the hosts of these lines and of the control
+	// group near the times of these lines, ordered by time.
 	Around []Line `json:"around"`
-	// Dropped counts lines that would stand in Around and are older than those there.
+	// Dropped counts the oldest lines that were left out of Around because of its bound.
 	Dropped int `json:"dropped,omitempty"`
-	// Reading says, for a request that was not served, what its kind of error means and which
-	// lines tell why; empty if there is nothing to add.
+	// Reading explains, for a request that was not served, what its kind of error means and
+	// which lines show the cause; empty if there is nothing to add.
 	Reading string `json:"reading,omitempty"`
 }
 
 const (
-	// before and after are how far from a request's line the lines around it may be: changes of
-	// leader, starts and lost servers act within a few seconds. A line stands at the request's
-	// end, so time is left for the longest usual request besides.
+	// before and after bound the time between a request's line and the lines around it.
+	// Changes of leader, starts and lost servers take effect within a few seconds. A request's
+	// line is written at its end, so before also covers the duration of the longest usual
+	// request.
 	before = 15 * time.Second
 	after  = 2 * time.Second
 	// maxAround bounds the lines around a request.
 	maxAround = 200
-	// maxLine bounds a line; those of a request have about one kilobyte.
+	// maxLine bounds a line in bytes; a request's line has about one kilobyte.
 	maxLine = 1 << 20
 )
 
-// ErrNotFound says that no log has a line of the request.
+// ErrNotFound is returned if no log has a line of the request.
 var ErrNotFound = errors.New("no log has a line of this request; search the host that the caller used for its start, stop and connection-closed")
 
-// aroundEvents are the events that say what a host believed or went through.
+// aroundEvents are the events about the state of a host and its view of the fleet.
 var aroundEvents = []string{
 	"starting", "run-before", "serving", "leaving", "left", "ended", "stood-still", "memory-high", "panic-recovered", "handler-panicked",
 	"registered", "not-registered", "ledger-lost", "ledger-regained", "settle-unanswered", "tokens-granted", "transfer-given", "transfer-received",
@@ -49,29 +50,29 @@
 	"peer-health", "server-lost", "server-paused", "connection-closed",
 }
 
-// groupEvents are told by control hosts, and matter to all.
+// groupEvents are events of control hosts that concern all hosts.
 var groupEvents = []string{
 	"replica-opened", "replica-caught-up", "replica-stopped", "became-leader", "became-follower", "leader-known", "leader-lost", "disk-slow",
 }
 
-// readings tells what to look for by the kind of the request's error.
+// readings explains what to look for, by the kind of the request's error.
 var readings = map[errkind.Kind]string{
-	errkind.UnknownPath:         "the table named by revision does not have the route, and was confirmed table_confirmed_ago ms before; compare with the revision of routes-replaced",
-	errkind.Unauthenticated:     "no account has the key by the settings of revision, confirmed table_confirmed_ago ms before; compare with the revision of routes-replaced",
-	errkind.HostNotReady:        "the host could not tell whether it has the newest settings, or had just started: see starting, table-served, leader-known (without: ms without a leader), replica-caught-up",
+	errkind.UnknownPath:         "the routing table of this revision does not have the route, and was confirmed table_confirmed_ago ms before; compare with the revision of routes-replaced",
+	errkind.Unauthenticated:     "no account has the key in the settings of this revision, which were confirmed table_confirmed_ago ms before; compare with the revision of routes-replaced",
+	errkind.HostNotReady:        "the host could not confirm that it has the newest settings, or had just started; see starting, table-served, leader-known (without: ms without a leader), replica-caught-up",
 	errkind.BudgetExhausted:     "the ledger had nothing left to grant; see tokens-granted of the account, and hosts that died with tokens (peer-health)",
-	errkind.BudgetUnreachable:   "the host had too few tokens and no word from the ledger; see ledger-lost, leader-lost and leader-known, peer-health of the control hosts",
-	errkind.NoBackendServer:     "no server of the service was left to choose; see server-lost and starting",
-	errkind.BackendServerFailed: "the server did not answer as it should; outcome and detail tell how, server-lost whether other requests met the same",
-	errkind.DeadlineExceeded:    "the time ran out: compare took with ran; where they differ the time went before the attempt (settle-unanswered, ledger-lost, stood-still)",
-	errkind.Overloaded:          "refused for load: a server's, or this host's link; count request lines by host and account",
+	errkind.BudgetUnreachable:   "the host had too few tokens and could not reach the ledger; see ledger-lost, leader-lost and leader-known, peer-health of the control hosts",
+	errkind.NoBackendServer:     "no server of the service was available; see server-lost and starting",
+	errkind.BackendServerFailed: "the server failed or gave an invalid answer; see outcome and detail for how, and server-lost for whether other requests failed there too",
+	errkind.DeadlineExceeded:    "the deadline passed; compare took with ran: if they differ, the time was spent before the attempt (settle-unanswered, ledger-lost, stood-still)",
+	errkind.Overloaded:          "the servers or this host's link were overloaded; count request lines by host and account",
 	errkind.HostLeaving:         "the host was shutting down; see leaving",
 	errkind.CallerGone:          "the caller closed its connection first",
-	errkind.Internal:            "a fault of this program or a connection that this host closed; see connection-closed, handler-panicked, ended",
+	errkind.Internal:            "a fault of this program, or a connection that this host closed; see connection-closed, handler-panicked, ended",
 }
 
-// Make reads the logs and reports on a request. open returns each log in turn, and is called
-// twice for each: logs are not held in memory.
+// Make reads the logs and reports on a request. open opens the log with index i. It is called
+// twice for each log, so that logs are not held in memory.
 func Make(id string, logs int, open func(i int) (io.ReadCloser, error)) (*Report, error) {
 	r := &Report{}
 	err := each(logs, open, func(l Line) {
@@ -100,7 +101,7 @@
 	return r, nil
 }
 
-// add takes a line into Around, and drops the oldest now and then.
+// add adds a line to Around, and trims Around when it has twice the allowed lines.
 func (r *Report) add(l Line) {
 	r.Around = append(r.Around, l)
 	if len(r.Around) >= 2*maxAround {
@@ -108,7 +109,8 @@
 	}
 }
 
-// trim leaves the newest lines in Around: what ended a request stands near its end.
+// trim keeps the newest lines of Around, since the cause of a failure is logged near the end
+// of the request.
 func (r *Report) trim() {
 	slices.SortStableFunc(r.Around, byTime)
 	if over := len(r.Around) - maxAround; over > 0 {
@@ -117,8 +119,8 @@
 	}
 }
 
-// near tells whether a line is one of those around the request's. Lines of another account's
-// budget are not.
+// near reports whether a line belongs into Around. Lines about the budget of another account
+// do not.
 func (r *Report) near(l Line) bool {
 	group := slices.Contains(groupEvents, l.Event)
 	if !group && !slices.Contains(aroundEvents, l.Event) {
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// String is the line without what stands in front of every line's event.
+// String returns the pairs of the line without level, host, zone, event and time.
 func (l Line) String() string {
 	var b strings.Builder
 	for _, f := range l.Fields {
--- a/internal/logreport/report_test.go
+++ b/internal/logreport/report_test.go
@@ -46,13 +46,13 @@
 		t.Errorf("reading: %q", r.Reading)
 	}
 	if text := r.Around[2].String(); text != "term=3 without=2100" {
-		t.Errorf("a line reads %q", text)
+		t.Errorf("a line is formatted as %q", text)
 	}
 }
 
 func TestRequestThatNoLogHas(t *testing.T) {
 	if _, err := Make("none", 1, opener(gatewayLog)); !errors.Is(err, ErrNotFound) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want ErrNotFound", err)
 	}
 }
 
@@ -61,6 +61,6 @@
 	r, err := Make("abc", 1, opener(log))
 	testutil.NoError(t, err)
 	if len(r.Around) != maxAround || r.Dropped != 9*maxAround+2 || r.Around[0].Event != "stood-still" {
-		t.Errorf("%d lines around, from %s, %d dropped", len(r.Around), r.Around[0].Event, r.Dropped)
+		t.Errorf("%d lines around, the first of event %s, %d dropped", len(r.Around), r.Around[0].Event, r.Dropped)
 	}
 }
--- a/internal/panics/panics_test.go
+++ b/internal/panics/panics_test.go
@@ -9,9 +9,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Symptom: all requests of a host end at one moment, and its log doesn't say why.
-// Sequence: a goroutine that does some work beside the requests panics.
-// Cause: nobody recovers the panic, so the process ends.
+// If a panic in a background goroutine were not recovered, the process would end with all its
+// requests, and its log would not show the reason.
 func TestPanicEndsItsGoroutineOnly(t *testing.T) {
 	var out bytes.Buffer
 	log := zerolog.New(&out)
@@ -23,11 +22,11 @@
 	})
 	work.Wait()
 	if got := recovered.Value() - before; got != 1 {
-		t.Errorf("%d panics counted", got)
+		t.Errorf("%d panics counted, want 1", got)
 	}
 	for _, want := range []string{`"event":"panic-recovered"`, `"in":"sending news"`, "index out of range", "panics.faulty"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in %s", want, out.String())
+			t.Errorf("the log does not contain %q: %s", want, out.String())
 		}
 	}
 }
@@ -43,6 +42,6 @@
 		defer Log(zerolog.New(&out), "quiet")
 	}()
 	if out.Len() > 0 {
-		t.Errorf("logged %s", out.String())
+		t.Errorf("logged without a panic: %s", out.String())
 	}
 }
--- a/internal/procconfig/check.go
+++ b/internal/procconfig/check.go
@@ -14,7 +14,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Bounds of values that a process could not run with.
+// Bounds on values; a process could not run with values outside of them.
 const (
 	minTick          = 10 * time.Millisecond
 	maxTick          = 5 * time.Second
@@ -33,14 +33,14 @@
 	hashBytes               = 32
 )
 
-// namePattern is the rule for names in the settings tree. A letter with a detached
-// accent doesn't match it: two zones would look the same and differ.
+// namePattern is the rule for names in the settings tree. A letter with a combining accent
+// doesn't match it: two zones could look the same and differ.
 var namePattern = regexp.MustCompile(`^[\pL\p{Nd}][\pL\p{Nd}._-]*$`)
 
 var logLevels = []string{"debug", "info", "warn", "error"}
 
 // Check returns every fault in the values of c, in the order of the fields; none
-// when a process can start with them. It reads no files.
+// if a process can start with them. It reads no files.
 func (c *Config) Check() []Fault {
 	k := &checker{}
 	k.name("/fleet", c.Fleet)
@@ -62,7 +62,7 @@
 	return k.faults
 }
 
-// checker gathers faults.
+// checker collects faults.
 type checker struct{ faults []Fault }
 
 func (k *checker) fault(path, format string, args ...any) {
@@ -75,11 +75,11 @@
 		return
 	}
 	if len(v) > maxNameBytes || !namePattern.MatchString(v) {
-		k.fault(path, "%q is no name; it has 1 to %d bytes: letters, digits and . _ - after the first", v, maxNameBytes)
+		k.fault(path, "%q is not a valid name; a name must have 1 to %d bytes: letters and digits, and . _ - after the first character", v, maxNameBytes)
 	}
 }
 
-// address checks an "ip:port" that other hosts are told.
+// address checks an "ip:port" that is advertised to other hosts.
 func (k *checker) address(path, v string) {
 	if v == "" {
 		k.fault(path, "is required")
@@ -88,15 +88,15 @@
 	a, err := netip.ParseAddrPort(v)
 	switch {
 	case err != nil:
-		k.fault(path, `%q is no address; write "ip:port" with an IP number`, v)
+		k.fault(path, `%q is not an address; write "ip:port" with an IP number`, v)
 	case a.Addr().IsUnspecified():
-		k.fault(path, "%q can't be told to others; write the host's own IP number", v)
+		k.fault(path, "%q can't be advertised to others; write the host's own IP number", v)
 	case a.Addr().IsMulticast():
 		k.fault(path, "%q is a multicast address", v)
 	case a.Port() == 0:
-		k.fault(path, "%q has port 0, which others can't be told", v)
+		k.fault(path, "%q has port 0, which can't be advertised to others", v)
 	case a.String() != v:
-		k.fault(path, "%q is not in the usual form; write %q", v, a)
+		k.fault(path, "%q is not in canonical form; write %q", v, a)
 	}
 }
 
@@ -113,14 +113,14 @@
 	for i, r := range c.Roles {
 		path := fmt.Sprintf("/roles/%d", i)
 		if r != RoleEntry && r != RoleControl && r != RoleGateway {
-			k.fault(path, `%q is no role; use "entry", "gateway" or "control"`, r)
+			k.fault(path, `%q is not a role; use "entry", "gateway" or "control"`, r)
 		}
 		if slices.Contains(c.Roles[:i], r) {
-			k.fault(path, "%q stands twice", r)
+			k.fault(path, "%q occurs twice", r)
 		}
 	}
 	if c.Has(RoleEntry) && c.Has(RoleGateway) {
-		k.fault("/roles", "a process is an entry or a gateway, not both")
+		k.fault("/roles", `a process can't have both roles "entry" and "gateway"`)
 	}
 }
 
@@ -130,7 +130,7 @@
 	case c.Has(RoleEntry):
 		k.address("/listen/callers", l.Callers)
 	case l.Callers != "":
-		k.fault("/listen/callers", "this process has no role entry and serves no callers")
+		k.fault("/listen/callers", "must not be set without the role entry: the process serves no callers")
 	}
 	k.address("/listen/operators", l.Operators)
 	k.address("/listen/peers", l.Peers)
@@ -138,7 +138,7 @@
 		k.address("/listen/peers_advertised", l.PeersAdvertised)
 	}
 	if _, err := netip.ParseAddr(l.Source); l.Source != "" && err != nil {
-		k.fault("/listen/source", "%q is no IP number", l.Source)
+		k.fault("/listen/source", "%q is not an IP number", l.Source)
 	}
 	seen := map[string]string{}
 	k.once(seen, "/listen/callers", l.Callers)
@@ -146,24 +146,24 @@
 	k.once(seen, "/listen/peers", l.Peers)
 }
 
-// once refuses a value that stands at an earlier path already.
+// once reports a value that already occurs at an earlier path.
 func (k *checker) once(seen map[string]string, path, v string) {
 	if v == "" {
 		return
 	}
 	if first, ok := seen[v]; ok {
-		k.fault(path, "%s stands at %s already", v, first)
+		k.fault(path, "%s already occurs at %s", v, first)
 		return
 	}
 	seen[v] = path
 }
 
-// dataDir refuses a relative folder: a process started from another working
-// directory would find an empty one and take its replica for new.
+// dataDir rejects a relative path: a process started from another working directory would
+// find an empty folder and take its replica for a new one.
 func (k *checker) dataDir(c *Config) {
 	switch {
 	case !c.Has(RoleControl) && c.DataDir != "":
-		k.fault("/data_dir", "this process has no role control and keeps nothing on disk")
+		k.fault("/data_dir", "must not be set without the role control: the process stores nothing on disk")
 	case c.Has(RoleControl) && c.DataDir == "":
 		k.fault("/data_dir", "is required with the role control")
 	case c.DataDir != "" && !filepath.IsAbs(c.DataDir):
@@ -191,7 +191,7 @@
 	}
 	k.self(c)
 	if c.Control.Losses < 0 {
-		k.fault("/control/losses", "%d is no number of replicas", c.Control.Losses)
+		k.fault("/control/losses", "%d is not a number of replicas; use 0 or more", c.Control.Losses)
 	}
 	k.duration("/control/tick", c.Control.Tick, minTick, maxTick)
 	if n := c.Control.ElectionTicks; n < minElectionTicks || n > maxElectionTicks {
@@ -202,12 +202,12 @@
 	}
 }
 
-// self checks that role and membership agree: a replica that the group doesn't know
-// would never be sent a log, and a member without the role would never answer.
+// self checks that the role and the membership agree: a replica that is not a member would
+// never receive the log, and a member without the role would never answer.
 func (k *checker) self(c *Config) {
 	_, isMember := c.Self()
 	if len(c.Control.Members) == 0 {
-		return // found by seeds
+		return // the group is formed by seeds
 	}
 	switch {
 	case c.Has(RoleControl) && !isMember && len(c.Control.Members) > 0:
@@ -221,8 +221,8 @@
 	}
 }
 
-// hostAddress refuses an address for this host, or a second one for a control
-// member, that differs from where the host listens.
+// hostAddress rejects an address for this host that is not its peer address, and this host's
+// peer address for another host.
 func (k *checker) hostAddress(c *Config, path, host, address string) {
 	if host == c.Host && address != c.PeerAddress() {
 		k.fault(path, "%s is not listen.peers of this host, %s", address, c.PeerAddress())
@@ -253,7 +253,7 @@
 	for i, m := range c.Control.Members {
 		sameHost, sameAddress := m.Host == p.Host, m.Address == p.Address
 		if sameHost != sameAddress {
-			k.fault(path, "host and address disagree with /control/members/%d", i)
+			k.fault(path, "host and address do not match those of /control/members/%d", i)
 		}
 	}
 }
@@ -267,14 +267,14 @@
 		k.once(seen, path, seed)
 	}
 	if len(c.Seeds) > 0 && len(c.Control.Members) > 0 {
-		k.fault("/seeds", "give seeds or /control/members, not both")
+		k.fault("/seeds", "only one of /seeds and /control/members may be set")
 	}
 	if c.Control.Bootstrap && len(c.Seeds) == 0 {
-		k.fault("/control/bootstrap", "only with /seeds")
+		k.fault("/control/bootstrap", "is allowed only with /seeds")
 	}
 }
 
-// routed checks how the process serves by a routing table.
+// routed checks the settings for serving by a routing table.
 func (k *checker) routed(c *Config) {
 	r := c.Routed
 	if r == nil {
@@ -284,7 +284,7 @@
 		return
 	}
 	if c.Has(RoleEntry) {
-		k.fault("/routed", "a process with the role entry serves no routing table")
+		k.fault("/routed", "must not be set with the role entry")
 	}
 	if c.Has(RoleGateway) || r.Requests != "" {
 		k.address("/routed/requests", r.Requests)
@@ -311,7 +311,7 @@
 		k.fault("/routed/retry/share", "%g is out of range; use 0 to 1", r.Retry.Share)
 	}
 	if r.Retry.Extra < 0 || r.Retry.Window < 0 {
-		k.fault("/routed/retry", "neither window nor extra can be below zero")
+		k.fault("/routed/retry", "neither window nor extra may be below zero")
 	}
 }
 
@@ -343,8 +343,8 @@
 		path := fmt.Sprintf("/operator_key_hashes/%d", i)
 		b, err := hex.DecodeString(h)
 		if err != nil || len(b) != hashBytes || strings.ToLower(h) != h {
-			// The value is not repeated: someone may have put a key here.
-			k.fault(path, "is no SHA-256 hash in lower-case hex (%d digits)", 2*hashBytes)
+			// The message does not repeat the value, which may be a secret key.
+			k.fault(path, "is not a SHA-256 hash in lower-case hex (%d digits)", 2*hashBytes)
 			continue
 		}
 		k.once(seen, path, h)
@@ -353,7 +353,7 @@
 
 func (k *checker) log(l Log) {
 	if !slices.Contains(logLevels, l.Level) {
-		k.fault("/log/level", "%q is no level; use %s", l.Level, strings.Join(logLevels, ", "))
+		k.fault("/log/level", "%q is not a log level; use %s", l.Level, strings.Join(logLevels, ", "))
 	}
 }
 
@@ -362,11 +362,11 @@
 		return
 	}
 	if t.File != "" {
-		k.fault("/trace", "give otlp_url or file, not both")
+		k.fault("/trace", "only one of otlp_url and file may be set")
 	}
 	u, err := url.Parse(t.OTLPURL)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		k.fault("/trace/otlp_url", "%q is no http or https URL", t.OTLPURL)
+		k.fault("/trace/otlp_url", "%q is not an http or https URL", t.OTLPURL)
 	}
 }
 
--- a/internal/procconfig/config.go
+++ b/internal/procconfig/config.go
@@ -1,11 +1,10 @@
-// Package procconfig is the settings file of one bluebellsaild process: its typed
-// form, its defaults and the checks that it passes before the process starts. What
-// holds for the whole fleet stands in the settings tree (package settings) instead.
+// Package procconfig defines the settings file of one bluebellsaild process: its types,
+// its defaults and the checks that it must pass before the process starts. Settings of the
+// whole fleet are in the settings tree (package settings) instead.
 //
-// The file is JSON. The comments of the fields below are its reference. Every key
-// that is not listed here is refused, so that a misspelt key is never taken for an
-// absent one. Durations are strings with a unit, such as "500ms". Addresses are
-// "ip:port" with an IP number, never a name.
+// The file is JSON. The comments of the fields below are its reference. Unknown keys are
+// rejected, so that a misspelled key is never taken for an absent one. Durations are strings
+// with a unit, such as "500ms". Addresses are "ip:port" with an IP number, never a name.
 package procconfig
 
 import (
@@ -16,7 +15,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Role is one job of a process.
+// Role is a role of a process.
 type Role string
 
 // The roles.
@@ -25,82 +24,83 @@
 	RoleEntry Role = "entry"
 	// RoleControl runs a replica of the control group and needs a disk.
 	RoleControl Role = "control"
-	// RoleGateway serves callers by the routing table: requests pass on to services as
-	// they are. A process has this role or RoleEntry, not both.
+	// RoleGateway serves callers by the routing table: requests are forwarded to services
+	// unchanged. A process has this role or RoleEntry, not both.
 	RoleGateway Role = "gateway"
 )
 
 // Config is the whole settings file.
 type Config struct {
 	// Fleet is the fleet's name, the same on all its hosts. Ids of replicas are derived
-	// from it. It keeps no other fleet's processes out; certificates do. Required.
+	// from it. It does not keep processes of other fleets out; certificates do. Required.
 	Fleet string `json:"fleet"`
 	// Host is this host's name, unique in the fleet. Required.
 	Host string `json:"host"`
-	// Zone is the availability zone that this host stands in. Required.
+	// Zone is the availability zone of this host. Required.
 	Zone string `json:"zone"`
 	// Roles of this process: "control", and "entry" or "gateway". Required.
 	Roles []Role `json:"roles"`
 	// Listen has the addresses that this process serves.
 	Listen Listen `json:"listen"`
 	// DataDir is the absolute path of the folder for the replica's log and snapshots.
-	// Required with the role control and refused without it.
+	// Required with the role control and rejected without it.
 	DataDir string `json:"data_dir,omitempty"`
-	// Control names the control group's replicas. Required on every host, except that
-	// seeds may stand in for its members.
+	// Control configures the control group. Required on every host, except that seeds may
+	// replace its list of members.
 	Control Control `json:"control"`
-	// Seeds are addresses of hosts of the fleet, for hosts that are told no list of
-	// members: the others are learned from them. Only the IP number of each counts; every
+	// Seeds are addresses of hosts of the fleet, for hosts without a list of members: the
+	// other hosts are discovered from them. Only the IP number of each is used; every
 	// host of such a fleet has its peer address at the same port. They may be replaced
 	// while the process runs. Default: none.
 	Seeds []string `json:"seeds,omitempty"`
-	// Routed says how the process takes part in a fleet that serves by a routing table;
-	// required with the role gateway.
+	// Routed has the settings of a process in a fleet that serves by a routing table.
+	// Required with the role gateway.
 	Routed *Routed `json:"routed,omitempty"`
-	// Peers are hosts to contact first; the others are learned from them. The list may
-	// name this host too, so that one list fits all files. Default: none.
+	// Peers are hosts to contact first; the other hosts are discovered from them. The list
+	// may include this host, so that all hosts can have the same list. Default: none.
 	Peers []Peer `json:"peers,omitempty"`
 	// TLS has the certificates; absent: plain TCP. See docs/OPERATIONS.md.
 	TLS TLS `json:"tls,omitzero"`
-	// OperatorKeyHashes are SHA-256 hashes, in lower-case hex, of keys that operators
-	// may use before and beside those in the settings tree. Default: none.
+	// OperatorKeyHashes are SHA-256 hashes, in lower-case hex, of operators' keys. They are
+	// valid in addition to those in the settings tree, and before the tree exists.
+	// Default: none.
 	OperatorKeyHashes []string `json:"operator_key_hashes,omitempty"`
-	// Log says where events go.
+	// Log configures the event log.
 	Log Log `json:"log,omitzero"`
-	// Trace says where spans go; absent: nowhere.
+	// Trace configures the export of spans; absent: no spans.
 	Trace Trace `json:"trace,omitzero"`
-	// Limits bounds what this process takes on.
+	// Limits bounds the resources and the load of this process.
 	Limits Limits `json:"limits,omitzero"`
 	// Timing has the periods and timeouts between hosts.
 	Timing Timing `json:"timing,omitzero"`
 }
 
-// Listen has the addresses that a process serves. They are told to callers and
-// peers, so neither 0.0.0.0 nor port 0 will do.
+// Listen has the addresses that a process serves. They are advertised to callers and
+// peers, so neither 0.0.0.0 nor port 0 is allowed.
 type Listen struct {
 	// Callers is the address for callers and for announcements of backend servers.
-	// Required with the role entry and refused without it.
+	// Required with the role entry and rejected without it.
 	Callers string `json:"callers,omitempty"`
 	// Operators is the address of the operators' API. Required.
 	Operators string `json:"operators"`
 	// Peers is the address for the fleet's other processes. Required.
 	Peers string `json:"peers"`
-	// PeersAdvertised is the address that they are told in place of Peers, for hosts behind
-	// a forwarder. Absent: Peers.
+	// PeersAdvertised is the address that is advertised to them in place of Peers, for hosts
+	// behind a forwarder. Absent: Peers.
 	PeersAdvertised string `json:"peers_advertised,omitempty"`
-	// Source is the IP number from which this process opens connections to other hosts and
-	// to backend servers, on machines that have several. Absent: the system's choice.
+	// Source is the source IP number of this process's connections to other hosts and to
+	// backend servers, for machines that have several. Absent: chosen by the system.
 	Source string `json:"source,omitempty"`
 }
 
-// Control names the control group.
+// Control configures the control group.
 type Control struct {
 	// Members are the replicas that the group was founded with or, on a host that
-	// joins, those it has now. Required. With the role control one member must be this
+	// joins, its current ones. Required. With the role control one member must be this
 	// host, with the address of listen.peers.
 	Members []Member `json:"members"`
-	// Bootstrap tells that the fleet starts for the first time: replicas whose own address
-	// is among the seeds found the control group. Others, and all later ones, join it.
+	// Bootstrap declares that the fleet starts for the first time: replicas whose own address
+	// is among the seeds found the control group. Other replicas, and all later ones, join it.
 	// Only with seeds. Default false.
 	Bootstrap bool `json:"bootstrap,omitempty"`
 	// Join starts this host's replica empty and without a vote, until an operator adds
@@ -108,73 +108,76 @@
 	// not a founding one and for one whose disk was lost. Default false.
 	Join bool `json:"join,omitempty"`
 	// ManualRepair leaves it to operators to add a replica that joins, or whose disk was
-	// lost, to the group. Default false: the replica takes its place by itself.
+	// lost, to the group. Default false: the replica joins the group automatically.
 	ManualRepair bool `json:"manual_repair,omitempty"`
-	// Losses is how many replicas may be lost at once; a lost one is removed from a group
-	// that was found by seeds once enough others answer. Default 1.
+	// Losses is how many replicas may be lost at once. A lost replica is removed from a group
+	// that was formed by seeds once enough others answer. Default 1.
 	Losses int `json:"losses,omitempty"`
 	// Tick is the period of the consensus clock, 10ms to 5s; default 50ms.
 	Tick settings.Duration `json:"tick,omitempty"`
-	// ElectionTicks without word from a leader start an election, 5 to 200; default 10. A
-	// leader's lease lasts four fifths of one tick less, and a round of heartbeats begins every
-	// two ticks, so with 10 ticks of 50ms answers may take 250ms, with 8 150ms and with 6 100ms.
-	// Replicas on hosts with a tenth of a processor stand still for as long as the last: with 6,
-	// 8 and 10 ticks they had 30, 7 and 4 leaders in a minute in which settings changed often,
-	// three of these after restarts. With 10 the next leader comes 0.5 to 1s after a loss, with
-	// 8 after 0.4 to 0.8s.
+	// ElectionTicks is the number of ticks without a message from a leader after which an
+	// election starts, 5 to 200; default 10. A leader's lease lasts four fifths of one tick
+	// less, and a round of heartbeats begins every two ticks. So answers may take 250ms with
+	// 10 ticks of 50ms, 150ms with 8 and 100ms with 6. Replicas on hosts with a tenth of a
+	// processor pause for up to 100ms: with 6, 8 and 10 ticks they had 30, 7 and 4 leaders in
+	// a minute in which settings changed often, three of these after restarts. After the loss
+	// of a leader, the next one is elected within 0.5 to 1s with 10 ticks, and within 0.4 to
+	// 0.8s with 8.
 	ElectionTicks int `json:"election_ticks,omitempty"`
 	// MaxLogBytes is the size of the log at which a snapshot is taken and the log
 	// truncated, at least 65536; default 64 MiB.
 	MaxLogBytes int64 `json:"max_log_bytes,omitempty"`
 }
 
-// EnoughVoters is how many voters bear Losses: a majority of them outlives these.
+// EnoughVoters returns how many voters the group needs so that a majority of them survives
+// Losses.
 func (c Control) EnoughVoters() int { return 2*max(c.Losses, 1) + 1 }
 
 // Member is one replica of the control group.
 type Member struct {
-	// ID of the replica, 1 or more. An id is never used again after its disk is lost.
+	// ID of the replica, 1 or more. An id must not be used again after its disk is lost.
 	ID uint64 `json:"id"`
-	// Host that the replica runs on.
+	// Host is the name of the host that the replica runs on.
 	Host string `json:"host"`
 	// Address is the host's listen.peers.
 	Address string `json:"address"`
 }
 
-// Routed is the part of a fleet that serves by a routing table. Each address is served
-// if it is given.
+// Routed has the settings of a process in a fleet that serves by a routing table. Each address
+// is served only if it is set.
 type Routed struct {
 	// Requests is the address for callers' requests.
 	Requests string `json:"requests,omitempty"`
-	// RequestsAdvertised is the address that callers are told in place of Requests, for
-	// hosts behind a forwarder. Absent: Requests.
+	// RequestsAdvertised is the address that is advertised to callers in place of Requests,
+	// for hosts behind a forwarder. Absent: Requests.
 	RequestsAdvertised string `json:"requests_advertised,omitempty"`
-	// Readiness is the address that tells whether this host takes requests.
+	// Readiness is the address of the readiness check: whether this host accepts requests.
 	Readiness string `json:"readiness,omitempty"`
 	// Registry is the address for backend servers' announcements and for the operator of
 	// the routing table.
 	Registry string `json:"registry,omitempty"`
-	// Directory is the address that tells callers where to send requests.
+	// Directory is the address at which callers ask which hosts to send requests to.
 	Directory string `json:"directory,omitempty"`
 	// Metrics is the address that serves counters and histograms.
 	Metrics string `json:"metrics,omitempty"`
-	// AddressTTL is how long callers may keep an answer of the directory; default 2s.
+	// AddressTTL is how long callers may cache an answer of the directory; default 2s.
 	AddressTTL settings.Duration `json:"address_ttl,omitempty"`
-	// RequestsPerConnection is after how many requests callers are told to connect anew, so
-	// that they spread over the hosts; default 24, -1: never.
+	// RequestsPerConnection is the number of requests after which a caller's connection is
+	// closed, so that callers spread over the hosts; default 24, -1: no bound.
 	RequestsPerConnection int64 `json:"requests_per_connection,omitempty"`
 	// Retry bounds attempts beyond the first, over the whole fleet.
 	Retry RoutedRetry `json:"retry,omitzero"`
 }
 
-// RoutedRetry bounds the attempts beyond the first that a whole fleet makes for one
-// service, in any span of Window: at most Share of its requests plus Extra.
+// RoutedRetry bounds the retries that a whole fleet makes for one service in any time window
+// of length Window: at most Share of the requests of the window plus Extra.
 type RoutedRetry struct {
-	// Window is the span; default 10s.
+	// Window is the length of the time window; default 10s.
 	Window settings.Duration `json:"window,omitempty"`
-	// Share of the requests of the span, 0 to 1; default 0.1.
+	// Share is the share of the requests of the window, 0 to 1; default 0.1.
 	Share float64 `json:"share,omitempty"`
-	// Extra attempts of the span that all hosts share; default 10.
+	// Extra is the number of additional retries in the window for all hosts together;
+	// default 10.
 	Extra int `json:"extra,omitempty"`
 }
 
@@ -182,18 +185,18 @@
 type Peer struct {
 	// Host is the peer's name.
 	Host string `json:"host"`
-	// Zone is the availability zone that the peer stands in.
+	// Zone is the availability zone of the peer.
 	Zone string `json:"zone"`
 	// Address is the peer's listen.peers.
 	Address string `json:"address"`
 }
 
-// TLS has the certificate files of each listener. Files are read again when they
+// TLS has the certificate files of each listener. Files are reloaded when they
 // change, without a restart.
 type TLS struct {
-	// Callers is the server certificate towards callers; absent: plain HTTP.
+	// Callers is the server certificate for callers; absent: plain HTTP.
 	Callers *KeyPair `json:"callers,omitempty"`
-	// Operators is the server certificate towards operators; absent: plain HTTP.
+	// Operators is the server certificate for operators; absent: plain HTTP.
 	Operators *KeyPair `json:"operators,omitempty"`
 	// Peers is the certificate for mutual TLS between the fleet's processes; absent: plain TCP.
 	Peers *MutualKeyPair `json:"peers,omitempty"`
@@ -207,25 +210,27 @@
 	Key string `json:"key"`
 }
 
-// MutualKeyPair is a certificate, its key and the authority that peers must show.
+// MutualKeyPair is a certificate, its key and the authorities that may sign peers'
+// certificates.
 type MutualKeyPair struct {
 	// Cert is the path of a PEM file with the certificate and its chain.
 	Cert string `json:"cert"`
 	// Key is the path of a PEM file with the private key.
 	Key string `json:"key"`
-	// CA is the path of a PEM file with the authorities whose certificates peers may show.
+	// CA is the path of a PEM file with the authorities that may sign peers' certificates.
 	CA string `json:"ca"`
 }
 
-// Log says where events go.
+// Log configures the event log.
 type Log struct {
-	// Level is the least level written: "debug", "info", "warn" or "error"; default "info".
+	// Level is the lowest level written: "debug", "info", "warn" or "error"; default "info".
 	Level string `json:"level,omitempty"`
-	// File is the path that events are appended to; absent: standard error.
+	// File is the path that events are appended to; absent: standard output with Routed, else
+	// standard error.
 	File string `json:"file,omitempty"`
 }
 
-// Trace says where spans go. At most one of the two may be given.
+// Trace configures the export of spans. At most one of the two may be set.
 type Trace struct {
 	// OTLPURL is the http or https URL of an OpenTelemetry collector.
 	OTLPURL string `json:"otlp_url,omitempty"`
@@ -233,23 +238,23 @@
 	File string `json:"file,omitempty"`
 }
 
-// Limits bounds what one process takes on.
+// Limits bounds the resources and the load of one process.
 type Limits struct {
 	// MaxBodyBytes bounds a request body, 1024 to 256 MiB; default 4 MiB. The settings
 	// tree may bound it further.
 	MaxBodyBytes int64 `json:"max_body_bytes,omitempty"`
 	// Streams bounds the requests in flight on this host, at least 1; default 4096.
 	Streams int `json:"streams,omitempty"`
-	// MemoryBytes is the memory that the process may use, 0: no bound of its own. The
-	// garbage collector keeps below it.
+	// MemoryBytes is the memory that the process may use; 0: no bound. The garbage collector
+	// keeps the process below it where it can.
 	MemoryBytes int64 `json:"memory_bytes,omitempty"`
 	// Processors is how many processors the process uses at once; 0: all.
 	Processors int `json:"processors,omitempty"`
-	// LinkMbps is what the host's link carries in each direction, in megabits a second; 0:
-	// no bound. Requests that it has no room for are refused.
+	// LinkMbps is the bandwidth of the host's link in each direction, in megabits per second;
+	// 0: no bound. Requests that would exceed it are rejected.
 	LinkMbps float64 `json:"link_mbps,omitempty"`
-	// DrainTimeout bounds a graceful shutdown: the time that callers keep addresses and
-	// the rest of the streams in flight. 1s to 1h; default 2m.
+	// DrainTimeout bounds a graceful shutdown: the time for which callers cache addresses, and
+	// the wait for the streams in flight. 1s to 1h; default 2m.
 	DrainTimeout settings.Duration `json:"drain_timeout,omitempty"`
 }
 
@@ -264,8 +269,8 @@
 	// suspect_after; default 10s.
 	DeadAfter settings.Duration `json:"dead_after,omitempty"`
 	// ServerLapse is the silence of a backend server's announcements after which it
-	// gets no new work, 500ms to 2s; default 1.5s. More than 2s would break the promise
-	// that a server which has left gets nothing new after two seconds.
+	// gets no new work, 500ms to 2s; default 1.5s. It can't be longer, since a server that has
+	// left must not get new work after two seconds.
 	ServerLapse settings.Duration `json:"server_lapse,omitempty"`
 	// SettleEvery is the longest wait before bills are sent to the ledger, 10ms to 10s;
 	// default 200ms.
@@ -287,8 +292,8 @@
 	defaultServerLapse   = settings.Duration(1500 * time.Millisecond)
 	defaultSettleEvery   = settings.Duration(200 * time.Millisecond)
 	defaultRoutedTTL     = settings.Duration(2 * time.Second)
-	// defaultRequestsPerConnection has a caller of one request a second choose anew twice a
-	// minute; a new connection costs it one round trip.
+	// defaultRequestsPerConnection makes a caller that sends one request per second choose a
+	// host again about twice a minute; each new connection costs one round trip.
 	defaultRequestsPerConnection = 24
 )
 
@@ -309,7 +314,7 @@
 	}
 }
 
-// Has tells whether the process has role r.
+// Has reports whether the process has role r.
 func (c *Config) Has(r Role) bool { return slices.Contains(c.Roles, r) }
 
 // Self returns the control group's member on this host, if there is one.
@@ -322,7 +327,7 @@
 	return Member{}, false
 }
 
-// PeerAddress is where the fleet's other processes reach this one.
+// PeerAddress returns the address at which the fleet's other processes reach this one.
 func (c *Config) PeerAddress() string {
 	if c.Listen.PeersAdvertised != "" {
 		return c.Listen.PeersAdvertised
@@ -330,7 +335,7 @@
 	return c.Listen.Peers
 }
 
-// CallerAddress is where callers of a gateway reach it.
+// CallerAddress returns the address at which callers reach a gateway.
 func (r *Routed) CallerAddress() string {
 	if r.RequestsAdvertised != "" {
 		return r.RequestsAdvertised
@@ -338,7 +343,7 @@
 	return r.Requests
 }
 
-// SeedPeers are the peer addresses of the seeds, without this host's own.
+// SeedPeers returns the peer addresses of the seeds, without this host's own.
 func (c *Config) SeedPeers() []string {
 	var out []string
 	for _, seed := range c.Seeds {
@@ -349,14 +354,14 @@
 	return out
 }
 
-// peerAddressOf is the peer address of the host that an address is of.
+// peerAddressOf returns the peer address of the host with the IP number of address.
 func (c *Config) peerAddressOf(address string) string {
 	ip, _, _ := net.SplitHostPort(address)
 	_, port, _ := net.SplitHostPort(c.PeerAddress())
 	return net.JoinHostPort(ip, port)
 }
 
-// Founders are the peer addresses of the replicas that found the control group; empty
+// Founders returns the peer addresses of the replicas that found the control group; empty
 // unless this host is one of them.
 func (c *Config) Founders() []string {
 	if !c.Control.Bootstrap {
--- a/internal/procconfig/decode.go
+++ b/internal/procconfig/decode.go
@@ -18,11 +18,11 @@
 )
 
 // maxFileBytes bounds a settings file, so that a wrong path (a log, a device) is
-// refused instead of read into memory.
+// rejected instead of read into memory.
 const maxFileBytes = 1 << 20
 
-// Load reads and checks the settings file at path. The error is Faults when the
-// file was read and something in it is wrong.
+// Load reads and checks the settings file at path. The error is Faults if the
+// file was read and has faults.
 func Load(path string) (*Config, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return Decode(b)
 }
 
-// Decode parses b, fills in the defaults and checks the result. It returns all
-// faults of the file's form at once, or else all faults of its values.
+// Decode parses b, fills in the defaults and checks the result. It returns all faults in the
+// form of the file (keys and types). If there are none, it returns all faults in the values.
 func Decode(b []byte) (*Config, error) {
 	if faults := checkSyntax(b); len(faults) > 0 {
 		return nil, faults
@@ -80,15 +80,15 @@
 }
 
 // checkForm compares the JSON value raw with the Go type t and returns a fault for
-// each unknown or repeated key and each value of the wrong type. encoding/json stops
-// at the first of these, names no path, takes the last of two equal keys and matches
-// keys in any case.
+// each unknown or repeated key and each value of the wrong type. encoding/json is not
+// enough for this: it stops at the first fault, reports no path, accepts repeated keys and
+// ignores the case of keys.
 func checkForm(raw json.RawMessage, t reflect.Type, path string) Faults {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	if string(bytes.TrimSpace(raw)) == "null" {
-		return Faults{{path, "null is no value; leave the key out"}}
+		return Faults{{path, "null is not allowed here; delete the key to apply its default"}}
 	}
 	if reflect.PointerTo(t).Implements(reflect.TypeFor[json.Unmarshaler]()) {
 		return checkLeaf(raw, t, path)
@@ -106,7 +106,7 @@
 func checkObject(raw json.RawMessage, t reflect.Type, path string) Faults {
 	members, err := jsonobject.Members(raw)
 	if err != nil {
-		return Faults{{path, "want an object"}}
+		return Faults{{path, "must be an object"}}
 	}
 	fields := fieldTypes(t)
 	seen := map[string]bool{}
@@ -118,7 +118,7 @@
 		case !known:
 			faults = append(faults, Fault{at, "unknown key"})
 		case seen[m.Key]:
-			faults = append(faults, Fault{at, "the key stands twice"})
+			faults = append(faults, Fault{at, "the key occurs twice"})
 		default:
 			faults = append(faults, checkForm(m.Value, field, at)...)
 		}
@@ -130,7 +130,7 @@
 func checkArray(raw json.RawMessage, t reflect.Type, path string) Faults {
 	var items []json.RawMessage
 	if err := json.Unmarshal(raw, &items); err != nil {
-		return Faults{{path, "want a list"}}
+		return Faults{{path, "must be a list"}}
 	}
 	var faults Faults
 	for i, item := range items {
@@ -146,7 +146,7 @@
 	}
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) {
-		return Faults{{path, fmt.Sprintf("want %s, got %s", wanted(t), wrong.Value)}}
+		return Faults{{path, fmt.Sprintf("must be %s, got %s", wanted(t), wrong.Value)}}
 	}
 	return Faults{{path, err.Error()}}
 }
@@ -158,7 +158,7 @@
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Uint64:
-		return "a whole number, 0 or more"
+		return "a whole number that is not negative"
 	case reflect.Float64:
 		return "a number"
 	default:
--- a/internal/procconfig/examples_test.go
+++ b/internal/procconfig/examples_test.go
@@ -21,7 +21,8 @@
 	exampleAccounts = 10
 )
 
-// Documentation ranges of RFC 5737: an example copied as it is reaches nobody's host.
+// The examples must use the documentation ranges of RFC 5737, so that an unchanged copy of an
+// example never reaches a real host.
 var documentationRanges = []netip.Prefix{
 	netip.MustParsePrefix("192.0.2.0/24"),
 	netip.MustParsePrefix("198.51.100.0/24"),
@@ -38,14 +39,14 @@
 			for _, c := range hosts {
 				checkExampleHost(t, c, hosts[0])
 				if c.Fleet != fleet {
-					t.Errorf("%s is of fleet %s", c.Host, c.Fleet)
+					t.Errorf("host %s belongs to fleet %s", c.Host, c.Fleet)
 				}
 				if c.Has(RoleControl) {
 					diskZones[c.Zone] = true
 				}
 			}
 			if len(diskZones) != exampleReplicas || len(hosts[0].Control.Members) != exampleReplicas {
-				t.Errorf("replicas stand in zones %v, want %d different ones", diskZones, exampleReplicas)
+				t.Errorf("replicas are in zones %v, want %d different ones", diskZones, exampleReplicas)
 			}
 		})
 	}
@@ -62,7 +63,7 @@
 			t.Fatalf("%s:\n%v", f, err)
 		}
 		if filepath.Base(f) != c.Host+".json" {
-			t.Errorf("%s is the file of host %s", f, c.Host)
+			t.Errorf("file %s has the settings of host %s", f, c.Host)
 		}
 		hosts = append(hosts, c)
 	}
@@ -73,7 +74,7 @@
 func checkExampleHost(t *testing.T, c, first *Config) {
 	t.Helper()
 	if !reflect.DeepEqual(c.Control.Members, first.Control.Members) || !reflect.DeepEqual(c.Peers, first.Peers) {
-		t.Errorf("%s and %s name other members or peers", c.Host, first.Host)
+		t.Errorf("%s and %s have different members or peers", c.Host, first.Host)
 	}
 	listed := false
 	for _, p := range c.Peers {
@@ -84,7 +85,7 @@
 	}
 	ip := netip.MustParseAddrPort(c.Listen.Callers).Addr()
 	if !documentationRanges[0].Contains(ip) && !documentationRanges[1].Contains(ip) {
-		t.Errorf("%s: %s is in no documentation range", c.Host, ip)
+		t.Errorf("%s: %s is not in a documentation range", c.Host, ip)
 	}
 }
 
@@ -108,7 +109,7 @@
 		}
 		for _, p := range []settings.Priority{settings.Urgent, settings.Normal, settings.Batch} {
 			if !priorities[p] {
-				t.Errorf("%s: no account has work of priority %s", fleet, p)
+				t.Errorf("%s: no account belongs to a team of priority %s", fleet, p)
 			}
 		}
 	}
@@ -127,7 +128,7 @@
 	return tree
 }
 
-// setSubtree makes the settings tree's own checks of v.
+// setSubtree checks v by setting it in the settings tree.
 func setSubtree(t *testing.T, m *settings.Machine, path string, v any) {
 	t.Helper()
 	b, err := json.Marshal(v)
--- a/internal/procconfig/fault.go
+++ b/internal/procconfig/fault.go
@@ -6,11 +6,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// Fault is one thing wrong in a settings file.
+// Fault is one fault in a settings file.
 type Fault struct {
-	// Path of the fault, such as "/control/members/1/address"; empty: the whole file.
+	// Path of the fault, such as "/control/members/1/address"; empty for the whole file.
 	Path string
-	// Message says what is wrong and what would be right.
+	// Message says what is wrong and what is allowed.
 	Message string
 }
 
@@ -22,7 +22,7 @@
 	return f.Path + ": " + f.Message
 }
 
-// Faults is the error with everything found wrong in one settings file.
+// Faults is the error with all faults found in one settings file.
 type Faults []Fault
 
 // Error returns one line per fault.
--- a/internal/procconfig/follow.go
+++ b/internal/procconfig/follow.go
@@ -9,13 +9,13 @@
 	"github.com/rs/zerolog"
 )
 
-// followEvery is how often a settings file is looked at that may change without a signal.
+// followEvery is how often the settings file is checked for changes without a signal.
 const followEvery = time.Second
 
-// Follow reads the settings file at path again whenever its content changes, at once on
-// each signal and else within a second, and hands every version that passes its checks
-// to changed. One that does not is logged and left alone: a process goes on with the
-// settings that it has. It returns when ctx ends.
+// Follow reloads the settings file at path when its content changes, at once on a signal and
+// otherwise within a second, and calls changed with every version that passes the checks. A
+// version that does not is logged and ignored: the process keeps the settings that it has.
+// Follow returns when ctx ends.
 func Follow(ctx context.Context, path string, signals <-chan os.Signal, log zerolog.Logger, changed func(*Config)) {
 	ticker := time.NewTicker(followEvery)
 	defer ticker.Stop()
--- a/internal/procconfig/routed_test.go
+++ b/internal/procconfig/routed_test.go
@@ -45,8 +45,8 @@
 		"no part routed":         {`"routed": {`, `"trace": {}, "routed_": {`, []string{"/routed_: unknown key"}},
 		"gateway and entry":      {`["gateway", "control"]`, `["gateway", "entry", "control"]`, []string{"/roles: ", "/routed: ", "/listen/callers: "}},
 		"no address for callers": {`"requests": "192.0.2.1:8080", `, ``, []string{"/routed/requests: is required"}},
-		"address twice":          {`"192.0.2.1:8084"`, `"192.0.2.1:8083"`, []string{"/routed/registry: 192.0.2.1:8083 stands at /routed/readiness already"}},
-		"same as the peers'":     {`"192.0.2.1:8084"`, `"192.0.2.1:8082"`, []string{"/routed/readiness: 192.0.2.1:8082 stands at /listen/peers already"}},
+		"address twice":          {`"192.0.2.1:8084"`, `"192.0.2.1:8083"`, []string{"/routed/registry: 192.0.2.1:8083 already occurs at /routed/readiness"}},
+		"same as the peers'":     {`"192.0.2.1:8084"`, `"192.0.2.1:8082"`, []string{"/routed/readiness: 192.0.2.1:8082 already occurs at /listen/peers"}},
 		"share above 1":          {`"share": 0.2`, `"share": 1.2`, []string{"/routed/retry/share: "}},
 		"negative extra":         {`54`, `-1`, []string{"/routed/retry: "}},
 		"seed twice":             {`"192.0.2.2:8083"]`, `"192.0.2.1:8083"]`, []string{"/seeds/1: "}},
@@ -68,7 +68,7 @@
 	}
 }
 
-// follower runs Follow on a file of its own.
+// follower runs Follow on a temporary file.
 type follower struct {
 	path    string
 	signals chan os.Signal
@@ -76,7 +76,7 @@
 	log     testutil.Lines
 }
 
-// await waits for a line of the event.
+// await waits for a log line with the event.
 func (f *follower) await(t *testing.T, event string) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -84,7 +84,7 @@
 			return
 		}
 	}
-	t.Fatalf("no line %s", event)
+	t.Fatalf("no log line with the event %s", event)
 }
 
 func startFollower(t *testing.T) *follower {
@@ -122,16 +122,15 @@
 					t.Errorf("read %v", c.Seeds)
 				}
 			case <-time.After(10 * time.Second):
-				t.Fatal("never read again")
+				t.Fatal("the changed file was not reloaded")
 			}
 		})
 	}
 }
 
 func TestFaultyFileIsLeftAlone(t *testing.T) {
-	// Symptom: a process ends, or loses its seeds, when its settings file is written badly.
-	// Sequence: the file is half written, or gone, when the signal comes.
-	// Cause: what can't be read was taken for the new settings.
+	// The file may be half written or missing when the signal arrives. If it were taken for the
+	// new settings, the process would stop or lose its seeds.
 	f := startFollower(t)
 	f.write(t, routed[:len(routed)/2])
 	f.signals <- os.Interrupt
@@ -144,9 +143,9 @@
 	select {
 	case c := <-f.read:
 		if c.Seeds[1] != "192.0.2.2:8083" {
-			t.Errorf("took %v", c.Seeds)
+			t.Errorf("the reloaded seeds are %v", c.Seeds)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the sound file is not read after the faulty one")
+		t.Fatal("the valid file was not reloaded after the faulty one")
 	}
 }
--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -1,5 +1,5 @@
-// Package procstat shows what this process uses of its machine, and notices when it stood
-// still or comes near its memory limit.
+// Package procstat reads the resource usage of this process, and detects when the process was
+// paused or comes close to its memory limit.
 package procstat
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Started is when this process began, or a moment later.
+// Started is the time at which this process started, or a moment later.
 var Started = time.Now()
 
 // Names of the Go runtime's own metrics.
@@ -30,37 +30,38 @@
 	metricRoutines = "/sched/goroutines:goroutines"
 )
 
-// Usage is what the process uses, and has used at most since it began. Sizes are in bytes,
-// times in milliseconds; what the system doesn't tell is 0.
+// Usage is the current and the peak resource usage of the process. Sizes are in bytes,
+// times in milliseconds; a value that the system does not provide is 0.
 type Usage struct {
 	UptimeMs int64 `json:"uptime_ms"`
-	// RuntimeBytes is what the Go runtime has from the system, RuntimeLimit the bound that
-	// it keeps to: it collects more often as it comes near it, and exceeds it when what is
-	// live does.
+	// RuntimeBytes is the memory that the Go runtime has from the system, RuntimeLimit its
+	// soft memory limit: the runtime collects more often as it comes close to the limit, and
+	// exceeds it when the live memory does.
 	RuntimeBytes uint64 `json:"runtime_bytes"`
 	RuntimeLimit uint64 `json:"runtime_limit_bytes"`
-	// HeapBytes are objects, live or not collected yet; HeapLiveBytes those that the last
-	// collection left.
+	// HeapBytes is the size of all objects, live or not collected yet; HeapLiveBytes that of
+	// the objects that were live at the last collection.
 	HeapBytes     uint64 `json:"heap_bytes"`
 	HeapLiveBytes uint64 `json:"heap_live_bytes"`
-	// ResidentBytes is what the system counts, PeakBytes the most that it ever was.
+	// ResidentBytes is the resident memory as the system counts it, PeakBytes its maximum.
 	ResidentBytes uint64 `json:"resident_bytes"`
 	PeakBytes     uint64 `json:"peak_resident_bytes"`
 
 	Goroutines  uint64 `json:"goroutines"`
 	Collections uint64 `json:"collections"`
-	// PauseMs is the longest pause of a collection; WaitMs the longest time that a goroutine
-	// was ready and had no processor, of one in eight that the runtime measures.
+	// PauseMs is the longest pause of a garbage collection; WaitMs the longest time that a
+	// goroutine was runnable and waited for a processor. The runtime measures one in eight of
+	// these waits.
 	PauseMs float64 `json:"longest_gc_pause_ms"`
 	WaitMs  float64 `json:"longest_scheduling_wait_ms"`
 
-	// Descriptors are open files and sockets; DescriptorLimit bounds them.
+	// Descriptors is the number of open files and sockets; DescriptorLimit bounds it.
 	Descriptors     int    `json:"descriptors"`
 	DescriptorLimit uint64 `json:"descriptor_limit"`
 }
 
-// Read reads all of Usage. It takes some ten microseconds and a directory listing: it is
-// for those who ask, not for each request.
+// Read reads the resource usage. It takes tens of microseconds and lists a directory, so it is
+// meant for queries of the metrics and not for each request.
 func Read() Usage {
 	samples := sampled(metricMapped, metricReleased, metricObjects, metricLive, metricRoutines, metricCycles, metricPauses, metricWaits)
 	metrics.Read(samples)
@@ -85,7 +86,7 @@
 	return samples
 }
 
-// runtimeLimit is the Go runtime's memory limit; 0: none.
+// runtimeLimit returns the Go runtime's memory limit; 0 without a limit.
 func runtimeLimit() uint64 {
 	limit := debug.SetMemoryLimit(-1)
 	if limit == math.MaxInt64 {
@@ -94,14 +95,14 @@
 	return uint64(limit)
 }
 
-// longest is the time of the highest bucket whose count has grown over what is in before; nil:
-// the highest that counts anything.
+// longest returns the lower bound of the highest bucket whose count has grown since before. If
+// before is nil, it is the highest bucket that is not empty.
 func longest(h *metrics.Float64Histogram, before []uint64) time.Duration {
 	for i := len(h.Counts) - 1; i >= 0; i-- {
 		if h.Counts[i] == 0 || len(before) > i && h.Counts[i] <= before[i] {
 			continue
 		}
-		// The lower end: the value was at least that.
+		// The lower bound: the value was at least that.
 		return time.Duration(max(h.Buckets[i], 0) * float64(time.Second))
 	}
 	return 0
@@ -109,7 +110,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// resident reads the memory that the system counts for this process, now and at most.
+// resident reads the current and the peak resident memory of this process.
 func resident() (now, peak uint64) {
 	status, err := os.ReadFile("/proc/self/status")
 	if err != nil {
@@ -132,20 +133,20 @@
 }
 
 func kibibytes(text []byte) uint64 {
-	n, _ := strconv.ParseUint(string(text), 10, 54) // 0: not told
+	n, _ := strconv.ParseUint(string(text), 10, 54) // 0 if not a number
 	return n << 10
 }
 
-// descriptors counts the open ones; 0: not told.
+// descriptors returns the number of open descriptors; 0 if unknown.
 func descriptors() int {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return 0
 	}
-	return max(len(entries)-1, 0) // one is that of the listing
+	return max(len(entries)-1, 0) // one is open for the listing itself
 }
 
-// DescriptorLimit is how many descriptors the system lets the process open; 0: not told.
+// DescriptorLimit returns how many descriptors the process may open; 0 if unknown.
 func DescriptorLimit() uint64 {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
@@ -154,7 +155,7 @@
 	return limit.Cur
 }
 
-// Version is that of the program's source, or "unknown".
+// Version returns the revision or module version of the program's source, or "unknown".
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -171,5 +172,5 @@
 	return info.Main.Version
 }
 
-// GoVersion is that of the toolchain.
+// GoVersion returns the version of the Go toolchain.
 func GoVersion() string { return runtime.Version() }
--- a/internal/procstat/watch.go
+++ b/internal/procstat/watch.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// StillFor is from when on a delay counts as standing still: a host whose share of the
-	// processor is used up pauses for up to 80 ms, and callers of short requests notice.
+	// StillFor is the shortest delay that counts as a pause. A host that has used up its
+	// processor quota pauses for up to 80 ms, which callers of short requests notice.
 	StillFor = 50 * time.Millisecond
-	// stillLines and memoryLines bound the lines: one in that time at most.
+	// stillLines and memoryLines are the shortest times between two log lines about pauses
+	// and about memory.
 	stillLines  = time.Second
 	memoryLines = 10 * time.Second
-	// highPercent of the runtime's memory limit is worth a line; it must have fallen below
-	// lowPercent before the next one.
+	// highPercent of the runtime's memory limit is logged. The usage must fall below
+	// lowPercent before it is logged again.
 	highPercent = 80
 	lowPercent  = 70
 )
 
-// Watch notices at the ticks of somebody else's ticker, so that it wakes nobody, when the
-// process stood still, and when its memory comes near the limit.
+// Watch detects pauses of the process, and memory usage close to the limit. It is called at
+// the ticks of an existing ticker, so that it causes no wake-ups of its own.
 //
-// What goes wrong without it: a host short of processor, or in a long collection, holds all
-// its requests for a while, and they miss their times together. One would see late answers
-// and closed connections, and nothing that tells this cause from that of a slow server.
+// A host that is short of processor time, or in a long garbage collection, delays all its
+// requests at once. Without a log line, the late answers and closed connections look the same
+// as those caused by a slow server.
 //
-// A tick that comes late shows a pause that it fell into; how long goroutines waited for a
-// processor shows those between two ticks. It is safe for concurrent use.
+// A late tick shows a pause that the tick fell into. The time that goroutines waited for a
+// processor shows pauses between two ticks. It is safe for concurrent use.
 type Watch struct {
 	log    zerolog.Logger
 	period time.Duration
 
 	mu      sync.Mutex
 	samples []metrics.Sample
-	// due is when the next tick should come.
+	// due is when the next tick is expected.
 	due time.Time
-	// waits and pauses are the runtime's counts at the last tick.
+	// waits and pauses are the runtime's histogram counts at the last tick.
 	waits, pauses []uint64
 
 	still     stillness
@@ -50,19 +51,19 @@
 	highLine time.Time
 }
 
-// Stood counts how often the process stood still, and for how long at most.
+// Stood has the number of periods with a pause of the process, and the longest pause.
 type Stood struct {
 	Times     int64   `json:"times"`
 	LongestMs float64 `json:"longest_ms"`
 }
 
-// stillness is what was seen since the last line.
+// stillness summarizes the pauses since the last log line.
 type stillness struct {
 	times          int
 	late, wait, gc time.Duration
 }
 
-// Places of the samples.
+// Indexes of the samples.
 const (
 	sampleMapped = iota
 	sampleReleased
@@ -70,12 +71,12 @@
 	samplePauses
 )
 
-// NewWatch makes a watch for a ticker of this period.
+// NewWatch returns a Watch for a ticker with the given period.
 func NewWatch(period time.Duration, log zerolog.Logger) *Watch {
 	return &Watch{log: log, period: period, samples: sampled(metricMapped, metricReleased, metricWaits, metricPauses)}
 }
 
-// Tick takes a tick of the ticker. It costs some microseconds (BenchmarkTick).
+// Tick must be called at each tick of the ticker. It takes some microseconds (BenchmarkTick).
 func (w *Watch) Tick(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -90,7 +91,7 @@
 	w.seeMemory(now, w.samples[sampleMapped].Value.Uint64()-w.samples[sampleReleased].Value.Uint64(), runtimeLimit())
 }
 
-// lateness is by how much a tick came after its time.
+// lateness returns how late a tick is, and computes when the next one is due.
 func (w *Watch) lateness(now time.Time) time.Duration {
 	if w.due.IsZero() {
 		w.due = now.Add(w.period)
@@ -98,16 +99,16 @@
 	}
 	late := now.Sub(w.due)
 	if late < 0 {
-		w.due, late = now, 0 // it is the ticks before that came late
+		w.due, late = now, 0 // the ticks before were late, not this one early
 	}
-	// A ticker keeps to its times, and leaves out those that have passed. A tick that comes a
-	// little before one of them is that one's.
+	// A ticker keeps to its schedule and drops ticks that it missed. A tick shortly before a
+	// scheduled time belongs to that time.
 	w.due = w.due.Add(w.period * (1 + (late+w.period/2)/w.period))
 	return late
 }
 
-// see takes what the last period brought: by how much the tick was late, how long a goroutine
-// waited for a processor at most, and the longest pause of a collection.
+// see records the last period: how late the tick was, the longest time that a goroutine waited
+// for a processor, and the longest pause of a garbage collection.
 func (w *Watch) see(now time.Time, late, wait, gc time.Duration) {
 	if longest := max(late, wait, gc); longest >= StillFor {
 		s := &w.still
@@ -125,7 +126,7 @@
 		Dur("tick_late", s.late).Dur("waited_for_processor", s.wait).Dur("gc_pause", s.gc).Send()
 }
 
-// seeMemory takes what the Go runtime has from the system, and its limit; 0: none.
+// seeMemory logs if the Go runtime uses much of its memory limit; a limit of 0 means none.
 func (w *Watch) seeMemory(now time.Time, used, limit uint64) {
 	if limit == 0 || limit > math.MaxUint64/100 {
 		return
@@ -143,7 +144,7 @@
 		Uint64("runtime_limit_bytes", limit).Uint64("resident_bytes", residentBytes).Uint64("peak_resident_bytes", peak).Send()
 }
 
-// Stood is what was seen since the process began.
+// Stood returns the pauses since the Watch was created.
 func (w *Watch) Stood() Stood {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/procstat/watch_test.go
+++ b/internal/procstat/watch_test.go
@@ -11,7 +11,7 @@
 
 const period = 250 * time.Millisecond
 
-// begin is some moment; the tests' times count from it.
+// begin is an arbitrary time; the tests' times are relative to it.
 var begin = time.Unix(1_000_000, 0)
 
 func newTestWatch() (*Watch, *bytes.Buffer) {
@@ -23,9 +23,8 @@
 	return strings.Count(out.String(), `"event":"`+event+`"`)
 }
 
-// Symptom: requests of a host miss their times together, and nothing tells why.
-// Sequence: the host gets no processor for 61 ms; its ticker's tick falls into that time.
-// Cause: nobody compares when a tick was due with when it came.
+// A host that gets no processor for 61 ms delays all its requests at once. The pause must be
+// detected from a tick that was due in that time and came late.
 func TestLateTickIsAPause(t *testing.T) {
 	w, out := newTestWatch()
 	if late := w.lateness(begin); late != 0 {
@@ -35,15 +34,15 @@
 		{period, 0},
 		{2*period + 61*time.Millisecond, 61 * time.Millisecond},
 		{3 * period, 0},
-		// The ticks that fell into a long pause are left out.
+		// The ticks that fell into a long pause are dropped.
 		{7*period + 30*time.Millisecond, 3*period + 30*time.Millisecond},
 		{8 * period, 0},
 		{9*period - 5*time.Millisecond, 0},
-		// A tick a little before its time after a long pause is the one that was due then.
+		// After a long pause, a tick shortly before a scheduled time belongs to that time.
 		{12*period - 10*time.Millisecond, 2*period - 5*time.Millisecond},
 		{13*period - 10*time.Millisecond, 0},
 		{14*period - 10*time.Millisecond, 0},
-		// What came early shows that those before were late.
+		// An early tick shows that the ticks before were late.
 		{15*period - 30*time.Millisecond, 0},
 		{16*period - 20*time.Millisecond, 10 * time.Millisecond},
 	} {
@@ -70,7 +69,7 @@
 	}
 }
 
-// Symptom: a host that is short of processor spends it on log lines.
+// A host that is short of processor time must not spend it on log lines.
 func TestLinesOfAnOverloadedHostAreBounded(t *testing.T) {
 	w, out := newTestWatch()
 	const ticks = 40
@@ -79,17 +78,18 @@
 		w.seeMemory(begin.Add(time.Duration(n)*period), uint64(60+n%2*30), 100)
 	}
 	if got, most := lines(out, "stood-still"), int(ticks*period/stillLines); got != most {
-		t.Errorf("%d lines on pauses in %v, want %d", got, ticks*period, most)
+		t.Errorf("%d lines about pauses in %v, want %d", got, ticks*period, most)
 	}
 	if got := lines(out, "memory-high"); got != 1 {
-		t.Errorf("%d lines on memory in %v, want 1", got, ticks*period)
+		t.Errorf("%d lines about memory in %v, want 1", got, ticks*period)
 	}
 	if w.Stood().Times != ticks {
-		t.Errorf("%d of %d pauses are counted", w.Stood().Times, ticks)
+		t.Errorf("counted %d pauses, want %d", w.Stood().Times, ticks)
 	}
 }
 
-// Symptom: a process is ended by the system at its memory limit, and its log says nothing.
+// The system may kill a process at its memory limit, so the log must show before that the process
+// came close to it.
 func TestMemoryNearItsLimitIsLogged(t *testing.T) {
 	w, out := newTestWatch()
 	w.seeMemory(begin, 79, 100)
@@ -100,11 +100,11 @@
 		w.seeMemory(begin.Add(time.Duration(n+1)*memoryLines), used, 100)
 	}
 	if got := lines(out, "memory-high"); got != 2 {
-		t.Errorf("%d lines, want one for each time that it rose: %s", got, out.String())
+		t.Errorf("%d lines, want one for each rise above the threshold: %s", got, out.String())
 	}
 	w.seeMemory(begin.Add(time.Hour), 1<<40, 0) // no limit
 	if got := lines(out, "memory-high"); got != 2 {
-		t.Error("a line without a limit")
+		t.Error("a line was logged though there is no limit")
 	}
 }
 
@@ -118,15 +118,15 @@
 	}
 }
 
-// TestTickReadsTheRuntime has the names of the runtime's metrics checked against the
-// toolchain: reading one of another kind panics.
+// TestTickReadsTheRuntime checks the names of the runtime's metrics against the toolchain:
+// reading the value of a metric of another kind panics.
 func TestTickReadsTheRuntime(t *testing.T) {
 	w, _ := newTestWatch()
 	for range 3 {
 		w.Tick(time.Now())
 	}
 	if len(w.waits) == 0 || len(w.pauses) == 0 {
-		t.Error("nothing was read")
+		t.Error("the runtime's histograms were not read")
 	}
 }
 
--- a/internal/telemetry/explain/explain.go
+++ b/internal/telemetry/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain keeps, for a bounded number of finished requests, what the host
-// decided about them and on which figures, so that an operator can ask why a
-// request was answered, refused or billed as it was.
+// Package explain keeps the decisions that the host made about a bounded number of
+// finished requests and the figures behind them, so that an operator can find out why a
+// request was answered, rejected or billed as it was.
 package explain
 
 import (
@@ -18,14 +18,14 @@
 // DefaultCapacity is the number of requests kept when none is given.
 const DefaultCapacity = 4096
 
-// Bounds on one kept request. They hold memory under capacity * (maxNotes *
-// maxText), whatever a chain writes.
+// Bounds on one kept request. They bound the memory of the texts to capacity * maxNotes *
+// maxText, whatever the request chain writes.
 const (
 	maxNotes = 64
 	maxText  = 512 // bytes
 )
 
-// Explanation is what is kept of one request.
+// Explanation describes one request.
 type Explanation struct {
 	RequestID string     `json:"request_id"`
 	Identity  string     `json:"identity"`
@@ -36,13 +36,13 @@
 	Deadline  time.Time  `json:"deadline"`
 	Hops      []Hop      `json:"hops"`
 	Decisions []Decision `json:"decisions"`
-	// DecisionsDropped counts decisions over the bound.
+	// DecisionsDropped counts the decisions that were dropped because there were too many.
 	DecisionsDropped int     `json:"decisions_dropped,omitempty"`
 	Outcome          Outcome `json:"outcome"`
 	Bill             Bill    `json:"bill"`
 }
 
-// Hop is one place the request went through, in order.
+// Hop is one host or backend server that handled the request.
 type Hop struct {
 	// Role is "host" or "backend server".
 	Role    string `json:"role"`
@@ -53,7 +53,7 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// Decision is one step of the chain with the figures it was made on.
+// Decision is one decision of the request chain with the figures behind it.
 type Decision struct {
 	// AfterMS is the time since the request's arrival in milliseconds.
 	AfterMS float64 `json:"after_ms"`
@@ -64,21 +64,21 @@
 // Outcome is how the request ended.
 type Outcome struct {
 	Status int `json:"status"`
-	// Kind of the error; empty: answered.
+	// Kind is the kind of the error; empty if the request was answered.
 	Kind    errkind.Kind `json:"kind,omitempty"`
 	Message string       `json:"message,omitempty"`
-	// Ran says whether it ran at a backend server.
+	// Ran is whether the request ran at a backend server.
 	Ran        errkind.Ran `json:"ran"`
 	Dispatched bool        `json:"dispatched"`
 }
 
-// Bill is what this host gave to the ledger for the request, in tokens.
+// Bill is what this host reported to the ledger for the request, in tokens.
 type Bill struct {
 	Budget   string `json:"budget,omitempty"`
 	Reserved uint64 `json:"reserved"`
 	Prompt   uint64 `json:"prompt"`
 	Output   uint64 `json:"output"`
-	// Tokens billed: the usage, cut to the reservation.
+	// Tokens is the number of billed tokens: the usage, at most the reservation.
 	Tokens uint64 `json:"tokens"`
 }
 
@@ -96,8 +96,8 @@
 
 var _ filter.Explainer = (*Store)(nil)
 
-// New returns an empty store of the given host that keeps capacity requests;
-// capacity below one means DefaultCapacity.
+// New returns an empty store of the given host that keeps capacity requests. A capacity
+// below one means DefaultCapacity.
 func New(host, zone string, capacity int) *Store {
 	if capacity < 1 {
 		capacity = DefaultCapacity
@@ -111,8 +111,8 @@
 	}
 }
 
-// Record keeps what was decided about c, in place of the oldest request kept. It
-// copies what it needs of c, which goes on belonging to the request's goroutine.
+// Record stores the explanation of c in place of the oldest one. It copies what it needs of
+// c, since c still belongs to the request's goroutine.
 func (s *Store) Record(c *filter.Call, status int, err error) {
 	if c == nil || c.ID == "" {
 		return
@@ -141,8 +141,8 @@
 	}
 }
 
-// Find returns what is kept under a request id, or the newest arrival under an
-// identity (account + "/" + idempotency key).
+// Find returns the explanation of the request with the given id, or that of the latest
+// request with the given identity (account + "/" + idempotency key).
 func (s *Store) Find(id string) (Explanation, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,11 +156,11 @@
 	return *e, true
 }
 
-// JSON returns Find's answer as JSON, or a NotFound refusal.
+// JSON returns the result of Find as JSON, or an error of the kind NotFound.
 func (s *Store) JSON(id string) ([]byte, error) {
 	e, ok := s.Find(id)
 	if !ok {
-		return nil, errkind.New(errkind.NotFound, "host %s keeps nothing about request %s", s.host, id)
+		return nil, errkind.New(errkind.NotFound, "host %s has no explanation of request %s", s.host, id)
 	}
 	b, err := json.Marshal(e)
 	return b, errors.Wrap(err, "marshal explanation")
--- a/internal/telemetry/explain/explain_test.go
+++ b/internal/telemetry/explain/explain_test.go
@@ -48,15 +48,14 @@
 	if e.Outcome.Kind != errkind.ReservationExhausted || e.Outcome.Ran != errkind.RanYes || e.Outcome.Status != 502 {
 		t.Errorf("outcome: %+v", e.Outcome)
 	}
-	// The engine went past its cap: never more than the reservation is billed.
+	// The engine exceeded its limit: never more than the reservation is billed.
 	if e.Bill != (Bill{Budget: "school-7", Reserved: 100, Prompt: 30, Output: 90, Tokens: 100}) {
 		t.Errorf("bill: %+v", e.Bill)
 	}
 }
 
-// Symptom: a host's memory grows with the number of requests served.
-// Sequence: many requests, each with many long notes, are recorded.
-// Cause: the store or its indexes kept what the ring had dropped.
+// If the store or its indexes kept entries that the ring has dropped, a host's memory would grow
+// with the number of requests served.
 func TestStoreIsBounded(t *testing.T) {
 	const capacity = 3
 	s := New("h1", "olinda", capacity)
@@ -71,23 +70,23 @@
 		t.Errorf("kept %d ids, %d identities, want %d", len(s.byID), len(s.byIdentity), capacity)
 	}
 	if _, err := s.JSON("r6"); !errkind.Is(err, errkind.NotFound) {
-		t.Errorf("oldest: %v, want not_found", err)
+		t.Errorf("oldest request: %v, want not_found", err)
 	}
 	e, ok := s.Find("acct/r9")
 	if !ok || e.RequestID != "r9" {
 		t.Fatalf("by identity: %v %v", e.RequestID, ok)
 	}
 	if len(e.Decisions) != maxNotes || e.DecisionsDropped != maxNotes+1 {
-		t.Errorf("kept %d, dropped %d", len(e.Decisions), e.DecisionsDropped)
+		t.Errorf("kept %d decisions, dropped %d", len(e.Decisions), e.DecisionsDropped)
 	}
 	if n := len(e.Decisions[1].Text); n > maxText {
-		t.Errorf("text of %d bytes", n)
+		t.Errorf("a decision's text has %d bytes, more than the bound", n)
 	}
 }
 
-// Symptom: explain finds nothing about a request that was answered a moment ago.
-// Sequence: a retry arrives under the same identity; the ring drops the first arrival.
-// Cause: dropping the first arrival took the identity's entry, which was the retry's.
+// When the ring drops the first request of an identity, the identity's index entry may already
+// belong to a retry. If it were removed, explain would not find a request that was answered a
+// moment ago.
 func TestIdentityFindsNewestArrival(t *testing.T) {
 	s := New("h1", "olinda", 2)
 	for _, id := range []string{"r1", "r2", "other"} {
--- a/internal/telemetry/firsts.go
+++ b/internal/telemetry/firsts.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// maxFirsts bounds the keys that Firsts remembers.
+// maxFirsts bounds the keys that Firsts remembers. It forgets all of them when it is full.
 const maxFirsts = 1024
 
-// Firsts tells the first of many like events apart, so that only it is logged. The zero value is
-// ready to use; it is safe for concurrent use.
+// Firsts detects the first of many similar events, so that only that one is logged. The zero
+// value is ready to use; it is safe for concurrent use.
 type Firsts[K comparable] struct {
 	mu   sync.Mutex
 	seen map[K]bool
 }
 
-// First tells whether a key comes for the first time since Forget.
+// First reports whether it is called with key for the first time since Forget.
 func (f *Firsts[K]) First(key K) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,7 +26,7 @@
 	return true
 }
 
-// Forget has the next event of each key be a first one.
+// Forget forgets all keys.
 func (f *Firsts[K]) Forget() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/telemetry/histogram.go
+++ b/internal/telemetry/histogram.go
@@ -10,7 +10,7 @@
 
 const (
 	histogramMin    = 1                // microseconds
-	histogramMax    = 3600 * 1_000_000 // microseconds; longer durations count as this
+	histogramMax    = 3600 * 1_000_000 // microseconds; longer durations are recorded as this
 	histogramDigits = 2                // significant figures; three would take 8 times the memory
 )
 
@@ -20,7 +20,7 @@
 	h  *hdrhistogram.Histogram
 }
 
-// HistogramSummary is what a Histogram prints. Durations are in microseconds, to
+// HistogramSummary is the JSON form of a Histogram. Durations are in microseconds, to
 // two significant figures.
 type HistogramSummary struct {
 	Count int64 `json:"count"`
--- a/internal/telemetry/line.go
+++ b/internal/telemetry/line.go
@@ -22,7 +22,7 @@
 	out io.Writer
 }
 
-// Write takes one JSON event of zerolog and writes one line.
+// Write converts one JSON event of zerolog and writes it as one line.
 func (w *lineWriter) Write(event []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,10 +37,11 @@
 	return len(event), nil
 }
 
-var errNoEvent = errors.New("log event is no JSON object")
+var errNoEvent = errors.New("log event is not a JSON object")
 
 // writePairs reads an event member by member. With the decoder of encoding/json the line
-// of a request takes 43 microseconds, so 3.6 (BenchmarkLine); each request writes one.
+// of a request takes 43 microseconds, with this parser 3.6 (BenchmarkLine). Each request
+// writes such a line.
 func writePairs(buf *bytes.Buffer, event []byte) error {
 	rest := bytes.TrimSpace(event)
 	if len(rest) < 2 || rest[0] != '{' {
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// cutValue cuts the JSON value that b begins with off the rest.
+// cutValue splits b after the JSON value that it begins with.
 func cutValue(b []byte) (value, rest []byte, ok bool) {
 	depth, quoted := 0, false
 	for i := 0; i < len(b); i++ {
@@ -94,8 +95,8 @@
 	return nil, nil, false
 }
 
-// writeValue writes a JSON value as it stands in a line: a string without its JSON
-// quotes, others as they are.
+// writeValue writes a JSON value in the form that it has in a line: strings are unquoted,
+// other values are written as they are, and both are then quoted if needed.
 func writeValue(buf *bytes.Buffer, raw []byte) {
 	if len(raw) < 2 || raw[0] != '"' {
 		buf.WriteString(quoteIfNeeded(string(raw)))
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -7,22 +7,22 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// RequestOutcome says how a caller's request ended.
+// RequestOutcome is how a caller's request ended.
 type RequestOutcome string
 
 // The outcomes of a request.
 const (
-	// OutcomeAnswered: the whole answer was given in time.
+	// OutcomeAnswered means that the whole answer was sent in time.
 	OutcomeAnswered RequestOutcome = "answered"
-	// OutcomeReplayed: a finished answer was given again to a retry.
+	// OutcomeReplayed means that a retry got the stored answer of an earlier request.
 	OutcomeReplayed RequestOutcome = "replayed"
-	// OutcomeRefused: refused, and it did not run.
+	// OutcomeRefused means that the request was rejected and did not run.
 	OutcomeRefused RequestOutcome = "refused"
-	// OutcomeLate: the deadline passed before the whole answer was there.
+	// OutcomeLate means that the deadline passed before the answer was complete.
 	OutcomeLate RequestOutcome = "late"
-	// OutcomeFailed: it ran, or may have, and no whole answer was given.
+	// OutcomeFailed means that the request ran or may have run, and got no complete answer.
 	OutcomeFailed RequestOutcome = "failed"
-	// OutcomeCallerGone: the caller closed its connection first.
+	// OutcomeCallerGone means that the caller closed its connection first.
 	OutcomeCallerGone RequestOutcome = "caller_gone"
 )
 
@@ -31,27 +31,33 @@
 }
 
 // Metrics are a process's counters and histograms. All are expvar variables and
-// safe for concurrent use. They count from the start of the process. Those of grants
-// and of in-flight records stand in expvar maps of their own controllers.
+// safe for concurrent use. They count from the start of the process. The metrics of grants
+// and of in-flight records are in expvar maps of their own controllers.
 type Metrics struct {
 	requests map[RequestOutcome]*expvar.Int
 	refusals map[errkind.Kind]*expvar.Int
 
-	// Retries at another backend server; RetriesDenied by a team's allowance.
+	// Retries counts attempts after the first, RetriesDenied the retries that a team's bound
+	// did not allow.
 	Retries, RetriesDenied expvar.Int
-	// SilentConnections left because they gave no byte for longer than allowed: to
-	// backend servers, and to peers while a new one worked.
+	// SilentConnections counts connections that were abandoned because they delivered no byte
+	// for longer than allowed: connections to backend servers, and connections to peers while
+	// a new connection worked.
 	SilentConnections expvar.Int
-	// Takeovers: requests of another run, dead or without a whole answer, served here.
+	// Takeovers counts requests of another incarnation, which was dead or had no complete
+	// answer, that were continued on this host.
 	Takeovers expvar.Int
-	// HeartbeatsSent, HeartbeatsFailed and HeartbeatBytes (sent and received, marshalled).
+	// HeartbeatsSent and HeartbeatsFailed count heartbeats; HeartbeatBytes counts the marshaled
+	// bytes sent and received.
 	HeartbeatsSent, HeartbeatsFailed, HeartbeatBytes expvar.Int
-	// Orders sent to backend servers, with OrdersFailed among them.
+	// Orders counts the orders sent to backend servers, OrdersFailed those of them that failed.
 	Orders, OrdersFailed expvar.Int
 
-	// QueueWait is the time from admission to room at a backend server.
+	// QueueWait is the time from the admission of a request until a backend server has room
+	// for it.
 	QueueWait *Histogram
-	// FirstTokenAdded is the time to first token less the backend server's own part.
+	// FirstTokenAdded is the part of the time to first token that the fleet adds to the backend
+	// server's own part.
 	FirstTokenAdded *Histogram
 	// FirstToken is the time from dispatch to the first token of a backend server.
 	FirstToken *Histogram
@@ -59,7 +65,7 @@
 	root *expvar.Map
 }
 
-// NewMetrics returns metrics at zero, not yet published.
+// NewMetrics returns metrics at zero that are not yet published.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		requests:        make(map[RequestOutcome]*expvar.Int),
@@ -121,7 +127,7 @@
 	v.Add(1)
 }
 
-// Refusal counts an error answer by its kind. An unknown kind counts as Internal.
+// Refusal counts a refusal by its kind. An unknown kind counts as errkind.Internal.
 func (m *Metrics) Refusal(k errkind.Kind) {
 	v, ok := m.refusals[k]
 	if !ok {
@@ -133,7 +139,7 @@
 // Requests returns the number of requests with outcome o.
 func (m *Metrics) Requests(o RequestOutcome) int64 { return m.requests[o].Value() }
 
-// Refusals returns the number of error answers of kind k.
+// Refusals returns the number of refusals of kind k.
 func (m *Metrics) Refusals(k errkind.Kind) int64 { return m.refusals[k].Value() }
 
 // Set adds a variable of another package, such as a gauge by expvar.Func.
@@ -144,14 +150,14 @@
 
 var publishMu sync.Mutex
 
-// Publish makes the metrics part of /debug/vars under name. The first Metrics
-// published under a name stays; it returns whether this one was published.
-// Processes that hold several hosts, such as tests, publish under distinct names.
+// Publish makes the metrics part of /debug/vars under name, and reports whether it did. If
+// the name is already in use, the metrics are not published. Processes that run several
+// hosts, such as tests, use distinct names.
 func (m *Metrics) Publish(name string) bool {
 	publishMu.Lock()
 	defer publishMu.Unlock()
 	if expvar.Get(name) != nil {
-		return false // expvar.Publish would end the process
+		return false // expvar.Publish exits the process if the name is in use
 	}
 	expvar.Publish(name, m.root)
 	return true
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -7,17 +7,16 @@
 	"sync"
 )
 
-// logQueueBytes bounds the lines that wait to be written: several seconds of a host
-// under load at a line of 400 bytes per request.
+// logQueueBytes bounds the lines that wait to be written. It is enough for several seconds of
+// a host under load, with a line of 400 bytes per request.
 const logQueueBytes = 1 << 20
 
-// logQueue writes lines in the background. Whoever logs never waits for the reader of
-// the log: when its bound is reached, lines are dropped and counted, and the count is
-// written as a line of its own once there is room.
+// logQueue writes log lines in the background, so that logging never waits for the reader of
+// the log. When the queue is full, lines are dropped and counted, and the count is written as
+// a line of its own once there is room.
 //
-// What goes wrong without it: standard output is a pipe whose reader stalls, and every
-// request waits for its log line. One would notice a host that answers nothing while its
-// processor is idle.
+// Without it, if standard output is a pipe whose reader stalls, every request waits for its
+// log line, and the host stops answering while its processor is idle.
 type logQueue struct {
 	out io.Writer
 
@@ -25,9 +24,9 @@
 	waiting bytes.Buffer
 	dropped int
 	closed  bool
-	// wake is never closed: whoever logs late must not panic.
+	// wake is never closed: a Write after Close must not panic.
 	wake chan struct{}
-	// closing ends the writer.
+	// closing stops the writer.
 	closing chan struct{}
 	done    chan struct{}
 }
@@ -38,7 +37,7 @@
 	return q
 }
 
-// Write takes a line. It never waits and never fails.
+// Write queues a line. It never blocks and never fails.
 func (q *logQueue) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	if q.closed || q.waiting.Len()+len(line) > logQueueBytes {
@@ -49,13 +48,12 @@
 	q.mu.Unlock()
 	select {
 	case q.wake <- struct{}{}:
-	default: // the writer will look anyway
+	default: // the writer is already signaled
 	}
 	return len(line), nil
 }
 
-// Close writes what waits, and returns when it is written. Lines that come later are
-// dropped.
+// Close writes the queued lines and returns when they are written. Later lines are dropped.
 func (q *logQueue) Close() error {
 	q.mu.Lock()
 	alreadyClosed := q.closed
@@ -78,12 +76,12 @@
 			open = false
 		}
 		q.take(&batch)
-		_, _ = q.out.Write(batch.Bytes()) // there is nowhere else to tell of it
+		_, _ = q.out.Write(batch.Bytes()) // there is nowhere else to report an error
 		batch.Reset()
 	}
 }
 
-// take moves what waits into batch, with a line on what was dropped.
+// take moves the queued lines into batch, and adds a line with the number of dropped lines.
 func (q *logQueue) take(batch *bytes.Buffer) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/telemetry/queue_test.go
+++ b/internal/telemetry/queue_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// stalled is a reader of the log that takes nothing until it is released.
+// stalled is a log writer that blocks until release is closed.
 type stalled struct {
 	mu      sync.Mutex
 	got     bytes.Buffer
@@ -23,9 +23,8 @@
 	return s.got.Write(b)
 }
 
-// Symptom: a host answers nothing while its processor is idle.
-// Sequence: the reader of its standard output stalls; requests go on writing log lines.
-// Cause: a line was written by the goroutine that serves the request.
+// If the goroutine that serves a request wrote its log line itself, a stalled reader of the
+// standard output would stop the host from answering while its processor is idle.
 func TestStalledLogReaderHoldsNobodyUp(t *testing.T) {
 	out := &stalled{release: make(chan struct{})}
 	q := newLogQueue(out)
@@ -41,7 +40,7 @@
 	select {
 	case <-done:
 	case <-time.After(time.Minute):
-		t.Fatal("writing waits for the reader")
+		t.Fatal("logging waits for the reader of the log")
 	}
 	close(out.release)
 	if err := q.Close(); err != nil {
@@ -49,10 +48,10 @@
 	}
 	text := out.got.String()
 	if !strings.Contains(text, "event=log-lines-dropped lines=") {
-		t.Error("nothing tells of the lines that were dropped")
+		t.Error("no line reports the number of dropped lines")
 	}
 	if len(text) > 2*logQueueBytes+1000 {
-		t.Errorf("%d bytes were held", len(text))
+		t.Errorf("%d bytes were queued, more than the bound", len(text))
 	}
 }
 
@@ -85,7 +84,7 @@
 	}
 	for _, bad := range []string{"", "x", `{"a"}`, `{"a":`, `{"a":"x`} {
 		if err := writePairs(&buf, []byte(bad)); err == nil {
-			t.Errorf("%q is taken for an event", bad)
+			t.Errorf("%q is accepted as an event", bad)
 		}
 	}
 }
@@ -101,12 +100,9 @@
 	}
 }
 
-// Symptom: a process that was told to stop ends with a stack trace and exit code 2, and what
-// its log still held is lost.
-// Sequence: the process stops; its telemetry is closed; a request that was cut off, or a
-// connection that closes late, writes its line.
-// Cause: Close closed the channel that wakes the writer, and a send on a closed channel
-// panics, in a select with a default too.
+// A request that was cut off, or a connection that closes late, may log a line after the log is
+// closed. If Close closed the channel that wakes the writer, the send would panic, even in a
+// select with a default case: the process would exit with code 2 and lose its queued log lines.
 func TestLateLineIsDropped(t *testing.T) {
 	var out bytes.Buffer
 	q := newLogQueue(&out)
@@ -122,7 +118,7 @@
 	}
 }
 
-// Sequence: as above, but the late lines come while the log is being closed.
+// Lines that are written while the log is being closed must not panic either.
 func TestLinesBesideCloseHarmNobody(t *testing.T) {
 	const writers, rounds = 8, 50
 	for range rounds {
--- a/internal/telemetry/readback_test.go
+++ b/internal/telemetry/readback_test.go
@@ -11,8 +11,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/logreport"
 )
 
-// Whatever the values, a line reads back as the pairs that were written: no value can pass
-// for another pair.
+// A line reads back as the pairs that were written, whatever their values: no value can forge
+// another pair.
 func TestLinesReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var out bytes.Buffer
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry holds what a process shows of itself: the event log (one line
-// of key=value pairs per event), traces with a span for each hop, and metrics.
+// Package telemetry provides the event log of a process (one line of key=value pairs per
+// event), traces with a span for each hop, and metrics.
 package telemetry
 
 import (
@@ -14,20 +14,20 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Config says what a process logs and traces, and where to.
+// Config configures the log and the traces of a process.
 type Config struct {
-	// Service is the program's name, in every span.
+	// Service is the program's name in every span.
 	Service string
-	// Host and Zone name the process in every log line and span.
+	// Host and Zone identify the process in every log line and span.
 	Host, Zone string
 	// LogLevel is "debug", "info" (default), "warn" or "error".
 	LogLevel string
 	// LogWriter receives the event log; default os.Stderr.
 	LogWriter io.Writer
-	// QueueLog writes the event log in the background, within a bound: whoever logs never
-	// waits for its reader. Shutdown writes the rest.
+	// QueueLog writes the event log in the background through a bounded queue, so that logging
+	// never waits for the reader of the log. Shutdown writes the queued lines.
 	QueueLog bool
-	// Trace says where spans go.
+	// Trace configures the export of spans.
 	Trace TraceConfig
 }
 
@@ -44,7 +44,7 @@
 	propagator propagation.TextMapPropagator
 }
 
-// New builds the telemetry of a process. It fails on an unknown log level or
+// New creates the telemetry of a process. It fails on an unknown log level or
 // exporter, a malformed URL or a trace file that can't be opened.
 func New(cfg Config) (*Telemetry, error) {
 	var queue *logQueue
@@ -67,7 +67,7 @@
 	return t, nil
 }
 
-// Discard returns telemetry that logs and traces nothing, for tests and tools.
+// Discard returns telemetry that discards its log and makes no spans, for tests and tools.
 func Discard() *Telemetry {
 	t, err := New(Config{LogWriter: io.Discard, LogLevel: "error"})
 	if err != nil {
@@ -76,8 +76,8 @@
 	return t
 }
 
-// Shutdown writes the log lines and sends the spans still held, and closes the trace
-// file. Lines and spans of later are lost.
+// Shutdown writes the queued log lines, exports the buffered spans and closes the trace
+// file. Later lines and spans are lost.
 func (t *Telemetry) Shutdown(ctx context.Context) error {
 	if t.queue != nil {
 		defer func() { _ = t.queue.Close() }()
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -18,10 +18,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// Symptom: a caller's idempotency key shows up as a log line of its own, or as a
-// pair such as level=info.
-// Sequence: the key holds a line break, spaces, quotes or an equals sign and is logged.
-// Cause: values were written as they came.
+// If values were written unquoted, a caller's idempotency key with a line break, spaces, quotes
+// or an equals sign could forge a log line, or a pair such as level=info.
 func TestLogLineHoldsOneEventOfPairs(t *testing.T) {
 	var out bytes.Buffer
 	tel, err := New(Config{Host: "h1", Zone: "ñuñoa", LogWriter: &out})
@@ -37,7 +35,7 @@
 	}
 	for _, part := range want {
 		if !strings.Contains(line, part) {
-			t.Errorf("%q lacks %q", line, part)
+			t.Errorf("line %q does not contain %q", line, part)
 		}
 	}
 }
@@ -116,27 +114,27 @@
 		t.Errorf("counters: %+v", got)
 	}
 	if len(got.Refusals) != len(errkind.Table) {
-		t.Errorf("%d kinds shown, the table has %d", len(got.Refusals), len(errkind.Table))
+		t.Errorf("%d kinds of refusals are published, want all %d of the table", len(got.Refusals), len(errkind.Table))
 	}
 	q := got.QueueWait
 	if q.Count != 100 || q.P50 < 49_000 || q.P50 > 51_000 || q.P99 < 98_000 || q.P99 > 100_000 {
 		t.Errorf("queue wait: %+v", q)
 	}
 	if got.FirstToken.Count != 1 {
-		t.Errorf("a duration over the bound was dropped: %+v", got.FirstToken)
+		t.Errorf("a duration above the bound was not recorded: %+v", got.FirstToken)
 	}
 }
 
 func TestPublishTwiceDoesNotEndTheProcess(t *testing.T) {
 	if !NewMetrics().Publish("telemetry_test") {
-		t.Error("first not published")
+		t.Error("the first metrics were not published")
 	}
 	if NewMetrics().Publish("telemetry_test") {
-		t.Error("second published over the first")
+		t.Error("second metrics were published under the same name")
 	}
 }
 
-// The spans must reach a collector by OTLP over HTTP, at the latest with Shutdown.
+// Spans must reach a collector by OTLP over HTTP before Shutdown returns.
 func TestSpansReachTheCollector(t *testing.T) {
 	paths := make(chan string, 4)
 	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { paths <- r.Method + " " + r.URL.Path }))
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -21,12 +21,12 @@
 
 const tracerName = "github.com/bluebellsail/bluebellsail"
 
-// Exporter says how spans leave the process.
+// Exporter is a way to export spans.
 type Exporter string
 
 // The exporters.
 const (
-	// ExporterNone makes no spans; the caller's traceparent is still passed on.
+	// ExporterNone makes no spans; the caller's traceparent is still propagated.
 	ExporterNone Exporter = "none"
 	// ExporterOTLP sends spans by OTLP over HTTP to URL.
 	ExporterOTLP Exporter = "otlp"
@@ -34,9 +34,9 @@
 	ExporterFile Exporter = "file"
 )
 
-// TraceConfig says where spans go.
+// TraceConfig configures the export of spans.
 type TraceConfig struct {
-	// Exporter; empty: ExporterNone.
+	// Exporter selects the exporter; empty means ExporterNone.
 	Exporter Exporter
 	// URL of the collector, such as http://10.0.0.9:4318/v1/traces, for ExporterOTLP.
 	URL string
@@ -105,31 +105,30 @@
 	return sdktrace.ParentBased(sdktrace.TraceIDRatioBased(ratio))
 }
 
-// Extract returns ctx with the remote span that header's W3C traceparent names.
+// Extract returns ctx with the remote span from the W3C traceparent of header.
 func (t *Telemetry) Extract(ctx context.Context, header http.Header) context.Context {
 	return t.propagator.Extract(ctx, propagation.HeaderCarrier(header))
 }
 
-// Inject writes the span of ctx into header as W3C traceparent.
+// Inject writes the span of ctx into header as a W3C traceparent.
 func (t *Telemetry) Inject(ctx context.Context, header http.Header) {
 	t.propagator.Inject(ctx, propagation.HeaderCarrier(header))
 }
 
-// ServerStats makes a span of each gRPC call served; for grpc.StatsHandler.
+// ServerStats returns a handler for grpc.StatsHandler that makes a span of each call served.
 func (t *Telemetry) ServerStats() stats.Handler {
 	return otelgrpc.NewServerHandler(
 		otelgrpc.WithTracerProvider(t.provider), otelgrpc.WithPropagators(t.propagator))
 }
 
-// ClientStats makes a span of each gRPC call made; for grpc.WithStatsHandler.
+// ClientStats returns a handler for grpc.WithStatsHandler that makes a span of each call made.
 func (t *Telemetry) ClientStats() stats.Handler {
 	return otelgrpc.NewClientHandler(
 		otelgrpc.WithTracerProvider(t.provider), otelgrpc.WithPropagators(t.propagator))
 }
 
-// MakeGlobal has otel's global tracers, which the request chain uses, make their spans
-// here, and zerolog's global logger write its events here. Only a process's main path
-// calls it.
+// MakeGlobal sets the tracer provider of t as otel's global one, which the request chain uses,
+// and the log of t as zerolog's global logger. Only the main path of a process calls it.
 func (t *Telemetry) MakeGlobal() {
 	otel.SetTracerProvider(t.provider)
 	log.Logger = t.Log
--- a/internal/tlsutil/ca.go
+++ b/internal/tlsutil/ca.go
@@ -1,4 +1,4 @@
-// Package tlsutil makes the certificates of a fleet and serves them from files that
+// Package tlsutil creates the certificates of a fleet, and loads certificates from files that
 // may be replaced while a process runs.
 package tlsutil
 
@@ -21,11 +21,11 @@
 )
 
 const (
-	// DefaultHostValidity of host certificates.
+	// DefaultHostValidity is the default validity of host certificates.
 	DefaultHostValidity = 90 * 24 * time.Hour
-	// caValidity of the authority, which is replaced by hand.
+	// caValidity is the validity of the authority, which is replaced by hand.
 	caValidity = 10 * 365 * 24 * time.Hour
-	// backdate lets hosts whose clocks are behind take a new certificate.
+	// backdate lets hosts whose clocks are behind accept a new certificate.
 	backdate = time.Hour
 
 	serialBits = 127
@@ -43,7 +43,7 @@
 	IP   netip.Addr
 }
 
-// ParseHost reads NAME=IP.
+// ParseHost parses NAME=IP.
 func ParseHost(spec string) (Host, error) {
 	name, number, ok := strings.Cut(spec, "=")
 	if !ok || name == "" || name != filepath.Base(name) {
@@ -56,16 +56,16 @@
 	return Host{Name: name, IP: ip}, nil
 }
 
-// InitOptions says what Init makes.
+// InitOptions are the options of Init.
 type InitOptions struct {
 	Dir      string
 	Hosts    []Host
 	Validity time.Duration
-	// Renew replaces host certificates that are there; else Init refuses.
+	// Renew allows Init to replace existing host certificates; otherwise they are an error.
 	Renew bool
 }
 
-// Files says where Init put things.
+// Files has the paths of the files that Init writes.
 type Files struct {
 	CA    string     `json:"ca"`
 	CAKey string     `json:"ca_key"`
@@ -85,17 +85,17 @@
 	key  *ecdsa.PrivateKey
 }
 
-// Init makes an authority in o.Dir, or takes the one there, and a certificate for
-// each host that serves both ends of mutual TLS under the host's IP number.
+// Init creates an authority in o.Dir, or uses the existing one, and creates a certificate for
+// each host. A certificate is for the host's IP number and valid for both ends of mutual TLS.
 func Init(o InitOptions) (*Files, error) {
 	if len(o.Hosts) == 0 {
 		return nil, errors.New("no hosts to certify")
 	}
 	if o.Validity <= 0 {
-		return nil, errors.New("the validity must be above 0")
+		return nil, errors.New("the validity must be greater than 0")
 	}
 	if err := os.MkdirAll(o.Dir, dirMode); err != nil {
-		return nil, errors.Wrap(err, "make the folder")
+		return nil, errors.Wrap(err, "create the folder")
 	}
 	files := &Files{CA: filepath.Join(o.Dir, "ca.pem"), CAKey: filepath.Join(o.Dir, "ca-key.pem")}
 	for _, h := range o.Hosts {
@@ -117,11 +117,12 @@
 	return files, nil
 }
 
-// checkFree refuses to replace certificates unasked: they may be in use.
+// checkFree returns an error if host certificates exist and renew is not set, since they may be
+// in use.
 func (f *Files) checkFree(renew bool) error {
 	for _, h := range f.Hosts {
 		if h.Host == "ca" {
-			return errors.New("a host can't be called ca, which is the authority's name")
+			return errors.New("a host can't have the name ca, which is that of the authority's files")
 		}
 		if _, err := os.Stat(h.Cert); err == nil && !renew {
 			return errors.Errorf("%s exists; renew it with --renew", h.Cert)
@@ -161,7 +162,7 @@
 	}
 	ecKey, ok := key.(*ecdsa.PrivateKey)
 	if !ok || !ecKey.PublicKey.Equal(cert.PublicKey) {
-		return nil, errors.New("the authority's key is not its certificate's")
+		return nil, errors.New("the authority's key does not match its certificate")
 	}
 	return &authority{cert: cert, key: ecKey}, nil
 }
@@ -169,7 +170,7 @@
 func makeAuthority(f *Files) (*authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the authority's key")
+		return nil, errors.Wrap(err, "create the authority's key")
 	}
 	template := newTemplate("bluebellsail authority", caValidity)
 	template.IsCA = true
@@ -177,7 +178,7 @@
 	template.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the authority")
+		return nil, errors.Wrap(err, "create the authority")
 	}
 	if err := writePair(f.CA, f.CAKey, der, key); err != nil {
 		return nil, err
@@ -186,11 +187,11 @@
 	return &authority{cert: cert, key: key}, errors.Wrap(err, "parse the authority")
 }
 
-// issue certifies one host.
+// issue creates the key and the certificate of one host.
 func (a *authority) issue(h Host, validity time.Duration, f HostFile) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return errors.Wrap(err, "make a host's key")
+		return errors.Wrap(err, "create a host's key")
 	}
 	template := newTemplate(h.Name, validity)
 	template.KeyUsage = x509.KeyUsageDigitalSignature
@@ -214,8 +215,8 @@
 	}
 }
 
-// writePair writes the key before the certificate. A process that reads between the
-// two finds a pair that doesn't match and keeps the one it has.
+// writePair writes the key before the certificate. A process that reads the files between the
+// two writes gets a pair that doesn't match, and keeps the one that it has.
 func writePair(certFile, keyFile string, der []byte, key *ecdsa.PrivateKey) error {
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -227,12 +228,12 @@
 	return replaceFile(certFile, pem.EncodeToMemory(&pem.Block{Type: pemCert, Bytes: der}), certMode)
 }
 
-// replaceFile puts content in place at once: a reader finds the old file or the new
-// one, never half of it.
+// replaceFile replaces a file atomically: a reader gets the old or the new content, never a
+// part of it.
 func replaceFile(file string, content []byte, mode os.FileMode) error {
 	temporary := file + ".new"
 	if err := os.WriteFile(temporary, content, mode); err != nil {
 		return errors.Wrap(err, "write")
 	}
-	return errors.Wrap(os.Rename(temporary, file), "put in place")
+	return errors.Wrap(os.Rename(temporary, file), "replace a file")
 }
--- a/internal/tlsutil/peers.go
+++ b/internal/tlsutil/peers.go
@@ -8,16 +8,16 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// Peers makes both ends of mutual TLS between the fleet's processes: each shows its
-// certificate and takes only one that the authority signed, at the client's end also
-// only under the IP number that was called.
+// Peers configures both ends of mutual TLS between the fleet's processes. Each end presents its
+// certificate and accepts only certificates that an authority of the fleet has signed. The
+// client also checks that the certificate is for the IP number that it called.
 type Peers struct {
 	pair *KeyPair
 	pool *Pool
 }
 
-// LoadPeers reads the certificate, its key and the authorities for the first time.
-// onError is told of later readings that fail.
+// LoadPeers loads the certificate, its key and the authorities. onError is called with the
+// error of each later reload that fails.
 func LoadPeers(certFile, keyFile, caFile string, onError func(error)) (*Peers, error) {
 	pair, err := LoadKeyPair(certFile, keyFile)
 	if err != nil {
@@ -31,11 +31,11 @@
 	return &Peers{pair: pair, pool: pool}, nil
 }
 
-// Credentials are for grpc servers and clients. Each new connection takes the files
-// as they are then.
+// Credentials returns credentials for gRPC servers and clients. Each new connection uses the
+// current files.
 func (p *Peers) Credentials() credentials.TransportCredentials { return &peerCredentials{peers: p} }
 
-// serverConfig is the server's end for one connection.
+// serverConfig returns the configuration of the server's end of one connection.
 func (p *Peers) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -45,7 +45,7 @@
 	}
 }
 
-// clientConfig is the client's end for one connection.
+// clientConfig returns the configuration of the client's end of one connection.
 func (p *Peers) clientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -54,8 +54,8 @@
 	}
 }
 
-// peerCredentials makes the TLS configuration anew for each handshake, since a
-// tls.Config has no hook for replaced authorities at the client's end.
+// peerCredentials creates a new TLS configuration for each handshake, since a tls.Config has no
+// hook for replaced authorities at the client's end.
 type peerCredentials struct{ peers *Peers }
 
 func (c *peerCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
@@ -75,6 +75,6 @@
 	return &clone
 }
 
-// OverrideServerName is part of the interface and deprecated by it; the name checked
-// is always the address called.
+// OverrideServerName does nothing. It is a deprecated part of the interface; the server's
+// certificate is always checked against the called address.
 func (c *peerCredentials) OverrideServerName(string) error { return nil }
--- a/internal/tlsutil/reload.go
+++ b/internal/tlsutil/reload.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// checkPeriod is how often at most the files are looked at.
+// checkPeriod is the shortest time between two checks of the files for changes.
 const checkPeriod = time.Second
 
-// stamp tells whether a file has changed.
+// stamp identifies a version of a file, to detect changes.
 type stamp struct {
 	modified time.Time
 	size     int64
@@ -23,29 +23,29 @@
 func stampOf(file string) (stamp, error) {
 	info, err := os.Stat(file)
 	if err != nil {
-		return stamp{}, errors.Wrap(err, "look at")
+		return stamp{}, errors.Wrap(err, "check for changes")
 	}
 	return stamp{modified: info.ModTime(), size: info.Size()}, nil
 }
 
-// KeyPair is a certificate and its key, read again when the files change. A pair
-// that can't be read or doesn't match leaves the former in force: a half-done
-// replacement must not take a running process off the net. It is safe for concurrent use.
+// KeyPair is a certificate and its key, which are reloaded when the files change. If the new
+// pair can't be read or doesn't match, the former pair stays in use: a half-done replacement
+// must not make a running process unreachable. It is safe for concurrent use.
 type KeyPair struct {
 	certFile, keyFile string
-	// OnError is told of every failed reading; set it before use.
+	// OnError is called with the error of each failed reload; set it before use.
 	OnError func(error)
 
 	mu      sync.Mutex
 	checked time.Time
 	stamps  [2]stamp
-	// Both forms of one certificate: net/http and grpc take the standard library's,
-	// nbhttp takes that of its own TLS stack.
+	// Both forms of one certificate: net/http and grpc use the standard library's,
+	// nbhttp uses that of its own TLS stack.
 	std *tls.Certificate
 	nb  *llibtls.Certificate
 }
 
-// LoadKeyPair reads a pair for the first time.
+// LoadKeyPair loads a pair for the first time.
 func LoadKeyPair(certFile, keyFile string) (*KeyPair, error) {
 	p := &KeyPair{certFile: certFile, keyFile: keyFile}
 	p.checked = time.Now()
@@ -89,7 +89,7 @@
 	return [2]stamp{cert, key}, err
 }
 
-// refresh reads the files again if they changed and were not just looked at.
+// refresh reloads the files if they changed, at most once per checkPeriod.
 func (p *KeyPair) refresh() {
 	now := time.Now()
 	if now.Sub(p.checked) < checkPeriod {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Certificate returns the certificate in force.
+// Certificate returns the current certificate.
 func (p *KeyPair) Certificate() *tls.Certificate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,7 +116,7 @@
 	return p.std
 }
 
-// NBServerConfig is for servers on nbhttp.
+// NBServerConfig returns a configuration for nbhttp servers.
 func (p *KeyPair) NBServerConfig() *llibtls.Config {
 	return &llibtls.Config{
 		MinVersion: llibtls.VersionTLS12,
@@ -129,11 +129,11 @@
 	}
 }
 
-// Pool is a set of authorities, read again when the file changes. It is safe for
+// Pool is a set of authorities, which are reloaded when the file changes. It is safe for
 // concurrent use.
 type Pool struct {
 	file string
-	// OnError is told of every failed reading; set it before use.
+	// OnError is called with the error of each failed reload; set it before use.
 	OnError func(error)
 
 	mu      sync.Mutex
@@ -142,7 +142,7 @@
 	certs   *x509.CertPool
 }
 
-// LoadPool reads the authorities in file for the first time.
+// LoadPool loads the authorities in file for the first time.
 func LoadPool(file string) (*Pool, error) {
 	p := &Pool{file: file, checked: time.Now()}
 	if err := p.load(); err != nil {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// Certificates returns the authorities in force.
+// Certificates returns the current authorities.
 func (p *Pool) Certificates() *x509.CertPool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/tlsutil/tlsutil_test.go
+++ b/internal/tlsutil/tlsutil_test.go
@@ -34,14 +34,14 @@
 
 func mustPeers(t *testing.T, ca string, h HostFile) *Peers {
 	t.Helper()
-	p, err := LoadPeers(h.Cert, h.Key, ca, func(err error) { t.Logf("reading again: %v", err) })
+	p, err := LoadPeers(h.Cert, h.Key, ca, func(err error) { t.Logf("reload: %v", err) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// forget makes the next use look at the files at once.
+// forget makes the next use check the files for changes at once.
 func (p *Peers) forget() {
 	p.pair.mu.Lock()
 	p.pair.checked = time.Time{}
@@ -86,28 +86,26 @@
 	trusting := mustPeers(t, fleet.CA, other.Hosts[0])
 	address := serve(t, a.Credentials())
 	if err := check(address, b.Credentials()); err != nil {
-		t.Errorf("a peer is refused: %v", err)
+		t.Errorf("a peer of the fleet is rejected: %v", err)
 	}
 	if err := check(address, foreign.Credentials()); err == nil {
-		t.Error("a client of another authority trusts this server")
+		t.Error("a client with another authority trusts this server")
 	}
 	if err := check(address, trusting.Credentials()); err == nil {
-		t.Error("the server takes a client of another authority")
+		t.Error("the server accepts a client with a certificate of another authority")
 	}
 	noCertificate := credentials.NewTLS(&tls.Config{RootCAs: b.pool.Certificates()})
 	if err := check(address, noCertificate); err == nil {
-		t.Error("the server takes a client without a certificate")
+		t.Error("the server accepts a client without a certificate")
 	}
-	wrongAddress := serve(t, b.Credentials()) // the certificate says 127.0.0.2
+	wrongAddress := serve(t, b.Credentials()) // the certificate is for 127.0.0.2
 	if err := check(wrongAddress, a.Credentials()); err == nil {
-		t.Error("the client takes a server under another's address")
+		t.Error("the client accepts a server whose certificate is for another address")
 	}
 }
 
-// Symptom: a fleet falls apart when its certificates are replaced, or until every
-// process is restarted.
-// Sequence: authority and certificates are replaced on disk while processes run.
-// Cause: files are read only at the start.
+// If the files were read only at the start, the hosts of a fleet would reject each other after its
+// authority and certificates are replaced on disk, until every process is restarted.
 func TestReplacedFilesAreTakenWithoutARestart(t *testing.T) {
 	dir := t.TempDir()
 	old := mustInit(t, dir, false, "a=127.0.0.1", "b=127.0.0.2")
@@ -125,13 +123,13 @@
 	}
 	b.forget()
 	if err := check(address, b.Credentials()); err != nil {
-		t.Errorf("after both read again: %v", err)
+		t.Errorf("after both have reloaded: %v", err)
 	}
 }
 
-// Symptom: half the fleet refuses the other while its authority is being replaced.
-// Sequence: hosts trust both authorities, their certificates are replaced one by one.
-// Cause: only the first authority in the file is trusted.
+// While an authority is being replaced, hosts trust both authorities and their certificates are
+// replaced one by one. If only the first authority in the file were trusted, half of the fleet
+// would reject the other half.
 func TestTwoAuthoritiesWhileOneIsReplaced(t *testing.T) {
 	old, fresh := mustInit(t, t.TempDir(), false, "a=127.0.0.1"), mustInit(t, t.TempDir(), false, "b=127.0.0.1")
 	both := filepath.Join(t.TempDir(), "ca.pem")
@@ -157,9 +155,9 @@
 	}
 }
 
-// Symptom: a running process goes off the net while someone copies certificates.
-// Sequence: the key is replaced, the certificate not yet, a connection comes.
-// Cause: what was in force is dropped before the new pair is known to be good.
+// A connection may arrive when the key is already replaced and the certificate is not. If the
+// former pair were dropped before the new one is known to be valid, the process would become
+// unreachable.
 func TestHalfReplacedPairLeavesTheFormerInForce(t *testing.T) {
 	files := mustInit(t, t.TempDir(), false, "a=127.0.0.1", "b=127.0.0.2")
 	a, b := files.Hosts[0], files.Hosts[1]
@@ -173,22 +171,22 @@
 	copyFile(t, b.Key, a.Key)
 	pair.checked = time.Time{}
 	if pair.Certificate() != before || len(failures) != 1 {
-		t.Fatalf("half replaced: %v", failures)
+		t.Fatalf("after replacing only the key: %v", failures)
 	}
 	copyFile(t, b.Cert, a.Cert)
 	pair.checked = time.Time{}
 	if pair.Certificate() == before {
-		t.Error("the whole new pair is not taken")
+		t.Error("the complete new pair is not loaded")
 	}
 	if err := os.Remove(a.Cert); err != nil {
 		t.Fatal(err)
 	}
 	pair.checked = time.Time{}
 	if pair.Certificate() == nil || len(failures) != 2 {
-		t.Errorf("removed: %v", failures)
+		t.Errorf("after removing the certificate: %v", failures)
 	}
 	if pool, err := LoadPool(a.Key); err == nil {
-		t.Errorf("a key passes for authorities: %v", pool)
+		t.Errorf("a file with a key is accepted as authorities: %v", pool)
 	}
 }
 
@@ -196,7 +194,7 @@
 	t.Helper()
 	b, err := os.ReadFile(from)
 	if err == nil {
-		// Another size, so that a coarse clock of the file system hides no change.
+		// The size differs, so that the change is detected despite coarse file times.
 		err = os.WriteFile(to, append(b, '\n'), keyMode)
 	}
 	if err != nil {
@@ -229,7 +227,7 @@
 	}
 	defer res.Body.Close()
 	if got := res.TLS.PeerCertificates[0].Subject.CommonName; got != "a" {
-		t.Errorf("the server showed the certificate of %s", got)
+		t.Errorf("the server presented the certificate of %s", got)
 	}
 }
 
@@ -242,7 +240,7 @@
 	}
 	host := parse(t, "a=127.0.0.1")
 	if _, err := Init(InitOptions{Dir: dir, Hosts: []Host{host}, Validity: time.Hour}); err == nil {
-		t.Error("a certificate was replaced unasked")
+		t.Error("a certificate was replaced without Renew")
 	}
 	mustInit(t, dir, false, "b=127.0.0.2")
 	again, err := os.ReadFile(files.CA)
@@ -258,7 +256,7 @@
 		{Dir: dir, Hosts: []Host{{Name: "ca", IP: host.IP}}, Validity: time.Hour, Renew: true},
 	} {
 		if _, err := Init(o); err == nil {
-			t.Errorf("taken: %+v", o)
+			t.Errorf("accepted: %+v", o)
 		}
 	}
 }
@@ -275,7 +273,7 @@
 func TestParseHost(t *testing.T) {
 	for _, spec := range []string{"", "a", "a=", "=127.0.0.1", "a=name", "../a=127.0.0.1", "a/b=127.0.0.1"} {
 		if h, err := ParseHost(spec); err == nil || !strings.Contains(err.Error(), "NAME=IP") {
-			t.Errorf("%q is taken as %v, %v", spec, h, err)
+			t.Errorf("%q is parsed as %v, %v", spec, h, err)
 		}
 	}
 }
