--- a/internal/daemon/gatewaytables_test.go
+++ b/internal/daemon/gatewaytables_test.go
@@ -16,7 +16,7 @@
 // When all gateways are cut off from the control group, an operator that asks one gateway
 // after the other is rejected by each. Without a redirect to a control host, a table in force
 // can't be read back in time at the end of the partition.
-func TestCutOffGatewaySendsTheOperatorToControlHosts(t *testing.T) {
+func TestDisconnectedGatewayRedirectsOperatorToControlHost(t *testing.T) {
 	g := &gateway{
 		d:       &Daemon{cfg: &procconfig.Config{Routed: &procconfig.Routed{Registry: "10.0.0.1:8229"}}},
 		members: members.New(members.Config{}),
