--- a/internal/daemon/repair_test.go
+++ b/internal/daemon/repair_test.go
@@ -29,7 +29,7 @@
 
 // If a host is killed before its peers know at which server a request runs, the request's tokens
 // would stay locked for over a minute. The usage must be found by querying all servers.
-func TestRunWithoutItsServersNameIsFound(t *testing.T) {
+func TestUsageIsFoundWithoutServerInRecord(t *testing.T) {
 	gone := httptest.NewServer(nil)
 	gone.Close()
 	servers := []string{
