--- a/internal/daemon/sight_test.go
+++ b/internal/daemon/sight_test.go
@@ -30,7 +30,7 @@
 // Go ends a process by SIGPIPE if it writes to a closed standard output. When the reader of the
 // log restarted, all hosts of a machine image ended at once with all their requests, and no log
 // showed the reason.
-func TestHostOutlivesTheReaderOfItsLog(t *testing.T) {
+func TestProcessSurvivesExitOfLogReader(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
