--- a/internal/daemon/tasks_test.go
+++ b/internal/daemon/tasks_test.go
@@ -15,7 +15,7 @@
 // A panic that is not recovered ends the process: if a background loop, such as the one of the
 // heartbeats, panicked over a peer's message, all requests of the host would end at once without
 // an answer.
-func TestLoopThatPanicsIsStartedAgain(t *testing.T) {
+func TestPanickingLoopIsRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		ts := newTasks(zerolog.New(&out))
