--- a/internal/daemon/tasks_test.go
+++ b/internal/daemon/tasks_test.go
@@ -44,7 +44,7 @@
 }
 
 // A process must stop at once even while it waits to restart a loop that keeps panicking.
-func TestStopEndsALoopThatPanics(t *testing.T) {
+func TestStopEndsPanickingLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ts := newTasks(zerolog.Nop())
 		ts.run("faulty", func(context.Context) { panic("always") })
