--- a/internal/daemon/tasks_test.go
+++ b/internal/daemon/tasks_test.go
@@ -55,7 +55,7 @@
 
 // If the loop that manages tokens panicked in the middle of a change and were restarted, it would
 // continue with wrong counts, and a budget could be overspent.
-func TestPanicOfATrustedLoopEndsTheProcessInOrder(t *testing.T) {
+func TestPanicOfLoopWithoutRestartShutsProcessDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ts := newTasks(zerolog.Nop())
 		var starts atomic.Int64
