--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -46,11 +46,11 @@
 	learnEvery = 5 * time.Second
 	// learnTimeout bounds one such read.
 	learnTimeout = time.Second
-	// minDiscoveryWait and settleMost bound how long a host that has started waits for
+	// minDiscoveryWait and maxDiscoveryWait bound how long a host that has started waits for
 	// announcements of backend servers before it serves: for at least two announcement
 	// intervals, and not forever in a fleet that has no servers.
 	minDiscoveryWait = 2 * announceEvery
-	maxDiscoveryWait  = 3 * time.Second
+	maxDiscoveryWait = 3 * time.Second
 )
 
 // entry holds the parts that serve callers. Controllers that belong to one incarnation are
--- a/internal/daemon/gatewaytables_test.go
+++ b/internal/daemon/gatewaytables_test.go
@@ -23,11 +23,11 @@
 	}
 	g.setSeeds([]string{"10.0.0.4:7340", "10.0.1.4:7340"})
 	cutOff := errkind.New(errkind.NoQuorum, "no leader was found in time")
-	var elsewhere *surface.Redirect
-	if err := g.redirect(cutOff); !errors.As(err, &elsewhere) || !slices.Contains([]string{"10.0.0.4:8229", "10.0.1.4:8229"}, elsewhere.Address) {
+	var target *surface.Redirect
+	if err := g.redirect(cutOff); !errors.As(err, &target) || !slices.Contains([]string{"10.0.0.4:8229", "10.0.1.4:8229"}, target.Address) {
 		t.Errorf("redirected to %v, want a control host", err)
 	}
-	if !errkind.Is(elsewhere, errkind.NoQuorum) {
+	if !errkind.Is(target, errkind.NoQuorum) {
 		t.Error("the redirect lost the error kind no_quorum")
 	}
 	invalid := errkind.New(errkind.InvalidSettings, "two routes are the same")
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -22,11 +22,11 @@
 	refused  expvar.Map
 	// earlyAnswers counts server answers that began before the whole request was sent.
 	earlyAnswers expvar.Int
-	// firstByte has the time to the firstByte byte of a server's answer, took the duration of the
+	// firstByte has the time to the first byte of a server's answer, took the duration of the
 	// whole request, both by kind of route.
 	firstByte map[string]*telemetry.Histogram
-	took  map[string]*telemetry.Histogram
-	vars  expvar.Map
+	took      map[string]*telemetry.Histogram
+	vars      expvar.Map
 }
 
 // kindNames are the kinds of routes that have histograms.
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -61,13 +61,13 @@
 // requirePeer rejects calls of the Peer service until setPeer is called. Otherwise this host
 // could accept a record before the control group knows its incarnation.
 func (p *peerServer) requirePeer(ctx context.Context, req any, info *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
-	if _, isLate := info.Server.(*deferredPeer); isLate && p.peer.Load() == nil {
+	if _, isDeferred := info.Server.(*deferredPeer); isDeferred && p.peer.Load() == nil {
 		return nil, status.Error(codes.Unavailable, "this host has not registered yet")
 	}
 	return next(ctx, req)
 }
 
-// deferredPeer forwards calls to the service set by setPeer; waitForPeer rejects calls that come
+// deferredPeer forwards calls to the service set by setPeer; requirePeer rejects calls that come
 // earlier. It embeds the unsafe variant so that a missing method fails to compile instead of
 // being answered as unimplemented.
 type deferredPeer struct {
--- a/internal/daemon/tasks.go
+++ b/internal/daemon/tasks.go
@@ -23,7 +23,7 @@
 // could end at the same moment with all requests that they serve: what makes a loop panic is
 // often an update that reaches all hosts.
 //
-// A loop whose state can't be trusted after a panic runs under runTrusted instead.
+// A loop whose state can't be trusted after a panic runs under runUntilPanic instead.
 type tasks struct {
 	ctx    context.Context
 	cancel context.CancelFunc
