--- a/internal/daemon/gatewaytables_test.go
+++ b/internal/daemon/gatewaytables_test.go
@@ -23,11 +23,11 @@
 	}
 	g.setSeeds([]string{"10.0.0.4:7340", "10.0.1.4:7340"})
 	cutOff := errkind.New(errkind.NoQuorum, "no leader was found in time")
-	var target *surface.Redirect
-	if err := g.redirect(cutOff); !errors.As(err, &target) || !slices.Contains([]string{"10.0.0.4:8229", "10.0.1.4:8229"}, target.Address) {
+	var redirect *surface.Redirect
+	if err := g.redirect(cutOff); !errors.As(err, &redirect) || !slices.Contains([]string{"10.0.0.4:8229", "10.0.1.4:8229"}, redirect.Address) {
 		t.Errorf("redirected to %v, want a control host", err)
 	}
-	if !errkind.Is(target, errkind.NoQuorum) {
+	if !errkind.Is(redirect, errkind.NoQuorum) {
 		t.Error("the redirect lost the error kind no_quorum")
 	}
 	invalid := errkind.New(errkind.InvalidSettings, "two routes are the same")
--- a/internal/procconfig/procconfig_test.go
+++ b/internal/procconfig/procconfig_test.go
@@ -67,7 +67,7 @@
 		{"null", `"host": "h1",`, `"host": null,`, []string{"/host: null is not allowed here"}},
 		{"syntax", `"host": "h1",`, `"host": "h1"`, []string{"line 4: "}},
 		{"not UTF-8", `"olinda"`, "\"\xff\"", []string{"the file is not UTF-8"}},
-		{"duration without a unit", `"100ms"`, `100`, []string{"/timing/heartbeat: a duration is written as a string with a unit"}},
+		{"duration without a unit", `"100ms"`, `100`, []string{"/timing/heartbeat: a duration must be a string with a unit"}},
 		{"duration with a wrong unit", `"100ms"`, `"100 msec"`, []string{`/timing/heartbeat: "100 msec" is not a duration`}},
 		{"size with a unit", `{"streams": 10}`, `{"max_body_bytes": "4MB"}`, []string{"/limits/max_body_bytes: must be a whole number, got string"}},
 		{"broken number", `{"streams": 10}`, `{"streams": 1.5}`, []string{"/limits/streams: must be a whole number, got number 1.5"}},
