--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -62,7 +62,7 @@
 	retries    *retry.Window
 	lastExpiry time.Time
 	// unreadable holds the incarnations whose Retry-After could not be parsed; each is logged once.
-	unreadable telemetry.Firsts[instance.Incarnation]
+	unreadable telemetry.FirstSeen[instance.Incarnation]
 }
 
 var (
--- a/internal/controller/ratelimits/ratelimits.go
+++ b/internal/controller/ratelimits/ratelimits.go
@@ -58,7 +58,7 @@
 	issuer     *ratelimit.Issuer
 	lastExpiry time.Time
 	// unreadable holds the incarnations whose limits could not be parsed; each is logged once.
-	unreadable telemetry.Firsts[instance.Incarnation]
+	unreadable telemetry.FirstSeen[instance.Incarnation]
 	// pending holds the calls for permits in progress; the channel is closed when the call ends.
 	pending map[instance.Incarnation]chan struct{}
 
--- a/internal/controller/scheduler/scheduler.go
+++ b/internal/controller/scheduler/scheduler.go
@@ -73,7 +73,7 @@
 	closed     bool
 	// unreadable holds the addresses of servers whose Retry-After could not be parsed; each is
 	// logged once.
-	unreadable telemetry.Firsts[string]
+	unreadable telemetry.FirstSeen[string]
 }
 
 var (
--- a/internal/telemetry/firsts.go
+++ b/internal/telemetry/firsts.go
@@ -5,15 +5,15 @@
 // maxFirsts bounds the keys that Firsts remembers. It forgets all of them when it is full.
 const maxFirsts = 1024
 
-// Firsts detects the first of many similar events, so that only that one is logged. The zero
+// FirstSeen detects the first of many similar events, so that only that one is logged. The zero
 // value is ready to use; it is safe for concurrent use.
-type Firsts[K comparable] struct {
+type FirstSeen[K comparable] struct {
 	mu   sync.Mutex
 	seen map[K]bool
 }
 
 // First reports whether it is called with key for the first time since Forget.
-func (f *Firsts[K]) First(key K) bool {
+func (f *FirstSeen[K]) First(key K) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.seen[key] {
@@ -27,7 +27,7 @@
 }
 
 // Forget forgets all keys.
-func (f *Firsts[K]) Forget() {
+func (f *FirstSeen[K]) Forget() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seen = nil
--- a/internal/telemetry/firsts_test.go
+++ b/internal/telemetry/firsts_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestOnlyTheFirstOfEachKeyIsOne(t *testing.T) {
-	var f Firsts[int]
+	var f FirstSeen[int]
 	for key := range maxFirsts {
 		if !f.First(key) || f.First(key) {
 			t.Fatalf("key %d is not reported as first exactly once", key)
