--- a/internal/telemetry/firsts.go
+++ b/internal/telemetry/firsts.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// maxFirsts bounds the keys that Firsts remembers. It forgets all of them when it is full.
-const maxFirsts = 1024
+// maxSeenKeys bounds the keys that Firsts remembers. It forgets all of them when it is full.
+const maxSeenKeys = 1024
 
 // FirstSeen detects the first of many similar events, so that only that one is logged. The zero
 // value is ready to use; it is safe for concurrent use.
@@ -19,7 +19,7 @@
 	if f.seen[key] {
 		return false
 	}
-	if f.seen == nil || len(f.seen) >= maxFirsts {
+	if f.seen == nil || len(f.seen) >= maxSeenKeys {
 		f.seen = make(map[K]bool)
 	}
 	f.seen[key] = true
--- a/internal/telemetry/firsts_test.go
+++ b/internal/telemetry/firsts_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-func TestOnlyTheFirstOfEachKeyIsOne(t *testing.T) {
+func TestFirstIsReportedOncePerKey(t *testing.T) {
 	var f FirstSeen[int]
-	for key := range maxFirsts {
+	for key := range maxSeenKeys {
 		if !f.First(key) || f.First(key) {
 			t.Fatalf("key %d is not reported as first exactly once", key)
 		}
 	}
-	if f.First(maxFirsts); len(f.seen) > maxFirsts {
+	if f.First(maxSeenKeys); len(f.seen) > maxSeenKeys {
 		t.Errorf("%d keys are remembered, more than the bound", len(f.seen))
 	}
 	f.Forget()
--- a/internal/telemetry/line.go
+++ b/internal/telemetry/line.go
@@ -37,7 +37,7 @@
 	return len(event), nil
 }
 
-var errNoEvent = errors.New("log event is not a JSON object")
+var errInvalidEvent = errors.New("log event is not a JSON object")
 
 // writePairs reads an event member by member. With the decoder of encoding/json the line
 // of a request takes 43 microseconds, with this parser 3.6 (BenchmarkLine). Each request
@@ -45,17 +45,17 @@
 func writePairs(buf *bytes.Buffer, event []byte) error {
 	rest := bytes.TrimSpace(event)
 	if len(rest) < 2 || rest[0] != '{' {
-		return errNoEvent
+		return errInvalidEvent
 	}
 	rest = rest[1:]
 	for len(rest) > 0 && rest[0] != '}' {
 		key, after, ok := cutValue(rest)
 		if !ok || len(after) == 0 || after[0] != ':' {
-			return errNoEvent
+			return errInvalidEvent
 		}
 		value, after, ok := cutValue(after[1:])
 		if !ok {
-			return errNoEvent
+			return errInvalidEvent
 		}
 		if buf.Len() > 0 {
 			buf.WriteByte(' ')
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -75,14 +75,14 @@
 		case <-q.closing:
 			open = false
 		}
-		q.take(&batch)
+		q.drain(&batch)
 		_, _ = q.out.Write(batch.Bytes()) // there is nowhere else to report an error
 		batch.Reset()
 	}
 }
 
-// take moves the queued lines into batch, and adds a line with the number of dropped lines.
-func (q *logQueue) take(batch *bytes.Buffer) {
+// drain moves the queued lines into batch, and adds a line with the number of dropped lines.
+func (q *logQueue) drain(batch *bytes.Buffer) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	batch.Write(q.waiting.Bytes())
