--- a/internal/telemetry/queue_test.go
+++ b/internal/telemetry/queue_test.go
@@ -25,7 +25,7 @@
 
 // If the goroutine that serves a request wrote its log line itself, a stalled reader of the
 // standard output would stop the host from answering while its processor is idle.
-func TestStalledLogReaderHoldsNobodyUp(t *testing.T) {
+func TestStalledLogReaderDoesNotBlockLogging(t *testing.T) {
 	out := &stalled{release: make(chan struct{})}
 	q := newLogQueue(out)
 	line := []byte(strings.Repeat("x", 999) + "\n")
