--- a/internal/telemetry/queue_test.go
+++ b/internal/telemetry/queue_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestLogQueueKeepsOrderAndWritesTheRest(t *testing.T) {
+func TestLogQueueKeepsOrderAndCloseWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	q := newLogQueue(&out)
 	want := ""
