--- a/internal/telemetry/queue_test.go
+++ b/internal/telemetry/queue_test.go
@@ -103,7 +103,7 @@
 // A request that was cut off, or a connection that closes late, may log a line after the log is
 // closed. If Close closed the channel that wakes the writer, the send would panic, even in a
 // select with a default case: the process would exit with code 2 and lose its queued log lines.
-func TestLateLineIsDropped(t *testing.T) {
+func TestLineAfterCloseIsDropped(t *testing.T) {
 	var out bytes.Buffer
 	q := newLogQueue(&out)
 	_, _ = q.Write([]byte("in time\n"))
