--- a/internal/telemetry/queue_test.go
+++ b/internal/telemetry/queue_test.go
@@ -119,7 +119,7 @@
 }
 
 // Lines that are written while the log is being closed must not panic either.
-func TestLinesBesideCloseHarmNobody(t *testing.T) {
+func TestWriteDuringCloseDoesNotPanic(t *testing.T) {
 	const writers, rounds = 8, 50
 	for range rounds {
 		q := newLogQueue(io.Discard)
