--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestConfigFaultsAreRefused(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	faults := map[string]Config{
 		"log level": {LogLevel: "loud"},
 		"exporter":  {Trace: TraceConfig{Exporter: "pigeon"}},
