--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -20,7 +20,7 @@
 
 // If values were written unquoted, a caller's idempotency key with a line break, spaces, quotes
 // or an equals sign could forge a log line, or a pair such as level=info.
-func TestLogLineHoldsOneEventOfPairs(t *testing.T) {
+func TestValuesCannotForgeLogLines(t *testing.T) {
 	var out bytes.Buffer
 	tel, err := New(Config{Host: "h1", Zone: "ñuñoa", LogWriter: &out})
 	testutil.NoError(t, err)
