--- a/internal/telemetry/explain/explain_test.go
+++ b/internal/telemetry/explain/explain_test.go
@@ -32,7 +32,7 @@
 	return c
 }
 
-func TestExplanationSaysHopsDecisionsOutcomeAndBill(t *testing.T) {
+func TestExplanationHasHopsDecisionsOutcomeAndBill(t *testing.T) {
 	s := New("h1", "olinda", 4)
 	s.Record(testCall("r1"), 502, errkind.New(errkind.ReservationExhausted, "cut at 100"))
 	b, err := s.JSON("r1")
