--- a/internal/telemetry/explain/explain_test.go
+++ b/internal/telemetry/explain/explain_test.go
@@ -87,7 +87,7 @@
 // When the ring drops the first request of an identity, the identity's index entry may already
 // belong to a retry. If it were removed, explain would not find a request that was answered a
 // moment ago.
-func TestIdentityFindsNewestArrival(t *testing.T) {
+func TestIdentityFindsLatestRequest(t *testing.T) {
 	s := New("h1", "olinda", 2)
 	for _, id := range []string{"r1", "r2", "other"} {
 		c := testCall(id)
