--- a/internal/logreport/report_test.go
+++ b/internal/logreport/report_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestRequestThatNoLogHas(t *testing.T) {
+func TestUnknownRequest(t *testing.T) {
 	if _, err := Make("none", 1, opener(gatewayLog)); !errors.Is(err, ErrNotFound) {
 		t.Errorf("got %v, want ErrNotFound", err)
 	}
