--- a/internal/procconfig/check.go
+++ b/internal/procconfig/check.go
@@ -141,13 +141,13 @@
 		k.fault("/listen/source", "%q is not an IP number", l.Source)
 	}
 	seen := map[string]string{}
-	k.once(seen, "/listen/callers", l.Callers)
-	k.once(seen, "/listen/operators", l.Operators)
-	k.once(seen, "/listen/peers", l.Peers)
+	k.unique(seen, "/listen/callers", l.Callers)
+	k.unique(seen, "/listen/operators", l.Operators)
+	k.unique(seen, "/listen/peers", l.Peers)
 }
 
-// once reports a value that already occurs at an earlier path.
-func (k *checker) once(seen map[string]string, path, v string) {
+// unique reports a value that already occurs at an earlier path.
+func (k *checker) unique(seen map[string]string, path, v string) {
 	if v == "" {
 		return
 	}
@@ -181,12 +181,12 @@
 		if m.ID == 0 {
 			k.fault(path+"/id", "is required, 1 or more")
 		} else {
-			k.once(ids, path+"/id", fmt.Sprint(m.ID))
+			k.unique(ids, path+"/id", fmt.Sprint(m.ID))
 		}
 		k.name(path+"/host", m.Host)
-		k.once(hosts, path+"/host", m.Host)
+		k.unique(hosts, path+"/host", m.Host)
 		k.address(path+"/address", m.Address)
-		k.once(addresses, path+"/address", m.Address)
+		k.unique(addresses, path+"/address", m.Address)
 		k.hostAddress(c, path+"/address", m.Host, m.Address)
 	}
 	k.self(c)
@@ -237,19 +237,19 @@
 	for i, p := range c.Peers {
 		path := fmt.Sprintf("/peers/%d", i)
 		k.name(path+"/host", p.Host)
-		k.once(hosts, path+"/host", p.Host)
+		k.unique(hosts, path+"/host", p.Host)
 		k.name(path+"/zone", p.Zone)
 		k.address(path+"/address", p.Address)
-		k.once(addresses, path+"/address", p.Address)
+		k.unique(addresses, path+"/address", p.Address)
 		k.hostAddress(c, path+"/address", p.Host, p.Address)
 		if p.Host == c.Host && p.Zone != c.Zone {
 			k.fault(path+"/zone", "%q is not the zone of this host, %q", p.Zone, c.Zone)
 		}
-		k.agreesWithMembers(c, path, p)
+		k.matchesMembers(c, path, p)
 	}
 }
 
-func (k *checker) agreesWithMembers(c *Config, path string, p Peer) {
+func (k *checker) matchesMembers(c *Config, path string, p Peer) {
 	for i, m := range c.Control.Members {
 		sameHost, sameAddress := m.Host == p.Host, m.Address == p.Address
 		if sameHost != sameAddress {
@@ -264,7 +264,7 @@
 	for i, seed := range c.Seeds {
 		path := fmt.Sprintf("/seeds/%d", i)
 		k.address(path, seed)
-		k.once(seen, path, seed)
+		k.unique(seen, path, seed)
 	}
 	if len(c.Seeds) > 0 && len(c.Control.Members) > 0 {
 		k.fault("/seeds", "only one of /seeds and /control/members may be set")
@@ -300,7 +300,7 @@
 	} {
 		if a.address != "" {
 			k.address(a.path, a.address)
-			k.once(seen, a.path, a.address)
+			k.unique(seen, a.path, a.address)
 		}
 	}
 	k.duration("/routed/address_ttl", r.AddressTTL, minAddressTTL, maxAddressTTL)
@@ -347,7 +347,7 @@
 			k.fault(path, "is not a SHA-256 hash in lower-case hex (%d digits)", 2*hashBytes)
 			continue
 		}
-		k.once(seen, path, h)
+		k.unique(seen, path, h)
 	}
 }
 
--- a/internal/procconfig/decode.go
+++ b/internal/procconfig/decode.go
@@ -146,12 +146,12 @@
 	}
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) {
-		return Faults{{path, fmt.Sprintf("must be %s, got %s", wanted(t), wrong.Value)}}
+		return Faults{{path, fmt.Sprintf("must be %s, got %s", typeName(t), wrong.Value)}}
 	}
 	return Faults{{path, err.Error()}}
 }
 
-func wanted(t reflect.Type) string {
+func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "a string"
--- a/internal/procconfig/examples_test.go
+++ b/internal/procconfig/examples_test.go
@@ -28,7 +28,7 @@
 	netip.MustParsePrefix("198.51.100.0/24"),
 }
 
-func TestExamplesAreWholeFleets(t *testing.T) {
+func TestExamplesAreCompleteFleets(t *testing.T) {
 	for _, fleet := range []string{"recife", "santiago"} {
 		t.Run(fleet, func(t *testing.T) {
 			hosts := loadExample(t, fleet)
