--- a/internal/procconfig/procconfig_test.go
+++ b/internal/procconfig/procconfig_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestDecodeNamesEveryFault(t *testing.T) {
+func TestDecodeReportsEveryFault(t *testing.T) {
 	tests := []struct {
 		name     string
 		old, new string
