--- a/internal/procconfig/procconfig_test.go
+++ b/internal/procconfig/procconfig_test.go
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestLoadRefusesWhatIsNoSettingsFile(t *testing.T) {
+func TestLoadRejectsInvalidFiles(t *testing.T) {
 	dir := t.TempDir()
 	long := filepath.Join(dir, "long.json")
 	testutil.NoError(t, os.WriteFile(long, []byte(valid+strings.Repeat(" ", maxFileBytes)), 0o600))
