--- a/internal/procconfig/routed_test.go
+++ b/internal/procconfig/routed_test.go
@@ -106,7 +106,7 @@
 	testutil.NoError(t, os.WriteFile(f.path, []byte(text), 0o600))
 }
 
-func TestChangedFileIsReadAgain(t *testing.T) {
+func TestChangedFileIsReloaded(t *testing.T) {
 	other := strings.Replace(routed, `"192.0.2.2:8083"]`, `"192.0.2.9:8083"]`, 1)
 	for name, signalled := range map[string]bool{"on a signal": true, "without one": false} {
 		t.Run(name, func(t *testing.T) {
