--- a/internal/procconfig/routed_test.go
+++ b/internal/procconfig/routed_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestFaultyFileIsLeftAlone(t *testing.T) {
+func TestFaultyFileIsIgnored(t *testing.T) {
 	// The file may be half written or missing when the signal arrives. If it were taken for the
 	// new settings, the process would stop or lose its seeds.
 	f := startFollower(t)
