--- a/internal/procstat/watch.go
+++ b/internal/procstat/watch.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// StillFor is the shortest delay that counts as a pause. A host that has used up its
+	// MinPause is the shortest delay that counts as a pause. A host that has used up its
 	// processor quota pauses for up to 80 ms, which callers of short requests notice.
-	StillFor = 50 * time.Millisecond
+	MinPause = 50 * time.Millisecond
 	// stillLines and memoryLines are the shortest times between two log lines about pauses
 	// and about memory.
 	stillLines  = time.Second
@@ -110,7 +110,7 @@
 // see records the last period: how late the tick was, the longest time that a goroutine waited
 // for a processor, and the longest pause of a garbage collection.
 func (w *Watch) see(now time.Time, late, wait, gc time.Duration) {
-	if longest := max(late, wait, gc); longest >= StillFor {
+	if longest := max(late, wait, gc); longest >= MinPause {
 		s := &w.still
 		s.times++
 		s.late, s.wait, s.gc = max(s.late, late), max(s.wait, wait), max(s.gc, gc)
