--- a/internal/procstat/watch.go
+++ b/internal/procstat/watch.go
@@ -13,10 +13,10 @@
 	// MinPause is the shortest delay that counts as a pause. A host that has used up its
 	// processor quota pauses for up to 80 ms, which callers of short requests notice.
 	MinPause = 50 * time.Millisecond
-	// stillLines and memoryLines are the shortest times between two log lines about pauses
+	// pauseLineInterval and memoryLines are the shortest times between two log lines about pauses
 	// and about memory.
-	stillLines  = time.Second
-	memoryLines = 10 * time.Second
+	pauseLineInterval  = time.Second
+	memoryLineInterval = 10 * time.Second
 	// highPercent of the runtime's memory limit is logged. The usage must fall below
 	// lowPercent before it is logged again.
 	highPercent = 80
@@ -45,14 +45,14 @@
 
 	still     stillness
 	stillLine time.Time
-	stood     Stood
+	stood     Pauses
 
 	high     bool
 	highLine time.Time
 }
 
-// Stood has the number of periods with a pause of the process, and the longest pause.
-type Stood struct {
+// Pauses has the number of periods with a pause of the process, and the longest pause.
+type Pauses struct {
 	Times     int64   `json:"times"`
 	LongestMs float64 `json:"longest_ms"`
 }
@@ -117,7 +117,7 @@
 		w.stood.Times++
 		w.stood.LongestMs = max(w.stood.LongestMs, milliseconds(longest))
 	}
-	if w.still.times == 0 || now.Sub(w.stillLine) < stillLines {
+	if w.still.times == 0 || now.Sub(w.stillLine) < pauseLineInterval {
 		return
 	}
 	s := w.still
@@ -135,7 +135,7 @@
 	if percent < lowPercent {
 		w.high = false
 	}
-	if percent < highPercent || w.high || !w.highLine.IsZero() && now.Sub(w.highLine) < memoryLines {
+	if percent < highPercent || w.high || !w.highLine.IsZero() && now.Sub(w.highLine) < memoryLineInterval {
 		return
 	}
 	w.high, w.highLine = true, now
@@ -145,7 +145,7 @@
 }
 
 // Stood returns the pauses since the Watch was created.
-func (w *Watch) Stood() Stood {
+func (w *Watch) Stood() Pauses {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stood
--- a/internal/procstat/watch_test.go
+++ b/internal/procstat/watch_test.go
@@ -59,8 +59,8 @@
 func TestPausesBetweenTicksAreSeen(t *testing.T) {
 	w, out := newTestWatch()
 	w.see(begin, 0, 70*time.Millisecond, 0)
-	w.see(begin.Add(stillLines), 0, 0, 90*time.Millisecond)
-	w.see(begin.Add(2*stillLines), 0, 40*time.Millisecond, 10*time.Millisecond)
+	w.see(begin.Add(pauseLineInterval), 0, 0, 90*time.Millisecond)
+	w.see(begin.Add(2*pauseLineInterval), 0, 40*time.Millisecond, 10*time.Millisecond)
 	if got := lines(out, "stood-still"); got != 2 {
 		t.Errorf("%d lines, want 2: %s", got, out.String())
 	}
@@ -77,7 +77,7 @@
 		w.see(begin.Add(time.Duration(n)*period), 60*time.Millisecond, 0, 0)
 		w.seeMemory(begin.Add(time.Duration(n)*period), uint64(60+n%2*30), 100)
 	}
-	if got, most := lines(out, "stood-still"), int(ticks*period/stillLines); got != most {
+	if got, most := lines(out, "stood-still"), int(ticks*period/pauseLineInterval); got != most {
 		t.Errorf("%d lines about pauses in %v, want %d", got, ticks*period, most)
 	}
 	if got := lines(out, "memory-high"); got != 1 {
@@ -97,7 +97,7 @@
 		t.Errorf("logged %s", out.String())
 	}
 	for n, used := range []uint64{81, 90, 75, 85, 69, 85} {
-		w.seeMemory(begin.Add(time.Duration(n+1)*memoryLines), used, 100)
+		w.seeMemory(begin.Add(time.Duration(n+1)*memoryLineInterval), used, 100)
 	}
 	if got := lines(out, "memory-high"); got != 2 {
 		t.Errorf("%d lines, want one for each rise above the threshold: %s", got, out.String())
