--- a/internal/daemon/sight.go
+++ b/internal/daemon/sight.go
@@ -25,7 +25,7 @@
 func (d *Daemon) watchProcess() {
 	d.watch = procstat.NewWatch(d.cfg.Timing.Heartbeat.Std(), d.tel.Log)
 	d.tel.Metrics.Set("process", expvar.Func(func() any { return procstat.Read() }))
-	d.tel.Metrics.Set("stood_still", expvar.Func(func() any { return d.watch.Stood() }))
+	d.tel.Metrics.Set("stood_still", expvar.Func(func() any { return d.watch.Pauses() }))
 }
 
 // logStart logs this process's settings and limits, and how its previous run ended.
--- a/internal/procstat/watch.go
+++ b/internal/procstat/watch.go
@@ -144,8 +144,8 @@
 		Uint64("runtime_limit_bytes", limit).Uint64("resident_bytes", residentBytes).Uint64("peak_resident_bytes", peak).Send()
 }
 
-// Stood returns the pauses since the Watch was created.
-func (w *Watch) Stood() Pauses {
+// Pauses returns the pauses since the Watch was created.
+func (w *Watch) Pauses() Pauses {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stood
--- a/internal/procstat/watch_test.go
+++ b/internal/procstat/watch_test.go
@@ -64,7 +64,7 @@
 	if got := lines(out, "stood-still"); got != 2 {
 		t.Errorf("%d lines, want 2: %s", got, out.String())
 	}
-	if got := w.Stood(); got.Times != 2 || got.LongestMs != 90 {
+	if got := w.Pauses(); got.Times != 2 || got.LongestMs != 90 {
 		t.Errorf("counted %+v", got)
 	}
 }
@@ -83,8 +83,8 @@
 	if got := lines(out, "memory-high"); got != 1 {
 		t.Errorf("%d lines about memory in %v, want 1", got, ticks*period)
 	}
-	if w.Stood().Times != ticks {
-		t.Errorf("counted %d pauses, want %d", w.Stood().Times, ticks)
+	if w.Pauses().Times != ticks {
+		t.Errorf("counted %d pauses, want %d", w.Pauses().Times, ticks)
 	}
 }
 
