--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -36,9 +36,9 @@
 )
 
 const (
-	// explained is how many finished requests a host can explain.
-	explained = 4096
-	// announceEvery is what backend servers are told to announce in.
+	// maxExplanations is the number of finished requests for which a host keeps an explanation.
+	maxExplanations = 4096
+	// announceEvery is the interval at which backend servers are asked to announce themselves.
 	announceEvery = 500 * time.Millisecond
 	// fleetEvery is how often lists of hosts are passed to the parts that use them.
 	fleetEvery = 100 * time.Millisecond
@@ -46,21 +46,22 @@
 	learnEvery = 5 * time.Second
 	// learnTimeout bounds one such read.
 	learnTimeout = time.Second
-	// settleLeast and settleMost bound how long a started host learns of backend
-	// servers before it serves: two announcements at least, and not for ever in a
-	// fleet that has none.
-	settleLeast = 2 * announceEvery
-	settleMost  = 3 * time.Second
+	// minDiscoveryWait and maxDiscoveryWait bound how long a host that has started waits for
+	// announcements of backend servers before it serves: for at least two announcement
+	// intervals, and not forever in a fleet that has no servers.
+	minDiscoveryWait = 2 * announceEvery
+	maxDiscoveryWait = 3 * time.Second
 )
 
-// entry is what serves callers. Its controllers that belong to one incarnation are
-// made once the host is registered.
+// entry holds the parts that serve callers. Controllers that belong to one incarnation are
+// created once the host is registered.
 type entry struct {
 	d       *Daemon
 	self    atomic.Pointer[pb.Holder]
 	leaving atomic.Bool
-	// settled tells that this run has heard of the fleet's backend servers.
-	settled atomic.Bool
+	// discovered is true once this host knows the fleet's backend servers and suspects, or has
+	// waited for them long enough.
+	discovered atomic.Bool
 
 	sched   *scheduler.Scheduler
 	members *members.Controller
@@ -80,12 +81,12 @@
 	http    *httpserver.Server
 }
 
-// newEntry makes the parts that need no incarnation.
+// newEntry creates the parts that need no incarnation.
 func newEntry(d *Daemon) *entry {
 	cfg := d.cfg
 	e := &entry{d: d}
 	e.self.Store(&pb.Holder{Host: cfg.Host})
-	e.explain = explain.New(cfg.Host, cfg.Zone, explained)
+	e.explain = explain.New(cfg.Host, cfg.Zone, maxExplanations)
 	e.owners = owners.New(owners.Config{Self: e.asOwner, Peers: func() []members.PeerInfo { return e.members.Peers() }})
 	e.limits = d.newLimiter(e.owners, func(l *pb.ServerLimit) { e.news.Limit(l) })
 	e.sched = scheduler.New(scheduler.Options{
@@ -109,24 +110,25 @@
 		Log: d.tel.Log, Metrics: d.tel.Metrics, Ticked: d.watch.Tick,
 	})
 	e.client = engineclient.New(engineclient.Config{Heard: e.sched.Observe})
-	e.makeSuspects()
+	e.makeQuarantine()
 	e.placement = e.newPlacement()
 	d.tel.Metrics.Set("scheduler", e.sched.Metrics().Map())
 	d.tel.Metrics.Set("late_answers_dropped", expvar.Func(func() any { return engineclient.CrossedAnswers.Load() }))
 	return e
 }
 
-// ticks is how many whole intervals d lasts, at least one.
+// ticks returns the number of whole intervals in d, at least one.
 func ticks(d, interval time.Duration) int64 { return max(1, int64(d/interval)) }
 
-// seedOf gives each host a seed of its own, the same after a restart.
+// seedOf derives a random seed from the host's name: it differs between hosts and is the
+// same after a restart.
 func seedOf(host string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(host))
 	return h.Sum64()
 }
 
-// seeds are the peer addresses to contact first, without this host's own.
+// seeds returns the peer addresses to contact first, without this host's own.
 func (e *entry) seeds() []string {
 	var out []string
 	for _, p := range e.d.cfg.Peers {
@@ -137,10 +139,11 @@
 	return out
 }
 
-// holder is this run; the incarnation is 0 before registration.
+// holder returns this host with its incarnation, which is 0 before registration.
 func (e *entry) holder() *pb.Holder { return e.self.Load() }
 
-// start registers this run, makes what belongs to it and opens the callers' address.
+// start registers this host, creates the controllers of its incarnation and opens the
+// callers' address.
 func (e *entry) start(ctx context.Context) error {
 	reg, err := e.d.register(ctx)
 	if err != nil {
@@ -159,21 +162,21 @@
 	t.run("news", e.news.Run)
 	t.run("suspects", e.suspects.Run)
 	t.run("keep suspects", e.suspects.RunStore)
-	t.runTrusted("records", e.records.Run)
-	t.runTrusted("grants", e.grants.Run)
+	t.runUntilPanic("records", e.records.Run)
+	t.runUntilPanic("grants", e.grants.Run)
 	t.run("follow fleet", e.followFleet)
 	t.run("learn hosts", e.learnHosts)
-	e.serveRepair(t)
+	e.startRepair(t)
 	if err := e.http.Start(); err != nil {
 		return errors.Wrap(err, "callers' address")
 	}
-	return e.settle(ctx)
+	return e.awaitDiscovery(ctx)
 }
 
-// settle waits until this run has heard of the fleet's backend servers, and of the requests that
-// crash them. Without it a restarted host refuses work as unknown_model, which tells callers not
-// to come back, because its registry is still empty.
-func (e *entry) settle(ctx context.Context) error {
+// awaitDiscovery waits until this host knows the fleet's backend servers and the requests that crash
+// them. Otherwise a restarted host, whose registry is still empty, would reject requests as
+// unknown_model, an error that callers do not retry.
+func (e *entry) awaitDiscovery(ctx context.Context) error {
 	begun := time.Now()
 	ticker := time.NewTicker(fleetEvery)
 	defer ticker.Stop()
@@ -184,15 +187,15 @@
 		case <-ticker.C:
 		}
 		waited := time.Since(begun)
-		if waited >= settleMost || waited >= settleLeast && len(e.sched.Servers()) > 0 && e.suspects.Synced() {
-			e.settled.Store(true)
+		if waited >= maxDiscoveryWait || waited >= minDiscoveryWait && len(e.sched.Servers()) > 0 && e.suspects.Synced() {
+			e.discovered.Store(true)
 			return nil
 		}
 	}
 }
 
-// chainSettings are the settings as the request chain sees them: not ready before
-// this run has settled. A leaving host still serves who was sent to it.
+// chainSettings are the settings as the request chain sees them: not ready before this host
+// knows the backend servers. A leaving host still serves callers that were sent to it.
 type chainSettings struct {
 	*settingsctl.Controller
 	e *entry
@@ -200,17 +203,18 @@
 
 // Ready implements filter.Settings.
 func (c chainSettings) Ready() error {
-	if !c.e.settled.Load() {
-		return errNotSettled()
+	if !c.e.discovered.Load() {
+		return errNotDiscovered()
 	}
 	return c.Controller.Ready()
 }
 
-func errNotSettled() error {
-	return errkind.New(errkind.HostNotReady, "this host has just started and is still learning of the backend servers").After(time.Second)
+func errNotDiscovered() error {
+	return errkind.New(errkind.HostNotReady, "this host has just started and is still discovering the backend servers").After(time.Second)
 }
 
-// makeControllers makes the controllers of one incarnation and the callers' API on them.
+// makeControllers creates the controllers of one incarnation and the callers' API on top of
+// them.
 func (e *entry) makeControllers(self *pb.Holder) {
 	cfg := e.d.cfg
 	e.records = records.New(records.Config{
@@ -245,7 +249,7 @@
 	}
 }
 
-// policyFor is the grant policy of the team whose accounts draw on the budget.
+// policyFor returns the grant policy of the team whose accounts draw on the budget.
 func (e *entry) policyFor(budget string) grant.Policy {
 	team, ok := e.d.settings.View().TeamOfBudget(budget)
 	if ok {
@@ -254,13 +258,13 @@
 	return grant.PolicyFrom(nil)
 }
 
-// ready is nil while this host takes new work from callers.
+// ready returns nil while this host accepts new requests from callers.
 func (e *entry) ready() error {
 	if e.holder().GetIncarnation() == 0 {
-		return errkind.New(errkind.HostNotReady, "not registered with the control group yet").After(time.Second)
+		return errkind.New(errkind.HostNotReady, "this host is not registered with the control group yet").After(time.Second)
 	}
-	if !e.settled.Load() {
-		return errNotSettled()
+	if !e.discovered.Load() {
+		return errNotDiscovered()
 	}
 	if e.leaving.Load() {
 		return errkind.New(errkind.HostLeaving, "this host is shutting down")
@@ -268,12 +272,12 @@
 	return e.d.settings.Ready()
 }
 
-// load is what this host tells its peers of itself.
+// load returns what this host reports about itself to its peers.
 func (e *entry) load() members.Load {
 	const full = 1000
 	spare := uint32(0)
 	limit, used := e.d.cfg.Limits.Streams, e.sched.Running()+e.sched.Waiting()
-	if used < limit && e.settled.Load() {
+	if used < limit && e.discovered.Load() {
 		spare = uint32(full * (limit - used) / limit)
 	}
 	return members.Load{SparePermille: spare, ConfigRevision: e.d.settings.Revision()}
--- a/internal/daemon/gatewaytables.go
+++ b/internal/daemon/gatewaytables.go
@@ -14,27 +14,28 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// tableTimeout bounds one call for the routing table. Its callers give an answer a
-// second and go to another host then.
+// tableTimeout bounds an operator's call about the routing table. Operators' clients wait one
+// second for an answer and then try another host.
 const tableTimeout = 900 * time.Millisecond
 
-// cutOffTimeout bounds one while the control group gives no answer to this host.
-const cutOffTimeout = 250 * time.Millisecond
+// disconnectedTimeout bounds such a call while the control group does not answer this host.
+const disconnectedTimeout = 250 * time.Millisecond
 
-// tablePatience is how long the operator waits for this host's answer.
-func (g *gateway) tablePatience() time.Duration {
+// tableCallTimeout returns the timeout of an operator's call about the routing table.
+func (g *gateway) tableCallTimeout() time.Duration {
 	if g.d.client.LastCallAnswered() {
 		return tableTimeout
 	}
-	return cutOffTimeout
+	return disconnectedTimeout
 }
 
-// elsewhere sends the operator to a control host when the group gives this host no answer.
+// redirect returns a redirect to a control host when the control group does not answer this
+// host, and err otherwise.
 //
-// What goes wrong without it: in a partition between gateways and control hosts most of the
-// hosts that the operator can ask are gateways. It is refused by one after the other, a raise
-// of a budget comes into force after the partition, and a table that holds can't be read back.
-func (g *gateway) elsewhere(err error) error {
+// In a partition between gateways and control hosts, most of the hosts that an operator can
+// ask are gateways. Without the redirect they reject the operator's calls one after the other:
+// a raised budget takes effect only after the partition, and a table in force can't be read.
+func (g *gateway) redirect(err error) error {
 	if !errkind.Is(err, errkind.NoQuorum) || g.d.replica != nil {
 		return err
 	}
@@ -45,8 +46,8 @@
 	return &surface.Redirect{Address: addresses[rand.IntN(len(addresses))], Refusal: errkind.From(err)}
 }
 
-// controlRegistries are the addresses at which control hosts take the operator's calls: the
-// seeds, and the hosts that say they run a replica. All hosts listen on the same ports.
+// controlRegistries returns the addresses at which control hosts serve operators' calls: those
+// of the seeds and of the hosts that report a replica. All hosts listen on the same ports.
 func (g *gateway) controlRegistries() []string {
 	_, port, err := net.SplitHostPort(g.d.cfg.Routed.Registry)
 	if err != nil {
@@ -71,32 +72,32 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, g.tablePatience())
+	ctx, cancel := context.WithTimeout(ctx, g.tableCallTimeout())
 	defer cancel()
 	res, err := g.d.client.Propose(ctx, &pb.Command{Actor: g.d.cfg.Host, Body: &pb.Command_ReplaceRoutes{ReplaceRoutes: packed}})
 	event := g.d.tel.Log.Info().Str("event", "routes-replaced").Uint64("revision", c.GetRevision())
 	if err != nil {
-		err = g.elsewhere(err)
+		err = g.redirect(err)
 		event.Err(err).Send()
 		return err
 	}
 	event.Bool("changed", res.GetReplaceRoutes().GetChanged()).Uint64("present", res.GetReplaceRoutes().GetRevision()).Send()
 	if res.GetReplaceRoutes().GetChanged() && g.servesCallers() {
-		g.takeReplaced(packed)
+		g.applyReplaced(packed)
 	}
 	return nil
 }
 
-// fromOperator stands for the operator where logs name the host that a table came from.
+// fromOperator is the source in log lines about a routing table that an operator sent.
 const fromOperator = "operator"
 
-// takeReplaced puts a table that the group has just taken in force here, before the operator
-// hears of it, and so has the other hosts fetch it from here, too.
+// applyReplaced applies a table that the control group has just committed on this host, before
+// the operator gets the answer. Other hosts can then fetch it from here, too.
 //
-// What goes wrong if it comes by way of the group only: the control hosts are lost as they
-// answer. The operator was told that the table holds, and no host that serves callers has it
-// until the group is back.
-func (g *gateway) takeReplaced(packed *pb.ReplaceRoutes) {
+// If the control hosts were the only source and were lost just after the commit, the operator
+// would have a success answer, while no host that serves callers would have the table until
+// the control group is back.
+func (g *gateway) applyReplaced(packed *pb.ReplaceRoutes) {
 	g.routes.Apply(fromOperator, &pb.FetchRoutesReply{
 		Routes: &pb.Routes{Revision: packed.GetRevision(), TableJson: packed.GetTableJson()}, Confirmed: true,
 	})
@@ -116,11 +117,11 @@
 
 // Present implements surface.Tables.
 func (g *gateway) Present(ctx context.Context) (*pb.Routes, error) {
-	ctx, cancel := context.WithTimeout(ctx, g.tablePatience())
+	ctx, cancel := context.WithTimeout(ctx, g.tableCallTimeout())
 	defer cancel()
 	res, err := g.d.client.Read(ctx, &pb.Query{Body: &pb.Query_Routes{Routes: &pb.RoutesQuery{}}})
 	if err != nil {
-		return nil, g.elsewhere(err)
+		return nil, g.redirect(err)
 	}
 	if err := wire.DecodeError(res.GetError()); err != nil {
 		return nil, err
--- a/internal/daemon/sight_test.go
+++ b/internal/daemon/sight_test.go
@@ -8,29 +8,29 @@
 	"testing"
 )
 
-// brokenPipeVariable is set for a process that writes to a log which nobody reads.
+// brokenPipeVariable is set for a child process that writes to a closed standard output.
 const brokenPipeVariable = "DAEMON_BROKEN_PIPE"
 
-// wroteOn is the exit code of such a process that outlived its writes.
-const wroteOn = 7
+// exitSurvived is the exit code of a child process that survived its writes.
+const exitSurvived = 7
 
 func TestMain(m *testing.M) {
 	if os.Getenv(brokenPipeVariable) == "" {
 		os.Exit(m.Run())
 	}
-	outliveLogReader()
+	ignoreBrokenPipe()
 	for range 3 {
 		if _, err := os.Stdout.WriteString("a line\n"); !errors.Is(err, syscall.EPIPE) {
 			os.Exit(exitFailed)
 		}
 	}
-	os.Exit(wroteOn)
+	os.Exit(exitSurvived)
 }
 
-// Symptom: all hosts of a machine image end at once, with all their requests, and no log says why.
-// Sequence: what reads their standard output is started anew; each writes its next line.
-// Cause: Go ends a process by SIGPIPE that writes to a closed standard output.
-func TestHostOutlivesTheReaderOfItsLog(t *testing.T) {
+// Go ends a process by SIGPIPE if it writes to a closed standard output. When the reader of the
+// log restarted, all hosts of a machine image ended at once with all their requests, and no log
+// showed the reason.
+func TestProcessSurvivesExitOfLogReader(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 	cmd.Env, cmd.Stdout = append(os.Environ(), brokenPipeVariable+"=1"), w
 	err = cmd.Run()
 	var exit *exec.ExitError
-	if !errors.As(err, &exit) || exit.ExitCode() != wroteOn {
+	if !errors.As(err, &exit) || exit.ExitCode() != exitSurvived {
 		t.Errorf("the process ended with %v", err)
 	}
 }
--- a/internal/daemon/tasks_test.go
+++ b/internal/daemon/tasks_test.go
@@ -12,18 +12,17 @@
 	"github.com/rs/zerolog"
 )
 
-// Symptom: all requests of a host end at one moment without an answer.
-// Sequence: a loop beside the requests, such as that of the heartbeats, panics over what it
-// heard from a peer.
-// Cause: a panic that nobody recovers ends the process.
-func TestLoopThatPanicsIsStartedAgain(t *testing.T) {
+// A panic that is not recovered ends the process: if a background loop, such as the one of the
+// heartbeats, panicked over a peer's message, all requests of the host would end at once without
+// an answer.
+func TestPanickingLoopIsRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		ts := newTasks(zerolog.New(&out))
 		var starts atomic.Int64
 		ts.run("heartbeats", func(ctx context.Context) {
 			if starts.Add(1) <= 2 {
-				panic("a peer's word")
+				panic("a peer's message")
 			}
 			<-ctx.Done()
 		})
@@ -34,18 +33,18 @@
 		}
 		select {
 		case <-ts.failed:
-			t.Error("the process ends over a loop that can start again")
+			t.Error("the process shuts down though the loop can be restarted")
 		default:
 		}
 		ts.stop()
 		if got := strings.Count(out.String(), `"in":"heartbeats"`); got != 2 {
-			t.Errorf("%d lines on two panics: %s", got, out.String())
+			t.Errorf("%d log lines for two panics, want 2: %s", got, out.String())
 		}
 	})
 }
 
-// Sequence: a loop panics again and again, and the process is told to stop meanwhile.
-func TestStopEndsALoopThatPanics(t *testing.T) {
+// A process must stop at once even while it waits to restart a loop that keeps panicking.
+func TestStopEndsPanickingLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ts := newTasks(zerolog.Nop())
 		ts.run("faulty", func(context.Context) { panic("always") })
@@ -54,20 +53,19 @@
 	})
 }
 
-// Symptom: a budget is overspent after a host's log told of a panic.
-// Sequence: the loop that keeps the tokens panics half-way through a change of them.
-// Cause: it goes on with books that are wrong.
-func TestPanicOfATrustedLoopEndsTheProcessInOrder(t *testing.T) {
+// If the loop that manages tokens panicked in the middle of a change and were restarted, it would
+// continue with wrong counts, and a budget could be overspent.
+func TestPanicOfLoopWithoutRestartShutsProcessDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ts := newTasks(zerolog.Nop())
 		var starts atomic.Int64
-		ts.runTrusted("grants", func(context.Context) {
+		ts.runUntilPanic("grants", func(context.Context) {
 			starts.Add(1)
 			panic("half a change")
 		})
 		<-ts.failed
 		if ts.err == nil || !strings.Contains(ts.err.Error(), "grants") {
-			t.Errorf("the cause is %v", ts.err)
+			t.Errorf("got error %v, want one that names the loop grants", ts.err)
 		}
 		time.Sleep(10 * restartPause)
 		if got := starts.Load(); got != 1 {
--- a/internal/telemetry/firsts.go
+++ b/internal/telemetry/firsts.go
@@ -2,32 +2,32 @@
 
 import "sync"
 
-// maxFirsts bounds the keys that Firsts remembers.
-const maxFirsts = 1024
+// maxSeenKeys bounds the keys that Firsts remembers. It forgets all of them when it is full.
+const maxSeenKeys = 1024
 
-// Firsts tells the first of many like events apart, so that only it is logged. The zero value is
-// ready to use; it is safe for concurrent use.
-type Firsts[K comparable] struct {
+// FirstSeen detects the first of many similar events, so that only that one is logged. The zero
+// value is ready to use; it is safe for concurrent use.
+type FirstSeen[K comparable] struct {
 	mu   sync.Mutex
 	seen map[K]bool
 }
 
-// First tells whether a key comes for the first time since Forget.
-func (f *Firsts[K]) First(key K) bool {
+// First reports whether it is called with key for the first time since Forget.
+func (f *FirstSeen[K]) First(key K) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.seen[key] {
 		return false
 	}
-	if f.seen == nil || len(f.seen) >= maxFirsts {
+	if f.seen == nil || len(f.seen) >= maxSeenKeys {
 		f.seen = make(map[K]bool)
 	}
 	f.seen[key] = true
 	return true
 }
 
-// Forget has the next event of each key be a first one.
-func (f *Firsts[K]) Forget() {
+// Forget forgets all keys.
+func (f *FirstSeen[K]) Forget() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seen = nil
