--- a/internal/adminapi/accounts_test.go
+++ b/internal/adminapi/accounts_test.go
@@ -123,7 +123,7 @@
 // Guards against rejecting the resend of a key change that never took effect. The change had a
 // conflict, the host died before it tried again, and the operator sent the change to another
 // host. The control group stores the conflict as the answer to the operation id.
-func TestKeyChangeGoesOnAfterARememberedConflict(t *testing.T) {
+func TestKeyChangeRetriedAfterStoredConflict(t *testing.T) {
 	a := newAPIWithTeam(t)
 	a.createAccount()
 	stale := &pb.SetConfig{Path: "/accounts/acme/key_hashes", ValueJson: []byte(`[]`), ExpectedVersion: 0}
