--- a/internal/adminapi/handler_test.go
+++ b/internal/adminapi/handler_test.go
@@ -285,7 +285,7 @@
 // Guards against a status that is unusable while the answering host can't reach the control
 // group, which occurs if the status waits for the group or treats a missing answer as an
 // empty fleet.
-func TestStatusWithoutQuorumTellsWhatIsNotKnown(t *testing.T) {
+func TestStatusWithoutQuorumReportsUnknownState(t *testing.T) {
 	a := newAPI(t)
 	a.group.readErr = errkind.New(errkind.NoQuorum, "cut off")
 	s := answer[Status](a, a.call("GET", "/v1/status", ""))
