--- a/internal/adminapi/handler_test.go
+++ b/internal/adminapi/handler_test.go
@@ -306,7 +306,7 @@
 	}
 }
 
-func TestConfigStatusTellsWhoIsBehind(t *testing.T) {
+func TestConfigStatusReportsStaleHosts(t *testing.T) {
 	a := newAPI(t)
 	a.decodeOK(a.call("PUT", "/v1/config/teams/t", `{}`, "Idempotency-Key", "o1", "If-Match", "0"), &ChangeAnswer{})
 	c := answer[ConfigStatus](a, a.call("GET", "/v1/config-status", "")) // with nothing at /fleet
