--- a/internal/adminapi/handler_test.go
+++ b/internal/adminapi/handler_test.go
@@ -378,7 +378,7 @@
 // Guards against bluebellsail status timing out on every host while two of three replicas are
 // down. If a host's own state waited for the control group as long as a change does, the
 // tool's timeout for one host would expire first.
-func TestAnswersWithoutQuorumComeSoon(t *testing.T) {
+func TestAnswersWithoutQuorumAreTimely(t *testing.T) {
 	for _, path := range []string{"/v1/status", "/v1/config-status", "/v1/hosts", "/v1/explain/acme/k1"} {
 		synctest.Test(t, func(t *testing.T) {
 			a := newAPI(t)
