--- a/internal/adminapi/handler_test.go
+++ b/internal/adminapi/handler_test.go
@@ -140,7 +140,7 @@
 	a.mustReject(a.call("PATCH", "/v1/budgets", ""), errkind.UnknownPath)
 }
 
-func TestFaultyRequestsAreRefusedBeforeTheGroup(t *testing.T) {
+func TestInvalidRequestsAreRejectedBeforeTheGroup(t *testing.T) {
 	tests := []struct {
 		name, method, path, body string
 		header                   []string
