--- a/internal/adminapi/handler_test.go
+++ b/internal/adminapi/handler_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestUnknownPathsAndMethodsAreRefusedInJSON(t *testing.T) {
+func TestUnknownPathsAndMethodsAreRejectedWithJSON(t *testing.T) {
 	a := newAPI(t)
 	a.mustReject(a.call("GET", "/v1/nothing", ""), errkind.UnknownPath)
 	a.mustReject(a.call("PATCH", "/v1/budgets", ""), errkind.UnknownPath)
