--- a/internal/adminapi/accounts_test.go
+++ b/internal/adminapi/accounts_test.go
@@ -140,7 +140,7 @@
 // Guards against answering the resend of a key's removal with NotFound, after which the
 // operator may remove another key. It occurs if the resend looks for the hash before it looks
 // for its own first change, whose answer was lost.
-func TestResentDropIsConfirmed(t *testing.T) {
+func TestResentKeyRemovalIsConfirmed(t *testing.T) {
 	a := newAPIWithTeam(t)
 	first := a.createAccount()
 	path := "/v1/accounts/acme/keys/" + first.KeyHash
