--- a/internal/adminapi/accounts.go
+++ b/internal/adminapi/accounts.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// keyPrefix marks an account's key, so that leaked keys can be searched for.
+	// keyPrefix marks an account's key, so that a key pasted into a wrong place can be found.
 	keyPrefix = "bbs_"
 	keyBytes  = 32
 	// maxKeyAttempts bounds the attempts to change an account's keys while other operators change
--- a/internal/adminapi/handler.go
+++ b/internal/adminapi/handler.go
@@ -45,7 +45,7 @@
 	// OperatorKeyHashes returns the hex SHA-256 hashes of the operators' keys in force, from
 	// the process's settings file and from the settings tree.
 	OperatorKeyHashes func() []string
-	// Quarantine may be nil; the list of quarantined requests is then empty.
+	// Quarantine may be nil; no request then has recorded crashes.
 	Quarantine Quarantine
 	// Replica returns the state of the control group's replica on this host. It is nil if
 	// the host has none.
