--- a/internal/admincli/account.go
+++ b/internal/admincli/account.go
@@ -16,14 +16,14 @@
 func (a *app) accountCommand() *cli.Command {
 	return &cli.Command{Name: "account", Usage: "client accounts and their keys", Commands: []*cli.Command{
 		{Name: "list", Usage: "list all accounts and the hashes of their keys", Action: a.accountList},
-		{Name: "create", Usage: "create an account and print its key, once", ArgsUsage: "NAME", Action: a.accountCreate, Flags: []cli.Flag{
+		{Name: "create", Usage: "create an account and print its key once", ArgsUsage: "NAME", Action: a.accountCreate, Flags: []cli.Flag{
 			&cli.StringFlag{Name: "team", Usage: "`TEAM` whose rules the account follows", Required: true},
 			&cli.StringFlag{Name: "budget", Usage: "`BUDGET` that the account is billed to; default: the account's name"},
 			&cli.IntFlag{Name: "weight", Usage: "`WEIGHT` in fair queues, 1 to 100"}}},
-		{Name: "new-key", Usage: "add a key to an account and print it, once", ArgsUsage: "NAME", Action: a.accountNewKey},
-		{Name: "drop-key", Usage: "take a key from an account", ArgsUsage: "NAME HASH", Action: a.accountDropKey},
-		{Name: "disable", Usage: "refuse all requests of an account", ArgsUsage: "NAME", Action: a.accountDisable},
-		{Name: "enable", Usage: "end the refusal of an account's requests", ArgsUsage: "NAME", Action: a.accountEnable},
+		{Name: "new-key", Usage: "add a key to an account and print it once", ArgsUsage: "NAME", Action: a.accountNewKey},
+		{Name: "drop-key", Usage: "remove a key from an account", ArgsUsage: "NAME HASH", Action: a.accountDropKey},
+		{Name: "disable", Usage: "reject all requests of an account", ArgsUsage: "NAME", Action: a.accountDisable},
+		{Name: "enable", Usage: "accept an account's requests again", ArgsUsage: "NAME", Action: a.accountEnable},
 	}}
 }
 
@@ -65,8 +65,8 @@
 	return a.addKey(ctx, cmd, accountPath(args[0])+"/keys", key, adminapi.AddKey{KeyHash: settings.HashKey(key)})
 }
 
-// addKey sends the hash of key and shows key only when the answer says that this
-// hash is in force. The key itself never leaves this machine.
+// addKey sends the hash of key, and prints key only if the answer confirms that this hash is
+// in force. The key itself never leaves this machine.
 func (a *app) addKey(ctx context.Context, cmd *cli.Command, path, key string, request any) error {
 	body, err := encode(request)
 	if err != nil {
@@ -118,8 +118,8 @@
 	return a.setDisabled(ctx, cmd, "false")
 }
 
-// setDisabled changes one value whatever the account's version is: it can't undo
-// another operator's change of anything else.
+// setDisabled changes one value regardless of the account's version, since this can't
+// overwrite another operator's change of any other value.
 func (a *app) setDisabled(ctx context.Context, cmd *cli.Command, value string) error {
 	args, err := arguments(cmd, "NAME")
 	if err != nil {
--- a/internal/admincli/app.go
+++ b/internal/admincli/app.go
@@ -1,9 +1,9 @@
-// Package admincli is the operators' command-line tool: its command tree, its client
-// of the operators' API and the files it prepares for a fleet.
+// Package admincli implements the operators' command-line tool: its command tree, its client
+// of the operators' API and the commands that generate files for a fleet.
 //
-// Every change has an operation id, printed with the answer. When an answer is lost
-// the tool sends the change again under the same id until its time is over; then it
-// says that the outcome is unknown, with the id for a resend.
+// Every change has an operation id, which is printed with the answer. If an answer is lost,
+// the tool resends the change with the same id until its timeout. Then it reports that the
+// outcome is unknown and prints the id for a resend.
 package admincli
 
 import (
@@ -27,7 +27,7 @@
 
 const defaultTimeout = 30 * time.Second
 
-// Names of the global flags.
+// The names of the global flags.
 const (
 	flagAddress = "address"
 	flagKey     = "key"
@@ -41,17 +41,17 @@
 const description = `Exit codes: 0 done; 1 refused, nothing was changed; 2 wrong usage, nothing was sent;
 3 no host reached, or the outcome of a change is unknown.
 
-Every change prints its operation id. The same command with --op-id ID asks for its
-outcome and changes nothing twice.`
+Every change prints its operation id. The same command with --op-id ID returns its
+outcome and never makes the change twice.`
 
-// app is one run of the tool.
+// app is one invocation of the tool.
 type app struct {
 	stdin  io.Reader
 	stdout io.Writer
 	stderr io.Writer
 }
 
-// Run runs the tool with args, the program's name first, and returns its exit code.
+// Run runs the tool and returns its exit code. args starts with the program's name.
 func Run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	a := &app{stdin: stdin, stdout: stdout, stderr: stderr}
 	err := a.root().Run(ctx, args)
@@ -64,7 +64,7 @@
 func (a *app) root() *cli.Command {
 	root := &cli.Command{
 		Name:                  "bluebellsail",
-		Usage:                 "drive a bluebellsail fleet",
+		Usage:                 "operate a bluebellsail fleet",
 		Description:           description,
 		EnableShellCompletion: true,
 		Suggest:               true,
@@ -83,7 +83,7 @@
 	return root
 }
 
-// prepare gives every command the same answer to a wrong command line.
+// prepare makes every command report usage errors in the same way.
 func prepare(c *cli.Command) error {
 	c.OnUsageError = func(_ context.Context, cmd *cli.Command, err error, _ bool) error {
 		return usage("%v; see %s --help", err, cmd.FullName())
@@ -91,7 +91,7 @@
 	if c.Action == nil {
 		c.Action = func(_ context.Context, cmd *cli.Command) error {
 			if !cmd.Args().Present() {
-				return usage("say which command; see %s --help", cmd.FullName())
+				return usage("the command is missing; see %s --help", cmd.FullName())
 			}
 			return usage("there is no command %q; see %s --help", cmd.Args().First(), cmd.FullName())
 		}
@@ -102,19 +102,19 @@
 func globalFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringSliceFlag{Name: flagAddress, Aliases: []string{"a"}, Sources: cli.EnvVars("BLUEBELLSAIL_ADDRESS"),
-			Usage: "operators' `ADDRESS` of a host, ip:port or https://ip:port; several are tried in turn"},
+			Usage: "`ADDRESS` of a host's operators' API, ip:port or https://ip:port; several are tried in turn"},
 		&cli.StringFlag{Name: flagKey, Sources: cli.EnvVars("BLUEBELLSAIL_KEY"),
-			Usage: "operator's `KEY`; other users of this machine may see it, rather use --key-file"},
+			Usage: "operator's `KEY`; other users of this machine may see it, so prefer --key-file"},
 		&cli.StringFlag{Name: flagKeyFile, Sources: cli.EnvVars("BLUEBELLSAIL_KEY_FILE"), Usage: "`FILE` with the operator's key"},
 		&cli.StringFlag{Name: flagCA, Sources: cli.EnvVars("BLUEBELLSAIL_CA"),
-			Usage: "PEM `FILE` with the authority of the hosts' certificates; addresses are https then"},
-		&cli.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "`TIME` in which to get an answer, resends included"},
+			Usage: "PEM `FILE` with the certificate authority of the hosts; addresses then default to https"},
+		&cli.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "`TIME` to wait for an answer, resends included"},
 		&cli.BoolFlag{Name: flagJSON, Usage: "print the answer as JSON"},
-		&cli.StringFlag{Name: flagOpID, Usage: "operation `ID` of a change, to send it again"},
+		&cli.StringFlag{Name: flagOpID, Usage: "operation `ID` of an earlier change, to resend it"},
 	}
 }
 
-// client makes the client that the global flags describe.
+// client returns a client configured by the global flags.
 func (a *app) client(cmd *cli.Command) (*client, error) {
 	key, err := operatorKey(cmd)
 	if err != nil {
@@ -169,18 +169,18 @@
 func readPool(file string) (*x509.CertPool, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
-		return nil, usage("read the authority: %v", err)
+		return nil, usage("read the certificate authority: %v", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(b) {
-		return nil, usage("%s has no certificate in PEM", file)
+		return nil, usage("%s contains no PEM certificate", file)
 	}
 	return pool, nil
 }
 
 func baseURLs(addresses []string, scheme string) ([]string, error) {
 	if len(addresses) == 0 {
-		return nil, usage("give a host's operators' address with --%s, or BLUEBELLSAIL_ADDRESS", flagAddress)
+		return nil, usage("give the address of a host's operators' API with --%s, or BLUEBELLSAIL_ADDRESS", flagAddress)
 	}
 	urls := make([]string, len(addresses))
 	for i, address := range addresses {
@@ -198,7 +198,7 @@
 	return urls, nil
 }
 
-// read asks and prints the answer.
+// read sends a GET request and prints the answer.
 func (a *app) read(ctx context.Context, cmd *cli.Command, path string, out any, text func(w io.Writer)) error {
 	cl, err := a.client(cmd)
 	if err != nil {
@@ -210,7 +210,7 @@
 	return a.print(cmd, out, text)
 }
 
-// change sends a change under its operation id and prints the answer.
+// change sends a change with its operation id and prints the answer.
 func (a *app) change(ctx context.Context, cmd *cli.Command, c call, out any, text func(w io.Writer)) error {
 	cl, err := a.client(cmd)
 	if err != nil {
@@ -223,7 +223,7 @@
 	return a.print(cmd, out, text)
 }
 
-// operationID is the one given, or a new one.
+// operationID returns the id from the command line, or a new one.
 func operationID(cmd *cli.Command) string {
 	if id := cmd.String(flagOpID); id != "" {
 		return id
@@ -231,7 +231,7 @@
 	return "op-" + strings.ToLower(rand.Text())
 }
 
-// print writes out as JSON or as text.
+// print writes out as JSON, or calls text to write it as text.
 func (a *app) print(cmd *cli.Command, out any, text func(w io.Writer)) error {
 	if cmd.Bool(flagJSON) {
 		b, err := json.MarshalIndent(out, "", "  ")
@@ -246,7 +246,7 @@
 	return w.Flush()
 }
 
-// printOperation writes the operation id of a change.
+// printOperation prints the operation id of a change.
 func printOperation(w io.Writer, opID string, resend bool) {
 	if resend {
 		fmt.Fprintf(w, "op_id %s (done by an earlier request)\n", opID)
@@ -255,7 +255,7 @@
 	fmt.Fprintf(w, "op_id %s\n", opID)
 }
 
-// arguments returns the command's arguments, which must be as many as names.
+// arguments returns the command's arguments, one for each of names.
 func arguments(cmd *cli.Command, names ...string) ([]string, error) {
 	if cmd.Args().Len() != len(names) {
 		return nil, usage("want %s; see %s --help", strings.Join(names, " "), cmd.FullName())
@@ -263,7 +263,7 @@
 	return cmd.Args().Slice(), nil
 }
 
-// encode returns v as the body of a call.
+// encode returns v as a request body.
 func encode(v any) ([]byte, error) {
 	b, err := json.Marshal(v)
 	return b, errors.Wrap(err, "encode the request")
--- a/internal/admincli/apply.go
+++ b/internal/admincli/apply.go
@@ -19,31 +19,32 @@
 	"github.com/bluebellsail/bluebellsail/internal/adminapi"
 )
 
-// keyHashes is the key of an account's hashes, which a file of settings leaves out.
+// keyHashes is the JSON key of an account's key hashes, which settings files omit.
 const keyHashes = "key_hashes"
 
-// treeFile is a file with subtrees of the settings tree.
+// treeFile is the content of a file with subtrees of the settings tree.
 type treeFile struct {
 	Teams    map[string]map[string]any `json:"teams"`
 	Accounts map[string]map[string]any `json:"accounts"`
 	Fleet    map[string]any            `json:"fleet"`
 }
 
-// appliedSubtree is one line of the answer of config apply.
+// appliedSubtree is one subtree in the output of config apply.
 type appliedSubtree struct {
 	Path    string `json:"path"`
 	Version uint64 `json:"version"`
 	Changed bool   `json:"changed"`
 }
 
-// applied is the answer of config apply.
+// applied is the output of config apply.
 type applied struct {
 	OpID     string           `json:"op_id"`
 	Subtrees []appliedSubtree `json:"subtrees"`
 }
 
-// configApply sets the subtrees of a file that differ from what is set, one change
-// each, and leaves all others alone. A second run goes on where the first stopped.
+// configApply sets those subtrees of a file that differ from the settings tree, one change
+// each, and leaves all others unchanged. After an error, a second run continues where the
+// first one stopped.
 func (a *app) configApply(ctx context.Context, cmd *cli.Command) error {
 	args, err := arguments(cmd, "FILE")
 	if err != nil {
@@ -82,7 +83,7 @@
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
 	if err := d.Decode(tree); err != nil {
-		return nil, usage("%s has no teams, accounts and fleet: %v", file, err)
+		return nil, usage("%s is not an object with teams, accounts and fleet: %v", file, err)
 	}
 	return tree, nil
 }
@@ -113,8 +114,8 @@
 	if err != nil {
 		return appliedSubtree{}, err
 	}
-	// Keys are made one by one and stand in no file: without this an apply would lock
-	// every caller out.
+	// Keys are created one by one and are in no file. Without this, applying a file would
+	// remove the keys of all callers.
 	if hashes, ok := present.value[keyHashes]; ok && s.value[keyHashes] == nil {
 		s.value[keyHashes] = hashes
 	}
--- a/internal/admincli/budget.go
+++ b/internal/admincli/budget.go
@@ -25,12 +25,12 @@
 	note := &cli.StringFlag{Name: flagNote, Usage: "`TEXT` for the statement"}
 	return &cli.Command{Name: "budget", Usage: "prepaid token budgets", Commands: []*cli.Command{
 		{Name: "list", Usage: "list all budgets", Action: a.budgetList},
-		{Name: "show", Usage: "show a budget and what hosts hold of it", ArgsUsage: "NAME", Action: a.budgetShow},
+		{Name: "show", Usage: "show a budget and the tokens that hosts hold of it", ArgsUsage: "NAME", Action: a.budgetShow},
 		{Name: "create", Usage: "create a budget", ArgsUsage: "NAME", Action: a.budgetCreate, Flags: []cli.Flag{
 			tokens, note, &cli.StringFlag{Name: "account", Usage: "client `ACCOUNT` that the budget is for"}}},
 		{Name: "top-up", Usage: "add tokens to a budget", ArgsUsage: "NAME", Action: a.budgetTopUp, Flags: []cli.Flag{tokens, note}},
 		{Name: "statement", Usage: "list a budget's bills and top-ups", ArgsUsage: "NAME", Action: a.budgetStatement, Flags: []cli.Flag{
-			&cli.UintFlag{Name: flagLimit, Value: 50, Usage: "`NUMBER` of lines, the last ones"}}},
+			&cli.UintFlag{Name: flagLimit, Value: 50, Usage: "`NUMBER` of latest lines to list"}}},
 	}}
 }
 
@@ -54,8 +54,8 @@
 	}
 }
 
-// printFunds shows what a change answers for: the funds. Grants are not part of the
-// answer, and a resend gets the first answer again.
+// printFunds prints the part of a budget that the answer to a change contains. Grants are not
+// part of that answer, and a resend gets the first answer again.
 func printFunds(w io.Writer, b adminapi.Budget) {
 	fmt.Fprintf(w, "budget %s: funded %d, billed %d\n", b.Name, b.Funded, b.Billed)
 }
--- a/internal/admincli/client.go
+++ b/internal/admincli/client.go
@@ -22,7 +22,7 @@
 const (
 	defaultAttemptTimeout = 5 * time.Second
 	dialTimeout           = 2 * time.Second
-	// Pause after a round through all addresses.
+	// firstPause and maxPause bound the pause after each round through all addresses.
 	firstPause = 100 * time.Millisecond
 	maxPause   = 2 * time.Second
 	// maxAnswerBytes bounds an answer.
@@ -33,9 +33,9 @@
 type call struct {
 	method string
 	path   string
-	// ifMatch is the header If-Match; empty: none.
+	// ifMatch is the header If-Match; empty if it is not sent.
 	ifMatch string
-	// body is sent as it is.
+	// body is sent unchanged.
 	body []byte
 	// opID identifies a change; empty for a read.
 	opID string
@@ -50,24 +50,24 @@
 	key       string
 	http      *http.Client
 	timeout   time.Duration
-	// attemptTimeout bounds one try at one address, so that an address which takes
-	// connections and answers nothing doesn't use up the whole time.
+	// attemptTimeout bounds one attempt, so that an address that accepts connections and
+	// never answers doesn't use up the whole timeout.
 	attemptTimeout time.Duration
 	progress       *progress
 }
 
-// attempt is what one try at one address came to.
+// attempt is the outcome of sending a call to one address.
 type attempt struct {
 	body []byte
 	err  error
-	// again: another address, or the same one later, may answer otherwise.
+	// again is true if another address, or the same one later, may succeed.
 	again bool
-	// unknown: the change may have taken effect.
+	// unknown is true if the change may have taken effect.
 	unknown bool
 	pause   time.Duration
 }
 
-// refusal is an answer that is no success.
+// refusal is the error for an answer that rejects a call.
 type refusal struct{ fields httpserver.ErrorFields }
 
 func (r *refusal) Error() string {
@@ -86,7 +86,7 @@
 	return errors.As(err, &r)
 }
 
-// refusedAs returns the refusal in err if it is of kind k.
+// refusedAs returns the refusal in err if its kind is k.
 func refusedAs(err error, k errkind.Kind) (*refusal, bool) {
 	var r *refusal
 	if errors.As(err, &r) && r.fields.Kind == k {
@@ -95,15 +95,14 @@
 	return nil, false
 }
 
-// do sends c until it is answered or the time is over, and decodes the answer into
-// out. A change is sent again only under its own operation id, which makes a second
-// arrival harmless.
+// do sends c until it is answered or the timeout expires, and decodes the answer into out. A
+// change is always resent with the same operation id, so it is safe if it arrives twice.
 func (cl *client) do(parent context.Context, c call, out any) error {
 	ctx, cancel := context.WithTimeout(parent, cl.timeout)
 	defer cancel()
 	pauses := backoff.NewExponentialBackOff()
 	pauses.InitialInterval, pauses.MaxInterval = firstPause, maxPause
-	last := errors.New("nothing was tried")
+	last := errors.New("no attempt was made")
 	unknown := false
 	for try := 0; ctx.Err() == nil; try++ {
 		address := cl.addresses[try%len(cl.addresses)]
@@ -116,7 +115,7 @@
 		}
 		unknown = unknown || a.unknown
 		if try == 0 || isRefusal(a.err) || (!isRefusal(last) && ctx.Err() == nil) {
-			last = a.err // a host's reason says more than a later silence
+			last = a.err // a refusal tells more than a later connection error
 		}
 		cl.progress.say("%s: %v", address, a.err)
 		if (try+1)%len(cl.addresses) == 0 {
@@ -130,10 +129,10 @@
 	return gaveUp(end, c, last, unknown)
 }
 
-// decidedByGroup tells whether a refusal is the control group's own answer to the
-// operation. After an attempt with an unknown outcome only such a refusal says that
-// the change didn't take effect: another host may refuse a key or a path before it
-// asks the group at all.
+// decidedByGroup reports whether a refusal is the control group's own answer to the
+// operation. After an attempt with an unknown outcome, only such a refusal proves that the
+// change did not take effect. Another host may reject the key or the path without contacting
+// the group.
 func decidedByGroup(err error) bool {
 	var r *refusal
 	if !errors.As(err, &r) {
@@ -146,7 +145,7 @@
 	return false
 }
 
-// gaveUp says what is known after the last attempt.
+// gaveUp returns the error after the last attempt. It states whether the outcome is known.
 func gaveUp(end string, c call, last error, unknown bool) error {
 	switch {
 	case unknown:
@@ -177,7 +176,7 @@
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
-		return attempt{err: errors.Wrap(err, "read the answer"), again: true, unknown: c.changes()}
+		return attempt{err: errors.Wrap(err, "read the response"), again: true, unknown: c.changes()}
 	}
 	if res.StatusCode == http.StatusOK {
 		return attempt{body: body}
@@ -198,11 +197,12 @@
 	}
 }
 
-// judge decides from a refusal whether to go on.
+// judge classifies a response other than 200: whether to try again, and whether a change may
+// have taken effect.
 func judge(status int, body []byte, changes bool) attempt {
 	var answer httpserver.ErrorAnswer
 	if err := json.Unmarshal(body, &answer); err != nil || answer.Error.Kind == "" {
-		return attempt{err: errors.Errorf("status %d without an error that is understood", status), again: true, unknown: changes}
+		return attempt{err: errors.Errorf("status %d without a valid error body", status), again: true, unknown: changes}
 	}
 	f := answer.Error
 	a := attempt{err: &refusal{f}, pause: time.Duration(f.RetryAfterMs) * time.Millisecond}
@@ -213,12 +213,12 @@
 
 func decodeAnswer(body []byte, out any) error {
 	if err := json.Unmarshal(body, out); err != nil {
-		return &exitError{code: exitUnreachable, err: errors.Wrap(err, "the answer is not understood")}
+		return &exitError{code: exitUnreachable, err: errors.Wrap(err, "decode the response")}
 	}
 	return nil
 }
 
-// plainError takes the method and URL off an error of net/http.
+// plainError returns the text of an error of net/http without the method and the URL.
 func plainError(err error) string {
 	var u *url.Error
 	if errors.As(err, &u) {
@@ -237,8 +237,8 @@
 	}
 }
 
-// newHTTPClient uses no proxy and follows no redirect: either would show the
-// operator's key to another machine.
+// newHTTPClient returns a client that uses no proxy and follows no redirects, because either
+// would send the operator's key to another machine.
 func newHTTPClient(transport *http.Transport) *http.Client {
 	transport.DialContext = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	return &http.Client{
--- a/internal/admincli/client_test.go
+++ b/internal/admincli/client_test.go
@@ -14,8 +14,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// newSilentHost takes requests and answers none until the test ends; arrived gets one
-// value per request.
+// newSilentHost starts a server that does not answer requests until the test ends. It sends
+// the operation id of each request to arrived.
 func newSilentHost(t *testing.T) (s *httptest.Server, arrived chan string) {
 	arrived = make(chan string, 100)
 	end := make(chan struct{})
@@ -28,9 +28,8 @@
 	return s, arrived
 }
 
-// Symptom: a command hangs though other hosts would answer.
-// Sequence: the first address takes the connection and goes silent.
-// Cause: the whole time is given to the first attempt.
+// Guards against a command that hangs although other hosts would answer, because the first
+// address accepts the connection, never answers and uses up the whole timeout.
 func TestSilentHostCostsOneAttemptOnly(t *testing.T) {
 	silent, arrived := newSilentHost(t)
 	var second string
@@ -50,9 +49,9 @@
 	}
 }
 
-// Symptom: an operator stops a command and believes that nothing was changed.
-// Sequence: the change is sent, no answer comes, the operator interrupts.
-// Cause: the interruption is told as a refusal, or without the operation id.
+// Guards against the impression that nothing was changed when an operator interrupts a change
+// that was sent but not answered. The error must state that the outcome is unknown and contain
+// the operation id.
 func TestInterruptedChangeIsAnUnknownOutcome(t *testing.T) {
 	silent, arrived := newSilentHost(t)
 	key := filepath.Join(t.TempDir(), "key")
--- a/internal/admincli/config.go
+++ b/internal/admincli/config.go
@@ -20,29 +20,29 @@
 const (
 	flagVersion = "version"
 	flagAny     = "any-version"
-	// anyVersion is the If-Match of a change under any version.
+	// anyVersion is the header If-Match of a change that expects no particular version.
 	anyVersion = "*"
 )
 
 func (a *app) configCommand() *cli.Command {
 	versions := []cli.Flag{
-		&cli.Uint64Flag{Name: flagVersion, Usage: "`VERSION` of the subtree that the change expects; 0: none yet"},
-		&cli.BoolFlag{Name: flagAny, Usage: "change the subtree whatever its version is"},
+		&cli.Uint64Flag{Name: flagVersion, Usage: "`VERSION` of the subtree that the change expects; 0 if nothing is set yet"},
+		&cli.BoolFlag{Name: flagAny, Usage: "change the subtree regardless of its version"},
 	}
 	return &cli.Command{Name: "config", Usage: "the settings tree, by path", Commands: []*cli.Command{
 		{Name: "get", Usage: "show the settings at a path", ArgsUsage: "PATH", Action: a.configGet},
 		{Name: "set", Usage: "change the settings at a path", ArgsUsage: "PATH VALUE", Action: a.configSet, Flags: versions,
 			Description: "VALUE is JSON, @FILE, or - for standard input."},
-		{Name: "apply", Usage: "set the teams, accounts and fleet of a file, where they differ", ArgsUsage: "FILE", Action: a.configApply,
-			Description: "FILE is JSON such as examples/recife/tree.json. What it leaves out stays as it is, accounts' keys too."},
+		{Name: "apply", Usage: "set the teams, accounts and fleet in a file that differ from the settings tree", ArgsUsage: "FILE", Action: a.configApply,
+			Description: "FILE is JSON such as examples/recife/tree.json. What it omits stays unchanged, including accounts' keys."},
 		{Name: "delete", Usage: "delete the settings at a path", ArgsUsage: "PATH", Action: a.configDelete, Flags: versions},
 		{Name: "history", Usage: "list the changes at and below a path", ArgsUsage: "PATH", Action: a.configHistory, Flags: []cli.Flag{
-			&cli.UintFlag{Name: flagLimit, Value: 50, Usage: "`NUMBER` of changes, the last ones"}}},
+			&cli.UintFlag{Name: flagLimit, Value: 50, Usage: "`NUMBER` of latest changes to list"}}},
 		{Name: "status", Usage: "show which revision is in force on each host, and which hosts are out of contact", Action: a.configStatus},
 	}}
 }
 
-// configPath is the API's path for a path in the settings tree.
+// configPath returns the API's path for a path in the settings tree.
 func configPath(treePath string) string { return apiPath("/v1/config/", treePath) }
 
 func apiPath(prefix, treePath string) string {
@@ -107,8 +107,8 @@
 	return value, nil
 }
 
-// expectedVersion demands a version: read just before the change it would be no
-// guard against what the operator hasn't seen.
+// expectedVersion returns the header If-Match. The operator has to give a version: one that
+// the tool read just before the change would not protect changes that the operator hasn't seen.
 func expectedVersion(cmd *cli.Command) (string, error) {
 	if cmd.IsSet(flagVersion) == cmd.Bool(flagAny) {
 		return "", usage("give --%s VERSION, as shown by config get, or --%s", flagVersion, flagAny)
--- a/internal/admincli/exit.go
+++ b/internal/admincli/exit.go
@@ -2,19 +2,21 @@
 
 import "github.com/pkg/errors"
 
-// Exit codes of the program.
+// The exit codes of the program.
 const (
-	// exitOK: done.
+	// exitOK means success.
 	exitOK = 0
-	// exitRefused: the fleet refused, and nothing was changed.
+	// exitRefused means that the fleet rejected the request and nothing was changed.
 	exitRefused = 1
-	// exitUsage: the command line or a file that it names is wrong; nothing was sent.
+	// exitUsage means that the command line, or a file given on it, is invalid. Nothing was
+	// sent.
 	exitUsage = 2
-	// exitUnreachable: no host could be reached, or the outcome of a change is unknown.
+	// exitUnreachable means that no host could be reached, or that the outcome of a change is
+	// unknown.
 	exitUnreachable = 3
 )
 
-// exitError is an error with the exit code it ends the program with.
+// exitError is an error together with the exit code of the program.
 type exitError struct {
 	code int
 	err  error
@@ -27,8 +29,8 @@
 	return &exitError{code: exitUsage, err: errors.Errorf(format, args...)}
 }
 
-// exitCode of a command's error. An error without one comes from parsing the
-// command line.
+// exitCode returns the exit code for a command's error. An error without an exit code comes
+// from parsing the command line.
 func exitCode(err error) int {
 	if err == nil {
 		return exitOK
--- a/internal/admincli/explain.go
+++ b/internal/admincli/explain.go
@@ -17,18 +17,18 @@
 )
 
 func (a *app) explainCommand() *cli.Command {
-	return &cli.Command{Name: "explain", Usage: "show what was decided for a request, and why", ArgsUsage: "REQUEST-ID",
+	return &cli.Command{Name: "explain", Usage: "show the decisions made for a request, and their reasons", ArgsUsage: "REQUEST-ID",
 		Description: "REQUEST-ID is the header Bluebellsail-Request-Id of an answer, or ACCOUNT/IDEMPOTENCY-KEY; with --logs, the id\n" +
-			"that the caller gave its try. --logs reads the hosts' logs in place of asking them.",
-		Flags:  []cli.Flag{&cli.StringSliceFlag{Name: flagLogs, Usage: "log of a host, a `FILE` of key=value lines; may be given again"}},
+			"that the caller gave its attempt. --logs reads the hosts' logs instead of querying the hosts.",
+		Flags:  []cli.Flag{&cli.StringSliceFlag{Name: flagLogs, Usage: "log of a host, a `FILE` of key=value lines; may be repeated"}},
 		Action: a.explain}
 }
 
-// flagLogs names the logs to read.
+// flagLogs is the flag for the log files to read.
 const flagLogs = "logs"
 
-// explain asks each address until one knows the request: what was decided is kept by
-// the host that decided, and the host asked may not reach it.
+// explain queries each address until one finds the request. The host that made the decisions
+// stores them, and the first queried host may not be able to reach it.
 func (a *app) explain(ctx context.Context, cmd *cli.Command) error {
 	args, err := arguments(cmd, "REQUEST-ID")
 	if err != nil {
@@ -57,7 +57,7 @@
 	return err
 }
 
-// explainFromLogs needs no host: it works on what a fleet that is down has left.
+// explainFromLogs needs no running host, so it also works with the logs of a fleet that is down.
 func (a *app) explainFromLogs(cmd *cli.Command, id string, logs []string) error {
 	report, err := logreport.Make(id, len(logs), func(i int) (io.ReadCloser, error) { return os.Open(logs[i]) })
 	if errors.Is(err, logreport.ErrNotFound) {
--- a/internal/admincli/files.go
+++ b/internal/admincli/files.go
@@ -15,10 +15,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/tlsutil"
 )
 
-// keyFileMode lets nobody but the owner read a key.
+// keyFileMode allows only the file's owner to read a key.
 const keyFileMode = 0o600
 
-// newKey is what keys new prints.
+// newKey is the output of keys new and keys hash.
 type newKey struct {
 	Key  string `json:"key,omitempty"`
 	File string `json:"file,omitempty"`
@@ -27,8 +27,8 @@
 
 func (a *app) keysCommand() *cli.Command {
 	return &cli.Command{Name: "keys", Usage: "operators' keys", Commands: []*cli.Command{
-		{Name: "new", Usage: "make a key and its hash", Action: a.keysNew, Flags: []cli.Flag{
-			&cli.StringFlag{Name: "out", Usage: "new `FILE` to write the key to; default: it is printed"}}},
+		{Name: "new", Usage: "generate a key and its hash", Action: a.keysNew, Flags: []cli.Flag{
+			&cli.StringFlag{Name: "out", Usage: "new `FILE` to write the key to; default: print the key"}}},
 		{Name: "hash", Usage: "print the hash of the key on standard input", Action: a.keysHash},
 	}}
 }
@@ -47,7 +47,7 @@
 	})
 }
 
-// writeNewFile never replaces a file: the key in it may be in use.
+// writeNewFile never replaces a file, since the key in it may be in use.
 func writeNewFile(file, content string) error {
 	f, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
@@ -64,7 +64,7 @@
 	b, err := io.ReadAll(a.stdin)
 	key := strings.TrimSpace(string(b))
 	if err != nil || key == "" {
-		return usage("there is no key on standard input")
+		return usage("no key on standard input")
 	}
 	out := newKey{Hash: settings.HashKey(key)}
 	return a.print(cmd, out, func(w io.Writer) { fmt.Fprintln(w, out.Hash) })
@@ -72,11 +72,11 @@
 
 func (a *app) tlsCommand() *cli.Command {
 	return &cli.Command{Name: "tls", Usage: "certificates of a fleet", Commands: []*cli.Command{
-		{Name: "init", Usage: "make an authority, or use the one there, and a certificate for each host", Action: a.tlsInit, Flags: []cli.Flag{
-			&cli.StringFlag{Name: "dir", Usage: "`FOLDER` for the files", Required: true},
+		{Name: "init", Usage: "create or reuse a certificate authority, and create a certificate for each host", Action: a.tlsInit, Flags: []cli.Flag{
+			&cli.StringFlag{Name: "dir", Usage: "`DIRECTORY` for the files", Required: true},
 			&cli.StringSliceFlag{Name: "hosts", Usage: "`NAME=IP` of each host, separated by commas", Required: true},
 			&cli.DurationFlag{Name: "valid", Value: tlsutil.DefaultHostValidity, Usage: "`TIME` that host certificates are valid"},
-			&cli.BoolFlag{Name: "renew", Usage: "replace host certificates that are there"}}},
+			&cli.BoolFlag{Name: "renew", Usage: "replace existing host certificates"}}},
 	}}
 }
 
@@ -103,9 +103,9 @@
 }
 
 func (a *app) devCommand() *cli.Command {
-	return &cli.Command{Name: "dev", Usage: "a fleet on this machine, for trials", Commands: []*cli.Command{
-		{Name: "init", Usage: "write the settings files of a fleet on loopback with free ports", Action: a.devInit, Flags: []cli.Flag{
-			&cli.StringFlag{Name: "dir", Usage: "new or empty `FOLDER` for the files", Required: true},
+	return &cli.Command{Name: "dev", Usage: "a fleet on this machine, for experiments", Commands: []*cli.Command{
+		{Name: "init", Usage: "write the settings files of a fleet on free loopback ports", Action: a.devInit, Flags: []cli.Flag{
+			&cli.StringFlag{Name: "dir", Usage: "new or empty `DIRECTORY` for the files", Required: true},
 			&cli.IntFlag{Name: "hosts", Value: 5, Usage: "`NUMBER` of hosts"},
 			&cli.IntFlag{Name: "controls", Value: 3, Usage: "`NUMBER` of hosts with a replica of the control group"},
 			&cli.StringSliceFlag{Name: "zones", Value: []string{"a", "b", "c"}, Usage: "`ZONES`, separated by commas"},
--- a/internal/admincli/fleet.go
+++ b/internal/admincli/fleet.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// standings explains the standings of a host's own replica.
+// standings describes each value of adminapi.LocalReplica.Standing.
 var standings = map[string]string{
 	"forming": "no vote: it asks all other founding replicas whether its disk is new",
 	"outside": "no vote: it is not a member; add it with control add",
@@ -51,7 +51,7 @@
 func (a *app) hostCommand() *cli.Command {
 	return &cli.Command{Name: "host", Usage: "hosts of the fleet", Commands: []*cli.Command{
 		{Name: "list", Usage: "list all hosts", Action: a.hostList},
-		{Name: "remove", Usage: "say that a host is dead and won't return, so that its grants can be recovered", ArgsUsage: "NAME", Action: a.hostRemove},
+		{Name: "remove", Usage: "declare that a host is dead and won't return, so that its grants can be recovered", ArgsUsage: "NAME", Action: a.hostRemove},
 	}}
 }
 
@@ -96,7 +96,7 @@
 func (a *app) serverCommand() *cli.Command {
 	return &cli.Command{Name: "server", Usage: "backend servers", Commands: []*cli.Command{
 		{Name: "list", Usage: "list the backend servers that one host knows", Action: a.serverList},
-		{Name: "order", Usage: "order a backend server to do something", ArgsUsage: "ADDRESS VERB [OBJECT]", Action: a.serverOrder,
+		{Name: "order", Usage: "send an order to a backend server", ArgsUsage: "ADDRESS VERB [OBJECT]", Action: a.serverOrder,
 			Flags: []cli.Flag{&cli.StringFlag{Name: "role", Usage: "`ROLE` to change to"}}},
 	}}
 }
@@ -141,7 +141,7 @@
 		{Name: "add", Usage: "add a replica without a vote, by the id that status shows at its host", Action: a.controlAdd, Flags: []cli.Flag{id,
 			&cli.StringFlag{Name: "host", Usage: "`HOST` that it runs on", Required: true},
 			&cli.StringFlag{Name: "peer-address", Usage: "`ADDRESS` for peers of that host, ip:port", Required: true}}},
-		{Name: "promote", Usage: "give a replica its vote, once it holds everything committed", Action: a.controlPromote, Flags: []cli.Flag{id}},
+		{Name: "promote", Usage: "give a replica its vote once it stores all committed entries", Action: a.controlPromote, Flags: []cli.Flag{id}},
 		{Name: "remove", Usage: "remove a replica", Action: a.controlRemove, Flags: []cli.Flag{id}},
 	}}
 }
--- a/internal/admincli/progress.go
+++ b/internal/admincli/progress.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// progressPeriod is how often a wait is told.
+// progressPeriod is the interval between messages while a command waits.
 const progressPeriod = 2 * time.Second
 
-// progress tells on the error stream what a command waits for. It is safe for
-// concurrent use.
+// progress prints to the error stream what a command waits for. It is safe for concurrent
+// use.
 type progress struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -23,8 +23,8 @@
 	fmt.Fprintf(p.out, format+"\n", args...)
 }
 
-// wait tells every progressPeriod that what is still waited for, until the returned
-// function is called.
+// wait prints every progressPeriod that the command still waits for what, until stop is
+// called.
 func (p *progress) wait(what string) (stop func()) {
 	done := make(chan struct{})
 	began := time.Now()
--- a/internal/admincli/quarantine.go
+++ b/internal/admincli/quarantine.go
@@ -14,10 +14,10 @@
 )
 
 func (a *app) quarantineCommand() *cli.Command {
-	return &cli.Command{Name: "quarantine", Usage: "requests under which backend servers crashed", Commands: []*cli.Command{
-		{Name: "list", Usage: "list them, with the crashes and the next trial", Action: a.quarantineList},
-		{Name: "release", Usage: "have all hosts forget the crashes under a request", ArgsUsage: "FINGERPRINT", Action: a.quarantineRelease,
-			Description: "FINGERPRINT is that of the list and of the request's line in the log."},
+	return &cli.Command{Name: "quarantine", Usage: "requests that crashed backend servers", Commands: []*cli.Command{
+		{Name: "list", Usage: "list the requests, their crashes and the time until the next trial", Action: a.quarantineList},
+		{Name: "release", Usage: "make all hosts forget the crashes of a request", ArgsUsage: "FINGERPRINT", Action: a.quarantineRelease,
+			Description: "FINGERPRINT is shown by quarantine list and in the request's log line."},
 	}}
 }
 
--- a/internal/admincli/script_test.go
+++ b/internal/admincli/script_test.go
@@ -35,11 +35,12 @@
 	})
 }
 
-// TestScripts runs testdata against an operators' API over the control group's real
-// state machine. $A and $B are two hosts' addresses, $DEAD one where nobody listens.
-// The servers are net/http's: nbio's accepted sockets are inherited by processes that
-// the scripts start, keep their epoll registration through them and so close later
-// connections that get the same descriptor.
+// TestScripts runs the scripts in testdata against an operators' API with the control group's
+// real state machine. $A and $B are the addresses of two hosts. Nothing listens at $DEAD.
+//
+// The servers are those of net/http, because sockets accepted by nbio are inherited by the
+// processes that the scripts start. They keep their epoll registration through these processes,
+// which closes later connections that get the same descriptor.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata",
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// host is one host's operators' API with faults in front.
+// host is the operators' API of one host with injected faults.
 type host struct {
 	server *httptest.Server
 	api    http.Handler
@@ -112,9 +113,9 @@
 	return h.fault
 }
 
-// ServeHTTP serves, or brings about the fault set: "lose" does the work and closes
-// the connection, "garble" answers what is no error body, and the name of an error
-// kind refuses before anything is done.
+// ServeHTTP serves a request, or injects the fault that is set. "lose" executes the request and
+// closes the connection, "garble" answers without an error body, and the name of an error kind
+// rejects the request before it is executed.
 func (h *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch fault := h.next(); fault {
 	case "":
@@ -154,7 +155,7 @@
 	}
 }
 
-// stateGroup is the control group's state machine without a log or a network.
+// stateGroup is the control group's state machine without a log and a network.
 type stateGroup struct {
 	mu    sync.Mutex
 	state *apply.State
@@ -195,7 +196,7 @@
 	return []*pb.ServerState{{Address: "192.0.2.9:1", Models: []string{"m"}, Zone: "z"}}
 }
 
-// explainer of host b knows one request.
+// explainer knows one request, and only on host b.
 type explainer struct{ host string }
 
 func (e explainer) Explain(_ context.Context, id string) (json.RawMessage, error) {
@@ -211,19 +212,18 @@
 	return &pb.PlaceOrderResult{Fence: uint64(len(o.GetVerb() + o.GetObject() + o.GetRole()))}, nil
 }
 
-// Symptom: an operator is told that nothing was changed, and a budget is funded.
-// Sequence: the first attempt has an unknown outcome, the second meets a host that
-// refuses before it asks the control group.
-// Cause: the last refusal is taken for the outcome of the operation.
+// Guards against reporting that nothing was changed although a budget was funded. The first
+// attempt has an unknown outcome, and the second one is rejected by a host that has not
+// contacted the control group. That refusal must not count as the outcome of the operation.
 func TestRefusalAfterUnknownOutcomeIsNoOutcome(t *testing.T) {
 	for _, kind := range []errkind.Kind{errkind.Unauthenticated, errkind.UnknownPath, errkind.BadRequest, errkind.HostLeaving} {
 		if decidedByGroup(judge(0, httpserver.ErrorBody("", errkind.New(kind, "x")), true).err) {
-			t.Errorf("%s counts as the group's own answer", kind)
+			t.Errorf("%s counts as the control group's answer", kind)
 		}
 	}
 	a := judge(502, []byte("<html>"), true)
 	if !a.again || !a.unknown {
-		t.Errorf("an answer that is not understood: %+v", a)
+		t.Errorf("an invalid error body: %+v", a)
 	}
 	if a := judge(502, []byte("<html>"), false); a.unknown {
 		t.Errorf("a read has an unknown outcome: %+v", a)
@@ -235,7 +235,7 @@
 		a := judge(row.Status, httpserver.ErrorBody("", errkind.New(row.Kind, "x")), true)
 		ranNo := errkind.New(row.Kind, "x").Ran() == errkind.RanNo
 		if a.unknown == ranNo {
-			t.Errorf("%s: unknown %t, though ran no is %t", row.Kind, a.unknown, ranNo)
+			t.Errorf("%s: unknown is %t, although ran no is %t", row.Kind, a.unknown, ranNo)
 		}
 		if row.Retry == errkind.RetryNever && ranNo && a.again {
 			t.Errorf("%s is tried again", row.Kind)
@@ -245,6 +245,6 @@
 		}
 	}
 	if !strings.Contains((&refusal{httpserver.ErrorFields{Kind: "k", Path: "/p", PresentVersion: 3}}).Error(), "/p: ") {
-		t.Error("the path of the fault is not told")
+		t.Error("the path of the fault is missing")
 	}
 }
--- a/internal/admincli/team.go
+++ b/internal/admincli/team.go
@@ -21,9 +21,9 @@
 		{Name: "list", Usage: "list all teams", Action: a.teamList},
 		{Name: "show", Usage: "show a team's rules", ArgsUsage: "NAME", Action: a.teamShow},
 		{Name: "set", Usage: "change some of a team's rules, or create the team", ArgsUsage: "NAME KEY=VALUE...", Action: a.teamSet,
-			Description: "Keys are those of the subtree /teams/NAME, with dots for inner ones, such as retry.share=0.2.\n" +
-				"Values are JSON or plain strings. An empty value takes the key away.",
-			Flags: []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "`VERSION` that the team must have; default: the present one"}}},
+			Description: "Keys are those of the subtree /teams/NAME; nested keys are separated by dots, such as retry.share=0.2.\n" +
+				"Values are JSON or plain strings. An empty value removes the key.",
+			Flags: []cli.Flag{&cli.Uint64Flag{Name: flagVersion, Usage: "`VERSION` that the team must have; default: the current one"}}},
 	}}
 }
 
@@ -57,8 +57,8 @@
 	})
 }
 
-// teamSet reads the team's rules, changes the keys given and writes them under the
-// version read, so that a change made meanwhile is never undone.
+// teamSet reads the team's rules, changes the given keys and writes the rules with the version
+// that was read as the expected one, so that a concurrent change is never overwritten.
 func (a *app) teamSet(ctx context.Context, cmd *cli.Command) error {
 	args := cmd.Args().Slice()
 	if len(args) < 2 {
@@ -100,9 +100,9 @@
 	return a.print(cmd, out, func(w io.Writer) { printChange(w, *out) })
 }
 
-// madeBefore finds the change at path that bears the operation id given. A resend of
-// a change that is made from what was read would otherwise be another change, as it
-// reads its own first outcome.
+// madeBefore returns the change at path that was made with the operation id from the command
+// line, or nil if there is none. Without it, the resend of a change that is computed from the
+// current value would be a different change, since it would read its own first result.
 func (cl *client) madeBefore(ctx context.Context, cmd *cli.Command, path string) (*adminapi.ChangeAnswer, error) {
 	opID := cmd.String(flagOpID)
 	if opID == "" {
@@ -120,16 +120,16 @@
 	return nil, nil
 }
 
-// presentObject is what the settings tree has at a path.
+// presentObject is the value at a path of the settings tree.
 type presentObject struct {
-	// value is empty where nothing is set.
+	// value is empty if nothing is set.
 	value map[string]any
-	// version that a change must expect.
+	// version is the one that a change must expect.
 	version uint64
 	found   bool
 }
 
-// readObject returns the object at path; where nothing is set, an empty one.
+// readObject returns the object at path, or an empty one if nothing is set.
 func (cl *client) readObject(ctx context.Context, path string) (presentObject, error) {
 	present := presentObject{value: map[string]any{}}
 	var answer adminapi.ConfigAnswer
@@ -148,7 +148,7 @@
 	return present, nil
 }
 
-// assign sets key=value in object, or deletes the key for an empty value.
+// assign sets key=value in object, or deletes the key if the value is empty.
 func assign(object map[string]any, assignment string) error {
 	key, value, ok := strings.Cut(assignment, "=")
 	if !ok || key == "" {
