--- a/internal/devfleet/devfleet.go
+++ b/internal/devfleet/devfleet.go
@@ -1,5 +1,5 @@
-// Package devfleet writes the settings files of a small fleet on loopback, for the
-// demo, for end-to-end tests and for trials on one machine.
+// Package devfleet generates the settings files of a small fleet on loopback, for the demo,
+// for end-to-end tests and for experiments on one machine.
 package devfleet
 
 import (
@@ -23,8 +23,8 @@
 )
 
 const (
-	// fleetPrefix begins the name of each fleet; the rest is drawn, so that two fleets on
-	// one machine don't take each other's hosts for their own.
+	// fleetPrefix is the start of each fleet's name. The rest is random, so that two fleets on
+	// one machine don't accept each other's hosts.
 	fleetPrefix  = "dev-"
 	fleetDigits  = 8
 	maxHosts     = 200
@@ -38,27 +38,29 @@
 	dirMode  = 0o700
 )
 
-// Options of a fleet.
+// Options configures a fleet.
 type Options struct {
-	// Dir is the folder for all files; made if absent, else it must be empty.
+	// Dir is the directory for all files. It is created if it does not exist, and must be
+	// empty otherwise.
 	Dir string
-	// Hosts is how many hosts there are; the first Controls of them have a replica.
+	// Hosts is the number of hosts. The first Controls of them have a control replica.
 	Hosts    int
 	Controls int
-	// Zones that the hosts are spread over in turn.
+	// Zones are the availability zones, to which the hosts are assigned in turn.
 	Zones []string
-	// TLS gives every listener a certificate of an authority made for the fleet.
+	// TLS gives every listener a certificate, issued by a certificate authority that is
+	// created for the fleet.
 	TLS bool
 }
 
-// Layout says where things are.
+// Layout lists the files and addresses of a fleet.
 type Layout struct {
 	Dir string `json:"dir"`
-	// KeyFile has the operator's key.
+	// KeyFile contains the operator's key.
 	KeyFile string `json:"key_file"`
-	// EnvFile is a shell script that sets what bluebellsail needs.
+	// EnvFile is a shell script that sets the environment variables of bluebellsail.
 	EnvFile string `json:"env_file"`
-	// CA is the authority's certificate; empty without TLS.
+	// CA is the file with the certificate of the authority; empty without TLS.
 	CA    string `json:"ca,omitempty"`
 	Hosts []Host `json:"hosts"`
 	// Fleet is the name of the fleet.
@@ -79,8 +81,8 @@
 	tls procconfig.TLS
 }
 
-// Init writes the files of a fleet. The ports were free when it looked; a process
-// that starts later may find one taken.
+// Init writes the files of a fleet. The ports are free when Init checks them, but may be in
+// use when a host starts later.
 func Init(o Options) (*Layout, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -110,7 +112,7 @@
 	return layout, layout.write()
 }
 
-// certify makes an authority and a certificate for each host.
+// certify creates a certificate authority and a certificate for each host.
 func (l *Layout) certify() error {
 	options := tlsutil.InitOptions{Dir: filepath.Join(l.Dir, "tls"), Validity: tlsutil.DefaultHostValidity}
 	for _, h := range l.Hosts {
@@ -133,39 +135,40 @@
 
 func (o Options) check() error {
 	if o.Hosts < 1 || o.Hosts > maxHosts {
-		return errors.Errorf("%d hosts; use 1 to %d", o.Hosts, maxHosts)
+		return errors.Errorf("%d hosts; must be 1 to %d", o.Hosts, maxHosts)
 	}
 	if o.Controls < 1 || o.Controls > o.Hosts {
-		return errors.Errorf("%d control replicas; use 1 to the number of hosts, %d", o.Controls, o.Hosts)
+		return errors.Errorf("%d control replicas; must be 1 to the number of hosts, %d", o.Controls, o.Hosts)
 	}
 	if len(o.Zones) == 0 {
-		return errors.New("give at least one zone")
+		return errors.New("at least one zone is required")
 	}
 	return nil
 }
 
-// emptyDir makes dir and refuses one that has files: they may be a fleet in use.
+// emptyDir creates dir and returns its absolute path. It rejects a directory that contains
+// files, since they may belong to a fleet in use.
 func emptyDir(dir string) (string, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return "", errors.Wrap(err, "folder")
 	}
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return "", errors.Wrap(err, "make the folder")
+		return "", errors.Wrap(err, "create the directory")
 	}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
-		return "", errors.Wrap(err, "read the folder")
+		return "", errors.Wrap(err, "read the directory")
 	}
 	if len(entries) > 0 {
-		return "", errors.Errorf("the folder %s is not empty", dir)
+		return "", errors.Errorf("the directory %s is not empty", dir)
 	}
 	return dir, nil
 }
 
-// freeAddresses listens on n ports at once, so that no port comes twice, and lets
-// them go. The ports lie below those that systems draw for outgoing connections:
-// one of these would otherwise take a host's port while the host is being restarted.
+// freeAddresses returns n free loopback addresses. It listens on all of them at the same time,
+// so that no port is returned twice. The ports are below the range that systems use for
+// outgoing connections, one of which could otherwise take a host's port during its restart.
 func freeAddresses(n int) ([]string, error) {
 	addresses := make([]string, 0, n)
 	for tries := 0; len(addresses) < n; tries++ {
@@ -206,7 +209,7 @@
 	return nil
 }
 
-// config is the settings of host h.
+// config returns the settings of host h.
 func (l *Layout) config(h Host, keyHash string) *procconfig.Config {
 	c := procconfig.Default()
 	c.Fleet, c.Host, c.Zone = l.Fleet, h.Host, h.Zone
--- a/internal/devfleet/devfleet_test.go
+++ b/internal/devfleet/devfleet_test.go
@@ -30,7 +30,7 @@
 			t.Fatalf("%s:\n%v", h.Settings, err)
 		}
 		if c.Host != h.Host || c.Zone != h.Zone || c.Has(procconfig.RoleControl) != h.Control || h.Control != (i < 3) {
-			t.Errorf("%+v does not fit %+v", c, h)
+			t.Errorf("%+v does not match %+v", c, h)
 		}
 		if len(c.Control.Members) != 3 || len(c.Peers) != 5 || !slices.Equal(c.OperatorKeyHashes, []string{hash}) {
 			t.Errorf("%s: members %v, peers %v, hashes %v", h.Host, c.Control.Members, c.Peers, c.OperatorKeyHashes)
--- a/internal/load/addresses.go
+++ b/internal/load/addresses.go
@@ -11,15 +11,15 @@
 	"github.com/pkg/errors"
 )
 
-// askTimeout bounds one question for addresses.
+// askTimeout bounds one request for addresses.
 const askTimeout = 3 * time.Second
 
-// avoidFor is how long an address that failed is passed over while others are there.
+// avoidFor is how long an address that failed is avoided while others are available.
 const avoidFor = 5 * time.Second
 
 // addressAnswer is the answer to GET /v1/addresses.
 type addressAnswer struct {
-	// Addresses are in the order in which they are to be used.
+	// Addresses are in the order of preference.
 	Addresses []addressItem `json:"addresses"`
 	TTLMS     int64         `json:"ttl_ms"`
 }
@@ -28,8 +28,8 @@
 	Address string `json:"address"`
 }
 
-// addressBook keeps the addresses that a host gave for as long as the answer may be
-// kept. It decides from what it is told only; ask fetches.
+// addressBook caches the addresses returned by a host until their TTL expires, and chooses among
+// them. It does no I/O; the addresses are fetched by asker.
 type addressBook struct {
 	mu      sync.Mutex
 	list    []string
@@ -42,7 +42,7 @@
 	return &addressBook{failed: map[string]time.Time{}}
 }
 
-// stale tells whether the answer may no longer be used.
+// stale reports whether the cached answer has expired.
 func (b *addressBook) stale(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,15 +60,16 @@
 	b.updates++
 }
 
-// fail notes that an address gave no answer.
+// fail records that an address did not answer.
 func (b *addressBook) fail(now time.Time, address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failed[address] = now
 }
 
-// pick returns the first address of the list that neither was tried already nor failed
-// of late; if there is none, the first of those that only were tried, then of the rest.
+// pick returns the first address that was neither tried already nor failed recently. If there
+// is none, it returns the first one that was tried but did not fail recently, then the first
+// one that failed recently but was not tried, then the first one.
 func (b *addressBook) pick(now time.Time, tried map[string]bool) (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,23 +92,23 @@
 	return best, true
 }
 
-// known returns the addresses to ask, the ones in use first.
+// known returns the hosts to fetch addresses from, the cached ones first.
 func (b *addressBook) known(seeds []string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append(append([]string{}, b.list...), seeds...)
 }
 
-// asker fetches addresses.
+// asker fetches addresses into an addressBook.
 type asker struct {
 	client *http.Client
 	seeds  []string
 	zone   string
 	book   *addressBook
-	mu     sync.Mutex // one question at a time
+	mu     sync.Mutex // serializes fetches
 }
 
-// refresh asks if the book is stale. The old answer stays in use when nobody answers.
+// refresh fetches addresses if the cached ones are stale. They stay in use if no host answers.
 func (a *asker) refresh(ctx context.Context) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -123,7 +124,7 @@
 		}
 		last = err
 	}
-	return errors.Wrap(last, "no host told its addresses")
+	return errors.Wrap(last, "no host returned addresses")
 }
 
 func (a *asker) ask(ctx context.Context, host string) (addressAnswer, error) {
@@ -150,7 +151,7 @@
 		return answer, errors.Wrap(err, host)
 	}
 	if len(answer.Addresses) == 0 {
-		return answer, errors.Errorf("%s gave no address", host)
+		return answer, errors.Errorf("%s returned no address", host)
 	}
 	return answer, nil
 }
--- a/internal/load/attempt.go
+++ b/internal/load/attempt.go
@@ -17,17 +17,18 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter"
 )
 
-// headerRan says on a refusal whether the request ran.
+// headerRan is the header of a refusal that states whether the request was executed.
 const headerRan = "Bluebellsail-Ran"
 
 // maxLine bounds one line of an event stream.
 const maxLine = 1 << 20
 
-// attempt is what one try brought.
+// attempt is the outcome of sending a request once.
 type attempt struct {
-	// broken is set when no whole answer came: no connection, a cut or silent one.
+	// broken is the error if there was no complete answer: the connection failed, was cut
+	// or gave no byte within the patience.
 	broken error
-	// refusal is set when the answer is a refusal.
+	// refusal is set if the answer is a refusal.
 	refusal *refusal
 
 	requestID string
@@ -37,11 +38,11 @@
 	code      string
 	entryID   string
 	entryRun  int
-	// firstToken is when the first token came.
+	// firstToken is when the first token arrived.
 	firstToken time.Time
 }
 
-// refusal is an answer that says no.
+// refusal is an answer that rejects the request.
 type refusal struct {
 	Status     int
 	Kind       errkind.Kind
@@ -51,18 +52,19 @@
 	RetryAfter time.Duration
 }
 
-// sender makes single tries.
+// sender makes single attempts.
 type sender struct {
-	client   *http.Client
+	client *http.Client
+	// patience is Options.Patience.
 	patience time.Duration
-	// onText is called with each piece of a streamed answer; may be nil.
+	// onText is called with each part of a streamed answer; may be nil.
 	onText func(string)
 }
 
-// errSilent is the cause of a try that gave no byte for longer than the patience.
-var errSilent = errors.New("no byte for longer than the patience")
+// errSilent is the error of an attempt that received no byte within the patience.
+var errSilent = errors.New("no byte received within the patience")
 
-// try sends r to address with the time that is left.
+// try sends r to address with the remaining time as its timeout.
 func (s *sender) try(ctx context.Context, address string, r *request, left time.Duration) *attempt {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -93,7 +95,8 @@
 	return err
 }
 
-// watch cancels a try that gives no byte for longer than the patience.
+// watch returns a timer that cancels an attempt after the patience. It never fires if the
+// patience is 0.
 func (s *sender) watch(cancel context.CancelCauseFunc) *time.Timer {
 	if s.patience <= 0 {
 		t := time.NewTimer(time.Hour)
@@ -109,6 +112,7 @@
 	}
 }
 
+// watchedReader calls progress whenever bytes were read.
 type watchedReader struct {
 	r        io.Reader
 	progress func()
@@ -141,7 +145,7 @@
 	return req, nil
 }
 
-// read takes the answer in, whatever its shape.
+// read reads the answer: a refusal, an event stream or a single JSON object.
 func (a *attempt) read(resp *http.Response, body io.Reader, r *request, onText func(string)) {
 	if resp.StatusCode != http.StatusOK {
 		a.readRefusal(resp, body)
@@ -160,7 +164,7 @@
 	a.readWhole(b, r)
 }
 
-// answerJSON is any answer: of a completion, of a plain service, or an error.
+// answerJSON is the union of all answers: of a completion, of a plain service, or an error.
 type answerJSON struct {
 	Choices []struct {
 		Delta   *textJSON `json:"delta"`
@@ -202,7 +206,7 @@
 	}
 }
 
-// take adds what one message of the answer brings.
+// take adds the text and the usage in one message of the answer.
 func (a *attempt) take(j *answerJSON, onText func(string)) {
 	for _, c := range j.Choices {
 		t := c.Delta
@@ -225,8 +229,8 @@
 	}
 }
 
-// readStream reads server-sent events. Only [DONE] ends a whole stream: an end of the
-// connection without it is a cut.
+// readStream reads server-sent events. A stream is complete only if it ends with [DONE]. If the
+// connection ends without it, the stream was cut.
 func (a *attempt) readStream(body io.Reader, onText func(string)) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxLine)
@@ -258,7 +262,7 @@
 func (a *attempt) readRefusal(resp *http.Response, body io.Reader) {
 	var j answerJSON
 	if err := json.NewDecoder(body).Decode(&j); err != nil || j.Error == nil {
-		a.broken = errors.Errorf("status %d without an error that can be read", resp.StatusCode)
+		a.broken = errors.Errorf("status %d without a valid error body", resp.StatusCode)
 		return
 	}
 	a.refusal = j.Error.refusal(resp.StatusCode, resp.Header)
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -7,59 +7,60 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// Pauses of a caller before it tries again.
+// The delays before a caller tries again.
 const (
-	// brokenPause follows a try that brought no answer.
+	// brokenPause is the delay after an attempt without a complete answer.
 	brokenPause = 20 * time.Millisecond
-	// askAgainPause follows the first refusal that says to ask again with the same key
-	// but not when; it doubles with each try, up to longestPause.
+	// askAgainPause is the delay after the first refusal that asks for a retry with the same
+	// key but does not say when. It doubles with each attempt, up to longestPause.
 	askAgainPause = 100 * time.Millisecond
 	longestPause  = 2 * time.Second
 )
 
-// lateSlack is how long after the deadline a caller still listens for a final answer,
-// to tell a late answer and a truthful refusal from none.
+// lateSlack is how long a caller still waits for a final answer after the deadline, so that
+// late answers and refusals are distinguished from missing ones.
 const lateSlack = 2 * time.Second
 
-// verdict is what came of a request.
+// verdict is the outcome of a request.
 type verdict int
 
 const (
 	answered verdict = iota
-	late             // whole and right, after the deadline
+	late             // complete and correct, but after the deadline
 	refused
 	wrong // looked like a success but is not the answer to the request
 	lost  // no final answer
 )
 
-// result is the end of one request.
+// result describes the outcome of one request.
 type result struct {
 	verdict    verdict
 	attempts   int
-	broken     int // tries that brought no answer
+	broken     int // attempts without a complete answer
 	last       *attempt
 	fault      string
 	firstToken time.Duration
 	total      time.Duration
 }
 
-// plan is what a caller does after a try.
+// plan tells whether and when a caller tries again.
 type plan struct {
 	again bool
 	wait  time.Duration
 }
 
-// next decides what a good caller does after its n-th try, which brought a: it comes
-// back when and only when that can help, and never after its deadline. At most most
-// tries are made.
-func next(a *attempt, left time.Duration, n, most int) plan {
+// next decides whether a well-behaved caller tries again after its n-th attempt, whose outcome
+// is a. It tries again only if that can help, never after its deadline, and makes at most
+// maxAttempts attempts.
+func next(a *attempt, left time.Duration, n, maxAttempts int) plan {
 	p := comeBack(a, n)
-	if n >= most || p.wait >= left {
+	if n >= maxAttempts || p.wait >= left {
 		return plan{}
 	}
 	return p
 }
 
+// comeBack returns the plan that follows from the outcome a of the n-th attempt alone.
 func comeBack(a *attempt, n int) plan {
 	if a.broken != nil {
 		return plan{again: true, wait: brokenPause}
@@ -79,7 +80,7 @@
 	}
 }
 
-// askAgain is the pause after the n-th try.
+// askAgain returns the delay after the n-th attempt.
 func askAgain(n int) time.Duration {
 	wait := askAgainPause
 	for ; n > 1 && wait < longestPause; n-- {
@@ -88,17 +89,17 @@
 	return min(wait, longestPause)
 }
 
-// caller takes requests through all their tries.
+// caller sends requests and retries them.
 type caller struct {
 	sender   *sender
 	book     *addressBook
-	asker    *asker // nil: direct
+	asker    *asker // nil if requests go to the backend server direct
 	direct   string
 	timeout  time.Duration
 	attempts int
 }
 
-// call sends r until it has its final answer. started is when it should have been sent.
+// call sends r until it has a final answer. started is the scheduled time of the first attempt.
 func (c *caller) call(ctx context.Context, r *request, started time.Time) result {
 	deadline := started.Add(c.timeout)
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateSlack))
@@ -142,7 +143,7 @@
 	return a
 }
 
-// judge sorts the request's end.
+// judge sets the verdict and the fault from the last attempt.
 func (res *result) judge(r *request, timeout time.Duration) {
 	a := res.last
 	switch {
--- a/internal/load/command.go
+++ b/internal/load/command.go
@@ -15,11 +15,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Exit statuses.
+// The exit statuses.
 const (
-	exitFault   = 1 // usage, or no host to be reached
+	exitFault   = 1 // usage error, or no host could be reached
 	exitBad     = 2 // an answer was wrong or lost
-	exitRefused = 3 // `once` was refused
+	exitRefused = 3 // the request of `once` was rejected
 )
 
 // Main runs the load tool's command line and returns the exit status.
@@ -38,7 +38,7 @@
 	return 0
 }
 
-// exitStatus is an error that was told already.
+// exitStatus is an exit status whose reason was printed already.
 type exitStatus int
 
 // Error implements error.
@@ -47,11 +47,11 @@
 func command(out io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "send work to a fleet and check the answers",
+		Usage: "send requests to a fleet and check the answers",
 		Commands: []*cli.Command{
 			{
 				Name:   "run",
-				Usage:  "send many requests and report what came of them",
+				Usage:  "send many requests and report the outcomes",
 				Flags:  append(commonFlags(), runFlags()...),
 				Action: func(ctx context.Context, c *cli.Command) error { return runCommand(ctx, c, out) },
 			},
@@ -62,23 +62,23 @@
 				Action: func(ctx context.Context, c *cli.Command) error { return onceCommand(ctx, c, out) },
 			},
 		},
-		// A status is turned into the exit status by Main.
+		// Main returns the exit status, so the library must not exit.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
 }
 
 func commonFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringSliceFlag{Name: "host", Usage: "entry hosts to ask for addresses"},
-		&cli.StringFlag{Name: "direct", Usage: "a backend server to send to without any host"},
+		&cli.StringSliceFlag{Name: "host", Usage: "entry hosts to fetch addresses from"},
+		&cli.StringFlag{Name: "direct", Usage: "backend server to send requests to directly, without any host"},
 		&cli.StringFlag{Name: "zone", Usage: "availability zone of the caller"},
 		&cli.StringSliceFlag{Name: "account", Usage: "client accounts as name=key"},
-		&cli.StringFlag{Name: "model", Usage: "model to ask"},
-		&cli.IntFlag{Name: "max-tokens", Value: 32, Usage: "cap of each answer"},
-		&cli.BoolFlag{Name: "exact", Usage: "let each answer use its whole cap"},
+		&cli.StringFlag{Name: "model", Usage: "model to use"},
+		&cli.IntFlag{Name: "max-tokens", Value: 32, Usage: "maximum output tokens of each answer"},
+		&cli.BoolFlag{Name: "exact", Usage: "make each answer use all of --max-tokens"},
 		&cli.DurationFlag{Name: "timeout", Value: 10 * time.Second, Usage: "deadline of each request"},
-		&cli.IntFlag{Name: "attempts", Value: 5, Usage: "tries of each request"},
-		&cli.DurationFlag{Name: "patience", Usage: "try another address after so long without a byte; 0: never"},
+		&cli.IntFlag{Name: "attempts", Value: 5, Usage: "maximum attempts of each request"},
+		&cli.DurationFlag{Name: "patience", Usage: "try another address after this time without a byte; 0: never"},
 	}
 }
 
@@ -86,14 +86,14 @@
 	return []cli.Flag{
 		&cli.StringFlag{Name: "work", Value: string(WorkChat), Usage: "chat, lookup or entry"},
 		&cli.StringFlag{Name: "service", Usage: "plain service to call"},
-		&cli.BoolFlag{Name: "whole", Usage: "ask for answers in one piece instead of streams"},
+		&cli.BoolFlag{Name: "whole", Usage: "request whole answers instead of streams"},
 		&cli.IntFlag{Name: "prompt-bytes", Value: 256},
-		&cli.IntFlag{Name: "shared-bytes", Usage: "how much of the prompts an account's requests share"},
-		&cli.StringFlag{Name: "seed", Usage: "makes prompts and keys differ between runs; default from the clock"},
+		&cli.IntFlag{Name: "shared-bytes", Usage: "bytes of the prompt that all requests of an account share"},
+		&cli.StringFlag{Name: "seed", Usage: "seed that makes prompts and keys differ between runs; default: from the clock"},
 		&cli.FloatFlag{Name: "rate", Usage: "requests per second; 0: as fast as --concurrency callers can"},
 		&cli.IntFlag{Name: "concurrency", Value: 8},
-		&cli.IntFlag{Name: "count", Usage: "requests to send"},
-		&cli.DurationFlag{Name: "duration", Usage: "how long to start requests"},
+		&cli.IntFlag{Name: "count", Usage: "number of requests to send"},
+		&cli.DurationFlag{Name: "duration", Usage: "time during which requests are started"},
 		&cli.BoolFlag{Name: "json", Usage: "print the report as JSON"},
 	}
 }
@@ -101,7 +101,7 @@
 func onceFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "prompt", Value: "hello"},
-		&cli.StringFlag{Name: "idempotency-key", Usage: "default from the clock"},
+		&cli.StringFlag{Name: "idempotency-key", Usage: "default: from the clock"},
 	}
 }
 
@@ -128,7 +128,7 @@
 	for _, s := range list {
 		name, key, ok := strings.Cut(s, "=")
 		if !ok {
-			return nil, errors.Errorf("account %q: write name=key", s)
+			return nil, errors.Errorf("account %q is not name=key", s)
 		}
 		accounts = append(accounts, Account{Name: name, Key: key})
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -27,7 +27,8 @@
 	return s
 }
 
-// fakeHost answers for a host: addresses by itself, all else by serve.
+// fakeHost starts a host that answers GET /v1/addresses with answer and all other requests
+// with serve.
 func fakeHost(t *testing.T, answer func() addressAnswer, serve http.Handler) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -109,13 +110,12 @@
 	again := testOptions()
 	again.Direct, again.Work, again.Service = s.Address(), WorkEntry, "cash"
 	if r := run(t, again); r.Wrong != again.Count || !r.Bad() {
-		t.Fatalf("entries that ran before must count as wrong: %+v", r)
+		t.Fatalf("entries that were executed before must count as wrong: %+v", r)
 	}
 }
 
-// Symptom: a caller reads another caller's answer and takes it for its own.
-// Sequence: two answers cross on their way.
-// Cause: the answer is whole, so its end tells nothing.
+// Guards against accepting another caller's answer after a mix-up in between. That answer is
+// complete, so only its content shows that it is wrong.
 func TestCrossedAnswerIsWrong(t *testing.T) {
 	s := startServer(t)
 	cross := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -141,7 +141,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 	}))
 	if r := run(t, o); r.Lost != o.Count {
-		t.Fatalf("a stream that ends well but without [DONE]: %+v", r)
+		t.Fatalf("a stream that ends without [DONE]: %+v", r)
 	}
 }
 
@@ -172,7 +172,7 @@
 	r := run(t, o)
 	again := r.Attempts - o.Count
 	if r.Answered != o.Count || r.Addresses != 1 || again < 1 || again > o.Count/4 {
-		t.Fatalf("%+v, want all answered, few after two tries, on one answer of addresses", r)
+		t.Fatalf("%+v, want all answered, few after two attempts, with one fetch of addresses", r)
 	}
 	if len(keys) != o.Count {
 		t.Fatalf("%d keys for %d requests", len(keys), o.Count)
@@ -228,14 +228,14 @@
 		n    int
 		want plan
 	}{
-		"success":             {&attempt{}, time.Second, 1, plan{}},
-		"broken":              {&attempt{broken: os.ErrClosed}, time.Second, 1, plan{true, brokenPause}},
-		"broken, last try":    {&attempt{broken: os.ErrClosed}, time.Second, 4, plan{}},
-		"broken, no time":     {&attempt{broken: os.ErrClosed}, 0, 1, plan{}},
-		"comes back in time":  {refusedAs(errkind.Overloaded, 200*time.Millisecond), time.Second, 1, plan{true, 200 * time.Millisecond}},
-		"comes back too late": {refusedAs(errkind.Overloaded, 2*time.Second), time.Second, 1, plan{}},
-		"told to go away":     {refusedAs(errkind.Forbidden, time.Millisecond), time.Second, 1, plan{}},
-		"the answer's word over the table's": {
+		"success":          {&attempt{}, time.Second, 1, plan{}},
+		"broken":           {&attempt{broken: os.ErrClosed}, time.Second, 1, plan{true, brokenPause}},
+		"broken, last try": {&attempt{broken: os.ErrClosed}, time.Second, 4, plan{}},
+		"broken, no time":  {&attempt{broken: os.ErrClosed}, 0, 1, plan{}},
+		"retry in time":    {refusedAs(errkind.Overloaded, 200*time.Millisecond), time.Second, 1, plan{true, 200 * time.Millisecond}},
+		"retry too late":   {refusedAs(errkind.Overloaded, 2*time.Second), time.Second, 1, plan{}},
+		"never retry":      {refusedAs(errkind.Forbidden, time.Millisecond), time.Second, 1, plan{}},
+		"the answer's retry overrides the table's": {
 			&attempt{refusal: (&errorJSON{Kind: "overloaded", Retry: "never", RetryAfterMS: 1}).refusal(429, nil)},
 			time.Second, 1, plan{},
 		},
@@ -252,21 +252,21 @@
 func TestAddressBookKeepsAnswersForTheirTime(t *testing.T) {
 	b, now := newAddressBook(), time.Unix(1000, 0)
 	if !b.stale(now) {
-		t.Fatal("an empty book must ask")
+		t.Fatal("an empty cache must be stale")
 	}
 	b.set(now, addressAnswer{Addresses: items("x", "y"), TTLMS: 1000})
 	if b.stale(now.Add(999*time.Millisecond)) || !b.stale(now.Add(time.Second)) {
-		t.Fatal("the answer holds for one second")
+		t.Fatal("the answer must be valid for one second")
 	}
 	if got, _ := b.pick(now, nil); got != "x" {
 		t.Fatalf("picked %s, want the first", got)
 	}
 	if got, _ := b.pick(now, map[string]bool{"x": true}); got != "y" {
-		t.Fatalf("picked %s, which was tried", got)
+		t.Fatalf("picked %s, which was already tried", got)
 	}
 	b.fail(now, "x")
 	if got, _ := b.pick(now, map[string]bool{"y": true}); got != "y" {
-		t.Fatalf("picked %s, which failed just now", got)
+		t.Fatalf("picked %s, which failed recently", got)
 	}
 	if got, _ := b.pick(now.Add(avoidFor), nil); got != "x" {
 		t.Fatalf("picked %s, want the first again", got)
--- a/internal/load/once.go
+++ b/internal/load/once.go
@@ -9,7 +9,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// onceCommand sends one streamed chat and prints the answer as it comes.
+// onceCommand sends one streamed chat and prints the answer as it arrives.
 func onceCommand(ctx context.Context, c *cli.Command, out io.Writer) error {
 	o, err := optionsOf(c)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return tellOnce(out, res)
 }
 
-// tellOnce says what came of the one request.
+// tellOnce prints the outcome of the request.
 func tellOnce(out io.Writer, res result) error {
 	a := res.last
 	switch res.verdict {
--- a/internal/load/options.go
+++ b/internal/load/options.go
@@ -1,5 +1,5 @@
-// Package load sends work to a fleet as a good caller would, checks that each
-// answer is whole and the caller's own, and reports what came of every request.
+// Package load sends requests to a fleet as a well-behaved caller would, checks that each
+// answer is complete and belongs to its request, and reports the outcome of every request.
 package load
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// Work is the kind of requests a load run sends.
+// Work is the kind of requests that a load run sends.
 type Work string
 
-// Kinds of work.
+// The kinds of work.
 const (
 	WorkChat   Work = "chat"
 	WorkLookup Work = "lookup"
@@ -19,72 +19,73 @@
 	WorkEntry Work = "entry"
 )
 
-// Account is a client account to send as.
+// Account is a client account whose requests are sent.
 type Account struct {
 	Name string
 	Key  string
 }
 
-// Options of a load run.
+// Options configures a load run.
 type Options struct {
-	// Hosts are addresses to ask for addresses; the first that answers counts.
+	// Hosts are the hosts from which addresses are fetched; the first one that answers is used.
 	Hosts []string
-	// Direct is the address of one backend server to send to without any host.
+	// Direct is the address of a backend server to which requests are sent without any host.
 	Direct string
-	// Zone is the availability zone the caller says it is in.
+	// Zone is the caller's availability zone.
 	Zone     string
 	Accounts []Account
 
 	Work    Work
 	Model   string
 	Service string
-	// Stream asks for server-sent events.
+	// Stream requests server-sent events.
 	Stream bool
-	// MaxTokens caps each answer; Exact makes the engine use the whole cap.
+	// MaxTokens caps the output of each answer. Exact makes the engine use the whole cap.
 	MaxTokens int
 	Exact     bool
-	// PromptBytes is the size of each prompt, SharedBytes how much of it an account's requests share.
+	// PromptBytes is the size of each prompt, SharedBytes the part that an account's requests share.
 	PromptBytes int
 	SharedBytes int
 	// Seed makes the prompts and keys of two runs differ.
 	Seed string
 
-	// Rate in requests per second starts requests on time, however long others take;
-	// 0: each caller sends one after the other.
+	// Rate is the number of requests started per second, regardless of how long others take.
+	// If it is 0, each caller sends one request after the other.
 	Rate float64
 	// Concurrency is the number of callers.
 	Concurrency int
-	// Count and Duration bound the run; at least one is set.
+	// Count and Duration bound the run. At least one must be set.
 	Count    int
 	Duration time.Duration
 
-	// Timeout is each request's deadline; Attempts bounds its tries.
+	// Timeout bounds each request, Attempts the number of its attempts.
 	Timeout  time.Duration
 	Attempts int
-	// Patience is how long a try may give no byte before another address is tried; 0: no limit.
+	// Patience is how long an attempt may receive no byte before another address is tried; 0
+	// means no limit.
 	Patience time.Duration
 }
 
-// maxCount bounds a run that is bounded by its duration only.
+// maxCount is the Count of a run that is only bounded by its duration.
 const maxCount = 10_000_000
 
 func (o *Options) check() error {
 	if o.Direct == "" && len(o.Hosts) == 0 {
-		return errors.New("no host to ask for addresses")
+		return errors.New("no host is given")
 	}
 	if o.Direct == "" && len(o.Accounts) == 0 {
-		return errors.New("no client account to send as")
+		return errors.New("no client account is given")
 	}
 	if o.Count <= 0 && o.Duration <= 0 {
-		return errors.New("the run is not bounded: give a count or a duration")
+		return errors.New("the run is unbounded: give a count or a duration")
 	}
 	if o.Timeout <= 0 {
-		return errors.New("no timeout")
+		return errors.New("the timeout must be positive")
 	}
 	return o.fill()
 }
 
-// fill puts defaults in.
+// fill sets the defaults.
 func (o *Options) fill() error {
 	if len(o.Accounts) == 0 {
 		o.Accounts = []Account{{Name: "direct"}}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -14,19 +14,19 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// Bounds of the histograms, in microseconds, and their precision in digits.
+// The upper bound of the histograms, in microseconds, and their precision in digits.
 const (
 	histogramMax    = int64(time.Hour / time.Microsecond)
 	histogramDigits = 3
 )
 
-// maxFaults is how many faults are told in full.
+// maxFaults bounds the number of faults that the report describes.
 const maxFaults = 20
 
-// maxNotRun bounds the list of requests that did not run.
+// maxNotRun bounds the list of requests that were not executed.
 const maxNotRun = 10000
 
-// Percentiles of a time, in milliseconds.
+// Percentiles holds the percentiles of a duration, in milliseconds.
 type Percentiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
@@ -34,14 +34,14 @@
 	Max float64 `json:"max_ms"`
 }
 
-// RefusalCount counts refusals of one kind that say the same of the run.
+// RefusalCount counts the refusals of one kind with the same value of ran.
 type RefusalCount struct {
 	Kind  errkind.Kind `json:"kind"`
 	Ran   errkind.Ran  `json:"ran"`
 	Count int          `json:"count"`
 }
 
-// Report is what came of a run's requests. Sent is the sum of Answered, Late, Refused, Wrong and Lost.
+// Report summarizes the outcomes of a load run. Sent is the sum of Answered, Late, Refused, Wrong and Lost.
 type Report struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered_in_time"`
@@ -51,14 +51,15 @@
 	Lost     int `json:"lost"`
 
 	Refusals []RefusalCount `json:"refusals,omitempty"`
-	// Attempts counts all tries, Broken those that were cut or brought no answer.
+	// Attempts counts all attempts, Broken those without a complete answer.
 	Attempts int `json:"attempts"`
 	Broken   int `json:"broken_attempts"`
-	// Billed is the tokens of whole answers by client account, as far as the caller knows.
+	// Billed is the number of tokens of complete answers by client account, as observed by
+	// the callers.
 	Billed map[string]uint64 `json:"billed_tokens"`
 	// BilledTotal is the sum of Billed.
 	BilledTotal uint64 `json:"billed_tokens_total"`
-	// Uncertain counts requests that may have been billed without a whole answer.
+	// Uncertain counts requests that may have been billed without a complete answer.
 	Uncertain int `json:"uncertain"`
 	// Addresses is how often the addresses were asked for.
 	Addresses int `json:"address_answers"`
@@ -69,14 +70,15 @@
 	PerSecond  float64     `json:"answers_per_second"`
 	TokensRate float64     `json:"output_tokens_per_second"`
 	Faults     []string    `json:"faults,omitempty"`
-	// NotRun are the idempotency keys of requests whose refusal says that they did not run.
+	// NotRun lists the idempotency keys of requests whose refusal states that they were not
+	// executed.
 	NotRun []string `json:"not_run,omitempty"`
 }
 
-// Bad tells whether an answer was wrong or lost.
+// Bad reports whether an answer was wrong or lost.
 func (r *Report) Bad() bool { return r.Wrong+r.Lost > 0 }
 
-// collector gathers results into a report.
+// collector aggregates results into a report. It is safe for concurrent use.
 type collector struct {
 	mu         sync.Mutex
 	report     Report
@@ -151,7 +153,7 @@
 	}
 }
 
-// finish works the report out of all that was added.
+// finish computes the report from all added results.
 func (c *collector) finish(took time.Duration) *Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,7 +176,7 @@
 	return Percentiles{P50: ms(50), P95: ms(95), P99: ms(99), Max: float64(h.Max()) / 1000}
 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (r *Report) Print(w io.Writer) {
 	line := func(format string, args ...any) { fmt.Fprintf(w, format+"\n", args...) }
 	line("sent                %d in %.1f s (%d tries, %d of them broken)", r.Sent, r.Seconds, r.Attempts, r.Broken)
@@ -201,7 +203,7 @@
 	fmt.Fprintf(w, "%-19s p50 %.1f ms, p95 %.1f ms, p99 %.1f ms, longest %.1f ms\n", name, p.P50, p.P95, p.P99, p.Max)
 }
 
-// PrintJSON writes the report for programs.
+// PrintJSON writes the report as JSON.
 func (r *Report) PrintJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -9,7 +9,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/standin"
 )
 
-// request is one piece of work with its right answer.
+// request is a request together with its expected answer.
 type request struct {
 	number  int
 	account Account
@@ -20,10 +20,11 @@
 	body    []byte
 	stream  bool
 
-	// hash and output are the right answer to a chat.
+	// hash of the prompt and output, a number of tokens, determine the expected answer to a
+	// chat.
 	hash   uint64
 	output int
-	// query is what a lookup asks.
+	// query is the query of a lookup.
 	query string
 }
 
@@ -33,7 +34,7 @@
 	MaxTokens int           `json:"max_tokens,omitempty"`
 	Stream    bool          `json:"stream"`
 	IgnoreEOS bool          `json:"ignore_eos,omitempty"`
-	// StreamOptions asks for the usage, which a stream else leaves out.
+	// StreamOptions requests the usage, which streams omit by default.
 	StreamOptions *streamOptions `json:"stream_options,omitempty"`
 }
 
@@ -46,7 +47,7 @@
 	Content string `json:"content"`
 }
 
-// requestOf makes request number n of a run.
+// requestOf returns request number n of a run.
 func (o *Options) requestOf(n int) *request {
 	r := &request{
 		number:  n,
@@ -75,7 +76,7 @@
 	r.setPrompt(o, o.prompt(r))
 }
 
-// setPrompt makes r a chat with one message and works out its right answer.
+// setPrompt makes r a chat with one message and computes the expected answer.
 func (r *request) setPrompt(o *Options, content string) {
 	var options *streamOptions
 	if r.stream {
@@ -94,13 +95,14 @@
 	r.output = standin.OutputTokens(r.hash, o.MaxTokens, o.Exact)
 }
 
-// prompt is text that an account's requests share, then the request's own, then padding.
+// prompt returns a text that an account's requests share, followed by the request's own text
+// and padding.
 func (o *Options) prompt(r *request) string {
 	shared := pad("shared by "+r.account.Name+" ", o.SharedBytes)
 	return pad(shared+r.key+" of "+r.account.Name+" ", o.PromptBytes)
 }
 
-// pad repeats s up to n bytes; a longer s stays whole.
+// pad repeats s until it has n bytes. A longer s is not truncated.
 func pad(s string, n int) string {
 	if n <= len(s) {
 		return s
@@ -111,12 +113,12 @@
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only types of this package come here
+		panic(err) // can't occur: only types of this package are encoded
 	}
 	return b
 }
 
-// fault says what is wrong with an answer that looked like a success; empty: it is right.
+// fault describes what is wrong with a successful answer. It returns "" if the answer is correct.
 func (r *request) fault(a *attempt) string {
 	switch r.work {
 	case WorkLookup:
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Run sends the load and reports what came of it. Requests under way when the
-// duration is over are still seen through.
+// Run sends the load and reports the outcomes. It waits for requests that are in flight when
+// the duration is over.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -34,8 +34,8 @@
 	return report, nil
 }
 
-// newCallers makes callers that each know addresses of their own: a fleet spreads its
-// load by giving each caller another order.
+// newCallers returns callers that fetch their own addresses each, since a fleet balances its
+// load by giving each caller the addresses in a different order.
 func newCallers(ctx context.Context, o *Options, client *http.Client) ([]*caller, error) {
 	callers := make([]*caller, o.Concurrency)
 	for i := range callers {
@@ -72,12 +72,13 @@
 	return c
 }
 
-// over tells whether no more requests are to be started.
+// over reports whether no more requests are to be started.
 func (o *Options) over(ctx context.Context, began time.Time) bool {
 	return ctx.Err() != nil || (o.Duration > 0 && time.Since(began) >= o.Duration)
 }
 
-// runAtRate starts each request at its time, so that slow answers do not thin the load.
+// runAtRate starts each request at its scheduled time, so that slow answers do not reduce the
+// request rate.
 func runAtRate(ctx context.Context, o *Options, callers []*caller, results *collector, began time.Time) {
 	var open sync.WaitGroup
 	for n := range o.Count {
@@ -94,7 +95,7 @@
 	open.Wait()
 }
 
-// runCallers keeps one request of each caller open.
+// runCallers makes each caller send one request after the other.
 func runCallers(ctx context.Context, o *Options, callers []*caller, results *collector, began time.Time) {
 	var open sync.WaitGroup
 	var numbers atomic.Int64
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -1,4 +1,4 @@
-// Package testutil holds what the tests of several packages share. Only test files
+// Package testutil contains helpers that the tests of several packages share. Only test files
 // import it.
 package testutil
 
@@ -15,14 +15,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// TB is the part of testing.TB that *rapid.T has too.
+// TB is the part of testing.TB that *rapid.T implements too.
 type TB interface {
 	Helper()
 	Fatal(args ...any)
 	Errorf(format string, args ...any)
 }
 
-// NoError ends the test if err isn't nil.
+// NoError fails the test immediately if err isn't nil.
 func NoError(t TB, err error) {
 	t.Helper()
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Refused fails the test if err isn't a refusal of the kind. what names the operation.
+// Refused fails the test if err isn't a refusal of the given kind. what describes the operation.
 func Refused(t TB, err error, kind errkind.Kind, what string) {
 	t.Helper()
 	if !errkind.Is(err, kind) {
@@ -38,14 +38,14 @@
 	}
 }
 
-// Within returns a context that ends with the test, or after d.
+// Within returns a context that ends with the test, or after d if that is earlier.
 func Within(t testing.TB, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), d)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// Listen opens a TCP listener at a free loopback port; whoever serves on it closes it.
+// Listen opens a TCP listener on a free loopback port. The caller has to close it.
 func Listen(t TB) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,8 +53,8 @@
 	return l
 }
 
-// RunRapid is the body of a TestMain that gives rapid's flags, such as the seed and
-// the number of checks, other defaults. A flag on the command line goes first.
+// RunRapid is the body of a TestMain that sets other defaults for rapid's flags, such as the
+// seed and the number of checks. Flags on the command line take precedence.
 func RunRapid(m *testing.M, defaults map[string]string) {
 	flag.Parse()
 	set := map[string]bool{}
@@ -70,7 +70,8 @@
 	os.Exit(m.Run())
 }
 
-// Lines keeps what is written to it, such as log lines. It is safe for concurrent use.
+// Lines is a buffer that records what is written to it, such as log lines. It is safe for
+// concurrent use.
 type Lines struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -83,7 +84,7 @@
 	return l.text.Write(b)
 }
 
-// String is all that was written.
+// String returns everything that was written.
 func (l *Lines) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
