--- a/internal/admincli/app.go
+++ b/internal/admincli/app.go
@@ -79,12 +79,12 @@
 			a.keysCommand(), a.tlsCommand(), a.devCommand(),
 		},
 	}
-	_ = root.Walk(prepare)
+	_ = root.Walk(setUsageErrors)
 	return root
 }
 
-// prepare makes every command report usage errors in the same way.
-func prepare(c *cli.Command) error {
+// setUsageErrors makes every command report usage errors in the same way.
+func setUsageErrors(c *cli.Command) error {
 	c.OnUsageError = func(_ context.Context, cmd *cli.Command, err error, _ bool) error {
 		return usage("%v; see %s --help", err, cmd.FullName())
 	}
@@ -123,7 +123,7 @@
 	transport := &http.Transport{}
 	scheme := "http://"
 	if file := cmd.String(flagCA); file != "" {
-		pool, err := readPool(file)
+		pool, err := readCertPool(file)
 		if err != nil {
 			return nil, err
 		}
@@ -166,7 +166,7 @@
 	return key, nil
 }
 
-func readPool(file string) (*x509.CertPool, error) {
+func readCertPool(file string) (*x509.CertPool, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return nil, usage("read the certificate authority: %v", err)
--- a/internal/admincli/client.go
+++ b/internal/admincli/client.go
@@ -60,8 +60,8 @@
 type attempt struct {
 	body []byte
 	err  error
-	// again is true if another address, or the same one later, may succeed.
-	again bool
+	// retry is true if another address, or the same one later, may succeed.
+	retry bool
 	// unknown is true if the change may have taken effect.
 	unknown bool
 	pause   time.Duration
@@ -110,14 +110,14 @@
 		if a.err == nil {
 			return decodeAnswer(a.body, out)
 		}
-		if !a.again && (!unknown || decidedByGroup(a.err)) {
+		if !a.retry && (!unknown || decidedByGroup(a.err)) {
 			return &exitError{code: exitRefused, err: a.err}
 		}
 		unknown = unknown || a.unknown
 		if try == 0 || isRefusal(a.err) || (!isRefusal(last) && ctx.Err() == nil) {
 			last = a.err // a refusal tells more than a later connection error
 		}
-		cl.progress.say("%s: %v", address, a.err)
+		cl.progress.printf("%s: %v", address, a.err)
 		if (try+1)%len(cl.addresses) == 0 {
 			wait(ctx, max(pauses.NextBackOff(), a.pause))
 		}
@@ -126,7 +126,7 @@
 	if parent.Err() != nil {
 		end = "interrupted"
 	}
-	return gaveUp(end, c, last, unknown)
+	return giveUpError(end, c, last, unknown)
 }
 
 // decidedByGroup reports whether a refusal is the control group's own answer to the
@@ -145,8 +145,8 @@
 	return false
 }
 
-// gaveUp returns the error after the last attempt. It states whether the outcome is known.
-func gaveUp(end string, c call, last error, unknown bool) error {
+// giveUpError returns the error after the last attempt. It states whether the outcome is known.
+func giveUpError(end string, c call, last error, unknown bool) error {
 	switch {
 	case unknown:
 		end = fmt.Sprintf("%s; the outcome is unknown, the change may have taken effect; "+
@@ -171,17 +171,17 @@
 	cl.setHeader(r, c)
 	res, err := cl.http.Do(r)
 	if err != nil {
-		return attempt{err: errors.New(plainError(err)), again: true, unknown: connected && c.changes()}
+		return attempt{err: errors.New(plainError(err)), retry: true, unknown: connected && c.changes()}
 	}
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
-		return attempt{err: errors.Wrap(err, "read the response"), again: true, unknown: c.changes()}
+		return attempt{err: errors.Wrap(err, "read the response"), retry: true, unknown: c.changes()}
 	}
 	if res.StatusCode == http.StatusOK {
 		return attempt{body: body}
 	}
-	return judge(res.StatusCode, body, c.changes())
+	return classifyResponse(res.StatusCode, body, c.changes())
 }
 
 func (cl *client) setHeader(r *http.Request, c call) {
@@ -197,17 +197,17 @@
 	}
 }
 
-// judge classifies a response other than 200: whether to try again, and whether a change may
+// classifyResponse classifies a response other than 200: whether to try again, and whether a change may
 // have taken effect.
-func judge(status int, body []byte, changes bool) attempt {
+func classifyResponse(status int, body []byte, changes bool) attempt {
 	var answer httpserver.ErrorAnswer
 	if err := json.Unmarshal(body, &answer); err != nil || answer.Error.Kind == "" {
-		return attempt{err: errors.Errorf("status %d without a valid error body", status), again: true, unknown: changes}
+		return attempt{err: errors.Errorf("status %d without a valid error body", status), retry: true, unknown: changes}
 	}
 	f := answer.Error
 	a := attempt{err: &refusal{f}, pause: time.Duration(f.RetryAfterMs) * time.Millisecond}
 	a.unknown = changes && f.Ran != errkind.RanNo
-	a.again = a.unknown || f.Retry == errkind.RetryElsewhere || f.Retry == errkind.RetryAfter || f.Kind == errkind.NoQuorum
+	a.retry = a.unknown || f.Retry == errkind.RetryElsewhere || f.Retry == errkind.RetryAfter || f.Kind == errkind.NoQuorum
 	return a
 }
 
--- a/internal/admincli/progress.go
+++ b/internal/admincli/progress.go
@@ -17,7 +17,7 @@
 	out io.Writer
 }
 
-func (p *progress) say(format string, args ...any) {
+func (p *progress) printf(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fmt.Fprintf(p.out, format+"\n", args...)
@@ -34,7 +34,7 @@
 		for {
 			select {
 			case <-t.C:
-				p.say("waiting for %s, %s so far", what, time.Since(began).Round(time.Second))
+				p.printf("waiting for %s, %s so far", what, time.Since(began).Round(time.Second))
 			case <-done:
 				return
 			}
--- a/internal/admincli/script_test.go
+++ b/internal/admincli/script_test.go
@@ -88,12 +88,12 @@
 
 	mu    sync.Mutex
 	fault string
-	left  int
+	remaining  int
 }
 
 func newHost(group adminapi.Group, name string) *host {
 	h := &host{api: adminapi.New(adminapi.Config{
-		Group: group, Fleet: fleetView{name}, Explain: explainer{name}, Orders: orders{},
+		Group: group, Fleet: fakeFleet{name}, Explain: fakeExplainer{name}, Orders: fakeOrders{},
 		OperatorKeyHashes: func() []string { return []string{settings.HashKey(scriptKey)} },
 		Log:               zerolog.Nop(),
 	})}
@@ -103,13 +103,13 @@
 
 func (h *host) address() string { return h.server.Listener.Addr().String() }
 
-func (h *host) next() string {
+func (h *host) nextFault() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.left == 0 {
+	if h.remaining == 0 {
 		return ""
 	}
-	h.left--
+	h.remaining--
 	return h.fault
 }
 
@@ -117,7 +117,7 @@
 // closes the connection, "garble" answers without an error body, and the name of an error kind
 // rejects the request before it is executed.
 func (h *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	switch fault := h.next(); fault {
+	switch fault := h.nextFault(); fault {
 	case "":
 		h.api.ServeHTTP(w, r)
 	case "lose":
@@ -137,7 +137,7 @@
 	ts.Check(err)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.fault, h.left = args[1], n
+	h.fault, h.remaining = args[1], n
 }
 
 // exits: exits CODE COMMAND... runs the command and checks its exit code.
@@ -182,65 +182,65 @@
 	return &pb.ChangeMembersReply{Group: &pb.GroupStatus{Members: []*pb.MemberStatus{{Member: r.GetMember()}}}}, nil
 }
 
-type fleetView struct{ host string }
+type fakeFleet struct{ host string }
 
-func (f fleetView) Self() *pb.HostState {
+func (f fakeFleet) Self() *pb.HostState {
 	return &pb.HostState{Holder: &pb.Holder{Host: f.host, Incarnation: 1}, Zone: "z", Health: pb.HostHealth_HOST_HEALTH_ALIVE, ConfigRevision: 1}
 }
 
-func (f fleetView) Hosts() []*pb.HostState {
+func (f fakeFleet) Hosts() []*pb.HostState {
 	return []*pb.HostState{f.Self(), {Holder: &pb.Holder{Host: "c"}, Health: pb.HostHealth_HOST_HEALTH_SUSPECT, HeardMs: 4000}}
 }
 
-func (f fleetView) Servers() []*pb.ServerState {
+func (f fakeFleet) Servers() []*pb.ServerState {
 	return []*pb.ServerState{{Address: "192.0.2.9:1", Models: []string{"m"}, Zone: "z"}}
 }
 
-// explainer knows one request, and only on host b.
-type explainer struct{ host string }
+// fakeExplainer knows one request, and only on host b.
+type fakeExplainer struct{ host string }
 
-func (e explainer) Explain(_ context.Context, id string) (json.RawMessage, error) {
+func (e fakeExplainer) Explain(_ context.Context, id string) (json.RawMessage, error) {
 	if e.host != "b" || id != "r1" {
 		return nil, errkind.New(errkind.NotFound, "nothing about %s", id)
 	}
 	return json.RawMessage(`{"request_id":"r1","identity":"acme/k"}`), nil
 }
 
-type orders struct{}
+type fakeOrders struct{}
 
-func (orders) Order(_ context.Context, _, _ string, o *pb.PlaceOrder) (*pb.PlaceOrderResult, error) {
+func (fakeOrders) Order(_ context.Context, _, _ string, o *pb.PlaceOrder) (*pb.PlaceOrderResult, error) {
 	return &pb.PlaceOrderResult{Fence: uint64(len(o.GetVerb() + o.GetObject() + o.GetRole()))}, nil
 }
 
 // Guards against reporting that nothing was changed although a budget was funded. The first
 // attempt has an unknown outcome, and the second one is rejected by a host that has not
 // contacted the control group. That refusal must not count as the outcome of the operation.
-func TestRefusalAfterUnknownOutcomeIsNoOutcome(t *testing.T) {
+func TestRefusalAfterUnknownOutcomeIsNotFinal(t *testing.T) {
 	for _, kind := range []errkind.Kind{errkind.Unauthenticated, errkind.UnknownPath, errkind.BadRequest, errkind.HostLeaving} {
-		if decidedByGroup(judge(0, httpserver.ErrorBody("", errkind.New(kind, "x")), true).err) {
+		if decidedByGroup(classifyResponse(0, httpserver.ErrorBody("", errkind.New(kind, "x")), true).err) {
 			t.Errorf("%s counts as the control group's answer", kind)
 		}
 	}
-	a := judge(502, []byte("<html>"), true)
-	if !a.again || !a.unknown {
+	a := classifyResponse(502, []byte("<html>"), true)
+	if !a.retry || !a.unknown {
 		t.Errorf("an invalid error body: %+v", a)
 	}
-	if a := judge(502, []byte("<html>"), false); a.unknown {
+	if a := classifyResponse(502, []byte("<html>"), false); a.unknown {
 		t.Errorf("a read has an unknown outcome: %+v", a)
 	}
 }
 
 func TestEveryKindIsJudgedByItsTable(t *testing.T) {
 	for _, row := range errkind.Table {
-		a := judge(row.Status, httpserver.ErrorBody("", errkind.New(row.Kind, "x")), true)
+		a := classifyResponse(row.Status, httpserver.ErrorBody("", errkind.New(row.Kind, "x")), true)
 		ranNo := errkind.New(row.Kind, "x").Ran() == errkind.RanNo
 		if a.unknown == ranNo {
 			t.Errorf("%s: unknown is %t, although ran no is %t", row.Kind, a.unknown, ranNo)
 		}
-		if row.Retry == errkind.RetryNever && ranNo && a.again {
+		if row.Retry == errkind.RetryNever && ranNo && a.retry {
 			t.Errorf("%s is tried again", row.Kind)
 		}
-		if row.Retry == errkind.RetryElsewhere && !a.again {
+		if row.Retry == errkind.RetryElsewhere && !a.retry {
 			t.Errorf("%s is not tried elsewhere", row.Kind)
 		}
 	}
--- a/internal/admincli/team.go
+++ b/internal/admincli/team.go
@@ -34,12 +34,12 @@
 	return a.read(ctx, cmd, "/v1/teams", &out, func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tPRIORITY\tMODELS\tSERVICES")
 		for _, t := range out.Teams {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", t.Name, t.Priority, allIfNone(t.Models), allIfNone(t.Services))
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", t.Name, t.Priority, joinOrAll(t.Models), joinOrAll(t.Services))
 		}
 	})
 }
 
-func allIfNone(names []string) string {
+func joinOrAll(names []string) string {
 	if len(names) == 0 {
 		return "all"
 	}
@@ -69,8 +69,8 @@
 		return err
 	}
 	path := teamPath(args[0])
-	if out, err := cl.madeBefore(ctx, cmd, path); out != nil || err != nil {
-		return a.printFound(cmd, out, err)
+	if out, err := cl.findEarlierChange(ctx, cmd, path); out != nil || err != nil {
+		return a.printEarlierChange(cmd, out, err)
 	}
 	present, err := cl.readObject(ctx, path)
 	if err != nil {
@@ -93,17 +93,17 @@
 		method: http.MethodPut, path: configPath(path), ifMatch: strconv.FormatUint(version, 10), body: body})
 }
 
-func (a *app) printFound(cmd *cli.Command, out *adminapi.ChangeAnswer, err error) error {
+func (a *app) printEarlierChange(cmd *cli.Command, out *adminapi.ChangeAnswer, err error) error {
 	if err != nil {
 		return err
 	}
 	return a.print(cmd, out, func(w io.Writer) { printChange(w, *out) })
 }
 
-// madeBefore returns the change at path that was made with the operation id from the command
+// findEarlierChange returns the change at path that was made with the operation id from the command
 // line, or nil if there is none. Without it, the resend of a change that is computed from the
 // current value would be a different change, since it would read its own first result.
-func (cl *client) madeBefore(ctx context.Context, cmd *cli.Command, path string) (*adminapi.ChangeAnswer, error) {
+func (cl *client) findEarlierChange(ctx context.Context, cmd *cli.Command, path string) (*adminapi.ChangeAnswer, error) {
 	opID := cmd.String(flagOpID)
 	if opID == "" {
 		return nil, nil
