--- a/internal/admincli/script_test.go
+++ b/internal/admincli/script_test.go
@@ -230,7 +230,7 @@
 	}
 }
 
-func TestEveryKindIsJudgedByItsTable(t *testing.T) {
+func TestEveryKindIsClassifiedByItsTable(t *testing.T) {
 	for _, row := range errkind.Table {
 		a := classifyResponse(row.Status, httpserver.ErrorBody("", errkind.New(row.Kind, "x")), true)
 		ranNo := errkind.New(row.Kind, "x").Ran() == errkind.RanNo
