--- a/internal/devfleet/devfleet.go
+++ b/internal/devfleet/devfleet.go
@@ -87,7 +87,7 @@
 	if err := o.check(); err != nil {
 		return nil, err
 	}
-	dir, err := emptyDir(o.Dir)
+	dir, err := createEmptyDir(o.Dir)
 	if err != nil {
 		return nil, err
 	}
@@ -105,15 +105,15 @@
 			Settings: filepath.Join(dir, name+".json"), Callers: a[0], Operators: a[1], Peers: a[2]})
 	}
 	if o.TLS {
-		if err := layout.certify(); err != nil {
+		if err := layout.createCertificates(); err != nil {
 			return nil, err
 		}
 	}
 	return layout, layout.write()
 }
 
-// certify creates a certificate authority and a certificate for each host.
-func (l *Layout) certify() error {
+// createCertificates creates a certificate authority and a certificate for each host.
+func (l *Layout) createCertificates() error {
 	options := tlsutil.InitOptions{Dir: filepath.Join(l.Dir, "tls"), Validity: tlsutil.DefaultHostValidity}
 	for _, h := range l.Hosts {
 		options.Hosts = append(options.Hosts, tlsutil.Host{Name: h.Host, IP: netip.MustParseAddr(loopback)})
@@ -146,9 +146,9 @@
 	return nil
 }
 
-// emptyDir creates dir and returns its absolute path. It rejects a directory that contains
+// createEmptyDir creates dir and returns its absolute path. It rejects a directory that contains
 // files, since they may belong to a fleet in use.
-func emptyDir(dir string) (string, error) {
+func createEmptyDir(dir string) (string, error) {
 	dir, err := filepath.Abs(dir)
 	if err != nil {
 		return "", errors.Wrap(err, "folder")
--- a/internal/devfleet/devfleet_test.go
+++ b/internal/devfleet/devfleet_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestInitRefusesWhatMakesNoFleet(t *testing.T) {
+func TestInitRejectsInvalidOptions(t *testing.T) {
 	used := t.TempDir()
 	if err := os.WriteFile(filepath.Join(used, "x"), nil, fileMode); err != nil {
 		t.Fatal(err)
