--- a/internal/load/addresses.go
+++ b/internal/load/addresses.go
@@ -11,11 +11,11 @@
 	"github.com/pkg/errors"
 )
 
-// askTimeout bounds one request for addresses.
-const askTimeout = 3 * time.Second
+// fetchTimeout bounds one request for addresses.
+const fetchTimeout = 3 * time.Second
 
-// avoidFor is how long an address that failed is avoided while others are available.
-const avoidFor = 5 * time.Second
+// avoidFailedFor is how long an address that failed is avoided while others are available.
+const avoidFailedFor = 5 * time.Second
 
 // addressAnswer is the answer to GET /v1/addresses.
 type addressAnswer struct {
@@ -28,40 +28,40 @@
 	Address string `json:"address"`
 }
 
-// addressBook caches the addresses returned by a host until their TTL expires, and chooses among
+// addressCache caches the addresses returned by a host until their TTL expires, and chooses among
 // them. It does no I/O; the addresses are fetched by asker.
-type addressBook struct {
+type addressCache struct {
 	mu      sync.Mutex
 	list    []string
-	until   time.Time
+	expires   time.Time
 	failed  map[string]time.Time
 	updates int
 }
 
-func newAddressBook() *addressBook {
-	return &addressBook{failed: map[string]time.Time{}}
+func newAddressCache() *addressCache {
+	return &addressCache{failed: map[string]time.Time{}}
 }
 
 // stale reports whether the cached answer has expired.
-func (b *addressBook) stale(now time.Time) bool {
+func (b *addressCache) stale(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !now.Before(b.until)
+	return !now.Before(b.expires)
 }
 
-func (b *addressBook) set(now time.Time, a addressAnswer) {
+func (b *addressCache) set(now time.Time, a addressAnswer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.list = nil
 	for _, item := range a.Addresses {
 		b.list = append(b.list, item.Address)
 	}
-	b.until = now.Add(time.Duration(a.TTLMS) * time.Millisecond)
+	b.expires = now.Add(time.Duration(a.TTLMS) * time.Millisecond)
 	b.updates++
 }
 
 // fail records that an address did not answer.
-func (b *addressBook) fail(now time.Time, address string) {
+func (b *addressCache) fail(now time.Time, address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failed[address] = now
@@ -70,7 +70,7 @@
 // pick returns the first address that was neither tried already nor failed recently. If there
 // is none, it returns the first one that was tried but did not fail recently, then the first
 // one that failed recently but was not tried, then the first one.
-func (b *addressBook) pick(now time.Time, tried map[string]bool) (string, bool) {
+func (b *addressCache) pick(now time.Time, tried map[string]bool) (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.list) == 0 {
@@ -82,7 +82,7 @@
 		if tried[a] {
 			rank++
 		}
-		if at, ok := b.failed[a]; ok && now.Sub(at) < avoidFor {
+		if at, ok := b.failed[a]; ok && now.Sub(at) < avoidFailedFor {
 			rank += 2
 		}
 		if rank < bestRank {
@@ -92,34 +92,34 @@
 	return best, true
 }
 
-// known returns the hosts to fetch addresses from, the cached ones first.
-func (b *addressBook) known(seeds []string) []string {
+// hostsToQuery returns the hosts to fetch addresses from, the cached ones first.
+func (b *addressCache) hostsToQuery(seeds []string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append(append([]string{}, b.list...), seeds...)
 }
 
-// asker fetches addresses into an addressBook.
-type asker struct {
+// addressFetcher fetches addresses into an addressBook.
+type addressFetcher struct {
 	client *http.Client
 	seeds  []string
 	zone   string
-	book   *addressBook
+	cache   *addressCache
 	mu     sync.Mutex // serializes fetches
 }
 
 // refresh fetches addresses if the cached ones are stale. They stay in use if no host answers.
-func (a *asker) refresh(ctx context.Context) error {
+func (a *addressFetcher) refresh(ctx context.Context) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.book.stale(time.Now()) {
+	if !a.cache.stale(time.Now()) {
 		return nil
 	}
 	var last error
-	for _, host := range a.book.known(a.seeds) {
-		answer, err := a.ask(ctx, host)
+	for _, host := range a.cache.hostsToQuery(a.seeds) {
+		answer, err := a.fetch(ctx, host)
 		if err == nil {
-			a.book.set(time.Now(), answer)
+			a.cache.set(time.Now(), answer)
 			return nil
 		}
 		last = err
@@ -127,8 +127,8 @@
 	return errors.Wrap(last, "no host returned addresses")
 }
 
-func (a *asker) ask(ctx context.Context, host string) (addressAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (a *addressFetcher) fetch(ctx context.Context, host string) (addressAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	var answer addressAnswer
 	u := url.URL{Scheme: "http", Host: host, Path: "/v1/addresses"}
--- a/internal/load/attempt.go
+++ b/internal/load/attempt.go
@@ -199,15 +199,15 @@
 		a.broken = errors.Wrap(err, "answer")
 		return
 	}
-	a.take(&j, nil)
+	a.addMessage(&j, nil)
 	a.code = j.Code
 	if r.work == WorkEntry {
 		a.entryID, a.entryRun = j.ID, j.Run
 	}
 }
 
-// take adds the text and the usage in one message of the answer.
-func (a *attempt) take(j *answerJSON, onText func(string)) {
+// addMessage adds the text and the usage in one message of the answer.
+func (a *attempt) addMessage(j *answerJSON, onText func(string)) {
 	for _, c := range j.Choices {
 		t := c.Delta
 		if t == nil {
@@ -251,7 +251,7 @@
 			a.refusal = j.Error.refusal(http.StatusOK, nil)
 			return
 		}
-		a.take(&j, onText)
+		a.addMessage(&j, onText)
 	}
 	a.broken = errors.New("the stream ended without [DONE]")
 	if err := lines.Err(); err != nil {
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -9,23 +9,23 @@
 
 // The delays before a caller tries again.
 const (
-	// brokenPause is the delay after an attempt without a complete answer.
-	brokenPause = 20 * time.Millisecond
-	// askAgainPause is the delay after the first refusal that asks for a retry with the same
+	// brokenRetryDelay is the delay after an attempt without a complete answer.
+	brokenRetryDelay = 20 * time.Millisecond
+	// firstBackoff is the delay after the first refusal that asks for a retry with the same
 	// key but does not say when. It doubles with each attempt, up to longestPause.
-	askAgainPause = 100 * time.Millisecond
-	longestPause  = 2 * time.Second
+	firstBackoff = 100 * time.Millisecond
+	maxBackoff  = 2 * time.Second
 )
 
-// lateSlack is how long a caller still waits for a final answer after the deadline, so that
+// lateGrace is how long a caller still waits for a final answer after the deadline, so that
 // late answers and refusals are distinguished from missing ones.
-const lateSlack = 2 * time.Second
+const lateGrace = 2 * time.Second
 
-// verdict is the outcome of a request.
-type verdict int
+// outcome is the outcome of a request.
+type outcome int
 
 const (
-	answered verdict = iota
+	answered outcome = iota
 	late             // complete and correct, but after the deadline
 	refused
 	wrong // looked like a success but is not the answer to the request
@@ -34,7 +34,7 @@
 
 // result describes the outcome of one request.
 type result struct {
-	verdict    verdict
+	outcome    outcome
 	attempts   int
 	broken     int // attempts without a complete answer
 	last       *attempt
@@ -43,57 +43,57 @@
 	total      time.Duration
 }
 
-// plan tells whether and when a caller tries again.
-type plan struct {
-	again bool
+// retryDecision tells whether and when a caller tries again.
+type retryDecision struct {
+	retry bool
 	wait  time.Duration
 }
 
-// next decides whether a well-behaved caller tries again after its n-th attempt, whose outcome
+// decideRetry decides whether a well-behaved caller tries again after its n-th attempt, whose outcome
 // is a. It tries again only if that can help, never after its deadline, and makes at most
 // maxAttempts attempts.
-func next(a *attempt, left time.Duration, n, maxAttempts int) plan {
-	p := comeBack(a, n)
+func decideRetry(a *attempt, left time.Duration, n, maxAttempts int) retryDecision {
+	p := retryFor(a, n)
 	if n >= maxAttempts || p.wait >= left {
-		return plan{}
+		return retryDecision{}
 	}
 	return p
 }
 
-// comeBack returns the plan that follows from the outcome a of the n-th attempt alone.
-func comeBack(a *attempt, n int) plan {
+// retryFor returns the plan that follows from the outcome a of the n-th attempt alone.
+func retryFor(a *attempt, n int) retryDecision {
 	if a.broken != nil {
-		return plan{again: true, wait: brokenPause}
+		return retryDecision{retry: true, wait: brokenRetryDelay}
 	}
 	if a.refusal == nil {
-		return plan{}
+		return retryDecision{}
 	}
 	switch a.refusal.Retry {
 	case errkind.RetryElsewhere:
-		return plan{again: true, wait: a.refusal.RetryAfter}
+		return retryDecision{retry: true, wait: a.refusal.RetryAfter}
 	case errkind.RetryAfter:
-		return plan{again: a.refusal.RetryAfter > 0, wait: a.refusal.RetryAfter}
+		return retryDecision{retry: a.refusal.RetryAfter > 0, wait: a.refusal.RetryAfter}
 	case errkind.RetrySameKey:
-		return plan{again: true, wait: max(a.refusal.RetryAfter, askAgain(n))}
+		return retryDecision{retry: true, wait: max(a.refusal.RetryAfter, backoffAfter(n))}
 	default:
-		return plan{}
+		return retryDecision{}
 	}
 }
 
-// askAgain returns the delay after the n-th attempt.
-func askAgain(n int) time.Duration {
-	wait := askAgainPause
-	for ; n > 1 && wait < longestPause; n-- {
+// backoffAfter returns the delay after the n-th attempt.
+func backoffAfter(n int) time.Duration {
+	wait := firstBackoff
+	for ; n > 1 && wait < maxBackoff; n-- {
 		wait *= 2
 	}
-	return min(wait, longestPause)
+	return min(wait, maxBackoff)
 }
 
 // caller sends requests and retries them.
 type caller struct {
 	sender   *sender
-	book     *addressBook
-	asker    *asker // nil if requests go to the backend server direct
+	addresses     *addressCache
+	fetcher    *addressFetcher // nil if requests go to the backend server direct
 	direct   string
 	timeout  time.Duration
 	attempts int
@@ -102,7 +102,7 @@
 // call sends r until it has a final answer. started is the scheduled time of the first attempt.
 func (c *caller) call(ctx context.Context, r *request, started time.Time) result {
 	deadline := started.Add(c.timeout)
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateSlack))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateGrace))
 	defer cancel()
 	tried := map[string]bool{}
 	res := result{}
@@ -115,50 +115,50 @@
 		if res.firstToken == 0 && !res.last.firstToken.IsZero() {
 			res.firstToken = res.last.firstToken.Sub(started)
 		}
-		p := next(res.last, time.Until(deadline), res.attempts, c.attempts)
-		if !p.again {
+		p := decideRetry(res.last, time.Until(deadline), res.attempts, c.attempts)
+		if !p.retry {
 			break
 		}
 		pause(ctx, p.wait)
 	}
 	res.total = time.Since(started)
-	res.judge(r, c.timeout)
+	res.classify(r, c.timeout)
 	return res
 }
 
 func (c *caller) try(ctx context.Context, r *request, left time.Duration, tried map[string]bool) *attempt {
 	address := c.direct
 	if address == "" {
-		err := c.asker.refresh(ctx)
+		err := c.fetcher.refresh(ctx)
 		var ok bool
-		if address, ok = c.book.pick(time.Now(), tried); !ok {
+		if address, ok = c.addresses.pick(time.Now(), tried); !ok {
 			return &attempt{broken: err}
 		}
 	}
 	tried[address] = true
 	a := c.sender.try(ctx, address, r, left)
 	if a.broken != nil {
-		c.book.fail(time.Now(), address)
+		c.addresses.fail(time.Now(), address)
 	}
 	return a
 }
 
-// judge sets the verdict and the fault from the last attempt.
-func (res *result) judge(r *request, timeout time.Duration) {
+// classify sets the verdict and the fault from the last attempt.
+func (res *result) classify(r *request, timeout time.Duration) {
 	a := res.last
 	switch {
 	case a.broken != nil:
-		res.verdict = lost
+		res.outcome = lost
 		res.fault = a.broken.Error()
 	case a.refusal != nil:
-		res.verdict = refused
+		res.outcome = refused
 	default:
 		if res.fault = r.fault(a); res.fault != "" {
-			res.verdict = wrong
+			res.outcome = wrong
 			return
 		}
 		if res.total > timeout {
-			res.verdict = late
+			res.outcome = late
 		}
 	}
 }
--- a/internal/load/command.go
+++ b/internal/load/command.go
@@ -156,16 +156,16 @@
 	if err != nil {
 		return err
 	}
-	if err := show(report, c.Bool("json"), out); err != nil {
+	if err := printReport(report, c.Bool("json"), out); err != nil {
 		return err
 	}
-	if report.Bad() {
+	if report.HasFailures() {
 		return exitStatus(exitBad)
 	}
 	return nil
 }
 
-func show(r *Report, asJSON bool, out io.Writer) error {
+func printReport(r *Report, asJSON bool, out io.Writer) error {
 	if asJSON {
 		return r.PrintJSON(out)
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -109,7 +109,7 @@
 	}
 	again := testOptions()
 	again.Direct, again.Work, again.Service = s.Address(), WorkEntry, "cash"
-	if r := run(t, again); r.Wrong != again.Count || !r.Bad() {
+	if r := run(t, again); r.Wrong != again.Count || !r.HasFailures() {
 		t.Fatalf("entries that were executed before must count as wrong: %+v", r)
 	}
 }
@@ -124,7 +124,7 @@
 	})
 	o := testOptions()
 	o.Direct = fakeHost(t, nil, cross)
-	if r := run(t, o); r.Wrong != o.Count || !r.Bad() {
+	if r := run(t, o); r.Wrong != o.Count || !r.HasFailures() {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -134,7 +134,7 @@
 	s.SetFaults(standin.Faults{DropAfterTokens: 2}, nil)
 	o := testOptions()
 	o.Direct = s.Address()
-	if r := run(t, o); r.Lost != o.Count || r.Attempts != 3*o.Count || r.Broken != r.Attempts || !r.Bad() {
+	if r := run(t, o); r.Lost != o.Count || r.Attempts != 3*o.Count || r.Broken != r.Attempts || !r.HasFailures() {
 		t.Fatalf("%+v", r)
 	}
 	o.Direct = fakeHost(t, nil, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -226,31 +226,31 @@
 		a    *attempt
 		left time.Duration
 		n    int
-		want plan
+		want retryDecision
 	}{
-		"success":          {&attempt{}, time.Second, 1, plan{}},
-		"broken":           {&attempt{broken: os.ErrClosed}, time.Second, 1, plan{true, brokenPause}},
-		"broken, last try": {&attempt{broken: os.ErrClosed}, time.Second, 4, plan{}},
-		"broken, no time":  {&attempt{broken: os.ErrClosed}, 0, 1, plan{}},
-		"retry in time":    {refusedAs(errkind.Overloaded, 200*time.Millisecond), time.Second, 1, plan{true, 200 * time.Millisecond}},
-		"retry too late":   {refusedAs(errkind.Overloaded, 2*time.Second), time.Second, 1, plan{}},
-		"never retry":      {refusedAs(errkind.Forbidden, time.Millisecond), time.Second, 1, plan{}},
+		"success":          {&attempt{}, time.Second, 1, retryDecision{}},
+		"broken":           {&attempt{broken: os.ErrClosed}, time.Second, 1, retryDecision{true, brokenRetryDelay}},
+		"broken, last try": {&attempt{broken: os.ErrClosed}, time.Second, 4, retryDecision{}},
+		"broken, no time":  {&attempt{broken: os.ErrClosed}, 0, 1, retryDecision{}},
+		"retry in time":    {refusedAs(errkind.Overloaded, 200*time.Millisecond), time.Second, 1, retryDecision{true, 200 * time.Millisecond}},
+		"retry too late":   {refusedAs(errkind.Overloaded, 2*time.Second), time.Second, 1, retryDecision{}},
+		"never retry":      {refusedAs(errkind.Forbidden, time.Millisecond), time.Second, 1, retryDecision{}},
 		"the answer's retry overrides the table's": {
 			&attempt{refusal: (&errorJSON{Kind: "overloaded", Retry: "never", RetryAfterMS: 1}).refusal(429, nil)},
-			time.Second, 1, plan{},
+			time.Second, 1, retryDecision{},
 		},
-		"host leaves":       {refusedAs(errkind.HostLeaving, 0), time.Second, 1, plan{again: true}},
-		"in progress":       {refusedAs(errkind.InProgress, 0), time.Second, 1, plan{true, askAgainPause}},
-		"still in progress": {refusedAs(errkind.InProgress, 0), time.Second, 3, plan{true, 4 * askAgainPause}},
+		"host leaves":       {refusedAs(errkind.HostLeaving, 0), time.Second, 1, retryDecision{retry: true}},
+		"in progress":       {refusedAs(errkind.InProgress, 0), time.Second, 1, retryDecision{true, firstBackoff}},
+		"still in progress": {refusedAs(errkind.InProgress, 0), time.Second, 3, retryDecision{true, 4 * firstBackoff}},
 	} {
-		if got := next(c.a, c.left, c.n, 4); got != c.want {
+		if got := decideRetry(c.a, c.left, c.n, 4); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
 }
 
 func TestAddressBookKeepsAnswersForTheirTime(t *testing.T) {
-	b, now := newAddressBook(), time.Unix(1000, 0)
+	b, now := newAddressCache(), time.Unix(1000, 0)
 	if !b.stale(now) {
 		t.Fatal("an empty cache must be stale")
 	}
@@ -268,7 +268,7 @@
 	if got, _ := b.pick(now, map[string]bool{"y": true}); got != "y" {
 		t.Fatalf("picked %s, which failed recently", got)
 	}
-	if got, _ := b.pick(now.Add(avoidFor), nil); got != "x" {
+	if got, _ := b.pick(now.Add(avoidFailedFor), nil); got != "x" {
 		t.Fatalf("picked %s, want the first again", got)
 	}
 }
@@ -276,8 +276,8 @@
 func TestLateAnswerIsCountedAsLate(t *testing.T) {
 	r := &request{work: WorkLookup, query: "q"}
 	res := result{last: &attempt{code: standin.LookupCode("q")}, total: 2 * time.Second}
-	res.judge(r, time.Second)
-	if res.verdict != late {
-		t.Fatalf("verdict %d", res.verdict)
+	res.classify(r, time.Second)
+	if res.outcome != late {
+		t.Fatalf("verdict %d", res.outcome)
 	}
 }
--- a/internal/load/once.go
+++ b/internal/load/once.go
@@ -29,13 +29,13 @@
 	caller := newCaller(&o, client)
 	caller.sender.onText = func(s string) { fmt.Fprint(out, s) }
 	res := caller.call(ctx, r, time.Now())
-	return tellOnce(out, res)
+	return printOnce(out, res)
 }
 
-// tellOnce prints the outcome of the request.
-func tellOnce(out io.Writer, res result) error {
+// printOnce prints the outcome of the request.
+func printOnce(out io.Writer, res result) error {
 	a := res.last
-	switch res.verdict {
+	switch res.outcome {
 	case refused:
 		f := a.refusal
 		fmt.Fprintf(out, "refused: %s, status %d, ran: %s, come back in %v\n", f.Kind, f.Status, f.Ran, f.RetryAfter)
@@ -46,7 +46,7 @@
 		return exitStatus(exitBad)
 	}
 	word := "in time"
-	if res.verdict == late {
+	if res.outcome == late {
 		word = "late"
 	}
 	fmt.Fprintf(out, "\nwhole answer %s: %d prompt tokens, %d output tokens, first token after %d ms, all after %d ms, %d tries\n",
--- a/internal/load/options.go
+++ b/internal/load/options.go
@@ -82,11 +82,11 @@
 	if o.Timeout <= 0 {
 		return errors.New("the timeout must be positive")
 	}
-	return o.fill()
+	return o.setDefaults()
 }
 
-// fill sets the defaults.
-func (o *Options) fill() error {
+// setDefaults sets the defaults.
+func (o *Options) setDefaults() error {
 	if len(o.Accounts) == 0 {
 		o.Accounts = []Account{{Name: "direct"}}
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -75,8 +75,8 @@
 	NotRun []string `json:"not_run,omitempty"`
 }
 
-// Bad reports whether an answer was wrong or lost.
-func (r *Report) Bad() bool { return r.Wrong+r.Lost > 0 }
+// HasFailures reports whether an answer was wrong or lost.
+func (r *Report) HasFailures() bool { return r.Wrong+r.Lost > 0 }
 
 // collector aggregates results into a report. It is safe for concurrent use.
 type collector struct {
@@ -103,7 +103,7 @@
 	c.report.Sent++
 	c.report.Attempts += res.attempts
 	c.report.Broken += res.broken
-	switch res.verdict {
+	switch res.outcome {
 	case answered:
 		c.report.Answered++
 		c.addAnswer(r, res)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -29,7 +29,7 @@
 	}
 	report := results.finish(time.Since(began))
 	for _, c := range callers {
-		report.Addresses += c.book.updates
+		report.Addresses += c.addresses.updates
 	}
 	return report, nil
 }
@@ -40,10 +40,10 @@
 	callers := make([]*caller, o.Concurrency)
 	for i := range callers {
 		callers[i] = newCaller(o, client)
-		if callers[i].asker == nil {
+		if callers[i].fetcher == nil {
 			continue
 		}
-		if err := callers[i].asker.refresh(ctx); err != nil {
+		if err := callers[i].fetcher.refresh(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -58,22 +58,22 @@
 }
 
 func newCaller(o *Options, client *http.Client) *caller {
-	book := newAddressBook()
+	book := newAddressCache()
 	c := &caller{
 		sender:   &sender{client: client, patience: o.Patience},
-		book:     book,
+		addresses:     book,
 		direct:   o.Direct,
 		timeout:  o.Timeout,
 		attempts: o.Attempts,
 	}
 	if o.Direct == "" {
-		c.asker = &asker{client: client, seeds: o.Hosts, zone: o.Zone, book: book}
+		c.fetcher = &addressFetcher{client: client, seeds: o.Hosts, zone: o.Zone, cache: book}
 	}
 	return c
 }
 
-// over reports whether no more requests are to be started.
-func (o *Options) over(ctx context.Context, began time.Time) bool {
+// finished reports whether no more requests are to be started.
+func (o *Options) finished(ctx context.Context, began time.Time) bool {
 	return ctx.Err() != nil || (o.Duration > 0 && time.Since(began) >= o.Duration)
 }
 
@@ -84,7 +84,7 @@
 	for n := range o.Count {
 		due := began.Add(time.Duration(float64(n) / o.Rate * float64(time.Second)))
 		pause(ctx, time.Until(due))
-		if o.over(ctx, began) {
+		if o.finished(ctx, began) {
 			break
 		}
 		open.Go(func() {
@@ -101,7 +101,7 @@
 	var numbers atomic.Int64
 	for _, c := range callers {
 		open.Go(func() {
-			for !o.over(ctx, began) {
+			for !o.finished(ctx, began) {
 				n := int(numbers.Add(1)) - 1
 				if n >= o.Count {
 					return
