--- a/internal/load/command.go
+++ b/internal/load/command.go
@@ -17,8 +17,8 @@
 
 // The exit statuses.
 const (
-	exitFault   = 1 // usage error, or no host could be reached
-	exitBad     = 2 // an answer was wrong or lost
+	exitError   = 1 // usage error, or no host could be reached
+	exitWrongOrLost     = 2 // an answer was wrong or lost
 	exitRefused = 3 // the request of `once` was rejected
 )
 
@@ -33,7 +33,7 @@
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "load:", err)
-		return exitFault
+		return exitError
 	}
 	return 0
 }
@@ -160,7 +160,7 @@
 		return err
 	}
 	if report.HasFailures() {
-		return exitStatus(exitBad)
+		return exitStatus(exitWrongOrLost)
 	}
 	return nil
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -72,7 +72,7 @@
 	return r
 }
 
-func TestDirectRunCountsEveryToken(t *testing.T) {
+func TestDirectRunCountsAllTokens(t *testing.T) {
 	s := startServer(t)
 	for _, stream := range []bool{true, false} {
 		o := testOptions()
--- a/internal/load/once.go
+++ b/internal/load/once.go
@@ -43,7 +43,7 @@
 		return exitStatus(exitRefused)
 	case wrong, lost:
 		fmt.Fprintf(out, "\nno whole answer: %s\nrequest id: %s\n", res.fault, a.requestID)
-		return exitStatus(exitBad)
+		return exitStatus(exitWrongOrLost)
 	}
 	word := "in time"
 	if res.outcome == late {
