--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-func TestCallerTriesAgainElsewhereWithTheSameKey(t *testing.T) {
+func TestCallerRetriesElsewhereWithSameKey(t *testing.T) {
 	s := startServer(t)
 	var mu sync.Mutex
 	keys := map[string]int{}
