--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestSilentHostIsLeftAfterThePatience(t *testing.T) {
+func TestSilentHostIsAbandonedAfterPatience(t *testing.T) {
 	s := startServer(t)
 	s.SetFaults(standin.Faults{Silent: true}, nil)
 	o := testOptions()
