--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -249,7 +249,7 @@
 	}
 }
 
-func TestAddressBookKeepsAnswersForTheirTime(t *testing.T) {
+func TestAddressCacheExpires(t *testing.T) {
 	b, now := newAddressCache(), time.Unix(1000, 0)
 	if !b.stale(now) {
 		t.Fatal("an empty cache must be stale")
