--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestReportListsWhatDidNotRun(t *testing.T) {
+func TestReportListsRequestsNotRun(t *testing.T) {
 	s := startServer(t)
 	s.SetFaults(standin.Faults{Refuse: true}, nil)
 	o := testOptions()
