--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -217,7 +217,7 @@
 	}
 }
 
-func TestNext(t *testing.T) {
+func TestDecideRetry(t *testing.T) {
 	refusedAs := func(k errkind.Kind, after time.Duration) *attempt {
 		e := errorJSON{Kind: string(k), RetryAfterMS: after.Milliseconds()}
 		return &attempt{refusal: e.refusal(http.StatusServiceUnavailable, nil)}
