--- a/internal/control/replica_test.go
+++ b/internal/control/replica_test.go
@@ -410,7 +410,7 @@
 // costs its leadership. The log must report the slow disk, or nothing shows why the
 // leader changes.
 func TestSlowDiskIsLogged(t *testing.T) {
-	var lines testutil.Lines
+	var lines testutil.LogBuffer
 	withCluster(t, func(cfg *Config) { cfg.Logger = zerolog.New(&lines) }, func(t *testing.T, c *cluster) {
 		l := c.leader()
 		c.mustSet(1, 0)
--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -18,7 +18,7 @@
 )
 
 // lines collects what is logged while a test runs.
-type lines struct{ testutil.Lines }
+type lines struct{ testutil.LogBuffer }
 
 func (l *lines) closed() []string {
 	var out []string
--- a/internal/peerconn/recover_test.go
+++ b/internal/peerconn/recover_test.go
@@ -38,7 +38,7 @@
 // Sequence: a peer sends a message that a handler does not expect.
 // Cause: gRPC lets the panic of a handler end the process.
 func TestPanicOfAHandlerIsTheCallsError(t *testing.T) {
-	var out testutil.Lines
+	var out testutil.LogBuffer
 	listener := testutil.Listen(t)
 	server := grpc.NewServer(append(ServerOptions(nil, nil), RecoverOptions(zerolog.New(&out))...)...)
 	pb.RegisterPeerServer(server, faultyPeer{})
--- a/internal/procconfig/routed_test.go
+++ b/internal/procconfig/routed_test.go
@@ -73,7 +73,7 @@
 	path    string
 	signals chan os.Signal
 	read    chan *Config
-	log     testutil.Lines
+	log     testutil.LogBuffer
 }
 
 // await waits for a line of the event.
--- a/internal/testutil/testutil.go
+++ b/internal/testutil/testutil.go
@@ -70,22 +70,22 @@
 	os.Exit(m.Run())
 }
 
-// Lines is a buffer that records what is written to it, such as log lines. It is safe for
+// LogBuffer is a buffer that records what is written to it, such as log lines. It is safe for
 // concurrent use.
-type Lines struct {
+type LogBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 // Write implements io.Writer.
-func (l *Lines) Write(b []byte) (int, error) {
+func (l *LogBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
 // String returns everything that was written.
-func (l *Lines) String() string {
+func (l *LogBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
