--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -12,10 +12,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// announceTimeout bounds one post to one host.
+// announceTimeout bounds one POST request to one host.
 const announceTimeout = 2 * time.Second
 
-// cacheEventsBody is the body of POST /v1/cache-events. A gap between the numbers of
+// cacheEventsBody is the body of POST /v1/cache-events. A gap between the sequence numbers of
 // two events means that events were lost.
 type cacheEventsBody struct {
 	Address     string       `json:"address"`
@@ -23,19 +23,19 @@
 	Events      []CacheEvent `json:"events"`
 }
 
-// datedLoad is a load figure and when it was taken.
+// datedLoad is a load together with the time of its measurement.
 type datedLoad struct {
 	at   time.Time
 	load load
 }
 
-// datedEvents is a batch of cache events and when it may be posted.
+// datedEvents is a batch of cache events together with the time from which it may be posted.
 type datedEvents struct {
 	at     time.Time
 	events []CacheEvent
 }
 
-// announcer tells the entry hosts of this server.
+// announcer announces this server to the entry hosts.
 type announcer struct {
 	server  *Server
 	address string
@@ -47,9 +47,9 @@
 	pending []datedEvents
 }
 
-// announcedHost is one entry host that is told. A host that gives no answer would hold
-// the announcements to the others up until they take this server for lapsed; so each
-// host is posted to by itself, and passed over while its last post is on the way.
+// announcedHost is one entry host that gets announcements. A host that does not answer must not
+// delay the announcements to the others, which would then consider this server lapsed. So the
+// requests to each host are independent, and a host is skipped while its last one is in flight.
 type announcedHost struct {
 	address string
 	busy    atomic.Bool
@@ -69,7 +69,7 @@
 	}
 }
 
-// now makes the next announcement go out at once.
+// now triggers an immediate announcement.
 func (a *announcer) now() {
 	select {
 	case a.kick <- struct{}{}:
@@ -91,7 +91,7 @@
 	a.client.CloseIdleConnections()
 }
 
-// round makes one announcement and posts the cache events that are due.
+// round sends one announcement and the cache events that are due.
 func (a *announcer) round(ctx context.Context, now time.Time) {
 	f := a.server.faults.get()
 	a.history = append(a.history, datedLoad{at: now, load: a.server.engine.load()})
@@ -111,7 +111,7 @@
 	a.send(ctx, posts)
 }
 
-// state is the announcement, with the load as it was late_load_ms ago.
+// state returns the announcement, with the load as it was late_load_ms ago.
 func (a *announcer) state(f Faults, now time.Time) *pb.ServerState {
 	s := a.server
 	a.seq++
@@ -145,7 +145,8 @@
 	return st
 }
 
-// loadAt returns the newest load that is not younger than t allows and forgets older ones.
+// loadAt returns the latest load measured at or before t, or the oldest one if there is none,
+// and discards older ones.
 func (a *announcer) loadAt(t time.Time) datedLoad {
 	best := 0
 	for i, d := range a.history {
@@ -157,7 +158,7 @@
 	return a.history[0]
 }
 
-// dueEvents takes the engine's cache events and returns those whose delay is over, in order.
+// dueEvents takes the engine's new cache events and returns those whose delay has passed, in order.
 func (a *announcer) dueEvents(now time.Time) []CacheEvent {
 	e := a.server.engine
 	e.mu.Lock()
@@ -175,7 +176,7 @@
 	return due
 }
 
-// post is one body on its way to a path of every host.
+// post is a body to be sent to a path of every host.
 type post struct {
 	path string
 	body []byte
@@ -184,12 +185,12 @@
 func (a *announcer) encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		a.server.opts.Log.Error().Err(err).Msg("announcement not encoded")
+		a.server.opts.Log.Error().Err(err).Msg("cannot encode announcement")
 	}
 	return b
 }
 
-// send posts to every host that has answered the posts before.
+// send sends posts to every host that has no request in flight.
 func (a *announcer) send(ctx context.Context, posts []post) {
 	for _, h := range a.hosts {
 		if !h.busy.CompareAndSwap(false, true) {
@@ -205,7 +206,7 @@
 func (a *announcer) sendTo(ctx context.Context, host string, posts []post) {
 	for _, p := range posts {
 		if err := a.postTo(ctx, "http://"+host+p.path, p.body); err != nil {
-			a.server.opts.Log.Warn().Str("host", host).Str("path", p.path).Err(err).Msg("not announced")
+			a.server.opts.Log.Warn().Str("host", host).Str("path", p.path).Err(err).Msg("announcement failed")
 		}
 	}
 }
--- a/internal/standin/answers.go
+++ b/internal/standin/answers.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Shapes of the usual completion API.
+// The JSON types of the common completion API.
 type (
 	completion struct {
 		ID      string   `json:"id"`
@@ -53,7 +53,7 @@
 	}
 }
 
-// writeWhole waits for the stream's end and answers in one piece.
+// writeWhole waits until the stream has ended and sends the answer as one JSON object.
 func (s *Server) writeWhole(w http.ResponseWriter, r *http.Request, st *stream) {
 	p := st.progress()
 	for p.state == streamRunning {
@@ -75,8 +75,8 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// writeStream sends the stream's tokens from number from on as server-sent events:
-// one chunk for each token, a chunk with the finish reason, a chunk with the usage.
+// writeStream sends the stream's tokens, starting with token number from, as server-sent
+// events: one chunk for each token, a chunk with the finish reason and a chunk with the usage.
 func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, st *stream, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
@@ -101,7 +101,7 @@
 	}
 }
 
-// breakStream brings the faults about that hit a stream in its middle.
+// breakStream injects the faults that affect a stream after some tokens.
 func (s *Server) breakStream(r *http.Request, out *eventWriter, sent int) {
 	f := s.faults.get()
 	if f.DropAfterTokens > 0 && sent >= f.DropAfterTokens {
@@ -114,7 +114,7 @@
 	}
 }
 
-// eventWriter writes one stream's chunks.
+// eventWriter writes the chunks of one stream.
 type eventWriter struct {
 	w      http.ResponseWriter
 	st     *stream
@@ -180,7 +180,7 @@
 	return errorAnswer{Error: errorDetail{Type: kind, Message: strings.TrimSpace(text)}}
 }
 
-// refuse answers work that did not run.
+// refuse sends a refusal, with the header that states that the request was not executed.
 func refuse(w http.ResponseWriter, status int, kind, text string) {
 	w.Header().Set(HeaderRan, "no")
 	writeJSON(w, status, errorBody(kind, text))
--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// prefillChunk is how many prompt tokens one step takes in at most.
+// prefillChunk is the maximum number of prompt tokens processed in one step.
 const prefillChunk = 512
 
-// sequence is one request as the batch sees it.
+// sequence is one request in the batch.
 type sequence struct {
 	stream *stream
-	// priority orders the queue; a lower number goes first.
+	// priority orders the queue; lower numbers go first.
 	priority    int
 	prefillLeft int
 	decodeLeft  int
 }
 
-// batch models an engine with continuous batching: in each step the sequences in
-// slots that are through their prompt put out one token each, and the others share
-// one chunk of prefill. It is a pure state machine: step says how long the step takes.
+// batch models an engine with continuous batching. In each step, every sequence in a slot whose
+// prompt is processed generates one token, and the others share one chunk of prefill. batch is
+// a pure state machine: it has no clock, and step returns how long the step takes.
 type batch struct {
 	slots        int
 	decodeSpeed  float64
 	prefillSpeed float64
 	slowdown     float64
-	// slow multiplies the time of every step.
+	// slow is a factor for the time of every step.
 	slow float64
 
 	waiting []*sequence
@@ -42,7 +42,7 @@
 	}
 }
 
-// add queues a sequence behind those of the same priority.
+// add queues a sequence behind those with the same priority.
 func (b *batch) add(s *sequence) {
 	at := len(b.waiting)
 	for at > 0 && b.waiting[at-1].priority > s.priority {
@@ -51,7 +51,7 @@
 	b.waiting = slices.Insert(b.waiting, at, s)
 }
 
-// remove takes a stream's sequence out.
+// remove removes a stream's sequence.
 func (b *batch) remove(st *stream) {
 	of := func(s *sequence) bool { return s.stream == st }
 	b.waiting = slices.DeleteFunc(b.waiting, of)
@@ -60,8 +60,8 @@
 
 func (b *batch) idle() bool { return len(b.waiting)+len(b.active) == 0 }
 
-// step runs one step. It returns the time the step takes and the streams that have
-// one more token at its end; finished sequences leave their slots.
+// step runs one step. It returns the duration of the step and the streams that have generated
+// one more token at its end. Finished sequences free their slots.
 func (b *batch) step() (took time.Duration, emitted []*stream) {
 	b.admit()
 	prefilled := b.prefill()
@@ -106,7 +106,8 @@
 	return time.Duration(seconds * b.slow * float64(time.Second))
 }
 
-// tokensPerSecond is the speed of one sequence at the present size of the batch; 0: no limit.
+// tokensPerSecond returns the speed of one sequence at the current size of the batch; 0 means
+// unlimited.
 func (b *batch) tokensPerSecond() float64 {
 	if b.decodeSpeed == 0 {
 		return 0
--- a/internal/standin/batch_test.go
+++ b/internal/standin/batch_test.go
@@ -26,7 +26,7 @@
 	}
 	b.step()
 	if !b.idle() {
-		t.Fatalf("sequences of two tokens are still there after two steps")
+		t.Fatalf("sequences of two tokens are still active after two steps")
 	}
 }
 
@@ -34,10 +34,10 @@
 	b := newBatch(Options{Slots: 1, PrefillSpeed: 1000})
 	b.add(&sequence{stream: newStream("long"), prefillLeft: prefillChunk + 10, decodeLeft: 1})
 	if took, emitted := b.step(); took != 512*time.Millisecond || len(emitted) != 0 {
-		t.Fatalf("first chunk took %v and put out %d tokens, want 512ms and none", took, len(emitted))
+		t.Fatalf("first chunk took %v and generated %d tokens, want 512ms and none", took, len(emitted))
 	}
 	if took, emitted := b.step(); took != 10*time.Millisecond || len(emitted) != 1 {
-		t.Fatalf("last chunk took %v and put out %d tokens, want 10ms and one", took, len(emitted))
+		t.Fatalf("last chunk took %v and generated %d tokens, want 10ms and one", took, len(emitted))
 	}
 }
 
@@ -48,7 +48,7 @@
 	for _, want := range []string{"first", "later"} {
 		_, emitted := b.step()
 		if len(emitted) != 1 || emitted[0].id != want {
-			t.Fatalf("step put out %d tokens, want one of %q", len(emitted), want)
+			t.Fatalf("step generated %d tokens, want one of %q", len(emitted), want)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	c.use([]uint64{1})
 	c.use([]uint64{3})
 	if hits := c.use([]uint64{1, 2}); hits != 1 {
-		t.Fatalf("%d hits, want 1: block 2 had to make room for 3", hits)
+		t.Fatalf("%d hits, want 1: block 2 must have been evicted for block 3", hits)
 	}
 	events := c.take()
 	for i, ev := range events {
@@ -72,9 +72,8 @@
 	}
 }
 
-// Symptom: no request ever finds its prefix cached, though each server reports hits.
-// Sequence: a host hashes a prompt's blocks to choose a server; the server reports its blocks.
-// Cause: the two put the prompt's text together differently.
+// Guards against hosts and servers that hash different texts for the same prompt. Hosts would
+// then never find a cached prefix, although the servers report hits.
 func TestHostAndServerHashTheSameBlocks(t *testing.T) {
 	long := strings.Repeat("ledger of may ", 100)
 	for path, body := range map[string]string{
@@ -99,7 +98,7 @@
 	}
 }
 
-// fleetSettings bounds bodies only.
+// fleetSettings are settings that only limit the size of request bodies.
 type fleetSettings struct{ filter.Settings }
 
 func (fleetSettings) Fleet() settings.Fleet { return settings.Fleet{MaxBodyBytes: 1 << 20} }
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -5,20 +5,20 @@
 	"strconv"
 )
 
-// maxCacheEvents bounds the events kept for posting; older ones are lost, which
-// leaves a gap in the numbers.
+// maxCacheEvents bounds the events kept until they are posted. Older ones are dropped, which
+// leaves a gap in the sequence numbers.
 const maxCacheEvents = 10000
 
-// CacheEvent is one numbered change of the prefix cache. Blocks are named by their
-// hashes in hex.
+// CacheEvent is one change of the prefix cache, with a sequence number. Blocks are identified by
+// their hashes in hex.
 type CacheEvent struct {
 	Seq     uint64      `json:"seq"`
 	Stored  []BlockHash `json:"stored,omitempty"`
 	Removed []BlockHash `json:"removed,omitempty"`
 }
 
-// BlockHash is the hash of a prompt's prefix up to the end of a block, as entry hosts
-// work it out. It is written in hex.
+// BlockHash is the hash of a prompt's prefix up to the end of a block, as computed by entry
+// hosts. It is encoded in hex.
 type BlockHash uint64
 
 // MarshalText implements encoding.TextMarshaler.
@@ -26,11 +26,11 @@
 	return strconv.AppendUint(nil, uint64(h), 16), nil
 }
 
-// prefixCache keeps the blocks used last, within a bound, and the events not yet taken.
+// prefixCache is an LRU cache of blocks, with the events that were not taken yet.
 type prefixCache struct {
 	bound  int
 	blocks map[uint64]*list.Element
-	recent *list.List // front: used last
+	recent *list.List // front: most recently used
 	seq    uint64
 	events []CacheEvent
 }
@@ -39,8 +39,8 @@
 	return &prefixCache{bound: bound, blocks: map[uint64]*list.Element{}, recent: list.New()}
 }
 
-// use looks a prompt's blocks up, stores those that were missing and returns how
-// many leading blocks were there.
+// use looks up a prompt's blocks, stores the missing ones and returns the number of leading
+// blocks that were cached.
 func (c *prefixCache) use(hashes []uint64) (hits int) {
 	var ev CacheEvent
 	missed := false
@@ -73,7 +73,7 @@
 	return hits
 }
 
-// take returns the events since the last take.
+// take returns the events since the last call.
 func (c *prefixCache) take() []CacheEvent {
 	ev := c.events
 	c.events = nil
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -13,14 +13,14 @@
 	"github.com/urfave/cli/v3"
 )
 
-// diedStatus is the exit status when a fault ordered the process to die.
+// diedStatus is the exit status if the process dies because of an injected fault.
 const diedStatus = 3
 
-// Main runs the stand-in's command line and returns the exit status.
+// Main runs the command line of standin and returns the exit status.
 func Main() int {
 	cmd := &cli.Command{
 		Name:   "standin",
-		Usage:  "a stand-in backend server for tests and the demo",
+		Usage:  "a fake backend server for tests and the demo",
 		Flags:  flags(),
 		Action: serve,
 	}
@@ -36,9 +36,9 @@
 func flags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "listen", Value: defaultListen, Usage: "address to listen on"},
-		&cli.StringFlag{Name: "address-file", Usage: "file to write the address to, once listening"},
-		&cli.StringSliceFlag{Name: "announce", Usage: "entry hosts' addresses to announce to"},
-		&cli.StringFlag{Name: "announce-key", Usage: "key that the hosts want of backend servers", Sources: cli.EnvVars("STANDIN_ANNOUNCE_KEY")},
+		&cli.StringFlag{Name: "address-file", Usage: "file to write the address to once listening"},
+		&cli.StringSliceFlag{Name: "announce", Usage: "addresses of the entry hosts to announce to"},
+		&cli.StringFlag{Name: "announce-key", Usage: "key that the hosts require of backend servers", Sources: cli.EnvVars("STANDIN_ANNOUNCE_KEY")},
 		&cli.DurationFlag{Name: "announce-every", Value: defaultAnnounceEvery},
 		&cli.StringFlag{Name: "zone", Value: "a", Usage: "availability zone"},
 		&cli.StringFlag{Name: "pool", Value: "main"},
@@ -46,20 +46,20 @@
 		&cli.StringSliceFlag{Name: "models", Usage: "models served"},
 		&cli.StringSliceFlag{Name: "services", Usage: "plain services served"},
 		&cli.StringSliceFlag{Name: "adapters", Usage: "adapters loaded"},
-		&cli.IntFlag{Name: "slots", Value: defaultSlots, Usage: "sequences that decode at once"},
+		&cli.IntFlag{Name: "slots", Value: defaultSlots, Usage: "sequences that decode at the same time"},
 		&cli.FloatFlag{Name: "decode", Value: 100, Usage: "output tokens per second of one sequence; 0: no limit"},
 		&cli.FloatFlag{Name: "prefill", Value: 10000, Usage: "prompt tokens per second; 0: no limit"},
-		&cli.FloatFlag{Name: "slowdown", Value: 0.02, Usage: "longer step for each further sequence, as a share"},
-		&cli.DurationFlag{Name: "service-time", Usage: "time of a plain service's call"},
+		&cli.FloatFlag{Name: "slowdown", Value: 0.02, Usage: "share by which each further sequence lengthens a step"},
+		&cli.DurationFlag{Name: "service-time", Usage: "duration of a call of a plain service"},
 		&cli.DurationFlag{Name: "load-time", Usage: "time to load a model or an adapter"},
-		&cli.BoolFlag{Name: "checks-fence", Usage: "refuse orders with an old fencing number"},
-		&cli.BoolFlag{Name: "no-resume", Usage: "resume no streams"},
-		&cli.BoolFlag{Name: "no-kv", Usage: "announce no export and import of KV caches"},
-		&cli.DurationFlag{Name: "keep", Value: defaultKeep, Usage: "how long finished streams can be read again"},
-		&cli.DurationFlag{Name: "leave-grace", Value: defaultLeaveGrace, Usage: "how long work is taken after leaving was announced"},
-		&cli.DurationFlag{Name: "leave-limit", Value: time.Minute, Usage: "how long streams may take to finish after that"},
-		&cli.IntFlag{Name: "cache-blocks", Value: defaultCacheBlocks, Usage: "blocks in the prefix cache"},
-		&cli.DurationFlag{Name: "cache-delay", Usage: "how late cache events are posted"},
+		&cli.BoolFlag{Name: "checks-fence", Usage: "reject orders with a stale fencing number"},
+		&cli.BoolFlag{Name: "no-resume", Usage: "do not resume streams"},
+		&cli.BoolFlag{Name: "no-kv", Usage: "do not announce support for exporting and importing KV caches"},
+		&cli.DurationFlag{Name: "keep", Value: defaultKeep, Usage: "how long finished streams can still be read"},
+		&cli.DurationFlag{Name: "leave-grace", Value: defaultLeaveGrace, Usage: "how long work is still accepted after leaving was announced"},
+		&cli.DurationFlag{Name: "leave-limit", Value: time.Minute, Usage: "how long streams may take to finish after --leave-grace"},
+		&cli.IntFlag{Name: "cache-blocks", Value: defaultCacheBlocks, Usage: "capacity of the prefix cache in blocks"},
+		&cli.DurationFlag{Name: "cache-delay", Usage: "delay of cache events"},
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// serve runs until a signal, then leaves.
+// serve runs the server until a signal, then drains it.
 func serve(ctx context.Context, c *cli.Command) error {
 	s := New(optionsOf(c))
 	if err := s.Start(); err != nil {
@@ -111,8 +111,8 @@
 	return s.Leave(limit)
 }
 
-// writeAddress puts the whole address into the file at once: a reader that polls for
-// the file must never see half of it.
+// writeAddress writes the file atomically, since a reader that polls for it must never see a
+// part of the address.
 func writeAddress(file, address string) error {
 	part := file + ".part"
 	if err := os.WriteFile(part, []byte(address+"\n"), 0o644); err != nil {
--- a/internal/standin/completions.go
+++ b/internal/standin/completions.go
@@ -12,14 +12,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter/parse"
 )
 
-// maxBody bounds a request's body.
+// maxBody bounds a request body.
 const maxBody = 16 << 20
 
-// endlessOutput is added to four times the cap when the cap is ignored.
+// endlessOutput is added to four times the cap if the cap is ignored.
 const endlessOutput = 16
 
-// completionRequest is the body of both completion calls; a chat has messages, a
-// plain completion has a prompt.
+// completionRequest is the body of both completion calls. A chat has messages, a plain
+// completion has a prompt.
 type completionRequest struct {
 	Model               string          `json:"model"`
 	Adapter             string          `json:"adapter"`
@@ -41,7 +41,7 @@
 	Text string `json:"text"`
 }
 
-// ParsePrompt reads the prompt out of the body of a completion call.
+// ParsePrompt returns the prompt in the body of a completion call.
 func ParsePrompt(body []byte) (Prompt, error) {
 	var req completionRequest
 	if err := json.Unmarshal(body, &req); err != nil {
@@ -70,7 +70,8 @@
 	return p, nil
 }
 
-// contentText reads a content that is a string, a list of strings or a list of parts.
+// contentText returns the text of a content that is a string, a list of strings or a list of
+// parts.
 func contentText(raw json.RawMessage) (string, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return "", nil
@@ -85,7 +86,7 @@
 	}
 	var parts []contentPart
 	if err := json.Unmarshal(raw, &parts); err != nil {
-		return "", errors.New("neither a string nor a list of texts")
+		return "", errors.New("neither a string nor a list of strings or parts")
 	}
 	for _, p := range parts {
 		text += p.Text
@@ -93,11 +94,11 @@
 	return text, nil
 }
 
-// cacheText is the text whose prefixes are cached. It is put together as entry hosts
-// do it, whose hashes have to agree with those in cache events.
+// cacheText returns the text whose prefixes are cached. It is built as on entry hosts, whose
+// hashes have to match those in cache events.
 func (c *completionRequest) cacheText() []byte {
 	if len(c.Messages) == 0 {
-		text, _ := contentText(c.Prompt) // was read before
+		text, _ := contentText(c.Prompt) // was checked by prompt
 		return []byte(text)
 	}
 	var text []byte
@@ -145,7 +146,7 @@
 	s.serveRun(w, r, st, req.Stream)
 }
 
-// serves refuses work that this server does not take.
+// serves reports whether the server accepts a completion. If not, it sends a refusal.
 func (s *Server) serves(w http.ResponseWriter, req *completionRequest) bool {
 	if !s.takesWork(w) {
 		return false
@@ -162,6 +163,7 @@
 	return true
 }
 
+// newRun returns the stream for a completion, whose answer follows from the prompt.
 func (s *Server) newRun(req *completionRequest, prompt Prompt, r *http.Request) *stream {
 	id := r.Header.Get(HeaderEngineRequest)
 	if id == "" {
@@ -181,9 +183,9 @@
 	return st
 }
 
-// serveRun answers with the stream's whole text or streams it. The run of a named
-// stream outlives its connection, so that another host can read on; that of an
-// unnamed one is cancelled with it.
+// serveRun sends the stream's whole text or streams it. A stream whose request has an engine
+// request id continues after its connection ends, so that another host can read the rest. A
+// stream without one is cancelled with its connection.
 func (s *Server) serveRun(w http.ResponseWriter, r *http.Request, st *stream, streamed bool) {
 	w.Header().Set(HeaderEngineRequest, st.id)
 	if r.Header.Get(HeaderEngineRequest) == "" {
@@ -196,6 +198,7 @@
 	s.writeWhole(w, r, st)
 }
 
+// refuseRun sends the refusal for an error of the engine.
 func refuseRun(w http.ResponseWriter, err error) {
 	if errors.Is(err, errKnown) {
 		w.Header().Set(HeaderRan, "yes")
--- a/internal/standin/conn.go
+++ b/internal/standin/conn.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// faultListener accepts connections that can be made silent: what is written to a
-// silent connection is lost, what it receives is not read, and closing it tells the
-// other end nothing. So looks a connection that something on its way has lost track of.
+// faultListener accepts connections that can be made silent. Data written to a silent
+// connection is lost, received data is discarded, and the other end does not notice when it is
+// closed. This simulates a connection whose state was lost by a device between the two ends.
 type faultListener struct {
 	net.Listener
 	// silentNew makes each new connection silent from the start.
@@ -39,7 +39,7 @@
 	return fc, nil
 }
 
-// silenceOpen makes the connections silent that are open now, but for keep.
+// silenceOpen makes all open connections silent except keep.
 func (l *faultListener) silenceOpen(keep *faultConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// closeAll closes every connection, the silent ones too.
+// closeAll closes all connections, including the silent ones.
 func (l *faultListener) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +66,7 @@
 	silent   atomic.Bool
 }
 
-// Read implements net.Conn. On a silent connection it discards what comes.
+// Read implements net.Conn. On a silent connection it discards received data.
 func (c *faultConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -101,7 +101,7 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connOf returns the connection that carries r; nil under another listener.
+// connOf returns the connection of r, or nil if r did not come through a faultListener.
 func connOf(r *http.Request) *faultConn {
 	c, _ := r.Context().Value(connKey{}).(*faultConn)
 	return c
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -10,16 +10,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter/parse"
 )
 
-// Reasons why the engine takes no stream.
+// The reasons why the engine rejects a stream.
 var (
-	errKnown     = errors.New("a stream of this name is known")
+	errKnown     = errors.New("a stream with this id already exists")
 	errQueueFull = errors.New("the queue is full")
 )
 
-// sweepEvery is how often streams that need no longer be kept are dropped.
+// sweepEvery is the interval at which expired streams are removed.
 const sweepEvery = time.Second
 
-// engine binds the batch model to the clock and keeps the streams by name.
+// engine runs the batch model in real time and stores the streams by id.
 type engine struct {
 	maxWaiting int
 	keep       time.Duration
@@ -46,8 +46,8 @@
 	}
 }
 
-// submit queues a stream. hashes are the prompt's prefix blocks. One name never runs
-// twice: errKnown while the first stream of the name is kept.
+// submit queues a stream. hashes are those of the prompt's prefix blocks. No id is executed
+// twice: submit returns errKnown while an earlier stream with the same id is kept.
 func (e *engine) submit(st *stream, hashes []uint64, priority int) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// adopt goes on with a stream of another engine, whose KV cache came with it.
+// adopt continues a stream of another engine, whose KV cache was imported.
 func (e *engine) adopt(st *stream) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,14 +114,14 @@
 	return p
 }
 
-// slowDown multiplies the time of every step from now on.
+// slowDown multiplies the time of all further steps by factor.
 func (e *engine) slowDown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.slow = factor
 }
 
-// load is what the engine reports of itself.
+// load is the engine's load for the announcements.
 type load struct {
 	running, waiting int
 	tokensPerSecond  float64
@@ -147,8 +147,8 @@
 	return e.batch.idle()
 }
 
-// run steps the batch until ctx ends. Steps are timed from the end of the former
-// step, so that a late wake-up does not slow the model down.
+// run steps the batch until ctx ends. Each step is timed from the scheduled end of the previous
+// one, so that late wake-ups do not slow the model down.
 func (e *engine) run(ctx context.Context) {
 	next := time.Now()
 	for ctx.Err() == nil {
@@ -167,7 +167,7 @@
 	}
 }
 
-// rest waits for work and drops streams that need no longer be kept.
+// rest waits for work and removes expired streams.
 func (e *engine) rest(ctx context.Context) {
 	timer := time.NewTimer(sweepEvery)
 	defer timer.Stop()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -6,42 +6,44 @@
 	"sync"
 )
 
-// Faults is what POST /debug/faults sets. Each post replaces the whole set, so that
-// an empty object mends everything but what has been lost already.
+// Faults is the body of POST /debug/faults, the set of injected faults. Each request replaces
+// the whole set, so an empty object ends all faults. Data and connections that were lost before
+// stay lost.
 type Faults struct {
-	// Slow multiplies the time of every step; 0 or 1: normal.
+	// Slow is a factor for the time of every step; 0 and 1 mean normal speed.
 	Slow float64 `json:"slow,omitempty"`
-	// Refuse answers new work 503, truthfully saying that it did not run.
+	// Refuse rejects new work with status 503 and states, correctly, that it was not executed.
 	Refuse bool `json:"refuse,omitempty"`
-	// Silent makes every connection, open or new, give no byte any more. Only the
-	// connection that sets it goes on, so keep it to take the fault back.
+	// Silent makes all connections silent, open and new ones. The only exception is the
+	// connection over which the fault is set, so that the fault can be removed over it.
 	Silent bool `json:"silent,omitempty"`
-	// SilenceOpen makes the connections silent for good that are open now.
+	// SilenceOpen makes all connections silent that are open now. They stay silent.
 	SilenceOpen bool `json:"silence_open,omitempty"`
-	// SilentAfterTokens makes a connection silent once a stream has put out as many tokens on it.
+	// SilentAfterTokens makes a connection silent after a stream has sent this many tokens over it.
 	SilentAfterTokens int `json:"silent_after_tokens,omitempty"`
-	// DropAfterTokens cuts the connection of a stream after as many tokens.
+	// DropAfterTokens cuts the connection of a stream after this many tokens.
 	DropAfterTokens int `json:"drop_after_tokens,omitempty"`
-	// DropServiceAnswers runs a call of a plain service and cuts the connection before the answer.
+	// DropServiceAnswers executes a call of a plain service and cuts the connection before the answer.
 	DropServiceAnswers bool `json:"drop_service_answers,omitempty"`
-	// LateLoadMS makes the announced load as old as this, in milliseconds.
+	// LateLoadMS is the age of the announced load, in milliseconds.
 	LateLoadMS int64 `json:"late_load_ms,omitempty"`
-	// HideLoadAge announces late load as if it were fresh.
+	// HideLoadAge announces a stale load as if it were fresh.
 	HideLoadAge bool `json:"hide_load_age,omitempty"`
-	// IgnoreMaxTokens lets answers run far past their cap.
+	// IgnoreMaxTokens makes answers far longer than their cap.
 	IgnoreMaxTokens bool `json:"ignore_max_tokens,omitempty"`
-	// StopAnnouncing ends the announcements while work is still served.
+	// StopAnnouncing stops the announcements while work is still served.
 	StopAnnouncing bool `json:"stop_announcing,omitempty"`
 	// LoseCacheEvents drops cache events instead of posting them, which leaves gaps.
 	LoseCacheEvents bool `json:"lose_cache_events,omitempty"`
-	// RetryAfter is what Refuse names as the seconds in which it wants nothing from the host.
+	// RetryAfter is the header Retry-After of the refusals that Refuse causes: the cooldown in
+	// seconds during which the host should send nothing.
 	RetryAfter string `json:"retry_after,omitempty"`
-	// RateLimit is what every answer names as the requests a second that are taken from all
-	// hosts together; nil: none is named.
+	// RateLimit is the rate limit that every answer advertises, in requests per second from all
+	// hosts together; nil if none is advertised.
 	RateLimit *float64 `json:"rate_limit,omitempty"`
-	// Die ends the process at once.
+	// Die terminates the process immediately.
 	Die bool `json:"die,omitempty"`
-	// DieOnPrompt ends the process when it runs a completion whose prompt has this text.
+	// DieOnPrompt terminates the process when it executes a completion whose prompt contains this text.
 	DieOnPrompt string `json:"die_on_prompt,omitempty"`
 }
 
@@ -72,7 +74,7 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// SetFaults replaces the faults in force. The connection keep is spared from silence; nil spares none.
+// SetFaults replaces the injected faults. The connection keep, if not nil, does not become silent.
 func (s *Server) SetFaults(f Faults, keep *faultConn) {
 	s.faults.set(f)
 	slow := f.Slow
--- a/internal/standin/options.go
+++ b/internal/standin/options.go
@@ -1,8 +1,8 @@
-// Package standin is a stand-in backend server for tests, load runs and the demo.
-// It speaks the usual HTTP API of a model engine, models continuous batching with
-// a prefix cache, serves a plain service, takes orders, announces itself to entry
-// hosts and can be told to misbehave. Its answers follow from the prompt alone, so
-// that a caller can tell whether it got the whole answer to its own request.
+// Package standin implements a fake backend server for tests, load runs and the demo. It has
+// the common HTTP API of a model engine, models continuous batching with a prefix cache, serves
+// plain services, accepts orders, announces itself to entry hosts and can inject faults. Its
+// answers depend only on the prompt, so a caller can check that it got the complete answer to
+// its own request.
 package standin
 
 import (
@@ -11,17 +11,18 @@
 	"github.com/rs/zerolog"
 )
 
-// Headers between entry hosts and backend servers.
+// The headers between entry hosts and backend servers.
 const (
-	// HeaderEngineRequest names the engine's stream. One name never runs twice.
+	// HeaderEngineRequest is the id of the engine's stream. An id is never executed twice.
 	HeaderEngineRequest = "Bluebellsail-Engine-Request"
-	// HeaderRan says "no" on a refusal that came before any run.
+	// HeaderRan is "no" on a refusal if the request was not executed.
 	HeaderRan = "Bluebellsail-Ran"
-	// HeaderRateLimit names how many requests a second it takes from all hosts together.
+	// HeaderRateLimit is the number of requests per second that the server accepts from all
+	// hosts together.
 	HeaderRateLimit = "Bluebellsail-Rate-Limit"
 )
 
-// Defaults of Options.
+// The defaults of Options.
 const (
 	defaultListen        = "127.0.0.1:0"
 	defaultAnnounceEvery = 500 * time.Millisecond
@@ -32,17 +33,17 @@
 	defaultCacheBlocks   = 4096
 )
 
-// Options of one stand-in. The zero value of a field means its default.
+// Options configures one fake server. The zero value of a field means its default.
 type Options struct {
-	// Listen is the address to listen on; default a free port on loopback.
+	// Listen is the address to listen on; default: a free port on loopback.
 	Listen string
-	// Announce lists the callers' addresses of entry hosts to announce to.
+	// Announce lists the entry hosts to announce to, by their addresses for callers.
 	Announce []string
-	// AnnounceKey is shown to the hosts; empty: none.
+	// AnnounceKey is the key sent with announcements; empty for none.
 	AnnounceKey string
-	// AnnounceEvery is the time between announcements; default 500ms.
+	// AnnounceEvery is the interval between announcements; default 500ms.
 	AnnounceEvery time.Duration
-	// Incarnation of this run; default the start time in Unix milliseconds.
+	// Incarnation identifies this run of the server; default: the start time in Unix milliseconds.
 	Incarnation uint64
 
 	Zone     string
@@ -52,38 +53,38 @@
 	Services []string
 	Adapters []string
 
-	// Slots is how many sequences decode at once; default 16.
+	// Slots is the number of sequences that decode at the same time; default 16.
 	Slots int
-	// MaxWaiting bounds the queue before the slots; default 256.
+	// MaxWaiting bounds the queue for the slots; default 256.
 	MaxWaiting int
-	// DecodeSpeed is output tokens per second of one sequence alone; 0: no limit.
+	// DecodeSpeed is the output tokens per second of a single sequence; 0 means unlimited.
 	DecodeSpeed float64
-	// PrefillSpeed is prompt tokens per second; 0: no limit.
+	// PrefillSpeed is the prompt tokens per second; 0 means unlimited.
 	PrefillSpeed float64
 	// BatchSlowdown is the share by which each further sequence lengthens a step.
 	BatchSlowdown float64
-	// ServiceTime is how long a call of a plain service takes.
+	// ServiceTime is the duration of a call of a plain service.
 	ServiceTime time.Duration
-	// LoadTime is how long an order to load takes.
+	// LoadTime is the time to load a model or an adapter.
 	LoadTime time.Duration
 
-	// ChecksFence makes orders with an old fencing number be refused.
+	// ChecksFence makes the server reject orders with a stale fencing number.
 	ChecksFence bool
-	// NoResume and NoMoveKV switch the abilities off that are on by default.
+	// NoResume and NoMoveKV disable resuming streams and moving KV caches.
 	NoResume bool
 	NoMoveKV bool
-	// Keep is how long finished streams can be read again; default 1m.
+	// Keep is how long finished streams can still be read; default 1m.
 	Keep time.Duration
-	// LeaveGrace is how long work is still taken after leaving is announced; default 2s.
+	// LeaveGrace is how long work is still accepted after leaving is announced; default 2s.
 	LeaveGrace time.Duration
 
-	// CacheBlocks bounds the prefix cache; default 4096 blocks.
+	// CacheBlocks is the capacity of the prefix cache; default 4096 blocks.
 	CacheBlocks int
-	// CacheEventDelay is how late cache events are posted.
+	// CacheEventDelay is the delay of cache events.
 	CacheEventDelay time.Duration
 
 	Log zerolog.Logger
-	// OnDie is called when a fault orders the process to die.
+	// OnDie is called if an injected fault terminates the process.
 	OnDie func()
 }
 
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Verbs of an order.
+// The verbs of an order.
 const (
 	VerbLoadModel     = "load_model"
 	VerbUnloadModel   = "unload_model"
@@ -18,8 +18,8 @@
 	VerbChangeRole    = "change_role"
 )
 
-// Order is one order of the control group. Object is another name for the model or
-// the adapter, whichever the verb is about.
+// Order is one order from the control group. Object may be sent instead of Model or Adapter,
+// whichever the verb refers to.
 type Order struct {
 	Verb    string `json:"verb"`
 	Object  string `json:"object,omitempty"`
@@ -29,7 +29,7 @@
 	Fence   uint64 `json:"fence"`
 }
 
-// subject is what the order loads or unloads.
+// subject returns the model or the adapter that the order loads or unloads.
 func (o Order) subject() string {
 	if strings.HasSuffix(o.Verb, "_adapter") && o.Adapter != "" {
 		return o.Adapter
@@ -40,7 +40,7 @@
 	return o.Object
 }
 
-// offer is what the server serves, and the orders that changed it.
+// offer holds the loaded models and adapters, the role, and the accepted orders.
 type offer struct {
 	mu       sync.Mutex
 	models   []string
@@ -62,8 +62,8 @@
 	return o.role
 }
 
-// accept notes an order; false means that its fencing number is older than one seen
-// and checks is on.
+// accept records an order. It returns false if checks is set and the order's fencing number is
+// lower than that of an earlier order.
 func (o *offer) accept(order Order, checks bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -75,7 +75,7 @@
 	return true
 }
 
-// apply carries an accepted order out.
+// apply executes an accepted order.
 func (o *offer) apply(order Order) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -120,14 +120,15 @@
 		return
 	}
 	if !s.offer.accept(order, s.opts.ChecksFence) {
-		refuse(w, http.StatusConflict, "stale_fence", "a later fencing number was seen")
+		refuse(w, http.StatusConflict, "stale_fence", "an order with a higher fencing number was received")
 		return
 	}
 	s.carryOut(order)
 	writeJSON(w, http.StatusOK, order)
 }
 
-// carryOut applies the order, loads after LoadTime. The announcements show when it is done.
+// carryOut applies the order. Models and adapters are loaded after LoadTime, and then appear in
+// the announcements.
 func (s *Server) carryOut(order Order) {
 	if s.opts.LoadTime == 0 || !strings.HasPrefix(order.Verb, "load_") {
 		s.offer.apply(order)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -13,10 +13,10 @@
 	"github.com/pkg/errors"
 )
 
-// idlePoll is how often a leaving server looks whether its streams are through.
+// idlePoll is how often a leaving server checks whether its streams have finished.
 const idlePoll = 20 * time.Millisecond
 
-// Server is one stand-in backend server.
+// Server is one fake backend server.
 type Server struct {
 	opts     Options
 	engine   *engine
@@ -26,7 +26,7 @@
 	unnamed  atomic.Int64
 	calls    atomic.Int64
 	leaving  atomic.Bool
-	closed   atomic.Bool // no more work is taken
+	closed   atomic.Bool // no more work is accepted
 	listener *faultListener
 	http     *http.Server
 	announce *announcer
@@ -34,7 +34,7 @@
 	done     sync.WaitGroup
 }
 
-// New makes a stand-in that does not listen yet.
+// New returns a Server that does not listen yet.
 func New(opts Options) *Server {
 	opts = opts.withDefaults(time.Now())
 	return &Server{
@@ -45,7 +45,7 @@
 	}
 }
 
-// Handler is the server's whole HTTP API.
+// Handler returns the server's complete HTTP API.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", s.namingLimit(s.postCompletion))
@@ -63,7 +63,7 @@
 	return mux
 }
 
-// namingLimit names the rate limit in force in the head of each answer.
+// namingLimit adds the rate limit that is in force to the headers of each answer.
 func (s *Server) namingLimit(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if limit := s.faults.get().RateLimit; limit != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Start listens, serves and announces until Leave or Close.
+// Start starts listening, serving and announcing, until Leave or Close.
 func (s *Server) Start() error {
 	l, err := net.Listen("tcp", s.opts.Listen)
 	if err != nil {
@@ -94,16 +94,17 @@
 	return nil
 }
 
-// discard swallows net/http's notes on connections that a fault cut.
+// discard drops net/http's log messages about connections that were cut by an injected fault.
 type discard struct{}
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
 
-// Address is where the server listens.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Leave announces that the server leaves, takes work for LeaveGrace on, then waits
-// until all streams are through and closes. It gives up when ctx ends.
+// Leave announces that the server is leaving, accepts work for another LeaveGrace, then waits
+// until all streams have finished and closes the server. If ctx ends first, it closes the server
+// at once.
 func (s *Server) Leave(ctx context.Context) error {
 	s.leaving.Store(true)
 	s.announce.now()
@@ -121,7 +122,7 @@
 
 func (s *Server) idle() bool { return s.engine.idle() && s.calls.Load() == 0 }
 
-// Close ends everything at once.
+// Close stops the server immediately.
 func (s *Server) Close() {
 	s.stop()
 	_ = s.http.Close()
@@ -129,20 +130,21 @@
 	s.done.Wait()
 }
 
-// die ends the process as a crash would.
+// die terminates the process as a crash would.
 func (s *Server) die() {
 	if s.opts.OnDie != nil {
 		s.opts.OnDie()
 	}
 }
 
-// takesWork refuses new work while a fault or the leaving forbids it.
+// takesWork reports whether new work is accepted. If a fault or leaving prevents it, takesWork
+// sends a refusal.
 func (s *Server) takesWork(w http.ResponseWriter) bool {
 	if f := s.faults.get(); f.Refuse {
 		if f.RetryAfter != "" {
 			w.Header().Set("Retry-After", f.RetryAfter)
 		}
-		refuse(w, http.StatusServiceUnavailable, "refused", "told to refuse")
+		refuse(w, http.StatusServiceUnavailable, "refused", "an injected fault rejects all work")
 		return false
 	}
 	if s.closed.Load() {
--- a/internal/standin/server_test.go
+++ b/internal/standin/server_test.go
@@ -58,7 +58,8 @@
 	return Prompt{Roles: []string{"user"}, Contents: []string{content}}.Hash()
 }
 
-// readStream reads an event stream: its text, the usage, and whether it ended by [DONE].
+// readStream returns the text and the usage in an event stream. done is true if the stream ended
+// with [DONE].
 func readStream(r io.Reader) (text string, u usage, done bool) {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -118,28 +119,26 @@
 		t.Fatalf("answer %+v", got.Choices[0])
 	}
 	if got.Usage.PromptTokens != 5 || got.Usage.TotalTokens != 10 {
-		t.Fatalf("usage %+v, want 5 of the prompt and 10 in all", got.Usage)
+		t.Fatalf("usage %+v, want 5 prompt tokens and 10 in total", got.Usage)
 	}
 }
 
-// Symptom: a request ran and was billed twice.
-// Sequence: the first host sent it and died; the second sent it again under the same name.
-// Cause: the engine did not know that it ran the request already.
+// Guards against executing and billing a request twice. The first host sends it and dies, the
+// second one sends it again with the same id, and the engine must recognize the id.
 func TestOneEngineRequestNeverRunsTwice(t *testing.T) {
 	s := start(t, Options{})
 	first := call(t, s, "POST", "/v1/chat/completions", "r1", chatBody("x", 8))
 	if _, _, done := readStream(first.Body); !done {
-		t.Fatal("first run is not whole")
+		t.Fatal("the first answer is incomplete")
 	}
 	second := call(t, s, "POST", "/v1/chat/completions", "r1", chatBody("x", 8))
 	if second.StatusCode != http.StatusConflict || s.Runs().Streams != 1 {
-		t.Fatalf("second post answered %d, %d runs; want 409 and one run", second.StatusCode, s.Runs().Streams)
+		t.Fatalf("the second request got status %d, %d streams; want 409 and one stream", second.StatusCode, s.Runs().Streams)
 	}
 }
 
-// Symptom: a caller got half a stream and the rest was lost.
-// Sequence: the connection broke in the middle; the reader came back for the rest.
-// Cause: the run ended with its connection.
+// Guards against losing the rest of a stream whose connection broke. A stream must continue
+// after its connection ends, so that a reader can resume it.
 func TestStreamOutlivesItsConnection(t *testing.T) {
 	s := start(t, Options{DecodeSpeed: 500})
 	s.SetFaults(Faults{DropAfterTokens: 5}, nil)
@@ -217,9 +216,8 @@
 	}
 }
 
-// Symptom: a stream stands still for ever although the server is well.
-// Sequence: something on the way loses track of an open connection; new ones work.
-// Cause: neither end is told.
+// Simulates a device between the two ends that loses the state of open connections. Their streams
+// stall forever because neither end is notified, while the server and new connections work.
 func TestOpenConnectionsGoSilentNewOnesWork(t *testing.T) {
 	s := start(t, Options{DecodeSpeed: 1000})
 	old := call(t, s, "POST", "/v1/chat/completions", "r1", chatBody("x", 200))
@@ -231,7 +229,7 @@
 	}
 	s.listener.closeAll()
 	if silenced, _, done := readStream(old.Body); done || len(silenced) >= len(text) {
-		t.Fatalf("the silent connection gave the whole answer")
+		t.Fatalf("the silent connection delivered the whole answer")
 	}
 }
 
@@ -286,9 +284,8 @@
 	}
 }
 
-// Symptom: a stream whose host died could not be resumed to its end.
-// Sequence: the host's connection broke, then the server was told to leave.
-// Cause: leaving waited for open connections only.
+// Guards against a leaving server that only waits for open connections. A stream whose host has
+// died has no connection, and must still be finished so that it can be resumed.
 func TestLeavingServerFinishesRunsWithoutConnection(t *testing.T) {
 	s := start(t, Options{DecodeSpeed: 400, LeaveGrace: time.Nanosecond})
 	call(t, s, "POST", "/v1/chat/completions", "r1", chatBody("x", 80)).Body.Close()
--- a/internal/standin/services.go
+++ b/internal/standin/services.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// runCounts counts the runs of ledger entries by their id. More than one run of an
-// id is a doubled entry.
+// runCounts counts how often ledger entries were executed, by id. A count above 1 is a
+// duplicate entry.
 type runCounts struct {
 	mu      sync.Mutex
 	entries map[string]int
@@ -32,21 +32,21 @@
 	c.lookups++
 }
 
-// Runs is what GET /debug/runs answers.
+// Runs is the answer to GET /debug/runs.
 type Runs struct {
-	// Entries counts the runs of each ledger entry.
+	// Entries counts the executions of each ledger entry.
 	Entries map[string]int `json:"entries"`
 	Lookups int            `json:"lookups"`
-	// Streams is how many completions were started, Output how many tokens were put out.
+	// Streams is the number of completions started, Output the number of tokens generated.
 	Streams   int `json:"streams"`
 	Output    int `json:"output_tokens"`
 	Cancelled int `json:"cancelled"`
-	// Running and Waiting are the present load.
+	// Running and Waiting are the current load.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
 
-// Runs counts what ran so far.
+// Runs returns the counts of all work executed so far.
 func (s *Server) Runs() Runs {
 	l := s.engine.load()
 	s.runs.mu.Lock()
@@ -78,7 +78,7 @@
 	Run int    `json:"run"`
 }
 
-// lookup serves /services/{name}/lookup?q=...: an answer that follows from the question.
+// lookup serves /services/{name}/lookup?q=... with an answer that depends only on the query.
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request) {
 	if !s.startService(w, r) {
 		return
@@ -88,14 +88,14 @@
 	s.endService(w, r, lookupAnswer{Service: r.PathValue("name"), Query: q, Code: LookupCode(q)})
 }
 
-// LookupCode is the code that a lookup of q finds.
+// LookupCode returns the code in the answer to a lookup of q.
 func LookupCode(q string) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(q))
 	return fmt.Sprintf("%08x", h.Sum32())
 }
 
-// postEntry serves POST /services/{name}/entries with {"id": ...}: it counts each run.
+// postEntry serves POST /services/{name}/entries with {"id": ...} and counts each execution.
 func (s *Server) postEntry(w http.ResponseWriter, r *http.Request) {
 	var req entryRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&req); err != nil {
@@ -108,6 +108,7 @@
 	s.endService(w, r, entryAnswer{ID: req.ID, Run: s.runs.addEntry(req.ID)})
 }
 
+// startService reports whether a call of a plain service is accepted. If not, it sends a refusal.
 func (s *Server) startService(w http.ResponseWriter, r *http.Request) bool {
 	if !s.takesWork(w) {
 		return false
@@ -119,7 +120,8 @@
 	return true
 }
 
-// endService takes the service's time and answers; the run is counted before it.
+// endService sends the answer of a plain service after ServiceTime. The execution was counted
+// before.
 func (s *Server) endService(w http.ResponseWriter, r *http.Request, answer any) {
 	s.calls.Add(1)
 	defer s.calls.Add(-1)
--- a/internal/standin/stream.go
+++ b/internal/standin/stream.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// streamState says how far a stream is.
+// streamState is the state of a stream.
 type streamState int
 
 const (
@@ -15,8 +15,8 @@
 	streamCancelled
 )
 
-// stream is one run of the engine. Its text follows from the prompt's hash, so it
-// keeps only how many tokens are there.
+// stream is one request executed by the engine. Its text follows from the prompt's hash, so only
+// the number of generated tokens is stored.
 type stream struct {
 	id           string
 	model        string
@@ -24,7 +24,7 @@
 	hash         uint64
 	promptTokens int
 	cachedTokens int
-	// limit is the length of the answer, capped whether the cap shortened it.
+	// limit is the length of the answer. capped is true if the cap limits it.
 	limit  int
 	capped bool
 
@@ -32,10 +32,10 @@
 	produced int
 	state    streamState
 	ended    time.Time
-	changed  chan struct{} // closed at each change
+	changed  chan struct{} // closed and replaced at each change
 }
 
-// progress is what a reader of a stream learns.
+// progress is the state of a stream for its readers.
 type progress struct {
 	produced int
 	state    streamState
@@ -45,8 +45,8 @@
 	return &stream{id: id, changed: make(chan struct{})}
 }
 
-// addToken counts one more token and ends the stream at its limit. It returns false
-// if the stream had ended before.
+// addToken counts one more token and ends the stream at its limit. It returns false if the
+// stream has already ended.
 func (s *stream) addToken(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +62,7 @@
 	return true
 }
 
-// cancel ends a running stream where it is.
+// cancel ends a running stream at its current length.
 func (s *stream) cancel(now time.Time) progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	return progress{produced: s.produced, state: s.state}
 }
 
-// wait blocks until the stream has more than seen tokens or has ended.
+// wait blocks until the stream has more than seen tokens, or has ended.
 func (s *stream) wait(ctx context.Context, seen int) (progress, error) {
 	for {
 		s.mu.Lock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// expired tells whether the stream ended longer than keep ago.
+// expired reports whether the stream ended more than keep ago.
 func (s *stream) expired(now time.Time, keep time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/streams.go
+++ b/internal/standin/streams.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// kvExport is a stream as it moves between two engines: what is needed to go on at
-// the next token without the prompt.
+// kvExport is a stream that is moved between two engines: the state that is needed to continue
+// at the next token without the prompt.
 type kvExport struct {
 	ID           string `json:"id"`
 	Model        string `json:"model"`
@@ -20,7 +20,7 @@
 	Capped       bool   `json:"capped"`
 }
 
-// cancelAnswer says how far a stream came.
+// cancelAnswer reports the state of a stream after its cancellation.
 type cancelAnswer struct {
 	ID       string `json:"id"`
 	Finished bool   `json:"finished"`
@@ -30,15 +30,15 @@
 func (s *Server) streamOf(w http.ResponseWriter, r *http.Request) (*stream, bool) {
 	st, ok := s.engine.find(r.PathValue("id"))
 	if !ok {
-		writeJSON(w, http.StatusNotFound, errorBody("unknown_stream", "no stream of this name is kept"))
+		writeJSON(w, http.StatusNotFound, errorBody("unknown_stream", "no stream with this id is kept"))
 	}
 	return st, ok
 }
 
-// getStream serves GET /v1/streams/{id}?from=N. With stream=false it answers with the whole text.
+// getStream serves GET /v1/streams/{id}?from=N. With stream=false it sends the whole text.
 func (s *Server) getStream(w http.ResponseWriter, r *http.Request) {
 	if s.opts.NoResume {
-		writeJSON(w, http.StatusNotFound, errorBody("unknown_path", "this engine resumes no streams"))
+		writeJSON(w, http.StatusNotFound, errorBody("unknown_path", "this engine does not resume streams"))
 		return
 	}
 	st, ok := s.streamOf(w, r)
@@ -52,7 +52,7 @@
 	}
 	from, err := strconv.Atoi(r.FormValue("from"))
 	if r.FormValue("from") != "" && (err != nil || from < 0) {
-		writeJSON(w, http.StatusBadRequest, errorBody("bad_request", "from is the number of a token"))
+		writeJSON(w, http.StatusBadRequest, errorBody("bad_request", "from must be the number of a token"))
 		return
 	}
 	s.writeStream(w, r, st, from)
@@ -88,7 +88,7 @@
 	})
 }
 
-// importKV goes on with an exported stream under the name in the path.
+// importKV continues an exported stream with the id in the path.
 func (s *Server) importKV(w http.ResponseWriter, r *http.Request) {
 	var kv kvExport
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&kv); err != nil {
--- a/internal/standin/text.go
+++ b/internal/standin/text.go
@@ -7,24 +7,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// How prompts are counted and how long answers are.
+// The token counts of prompts and the lengths of answers.
 const (
 	bytesPerToken    = 4
 	tokensPerMessage = 4
-	// defaultOutput and defaultOutputSpread bound the length of an answer to a
-	// request without a cap.
+	// defaultOutput and defaultOutputSpread bound the length of an answer to a request
+	// without a cap.
 	defaultOutput       = 16
 	defaultOutputSpread = 48
 )
 
-// Prompt is what an answer depends on: the messages of a chat, or the one text of
+// Prompt is the input that determines an answer: the messages of a chat, or the single text of
 // a plain completion.
 type Prompt struct {
 	Roles    []string
 	Contents []string
 }
 
-// Text is the prompt as one string.
+// Text returns the prompt as one string.
 func (p Prompt) Text() string {
 	var b strings.Builder
 	for i, c := range p.Contents {
@@ -36,11 +36,11 @@
 	return b.String()
 }
 
-// Hash identifies the prompt.
+// Hash returns a hash of the prompt.
 func (p Prompt) Hash() uint64 { return xxhash.Sum64String(p.Text()) }
 
-// Tokens counts the prompt: a token for each started four bytes of all contents
-// together, and four for each message.
+// Tokens returns the number of tokens of the prompt: one for every four bytes of all contents
+// together, rounded up, and four for each message.
 func (p Prompt) Tokens() int {
 	bytes := 0
 	for _, c := range p.Contents {
@@ -49,8 +49,8 @@
 	return (bytes+bytesPerToken-1)/bytesPerToken + tokensPerMessage*len(p.Contents)
 }
 
-// Token returns the text of output token i of the answer to the prompt with hash.
-// The first token is the hash itself, each later one carries its number.
+// Token returns the text of output token i of the answer to the prompt with the given hash. The
+// first token is the hash itself, and each later one contains its number.
 func Token(hash uint64, i int) string {
 	if i == 0 {
 		return fmt.Sprintf("%016x", hash)
@@ -58,7 +58,7 @@
 	return fmt.Sprintf(" w%d", i)
 }
 
-// Answer returns the text of the output tokens from (inclusive) to to (exclusive).
+// Answer returns the text of the output tokens in the range [from, to).
 func Answer(hash uint64, from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
@@ -67,9 +67,9 @@
 	return b.String()
 }
 
-// OutputTokens is the length of the answer to the prompt with hash. maxTokens 0
-// means no cap. An answer ends by itself in the upper half of its cap unless
-// ignoreEnd is set, which makes it run up to the cap.
+// OutputTokens returns the length of the answer to the prompt with the given hash. maxTokens 0
+// means no cap. An answer ends at a length in the upper half of its cap, or exactly at the cap if
+// ignoreEnd is set.
 func OutputTokens(hash uint64, maxTokens int, ignoreEnd bool) int {
 	if maxTokens <= 0 {
 		return defaultOutput + int(hash%defaultOutputSpread)
