--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -27,7 +27,8 @@
 	return s
 }
 
-// fakeHost answers for a host: addresses by itself, all else by serve.
+// fakeHost starts a host that answers GET /v1/addresses with answer and all other requests
+// with serve.
 func fakeHost(t *testing.T, answer func() addressAnswer, serve http.Handler) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -71,7 +72,7 @@
 	return r
 }
 
-func TestDirectRunCountsEveryToken(t *testing.T) {
+func TestDirectRunCountsAllTokens(t *testing.T) {
 	s := startServer(t)
 	for _, stream := range []bool{true, false} {
 		o := testOptions()
@@ -108,14 +109,13 @@
 	}
 	again := testOptions()
 	again.Direct, again.Work, again.Service = s.Address(), WorkEntry, "cash"
-	if r := run(t, again); r.Wrong != again.Count || !r.Bad() {
-		t.Fatalf("entries that ran before must count as wrong: %+v", r)
+	if r := run(t, again); r.Wrong != again.Count || !r.HasFailures() {
+		t.Fatalf("entries that were executed before must count as wrong: %+v", r)
 	}
 }
 
-// Symptom: a caller reads another caller's answer and takes it for its own.
-// Sequence: two answers cross on their way.
-// Cause: the answer is whole, so its end tells nothing.
+// Guards against accepting another caller's answer after a mix-up in between. That answer is
+// complete, so only its content shows that it is wrong.
 func TestCrossedAnswerIsWrong(t *testing.T) {
 	s := startServer(t)
 	cross := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -124,7 +124,7 @@
 	})
 	o := testOptions()
 	o.Direct = fakeHost(t, nil, cross)
-	if r := run(t, o); r.Wrong != o.Count || !r.Bad() {
+	if r := run(t, o); r.Wrong != o.Count || !r.HasFailures() {
 		t.Fatalf("%+v", r)
 	}
 }
@@ -134,18 +134,18 @@
 	s.SetFaults(standin.Faults{DropAfterTokens: 2}, nil)
 	o := testOptions()
 	o.Direct = s.Address()
-	if r := run(t, o); r.Lost != o.Count || r.Attempts != 3*o.Count || r.Broken != r.Attempts || !r.Bad() {
+	if r := run(t, o); r.Lost != o.Count || r.Attempts != 3*o.Count || r.Broken != r.Attempts || !r.HasFailures() {
 		t.Fatalf("%+v", r)
 	}
 	o.Direct = fakeHost(t, nil, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 	}))
 	if r := run(t, o); r.Lost != o.Count {
-		t.Fatalf("a stream that ends well but without [DONE]: %+v", r)
+		t.Fatalf("a stream that ends without [DONE]: %+v", r)
 	}
 }
 
-func TestCallerTriesAgainElsewhereWithTheSameKey(t *testing.T) {
+func TestCallerRetriesElsewhereWithSameKey(t *testing.T) {
 	s := startServer(t)
 	var mu sync.Mutex
 	keys := map[string]int{}
@@ -172,14 +172,14 @@
 	r := run(t, o)
 	again := r.Attempts - o.Count
 	if r.Answered != o.Count || r.Addresses != 1 || again < 1 || again > o.Count/4 {
-		t.Fatalf("%+v, want all answered, few after two tries, on one answer of addresses", r)
+		t.Fatalf("%+v, want all answered, few after two attempts, with one fetch of addresses", r)
 	}
 	if len(keys) != o.Count {
 		t.Fatalf("%d keys for %d requests", len(keys), o.Count)
 	}
 }
 
-func TestSilentHostIsLeftAfterThePatience(t *testing.T) {
+func TestSilentHostIsAbandonedAfterPatience(t *testing.T) {
 	s := startServer(t)
 	s.SetFaults(standin.Faults{Silent: true}, nil)
 	o := testOptions()
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestReportListsWhatDidNotRun(t *testing.T) {
+func TestReportListsRequestsNotRun(t *testing.T) {
 	s := startServer(t)
 	s.SetFaults(standin.Faults{Refuse: true}, nil)
 	o := testOptions()
@@ -217,7 +217,7 @@
 	}
 }
 
-func TestNext(t *testing.T) {
+func TestDecideRetry(t *testing.T) {
 	refusedAs := func(k errkind.Kind, after time.Duration) *attempt {
 		e := errorJSON{Kind: string(k), RetryAfterMS: after.Milliseconds()}
 		return &attempt{refusal: e.refusal(http.StatusServiceUnavailable, nil)}
@@ -226,49 +226,49 @@
 		a    *attempt
 		left time.Duration
 		n    int
-		want plan
+		want retryDecision
 	}{
-		"success":             {&attempt{}, time.Second, 1, plan{}},
-		"broken":              {&attempt{broken: os.ErrClosed}, time.Second, 1, plan{true, brokenPause}},
-		"broken, last try":    {&attempt{broken: os.ErrClosed}, time.Second, 4, plan{}},
-		"broken, no time":     {&attempt{broken: os.ErrClosed}, 0, 1, plan{}},
-		"comes back in time":  {refusedAs(errkind.Overloaded, 200*time.Millisecond), time.Second, 1, plan{true, 200 * time.Millisecond}},
-		"comes back too late": {refusedAs(errkind.Overloaded, 2*time.Second), time.Second, 1, plan{}},
-		"told to go away":     {refusedAs(errkind.Forbidden, time.Millisecond), time.Second, 1, plan{}},
-		"the answer's word over the table's": {
+		"success":          {&attempt{}, time.Second, 1, retryDecision{}},
+		"broken":           {&attempt{broken: os.ErrClosed}, time.Second, 1, retryDecision{true, brokenRetryDelay}},
+		"broken, last try": {&attempt{broken: os.ErrClosed}, time.Second, 4, retryDecision{}},
+		"broken, no time":  {&attempt{broken: os.ErrClosed}, 0, 1, retryDecision{}},
+		"retry in time":    {refusedAs(errkind.Overloaded, 200*time.Millisecond), time.Second, 1, retryDecision{true, 200 * time.Millisecond}},
+		"retry too late":   {refusedAs(errkind.Overloaded, 2*time.Second), time.Second, 1, retryDecision{}},
+		"never retry":      {refusedAs(errkind.Forbidden, time.Millisecond), time.Second, 1, retryDecision{}},
+		"the answer's retry overrides the table's": {
 			&attempt{refusal: (&errorJSON{Kind: "overloaded", Retry: "never", RetryAfterMS: 1}).refusal(429, nil)},
-			time.Second, 1, plan{},
+			time.Second, 1, retryDecision{},
 		},
-		"host leaves":       {refusedAs(errkind.HostLeaving, 0), time.Second, 1, plan{again: true}},
-		"in progress":       {refusedAs(errkind.InProgress, 0), time.Second, 1, plan{true, askAgainPause}},
-		"still in progress": {refusedAs(errkind.InProgress, 0), time.Second, 3, plan{true, 4 * askAgainPause}},
+		"host leaves":       {refusedAs(errkind.HostLeaving, 0), time.Second, 1, retryDecision{retry: true}},
+		"in progress":       {refusedAs(errkind.InProgress, 0), time.Second, 1, retryDecision{true, firstBackoff}},
+		"still in progress": {refusedAs(errkind.InProgress, 0), time.Second, 3, retryDecision{true, 4 * firstBackoff}},
 	} {
-		if got := next(c.a, c.left, c.n, 4); got != c.want {
+		if got := decideRetry(c.a, c.left, c.n, 4); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
 }
 
-func TestAddressBookKeepsAnswersForTheirTime(t *testing.T) {
-	b, now := newAddressBook(), time.Unix(1000, 0)
+func TestAddressCacheExpires(t *testing.T) {
+	b, now := newAddressCache(), time.Unix(1000, 0)
 	if !b.stale(now) {
-		t.Fatal("an empty book must ask")
+		t.Fatal("an empty cache must be stale")
 	}
 	b.set(now, addressAnswer{Addresses: items("x", "y"), TTLMS: 1000})
 	if b.stale(now.Add(999*time.Millisecond)) || !b.stale(now.Add(time.Second)) {
-		t.Fatal("the answer holds for one second")
+		t.Fatal("the answer must be valid for one second")
 	}
 	if got, _ := b.pick(now, nil); got != "x" {
 		t.Fatalf("picked %s, want the first", got)
 	}
 	if got, _ := b.pick(now, map[string]bool{"x": true}); got != "y" {
-		t.Fatalf("picked %s, which was tried", got)
+		t.Fatalf("picked %s, which was already tried", got)
 	}
 	b.fail(now, "x")
 	if got, _ := b.pick(now, map[string]bool{"y": true}); got != "y" {
-		t.Fatalf("picked %s, which failed just now", got)
+		t.Fatalf("picked %s, which failed recently", got)
 	}
-	if got, _ := b.pick(now.Add(avoidFor), nil); got != "x" {
+	if got, _ := b.pick(now.Add(avoidFailedFor), nil); got != "x" {
 		t.Fatalf("picked %s, want the first again", got)
 	}
 }
@@ -276,8 +276,8 @@
 func TestLateAnswerIsCountedAsLate(t *testing.T) {
 	r := &request{work: WorkLookup, query: "q"}
 	res := result{last: &attempt{code: standin.LookupCode("q")}, total: 2 * time.Second}
-	res.judge(r, time.Second)
-	if res.verdict != late {
-		t.Fatalf("verdict %d", res.verdict)
+	res.classify(r, time.Second)
+	if res.outcome != late {
+		t.Fatalf("verdict %d", res.outcome)
 	}
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Run sends the load and reports what came of it. Requests under way when the
-// duration is over are still seen through.
+// Run sends the load and reports the outcomes. It waits for requests that are in flight when
+// the duration is over.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -29,21 +29,21 @@
 	}
 	report := results.finish(time.Since(began))
 	for _, c := range callers {
-		report.Addresses += c.book.updates
+		report.Addresses += c.addresses.updates
 	}
 	return report, nil
 }
 
-// newCallers makes callers that each know addresses of their own: a fleet spreads its
-// load by giving each caller another order.
+// newCallers returns callers that fetch their own addresses each, since a fleet balances its
+// load by giving each caller the addresses in a different order.
 func newCallers(ctx context.Context, o *Options, client *http.Client) ([]*caller, error) {
 	callers := make([]*caller, o.Concurrency)
 	for i := range callers {
 		callers[i] = newCaller(o, client)
-		if callers[i].asker == nil {
+		if callers[i].fetcher == nil {
 			continue
 		}
-		if err := callers[i].asker.refresh(ctx); err != nil {
+		if err := callers[i].fetcher.refresh(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -58,32 +58,33 @@
 }
 
 func newCaller(o *Options, client *http.Client) *caller {
-	book := newAddressBook()
+	book := newAddressCache()
 	c := &caller{
 		sender:   &sender{client: client, patience: o.Patience},
-		book:     book,
+		addresses:     book,
 		direct:   o.Direct,
 		timeout:  o.Timeout,
 		attempts: o.Attempts,
 	}
 	if o.Direct == "" {
-		c.asker = &asker{client: client, seeds: o.Hosts, zone: o.Zone, book: book}
+		c.fetcher = &addressFetcher{client: client, seeds: o.Hosts, zone: o.Zone, cache: book}
 	}
 	return c
 }
 
-// over tells whether no more requests are to be started.
-func (o *Options) over(ctx context.Context, began time.Time) bool {
+// finished reports whether no more requests are to be started.
+func (o *Options) finished(ctx context.Context, began time.Time) bool {
 	return ctx.Err() != nil || (o.Duration > 0 && time.Since(began) >= o.Duration)
 }
 
-// runAtRate starts each request at its time, so that slow answers do not thin the load.
+// runAtRate starts each request at its scheduled time, so that slow answers do not reduce the
+// request rate.
 func runAtRate(ctx context.Context, o *Options, callers []*caller, results *collector, began time.Time) {
 	var open sync.WaitGroup
 	for n := range o.Count {
 		due := began.Add(time.Duration(float64(n) / o.Rate * float64(time.Second)))
 		pause(ctx, time.Until(due))
-		if o.over(ctx, began) {
+		if o.finished(ctx, began) {
 			break
 		}
 		open.Go(func() {
@@ -94,13 +95,13 @@
 	open.Wait()
 }
 
-// runCallers keeps one request of each caller open.
+// runCallers makes each caller send one request after the other.
 func runCallers(ctx context.Context, o *Options, callers []*caller, results *collector, began time.Time) {
 	var open sync.WaitGroup
 	var numbers atomic.Int64
 	for _, c := range callers {
 		open.Go(func() {
-			for !o.over(ctx, began) {
+			for !o.finished(ctx, began) {
 				n := int(numbers.Add(1)) - 1
 				if n >= o.Count {
 					return
