--- a/internal/controller/ratelimits/bench_test.go
+++ b/internal/controller/ratelimits/bench_test.go
@@ -16,7 +16,7 @@
 func BenchmarkHandleTake(b *testing.B) {
 	l := newLimiter(self(), nil)
 	inc := instance.Incarnation{ID: "i-160861d91e", Started: 1_796_293_518_620}
-	l.Heard(inc, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
+	l.Observe(inc, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
 	req := &pb.TakePermitsRequest{Host: "frontend-scl-quilicura-1", Limit: encode(time.Now(), inc, l.table.Observed(inc)), Want: 1}
 	for b.Loop() {
 		l.HandleTake(req)
@@ -30,7 +30,7 @@
 func BenchmarkCheck(b *testing.B) {
 	l := newLimiter(self(), nil)
 	for i := range 100 {
-		l.Heard(instance.Incarnation{ID: fmt.Sprint("i-", i), Started: 1}, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
+		l.Observe(instance.Incarnation{ID: fmt.Sprint("i-", i), Started: 1}, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
 	}
 	now, inc := time.Now(), instance.Incarnation{ID: "i-160861d91e", Started: 1}
 	for b.Loop() {
--- a/internal/controller/ratelimits/ratelimits.go
+++ b/internal/controller/ratelimits/ratelimits.go
@@ -95,9 +95,9 @@
 	return "limits/" + inc.ID + "/" + strconv.FormatUint(inc.Started, 10)
 }
 
-// Heard records the rate limit observed in an answer to a request of this host, and notifies the other
+// Observe records the rate limit observed in an answer to a request of this host, and notifies the other
 // hosts if it has changed.
-func (l *Limiter) Heard(inc instance.Incarnation, obs ratelimit.Observation, requestID string) {
+func (l *Limiter) Observe(inc instance.Incarnation, obs ratelimit.Observation, requestID string) {
 	before, changed := l.observe(inc, obs)
 	if !changed {
 		return
@@ -127,17 +127,17 @@
 		Float64("per_second_before", before.Limit).Str("from", from).Dur("age", time.Since(obs.At)).Send()
 }
 
-// Unreadable records that a server advertised a limit that is not a number. An earlier limit stays in
+// RecordUnreadable records that a server advertised a limit that is not a number. An earlier limit stays in
 // force.
-func (l *Limiter) Unreadable(inc instance.Incarnation, requestID string) {
+func (l *Limiter) RecordUnreadable(inc instance.Incarnation, requestID string) {
 	if l.unreadable.First(inc) {
 		l.cfg.Log.Warn().Str("event", "server-limit-unreadable").Str("server", inc.ID).Uint64("incarnation", inc.Started).
 			Str("request", requestID).Send()
 	}
 }
 
-// Sending counts a request sent to a server. It returns the server's limit.
-func (l *Limiter) Sending(inc instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
+// RecordSend counts a request sent to a server. It returns the server's limit.
+func (l *Limiter) RecordSend(inc instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	obs := l.table.Observed(inc)
--- a/internal/controller/ratelimits/ratelimits_test.go
+++ b/internal/controller/ratelimits/ratelimits_test.go
@@ -80,7 +80,7 @@
 	owner := newLimiter(self(), nil)
 	p := &peer{to: owner}
 	l := newLimiter(remote(), p)
-	l.Heard(server, ratelimit.Observation{Limit: 20, At: time.Now()}, "r")
+	l.Observe(server, ratelimit.Observation{Limit: 20, At: time.Now()}, "r")
 	requestUntilHeld(t, l)
 	l.Use(time.Now(), server)
 	if obs := owner.table.Observed(server); !obs.Limited() || obs.Limit != 20 {
@@ -93,9 +93,9 @@
 	owner := newLimiter(self(), nil)
 	l := newLimiter(remote(), &peer{to: owner})
 	observedAt := time.Now().Add(-time.Second)
-	l.Heard(server, ratelimit.Observation{Limit: 20, At: observedAt}, "r")
-	owner.Heard(server, ratelimit.Observation{Limit: 20, At: observedAt}, "r")
-	owner.Heard(server, ratelimit.Observation{Limit: ratelimit.None, At: time.Now().Add(-100 * time.Millisecond)}, "r")
+	l.Observe(server, ratelimit.Observation{Limit: 20, At: observedAt}, "r")
+	owner.Observe(server, ratelimit.Observation{Limit: 20, At: observedAt}, "r")
+	owner.Observe(server, ratelimit.Observation{Limit: ratelimit.None, At: time.Now().Add(-100 * time.Millisecond)}, "r")
 	l.RequestPermits(t.Context(), server)
 	if state, _ := l.Check(time.Now(), server); state != ratelimit.Free {
 		t.Errorf("state %v", state)
@@ -105,7 +105,7 @@
 func TestConcurrentRequestsShareOneCall(t *testing.T) {
 	p := &peer{to: newLimiter(self(), nil)}
 	l := newLimiter(remote(), p)
-	l.Heard(server, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
+	l.Observe(server, ratelimit.Observation{Limit: 1, At: time.Now()}, "r")
 	var asks sync.WaitGroup
 	for range 20 {
 		asks.Go(func() { l.RequestPermits(t.Context(), server) })
@@ -120,7 +120,7 @@
 func TestNoPermitsWhenOwnerDoesNotAnswer(t *testing.T) {
 	o := remote()
 	l := newLimiter(o, &peer{fail: true})
-	l.Heard(server, ratelimit.Observation{Limit: 100, At: time.Now()}, "r")
+	l.Observe(server, ratelimit.Observation{Limit: 100, At: time.Now()}, "r")
 	l.RequestPermits(t.Context(), server)
 	if state, wait := l.Check(time.Now(), server); state != ratelimit.Exhausted || wait > unansweredBackoff {
 		t.Errorf("state %v for %v", state, wait)
@@ -134,7 +134,7 @@
 	o := self()
 	o.rank = 2
 	l := newLimiter(o, nil)
-	l.Heard(server, ratelimit.Observation{Limit: 1000, At: time.Now().Add(-time.Minute)}, "r")
+	l.Observe(server, ratelimit.Observation{Limit: 1000, At: time.Now().Add(-time.Minute)}, "r")
 	for range 5 {
 		if r := l.HandleTake(&pb.TakePermitsRequest{Host: "x", Want: 1, Limit: &pb.ServerLimit{Run: &pb.ServerRun{Id: "s", Incarnation: 1}}}); r.GetGranted() != 0 {
 			t.Fatal("a permit was issued")
@@ -148,7 +148,7 @@
 func TestRequestWithExpiredLimitDoesNotLiftIt(t *testing.T) {
 	owner := newLimiter(self(), nil)
 	l := newLimiter(remote(), &peer{to: owner})
-	owner.Heard(server, ratelimit.Observation{Limit: 20, At: time.Now().Add(-time.Minute)}, "r")
+	owner.Observe(server, ratelimit.Observation{Limit: 20, At: time.Now().Add(-time.Minute)}, "r")
 	l.RequestPermits(t.Context(), server)
 	if !owner.table.Observed(server).Limited() || !l.table.Observed(server).Limited() {
 		t.Error("the limit is lifted")
--- a/internal/controller/scheduler/limits.go
+++ b/internal/controller/scheduler/limits.go
@@ -68,12 +68,12 @@
 	if obs.RateLimit != "" {
 		limit, err := strconv.ParseFloat(obs.RateLimit, 64)
 		if err != nil || !ratelimit.Valid(limit) {
-			s.limits.Unreadable(inc, obs.RequestID)
+			s.limits.RecordUnreadable(inc, obs.RequestID)
 			return
 		}
 		observed = ratelimit.Observation{Limit: limit, At: time.Now()}
 	}
-	s.limits.Heard(inc, observed, obs.RequestID)
+	s.limits.Observe(inc, observed, obs.RequestID)
 }
 
 // incarnationAt returns the incarnation of the server that is known at an address.
--- a/internal/controller/scheduler/scheduler.go
+++ b/internal/controller/scheduler/scheduler.go
@@ -47,10 +47,11 @@
 	ratelimit.Permits
 	// RequestPermits requests permits for a server. Check returns the outcome.
 	RequestPermits(ctx context.Context, inc instance.Incarnation)
-	// Heard records the rate limit observed in an answer of a server, Unreadable that the limit
-	// could not be parsed.
-	Heard(inc instance.Incarnation, w ratelimit.Observation, requestID string)
-	Unreadable(inc instance.Incarnation, requestID string)
+	// Observe records the rate limit observed in an answer of a server, RecordUnreadable that the
+	// limit could not be parsed.
+	Observe(inc instance.Incarnation, obs ratelimit.Observation, requestID string)
+----
+	RecordUnreadable(inc instance.Incarnation, requestID string)
 }
 
 // Scheduler is safe for concurrent use. It must be closed when the host shuts down.
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -43,7 +43,7 @@
 	})
 	note := &t.x.Attempts[len(t.x.Attempts)-1]
 	note.CooldownLeft = choice.CooldownLeft
-	note.Limit = t.f.Limits.Sending(choice.Instance.Incarnation(), t.sendReason())
+	note.Limit = t.f.Limits.RecordSend(choice.Instance.Incarnation(), t.sendReason())
 	started := time.Now()
 	// Canceling the context ends the exchange with the server: its connection is closed unless the
 	// answer was read completely.
@@ -125,14 +125,15 @@
 // answer to a request that was sent at the given time.
 func (t *task) observeLimit(inc instance.Incarnation, reply relay.Reply, sent time.Time) {
 	if reply.LimitUnreadable {
-		t.f.Limits.Unreadable(inc, t.x.ID)
+		t.f.Limits.RecordUnreadable(inc, t.x.ID)
 		return
 	}
-	w := ratelimit.Observation{Limit: reply.Limit, At: time.Now()}
-	if !w.Limited() {
-		w.At = sent
+	obs := ratelimit.Observation{Limit: reply.Limit, At: time.Now()}
+	if !obs.Limited() {
+		obs.At = sent
 	}
-	t.f.Limits.Heard(inc, w, t.x.ID)
+	t.f.Limits.Observe(inc, obs, t.x.ID)
+----
 }
 
 // observeCooldown records the cooldown that a server asks for in its answer.
--- a/internal/relay/forward/limits_test.go
+++ b/internal/relay/forward/limits_test.go
@@ -19,14 +19,14 @@
 	sends      []ratelimit.Send
 }
 
-func (h *recordedLimits) Heard(_ instance.Incarnation, w ratelimit.Observation, _ string) {
-	h.observed = append(h.observed, w)
+func (l *recordedLimits) Observe(_ instance.Incarnation, obs ratelimit.Observation, _ string) {
+	l.observed = append(l.observed, obs)
 }
 
-func (h *recordedLimits) Unreadable(instance.Incarnation, string) { h.unreadable++ }
+func (l *recordedLimits) RecordUnreadable(instance.Incarnation, string) { l.unreadable++ }
 
-func (h *recordedLimits) Sending(_ instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
-	h.sends = append(h.sends, why)
+func (l *recordedLimits) RecordSend(_ instance.Incarnation, why ratelimit.Send) ratelimit.Observation {
+	l.sends = append(l.sends, why)
 	return ratelimit.Observation{}
 }
 
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -119,12 +119,13 @@
 
 // Limits tracks the rate limits that backend servers advertise.
 type Limits interface {
-	// Heard records the rate limit observed in an answer.
-	Heard(inc instance.Incarnation, w ratelimit.Observation, requestID string)
-	// Unreadable records that a server advertised a limit that is not a number.
-	Unreadable(inc instance.Incarnation, requestID string)
-	// Sending records that a request is sent to a server, and returns the server's rate limit.
-	Sending(inc instance.Incarnation, reason ratelimit.Send) ratelimit.Observation
+	// Observe records the rate limit observed in an answer.
+	Observe(inc instance.Incarnation, obs ratelimit.Observation, requestID string)
+----
+	// RecordUnreadable records that a server advertised a limit that is not a number.
+	RecordUnreadable(inc instance.Incarnation, requestID string)
+	// RecordSend records that a request is sent to a server, and returns the server's rate limit.
+	RecordSend(inc instance.Incarnation, reason ratelimit.Send) ratelimit.Observation
 }
 
 // Forwarder sends requests to backend servers; *engineclient.Client implements it.
