--- a/internal/controller/scheduler/scheduler.go
+++ b/internal/controller/scheduler/scheduler.go
@@ -50,7 +50,6 @@
 	// Observe records the rate limit observed in an answer of a server, RecordUnreadable that the
 	// limit could not be parsed.
 	Observe(inc instance.Incarnation, obs ratelimit.Observation, requestID string)
-----
 	RecordUnreadable(inc instance.Incarnation, requestID string)
 }
 
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -133,7 +133,6 @@
 		obs.At = sent
 	}
 	t.f.Limits.Observe(inc, obs, t.x.ID)
-----
 }
 
 // observeCooldown records the cooldown that a server asks for in its answer.
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -121,7 +121,6 @@
 type Limits interface {
 	// Observe records the rate limit observed in an answer.
 	Observe(inc instance.Incarnation, obs ratelimit.Observation, requestID string)
-----
 	// RecordUnreadable records that a server advertised a limit that is not a number.
 	RecordUnreadable(inc instance.Incarnation, requestID string)
 	// RecordSend records that a request is sent to a server, and returns the server's rate limit.
