--- a/internal/controller/budgets/budgets.go
+++ b/internal/controller/budgets/budgets.go
@@ -114,7 +114,7 @@
 // holds them, or that refused them. It returns when ctx is done at the latest.
 func (r *Reserver) Reserve(ctx context.Context, budget, request string, tokens uint64) (holder string, err error) {
 	if !r.begin(request) {
-		return "", errkind.New(errkind.Internal, "request %s has a reservation already", request)
+		return "", errkind.New(errkind.Internal, "request %s already has a reservation", request)
 	}
 	defer func() {
 		if err != nil {
--- a/internal/controller/quarantine/pass.go
+++ b/internal/controller/quarantine/pass.go
@@ -11,49 +11,49 @@
 	"github.com/bluebellsail/bluebellsail/internal/quarantine"
 )
 
-// pass implements filter.Pass. It belongs to its request's goroutine.
-type pass struct {
+// admission implements filter.Admission. It belongs to its request's goroutine.
+type admission struct {
 	g    *Guard
 	id   quarantine.ID
 	name string
-	// standing is the request's standing when it was last looked up.
-	standing quarantine.Status
+	// status is the request's quarantine status as of the last check.
+	status quarantine.Status
 	// slotOwner is the host at which this execution holds the request's slot, which keeps other
 	// executions of the same request waiting; nil if it holds none.
 	slotOwner *owners.Host
 	// trial is set if this execution is a trial.
 	trial bool
-	// breaks has a channel for each attempt whose connection broke. It is closed once it is known
-	// whether the server has crashed.
-	breaks []<-chan struct{}
+	// crashChecks has a channel for each attempt whose connection broke. It is closed once it is
+	// known whether the server has crashed.
+	crashChecks []<-chan struct{}
 }
 
-// Status implements filter.Pass.
-func (p *pass) Status() quarantine.Status { return p.standing }
+// Status implements filter.Admission.
+func (a *admission) Status() quarantine.Status { return a.status }
 
 // admit asks for admission if the request is suspected or quarantined.
-func (p *pass) admit(ctx context.Context) error {
-	p.standing = p.g.standing(p.id)
-	if p.standing.Level == quarantine.Free {
+func (a *admission) admit(ctx context.Context) error {
+	a.status = a.g.status(a.id)
+	if a.status.Level == quarantine.Free {
 		return nil
 	}
-	v := p.awaitVerdict(ctx)
-	p.standing = p.g.standing(p.id)
-	p.g.metrics.decisions.Add(string(v.Decision), 1)
-	p.g.cfg.Log.Info().Str("event", "suspect-decided").Str("pass", p.name).Str("account", p.id.Account).
-		Stringer("fingerprint", p.id.Fingerprint).Str("decision", string(v.Decision)).Dur("after", v.After).
-		Str("level", string(p.standing.Level)).Int("crashes", p.standing.Crashes).Int("trials", p.standing.Trials).Send()
+	v := a.awaitVerdict(ctx)
+	a.status = a.g.status(a.id)
+	a.g.metrics.decisions.Add(string(v.Decision), 1)
+	a.g.cfg.Log.Info().Str("event", "suspect-decided").Str("pass", a.name).Str("account", a.id.Account).
+		Stringer("fingerprint", a.id.Fingerprint).Str("decision", string(v.Decision)).Dur("after", v.After).
+		Str("level", string(a.status.Level)).Int("crashes", a.status.Crashes).Int("trials", a.status.Trials).Send()
 	switch v.Decision {
 	case quarantine.Wait, quarantine.Refuse:
-		return refusal(p.standing, v)
+		return refusal(a.status, v)
 	}
 	return nil
 }
 
 // awaitVerdict asks for admission until the verdict is not to wait, or slotTimeout has passed.
-func (p *pass) awaitVerdict(ctx context.Context) quarantine.Verdict {
+func (a *admission) awaitVerdict(ctx context.Context) quarantine.Verdict {
 	for end := time.Now().Add(slotTimeout); ; {
-		v := p.requestVerdict(ctx)
+		v := a.requestVerdict(ctx)
 		if v.Decision != quarantine.Wait || time.Now().After(end) {
 			return v
 		}
@@ -67,8 +67,8 @@
 
 // requestVerdict has the request's owner decide. If the owner does not answer, this host decides
 // and admits no quarantined request.
-func (p *pass) requestVerdict(ctx context.Context) quarantine.Verdict {
-	st := p.g.standing(p.id)
+func (a *admission) requestVerdict(ctx context.Context) quarantine.Verdict {
+	st := a.g.status(a.id)
 	if st.Level == quarantine.Quarantined && st.NextTrial > 0 {
 		return quarantine.Verdict{Decision: quarantine.Refuse, After: st.NextTrial}
 	}
@@ -76,74 +76,74 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		lifetime = time.Until(deadline)
 	}
-	hosts := p.g.cfg.Owners.FirstRanked(Key(p.id), 1)
+	hosts := a.g.cfg.Owners.FirstRanked(Key(a.id), 1)
 	if len(hosts) > 0 && !hosts[0].Self() {
-		if v, ok := p.askOwner(ctx, hosts[0], lifetime); ok {
-			return p.recordVerdict(v, hosts[0])
+		if v, ok := a.askOwner(ctx, hosts[0], lifetime); ok {
+			return a.recordVerdict(v, hosts[0])
 		}
-		if p.g.standing(p.id).Level == quarantine.Quarantined {
+		if a.g.status(a.id).Level == quarantine.Quarantined {
 			return quarantine.Verdict{Decision: quarantine.Refuse, After: time.Second}
 		}
 	}
-	return p.recordVerdict(p.g.decide(p.id, p.name, lifetime), owners.Host{})
+	return a.recordVerdict(a.g.decide(a.id, a.name, lifetime), owners.Host{})
 }
 
 // recordVerdict records the owner that granted the request's slot, if the verdict grants it.
-func (p *pass) recordVerdict(v quarantine.Verdict, owner owners.Host) quarantine.Verdict {
+func (a *admission) recordVerdict(v quarantine.Verdict, owner owners.Host) quarantine.Verdict {
 	if v.Decision == quarantine.Exclusive || v.Decision == quarantine.Trial {
-		p.slotOwner, p.trial = &owner, v.Decision == quarantine.Trial
+		a.slotOwner, a.trial = &owner, v.Decision == quarantine.Trial
 	}
 	return v
 }
 
-func (p *pass) askOwner(ctx context.Context, h owners.Host, lifetime time.Duration) (quarantine.Verdict, bool) {
+func (a *admission) askOwner(ctx context.Context, h owners.Host, lifetime time.Duration) (quarantine.Verdict, bool) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := p.g.cfg.Client(h.Address).AdmitSuspect(callCtx, &pb.AdmitSuspectRequest{
-		Suspect: p.g.state(p.id), Name: p.name, LifetimeMs: lifetime.Milliseconds(),
+	reply, err := a.g.cfg.Client(h.Address).AdmitSuspect(callCtx, &pb.AdmitSuspectRequest{
+		Suspect: a.g.state(a.id), Name: a.name, LifetimeMs: lifetime.Milliseconds(),
 	})
 	if err != nil {
 		if ctx.Err() == nil {
-			p.g.cfg.Owners.MarkUnanswered(h.Name)
+			a.g.cfg.Owners.MarkUnanswered(h.Name)
 		}
-		p.g.cfg.Log.Warn().Str("event", "suspect-owner-unanswered").Str("owner", h.Name).Str("pass", p.name).Err(err).Send()
+		a.g.cfg.Log.Warn().Str("event", "suspect-owner-unanswered").Str("owner", h.Name).Str("pass", a.name).Err(err).Send()
 		return quarantine.Verdict{}, false
 	}
-	p.g.cfg.Owners.MarkAnswered(h.Name)
-	p.g.mergeUpdates([]*pb.Suspect{reply.GetSuspect()}, h.Name)
+	a.g.cfg.Owners.MarkAnswered(h.Name)
+	a.g.mergeUpdates([]*pb.Suspect{reply.GetSuspect()}, h.Name)
 	return quarantine.Verdict{
 		Decision: quarantine.Decision(reply.GetDecision()), After: time.Duration(reply.GetAfterMs()) * time.Millisecond,
 	}, true
 }
 
-// ServerReached implements filter.Pass.
-func (p *pass) ServerReached() {
-	if p.trial {
-		p.g.recordTrial(p.id, p.name)
+// ServerReached implements filter.Admission.
+func (a *admission) ServerReached() {
+	if a.trial {
+		a.g.recordTrial(a.id, a.name)
 	}
 }
 
-// ConnectionLost implements filter.Pass.
-func (p *pass) ConnectionLost(b filter.ConnectionLoss) {
-	p.breaks = append(p.breaks, p.g.checkCrash(p.id, b))
+// ConnectionLost implements filter.Admission.
+func (a *admission) ConnectionLost(b filter.ConnectionLoss) {
+	a.crashChecks = append(a.crashChecks, a.g.checkCrash(a.id, b))
 }
 
-// AllowRetry implements filter.Pass. It does not wait for the crash check after a first break, since most
+// AllowRetry implements filter.Admission. It does not wait for the crash check after a first break, since most
 // requests whose connection breaks did not cause it.
-func (p *pass) AllowRetry(ctx context.Context) error {
-	p.standing = p.g.standing(p.id)
-	if len(p.breaks) > 1 || p.standing.Level != quarantine.Free {
-		p.awaitCrashChecks(ctx)
-		p.standing = p.g.standing(p.id)
+func (a *admission) AllowRetry(ctx context.Context) error {
+	a.status = a.g.status(a.id)
+	if len(a.crashChecks) > 1 || a.status.Level != quarantine.Free {
+		a.awaitCrashChecks(ctx)
+		a.status = a.g.status(a.id)
 	}
-	if p.slotOwner != nil && p.standing.Level == quarantine.Suspected {
+	if a.slotOwner != nil && a.status.Level == quarantine.Suspected {
 		return nil
 	}
-	return p.admit(ctx)
+	return a.admit(ctx)
 }
 
-func (p *pass) awaitCrashChecks(ctx context.Context) {
-	for _, checked := range p.breaks {
+func (a *admission) awaitCrashChecks(ctx context.Context) {
+	for _, checked := range a.crashChecks {
 		select {
 		case <-checked:
 		case <-ctx.Done():
@@ -151,20 +151,20 @@
 	}
 }
 
-// Answered implements filter.Pass.
-func (p *pass) Answered() { p.g.clear(p.id) }
+// Answered implements filter.Admission.
+func (a *admission) Answered() { a.g.clear(a.id) }
 
-// Close implements filter.Pass. Other executions of the same request go on waiting until it is known
+// Close implements filter.Admission. Other executions of the same request go on waiting until it is known
 // whether a server crashed during this one.
-func (p *pass) Close() {
-	if p.slotOwner == nil {
+func (a *admission) Close() {
+	if a.slotOwner == nil {
 		return
 	}
-	owner := *p.slotOwner
-	p.slotOwner = nil
-	p.g.background.Go(func() {
-		defer panics.Log(p.g.cfg.Log, "ending a suspect's execution")
-		p.awaitCrashChecks(context.Background())
-		p.g.endExecution(owner, p.id, p.name)
+	owner := *a.slotOwner
+	a.slotOwner = nil
+	a.g.background.Go(func() {
+		defer panics.Log(a.g.cfg.Log, "ending a suspect's execution")
+		a.awaitCrashChecks(context.Background())
+		a.g.endExecution(owner, a.id, a.name)
 	})
 }
--- a/internal/controller/quarantine/quarantine.go
+++ b/internal/controller/quarantine/quarantine.go
@@ -74,10 +74,11 @@
 
 // Guard implements filter.Quarantine. It is safe for concurrent use.
 type Guard struct {
-	cfg     Config
-	passes  atomic.Uint64
-	synced  atomic.Bool
-	metrics metrics
+	cfg Config
+	// admissions counts the admissions; their numbers are part of their names.
+	admissions atomic.Uint64
+	synced     atomic.Bool
+	metrics    metrics
 	// background tracks the goroutines that outlive their requests.
 	background sync.WaitGroup
 
@@ -127,23 +128,23 @@
 
 // Admit implements filter.Quarantine.
 func (g *Guard) Admit(ctx context.Context, id quarantine.ID) (filter.Admission, error) {
-	p := g.newPass(id)
-	if err := p.admit(ctx); err != nil {
-		p.Close()
+	a := g.newAdmission(id)
+	if err := a.admit(ctx); err != nil {
+		a.Close()
 		return nil, err
 	}
-	return p, nil
+	return a, nil
 }
 
 // AdmitResumed implements filter.Quarantine.
-func (g *Guard) AdmitResumed(id quarantine.ID) filter.Admission { return g.newPass(id) }
+func (g *Guard) AdmitResumed(id quarantine.ID) filter.Admission { return g.newAdmission(id) }
 
-func (g *Guard) newPass(id quarantine.ID) *pass {
-	return &pass{g: g, id: id, name: g.cfg.Incarnation + "/" + strconv.FormatUint(g.passes.Add(1), 10)}
+func (g *Guard) newAdmission(id quarantine.ID) *admission {
+	return &admission{g: g, id: id, name: g.cfg.Incarnation + "/" + strconv.FormatUint(g.admissions.Add(1), 10)}
 }
 
-// standing returns the standing of a request as this host knows it.
-func (g *Guard) standing(id quarantine.ID) quarantine.Status {
+// status returns the quarantine status of a request as this host knows it.
+func (g *Guard) status(id quarantine.ID) quarantine.Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Status(time.Now(), id)
@@ -208,7 +209,7 @@
 // logChange logs the state of a request after a change; from is the source of the change.
 func (g *Guard) logChange(s *pb.Suspect, from string) {
 	id, _ := quarantine.IDFromProto(s)
-	st := g.standing(id)
+	st := g.status(id)
 	g.cfg.Log.Info().Str("event", "suspect-changed").Str("account", id.Account).Stringer("fingerprint", id.Fingerprint).
 		Str("level", string(st.Level)).Int("crashes", st.Crashes).Int("trials", st.Trials).Str("reporter", st.Reporter).
 		Dur("last_crash_ago", st.LastCrash).Uint64("epoch", s.GetEpoch()).Str("from", from).Send()
--- a/internal/controller/quarantine/quarantine_test.go
+++ b/internal/controller/quarantine/quarantine_test.go
@@ -142,7 +142,7 @@
 // crash simulates a crash of a server while it runs a request of the host.
 func (h *host) crash(id quarantine.ID, server int) { <-h.checkCrash(id, breakAt(server, time.Second)) }
 
-func (h *host) level(id quarantine.ID) quarantine.Level { return h.standing(id).Level }
+func (h *host) level(id quarantine.ID) quarantine.Level { return h.status(id).Level }
 
 // admitted asks for an execution and ends it.
 func (h *host) admitted(id quarantine.ID) error {
