--- a/internal/controller/assign/assign_test.go
+++ b/internal/controller/assign/assign_test.go
@@ -218,7 +218,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, "a", "b")
 		chosen := f.acquire(t, "b", prompt(7, 1, 100, 100)).Choice().Instance.ID
-		testutil.NoError(t, f.local["b"].EndKnown(chosen))
+		testutil.NoError(t, f.local["b"].EndCurrent(chosen))
 		if got := f.acquire(t, "b", prompt(7, 2, 100, 100)).Choice().Instance.ID; got == chosen {
 			t.Errorf("%s was used, which this host knows to have stopped", got)
 		}
--- a/internal/controller/balancer/balancer.go
+++ b/internal/controller/balancer/balancer.go
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// EndKnown records that a backend server has stopped, in the incarnation that this host knows.
-func (b *Balancer) EndKnown(id string) error {
+// EndCurrent records that a backend server has stopped, in the incarnation that this host knows.
+func (b *Balancer) EndCurrent(id string) error {
 	if err := instance.CheckID(id); err != nil {
 		return errkind.New(errkind.BadRequest, "invalid server ID: %v", err)
 	}
--- a/internal/controller/balancer/balancer_test.go
+++ b/internal/controller/balancer/balancer_test.go
@@ -60,8 +60,8 @@
 	leaving := server("s1", 3)
 	leaving.Draining = true
 	testutil.NoError(t, f.Announce(leaving))
-	testutil.NoError(t, f.EndKnown("s1"))
-	testutil.NoError(t, f.EndKnown("s1"))
+	testutil.NoError(t, f.EndCurrent("s1"))
+	testutil.NoError(t, f.EndCurrent("s1"))
 	if f.notified != 3 {
 		t.Errorf("%d notifications in all", f.notified)
 	}
@@ -194,7 +194,7 @@
 		change(&a)
 		testutil.Refused(t, f.Announce(a), errkind.BadRequest, name)
 	}
-	testutil.Refused(t, f.EndKnown(""), errkind.BadRequest, "end without an ID")
+	testutil.Refused(t, f.EndCurrent(""), errkind.BadRequest, "end without an ID")
 	testutil.Refused(t, f.End(instance.Incarnation{ID: "\x00"}), errkind.BadRequest, "end with an invalid ID")
 	if f.notified != 1 {
 		t.Errorf("notified the peers %d times of one server", f.notified)
@@ -216,7 +216,7 @@
 // later, and did not notify the others that the incarnation had ended.
 func TestEndObservedBeforeTheServerIsBroadcast(t *testing.T) {
 	f := newFixture(1)
-	testutil.NoError(t, f.EndKnown("s1"))
+	testutil.NoError(t, f.EndCurrent("s1"))
 	before := f.notified
 	f.Merge([]*pb.ServerState{
 		{Id: "s1", Incarnation: 100, Services: []string{service}, Slots: 1, Address: "10.0.0.2:80", Seq: 7},
--- a/internal/controller/scheduler/fleet.go
+++ b/internal/controller/scheduler/fleet.go
@@ -37,8 +37,8 @@
 	s.step(now)
 }
 
-// MergeRecent replaces the record of a peer's work that server reports can't include yet.
-func (s *Scheduler) MergeRecent(host string, work []*pb.RecentWork) {
+// MergeRecentWork replaces the record of a peer's work that server reports can't include yet.
+func (s *Scheduler) MergeRecentWork(host string, work []*pb.RecentWork) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -22,7 +22,7 @@
 }
 func (r registry) RecentWork() []*pb.RecentWork { return r.s.RecentWork() }
 func (r registry) MergeWork(from *pb.Holder, work []*pb.RecentWork) {
-	r.s.MergeRecent(from.GetHost(), work)
+	r.s.MergeRecentWork(from.GetHost(), work)
 }
 
 // peers reaches the other hosts by name.
--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -125,8 +125,8 @@
 // End implements surface.Servers.
 func (g *gateway) End(run instance.Incarnation) error { return g.balancer.End(run) }
 
-// EndKnown implements surface.Servers.
-func (g *gateway) EndKnown(id string) error { return g.balancer.EndKnown(id) }
+// EndCurrent implements surface.Servers.
+func (g *gateway) EndCurrent(id string) error { return g.balancer.EndCurrent(id) }
 
 // Finished implements relay.Observer: one line for each request.
 func (g *gateway) Finished(x *relay.Exchange, err error) {
--- a/internal/surface/surface.go
+++ b/internal/surface/surface.go
@@ -33,9 +33,9 @@
 	Announce(a instance.Announcement) (next string, err error)
 	// End records that an incarnation of a backend server ends.
 	End(run instance.Incarnation) error
-	// EndKnown records that a backend server ends that does not state its incarnation. It ends the
-	// incarnation that this host knows.
-	EndKnown(id string) error
+	// EndCurrent records the end of a backend server that does not report which incarnation ends. It
+	// is the one that this host knows.
+	EndCurrent(id string) error
 }
 
 // Tables reads and replaces the routing table. Errors are of type *errkind.Error.
