--- a/cmd/bluebellsail/main.go
+++ b/cmd/bluebellsail/main.go
@@ -1,4 +1,4 @@
-// Command bluebellsail is the operators' tool of a bluebellsail fleet.
+// Command bluebellsail is the command-line tool for operators of a bluebellsail fleet.
 package main
 
 import (
--- a/cmd/bluebellsaild/main.go
+++ b/cmd/bluebellsaild/main.go
@@ -1,4 +1,4 @@
-// Command bluebellsaild is one process of a bluebellsail fleet.
+// Command bluebellsaild runs one host of a bluebellsail fleet.
 package main
 
 import (
--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -1,4 +1,4 @@
-// Command load sends work to a fleet and checks the answers.
+// Command load is a load generator: it sends requests to a fleet and checks the answers.
 package main
 
 import (
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure prints the tables of docs/design: budgets under cuts and routing
-// under load, from a fixed seed in virtual time.
+// Command measure prints the tables of docs/design: budgets during network partitions and routing
+// under load, simulated in virtual time from a fixed seed.
 package main
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/measure/routing"
 )
 
-// defaultSeed is that of the tables in docs/design.
+// defaultSeed is the seed of the tables in docs/design.
 const defaultSeed = 1
 
-// table is one of the measurements.
+// table is one table and the function that measures and prints it.
 type table struct {
 	name  string
 	title string
@@ -26,14 +26,14 @@
 }
 
 var tables = []table{
-	{"budgets", "Budgets under cuts (docs/design/budgets.md)", budgets.Run},
+	{"budgets", "Budgets during partitions (docs/design/budgets.md)", budgets.Run},
 	{"routing", "Routing under load (docs/design/routing.md)", routing.Run},
 }
 
 func main() {
 	app := &cli.Command{
 		Name:  "measure",
-		Usage: "print the tables of docs/design; without arguments all of them",
+		Usage: "print the named tables of docs/design, or all of them if no name is given",
 		Flags: []cli.Flag{&cli.Int64Flag{Name: "seed", Value: defaultSeed}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			return measure(os.Stdout, c.Int64("seed"), c.Args().Slice())
@@ -45,11 +45,11 @@
 	}
 }
 
-// measure prints the named tables, all if none is named.
+// measure prints the named tables, or all of them if names is empty.
 func measure(w io.Writer, seed int64, names []string) error {
 	for _, name := range names {
 		if !known(name) {
-			return fmt.Errorf("no table %q; there are budgets and routing", name)
+			return fmt.Errorf("unknown table %q; the tables are budgets and routing", name)
 		}
 	}
 	for _, t := range tables {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs a stand-in backend server.
+// Command standin runs a fake backend server for tests and demos.
 package main
 
 import (
