--- a/internal/controller/scheduler/cooldown_test.go
+++ b/internal/controller/scheduler/cooldown_test.go
@@ -24,7 +24,7 @@
 		s := newScheduler(4)
 		defer s.Close()
 		s.Announce(secondServer())
-		s.Observe(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: "1.4"})
+		s.Observe(engineclient.Observation{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: "1.4"})
 		for range 20 {
 			l := mustAcquire(t, s, time.Second)
 			if l.Address() != "127.0.0.1:9002" {
@@ -32,7 +32,7 @@
 			}
 			l.Done(filter.Outcome{OK: true})
 		}
-		s.Observe(engineclient.Said{Address: "127.0.0.1:9002", RequestID: "r", RetryAfter: "1"})
+		s.Observe(engineclient.Observation{Address: "127.0.0.1:9002", RequestID: "r", RetryAfter: "1"})
 		began := time.Now()
 		_, err := s.Acquire(t.Context(), work(5*time.Second))
 		e := errkind.From(err)
@@ -59,7 +59,7 @@
 		held := mustAcquire(t, s, 5*time.Second)
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			s.Observe(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: "30"})
+			s.Observe(engineclient.Observation{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: "30"})
 		}()
 		began := time.Now()
 		_, err := s.Acquire(t.Context(), work(5*time.Second))
@@ -75,7 +75,7 @@
 		s := newScheduler(1)
 		defer s.Close()
 		for _, text := range []string{"soon", "-3", "NaN", ""} {
-			s.Observe(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: text})
+			s.Observe(engineclient.Observation{Address: "127.0.0.1:9001", RequestID: "r", RetryAfter: text})
 		}
 		mustAcquire(t, s, time.Second).Done(filter.Outcome{OK: true})
 	})
--- a/internal/controller/scheduler/limits.go
+++ b/internal/controller/scheduler/limits.go
@@ -29,7 +29,7 @@
 }
 
 // Observe records the cooldown and the rate limit that a server reported in an answer.
-func (s *Scheduler) Observe(obs engineclient.Said) {
+func (s *Scheduler) Observe(obs engineclient.Observation) {
 	if obs.RetryAfter != "" {
 		s.observeCooldown(obs)
 	}
@@ -42,7 +42,7 @@
 }
 
 // observeCooldown starts the cooldown that a server asked for with a Retry-After.
-func (s *Scheduler) observeCooldown(obs engineclient.Said) {
+func (s *Scheduler) observeCooldown(obs engineclient.Observation) {
 	cooldown, readable := retryafter.Parse(obs.RetryAfter, s.now())
 	switch {
 	case !readable && s.unreadable.First(obs.Address):
@@ -63,7 +63,7 @@
 	return began
 }
 
-func (s *Scheduler) observeLimit(inc instance.Incarnation, obs engineclient.Said) {
+func (s *Scheduler) observeLimit(inc instance.Incarnation, obs engineclient.Observation) {
 	observed := ratelimit.Observation{Limit: ratelimit.None, At: obs.Sent}
 	if obs.RateLimit != "" {
 		limit, err := strconv.ParseFloat(obs.RateLimit, 64)
--- a/internal/controller/scheduler/limits_test.go
+++ b/internal/controller/scheduler/limits_test.go
@@ -41,7 +41,7 @@
 	limits := ratelimits.New(ratelimits.Config{Host: "h1", Owners: onlyHost{}, Broadcast: func(*pb.ServerLimit) {}, Log: zerolog.Nop()})
 	l := &limited{Scheduler: New(Options{Sched: sched.Config{Host: "h1", Zone: "olinda"}, Seed: 1, Limits: limits})}
 	l.Announce(state(1, 64))
-	l.Observe(engineclient.Said{Address: "127.0.0.1:9001", RequestID: "r", RateLimit: perSecond})
+	l.Observe(engineclient.Observation{Address: "127.0.0.1:9001", RequestID: "r", RateLimit: perSecond})
 	return l
 }
 
--- a/internal/engineclient/client.go
+++ b/internal/engineclient/client.go
@@ -66,11 +66,11 @@
 	// MaxAnswer bounds the body of a plain service's answer, in bytes.
 	MaxAnswer int64
 	// Heard is told what servers say of themselves with their answers; nil: nobody is.
-	Heard func(Said)
+	Heard func(Observation)
 }
 
-// Said is what a server says of itself with an answer.
-type Said struct {
+// Observation is what a server says of itself with an answer.
+type Observation struct {
 	Address   string
 	RequestID string
 	// Sent is when the request was sent that it answers.
@@ -225,7 +225,7 @@
 	if c.cfg.Heard == nil || r.EngineRequestID != "" && id != "" && id != r.EngineRequestID {
 		return
 	}
-	said := Said{Address: r.Address, RequestID: r.EngineRequestID, Sent: sent, RateLimit: res.Header.Get(HeaderRateLimit)}
+	said := Observation{Address: r.Address, RequestID: r.EngineRequestID, Sent: sent, RateLimit: res.Header.Get(HeaderRateLimit)}
 	if res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests {
 		said.RetryAfter = res.Header.Get("Retry-After")
 	}
--- a/internal/engineclient/heard_test.go
+++ b/internal/engineclient/heard_test.go
@@ -12,8 +12,8 @@
 	var answer func(w http.ResponseWriter)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { answer(w) }))
 	defer s.Close()
-	var heard []Said
-	c := New(Config{Heard: func(said Said) { heard = append(heard, said) }})
+	var heard []Observation
+	c := New(Config{Heard: func(said Observation) { heard = append(heard, said) }})
 	defer c.Close()
 	for _, step := range []struct {
 		id     string
