--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -108,7 +108,7 @@
 		Seed: seedOf(cfg.Host), Peers: d.pool, Registry: registry{e.sched}, Limits: e.limits, Load: e.load,
 		Log: d.tel.Log, Metrics: d.tel.Metrics, Ticked: d.watch.Tick,
 	})
-	e.client = engineclient.New(engineclient.Config{Heard: e.sched.Observe})
+	e.client = engineclient.New(engineclient.Config{Observe: e.sched.Observe})
 	e.makeSuspects()
 	e.placement = e.newPlacement()
 	d.tel.Metrics.Set("scheduler", e.sched.Metrics().Map())
--- a/internal/engineclient/client.go
+++ b/internal/engineclient/client.go
@@ -65,8 +65,8 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// MaxAnswer bounds the body of a plain service's answer, in bytes.
 	MaxAnswer int64
-	// Heard is told what servers say of themselves with their answers; nil: nobody is.
-	Heard func(Observation)
+	// Observe is told what servers say of themselves with their answers; nil: nobody is.
+	Observe func(Observation)
 }
 
 // Observation is what a server says of itself with an answer.
@@ -222,14 +222,14 @@
 // of a run of the server that has ended.
 func (c *Client) hear(r Request, res *http.Response, sent time.Time) {
 	id := res.Header.Get(HeaderEngineRequest)
-	if c.cfg.Heard == nil || r.EngineRequestID != "" && id != "" && id != r.EngineRequestID {
+	if c.cfg.Observe == nil || r.EngineRequestID != "" && id != "" && id != r.EngineRequestID {
 		return
 	}
 	said := Observation{Address: r.Address, RequestID: r.EngineRequestID, Sent: sent, RateLimit: res.Header.Get(HeaderRateLimit)}
 	if res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests {
 		said.RetryAfter = res.Header.Get("Retry-After")
 	}
-	c.cfg.Heard(said)
+	c.cfg.Observe(said)
 }
 
 // exchange is send for orders about a run: an answer that is no success is an error.
--- a/internal/engineclient/heard_test.go
+++ b/internal/engineclient/heard_test.go
@@ -13,7 +13,7 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { answer(w) }))
 	defer s.Close()
 	var heard []Observation
-	c := New(Config{Heard: func(said Observation) { heard = append(heard, said) }})
+	c := New(Config{Observe: func(said Observation) { heard = append(heard, said) }})
 	defer c.Close()
 	for _, step := range []struct {
 		id     string
