--- a/internal/engineclient/cause.go
+++ b/internal/engineclient/cause.go
@@ -41,8 +41,8 @@
 	CauseCutHead Cause = "cut_in_head"
 	// CauseGarbled: bytes came that are no answer.
 	CauseGarbled Cause = "garbled"
-	// CauseLeft: the request's own end, by its caller or its deadline, ended the exchange.
-	CauseLeft Cause = "ended_by_request"
+	// CauseRequestEnded: the request's own end, by its caller or its deadline, ended the exchange.
+	CauseRequestEnded Cause = "ended_by_request"
 )
 
 // Causes that the reader of an answer finds.
@@ -89,7 +89,7 @@
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil:
-		return CauseLeft
+		return CauseRequestEnded
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return CauseRefused
 	case errors.As(err, &timeout) && timeout.Timeout():
@@ -102,7 +102,7 @@
 func exchangeCause(ctx context.Context, d *delivery, err error) Cause {
 	switch {
 	case ctx.Err() != nil:
-		return CauseLeft
+		return CauseRequestEnded
 	case d.unsent():
 		return CauseUnsent
 	case errors.Is(d.conn.writeFailure(), syscall.ETIMEDOUT):
--- a/internal/engineclient/client.go
+++ b/internal/engineclient/client.go
@@ -214,13 +214,13 @@
 	if err != nil {
 		return nil, d.failed(ctx, err)
 	}
-	c.hear(r, res, sent)
+	c.observe(r, res, sent)
 	return res, nil
 }
 
-// hear tells what a server says of itself. An answer to another request, which came late, may be
+// observe tells what a server says of itself. An answer to another request, which came late, may be
 // of a run of the server that has ended.
-func (c *Client) hear(r Request, res *http.Response, sent time.Time) {
+func (c *Client) observe(r Request, res *http.Response, sent time.Time) {
 	id := res.Header.Get(HeaderEngineRequest)
 	if c.cfg.Observe == nil || r.EngineRequestID != "" && id != "" && id != r.EngineRequestID {
 		return
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -98,7 +98,7 @@
 // failure returns the outcome of a failed attempt that may be retried at another server.
 func (t *task) failure(result balance.Result, cause engineclient.Cause, format string, args ...any) outcome {
 	if t.ctx.Err() != nil {
-		result, cause = balance.Abandoned, engineclient.CauseLeft // caused by the end of the request's own context
+		result, cause = balance.Abandoned, engineclient.CauseRequestEnded // caused by the end of the request's own context
 	}
 	err := errkind.New(errkind.BackendServerFailed, format, args...).WithRan(t.ran)
 	return outcome{err: err, cause: cause, result: result, retryable: true}
@@ -227,7 +227,7 @@
 	for {
 		n, err := res.Body.Read(buf)
 		if n > 0 && !t.writeToCaller(buf[:n]) {
-			out := t.failure(balance.Abandoned, engineclient.CauseLeft, "the caller's connection is closed")
+			out := t.failure(balance.Abandoned, engineclient.CauseRequestEnded, "the caller's connection is closed")
 			out.retryable = false
 			return out
 		}
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -34,7 +34,7 @@
 			t.writeStatus(res) // the status line of a stream without events
 			return servedOutcome(res)
 		case t.ctx.Err() != nil:
-			return t.failure(balance.Abandoned, engineclient.CauseLeft, "%v", t.ctx.Err())
+			return t.failure(balance.Abandoned, engineclient.CauseRequestEnded, "%v", t.ctx.Err())
 		case readErr != nil:
 			return t.failure(balance.Broken, t.cutCause(), "the stream was truncated: %v", readErr)
 		}
