--- a/internal/engineclient/cause.go
+++ b/internal/engineclient/cause.go
@@ -37,8 +37,8 @@
 	// CauseSilent: no byte of an answer came in time, or the server's machine
 	// acknowledged none of the request's.
 	CauseSilent Cause = "silent"
-	// CauseCutHead: the connection ended within the answer's status line and headers.
-	CauseCutHead Cause = "cut_in_head"
+	// CauseHeadTruncated: the connection ended within the answer's status line and headers.
+	CauseHeadTruncated Cause = "cut_in_head"
 	// CauseGarbled: bytes came that are no answer.
 	CauseGarbled Cause = "garbled"
 	// CauseRequestEnded: the request's own end, by its caller or its deadline, ended the exchange.
@@ -69,7 +69,7 @@
 // all of the request, and its side ended the connection.
 func (c Cause) CrashLike() bool {
 	switch c {
-	case CauseReset, CauseClosed, CauseCutHead, CauseCutBody, CauseCutStream:
+	case CauseReset, CauseClosed, CauseHeadTruncated, CauseCutBody, CauseCutStream:
 		return true
 	}
 	return false
@@ -112,7 +112,7 @@
 	case timedOut(err):
 		return CauseSilent
 	case d.answerBegun() && d.conn.readEnded.Load():
-		return CauseCutHead
+		return CauseHeadTruncated
 	case d.answerBegun():
 		return CauseGarbled
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
--- a/internal/engineclient/conn_test.go
+++ b/internal/engineclient/conn_test.go
@@ -200,7 +200,7 @@
 				_, _ = io.Copy(io.Discard, req.Body)
 			}
 		},
-		CauseCutHead: func(c net.Conn, r *bufio.Reader) {
+		CauseHeadTruncated: func(c net.Conn, r *bufio.Reader) {
 			if req, err := http.ReadRequest(r); err == nil {
 				_, _ = io.Copy(io.Discard, req.Body)
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Le")
--- a/internal/relay/forward/matrix_test.go
+++ b/internal/relay/forward/matrix_test.go
@@ -49,7 +49,7 @@
 				b.read(r)
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}},
-		{name: "after the status line", causes: []engineclient.Cause{engineclient.CauseCutHead},
+		{name: "after the status line", causes: []engineclient.Cause{engineclient.CauseHeadTruncated},
 			request: func(b *backend, c net.Conn, r *bufio.Reader) {
 				b.read(r)
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n")
--- a/internal/relay/forward/pass_test.go
+++ b/internal/relay/forward/pass_test.go
@@ -56,7 +56,7 @@
 	}{
 		"reset before the answer": {breaks(engineclient.CauseReset, errkind.RanUnknown), admission{reached: 1, broke: 1}},
 		"closed before it":        {breaks(engineclient.CauseClosed, errkind.RanUnknown), admission{reached: 1, broke: 1}},
-		"cut in its head":         {breaks(engineclient.CauseCutHead, errkind.RanUnknown), admission{reached: 1, broke: 1}},
+		"cut in its head":         {breaks(engineclient.CauseHeadTruncated, errkind.RanUnknown), admission{reached: 1, broke: 1}},
 		"cut in its body":         {answers(cut()), admission{reached: 1, broke: 1}},
 		"half sent":               {breaks(engineclient.CauseHalfSent, errkind.RanUnknown), admission{reached: 1}},
 		"silent":                  {breaks(engineclient.CauseSilent, errkind.RanUnknown), admission{reached: 1}},
