--- a/internal/engineclient/cause.go
+++ b/internal/engineclient/cause.go
@@ -55,8 +55,8 @@
 	CauseOtherRequest Cause = "other_request"
 	// CauseSwitched: the server switched protocols unasked.
 	CauseSwitched Cause = "switched_protocols"
-	// CauseCutBody: the answer broke off, and the caller has none of it.
-	CauseCutBody Cause = "cut_in_body"
+	// CauseBodyTruncated: the answer broke off, and the caller has none of it.
+	CauseBodyTruncated Cause = "cut_in_body"
 	// CauseCutStream: the answer broke off, and the caller has its beginning.
 	CauseCutStream Cause = "cut_in_stream"
 	// CauseNoStream: something else came in place of the rest of a stream.
@@ -69,7 +69,7 @@
 // all of the request, and its side ended the connection.
 func (c Cause) CrashLike() bool {
 	switch c {
-	case CauseReset, CauseClosed, CauseHeadTruncated, CauseCutBody, CauseCutStream:
+	case CauseReset, CauseClosed, CauseHeadTruncated, CauseBodyTruncated, CauseCutStream:
 		return true
 	}
 	return false
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -203,7 +203,7 @@
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxBuffered+1))
 	if err != nil {
 		t.x.PromptConsumed = t.x.PromptConsumed || t.ctx.Err() == nil
-		return t.failure(balance.Broken, engineclient.CauseCutBody, "the answer was truncated: %v", err)
+		return t.failure(balance.Broken, engineclient.CauseBodyTruncated, "the answer was truncated: %v", err)
 	}
 	lease.FirstByte()
 	t.x.PromptConsumed = true
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -562,7 +562,7 @@
 		engineclient.CauseOtherInstance: answers(answer(http.StatusMisdirectedRequest, "", hID, "")),
 		engineclient.CauseOtherRequest:  answers(answer(200, "", hID, "r0")),
 		engineclient.CauseSwitched:      answers(answer(http.StatusSwitchingProtocols, "")),
-		engineclient.CauseCutBody:       answers(stream("id: 1\nda", errReset)),
+		engineclient.CauseBodyTruncated:       answers(stream("id: 1\nda", errReset)),
 		engineclient.CauseCutStream:     answers(stream(event(1), errReset)),
 		engineclient.CauseReset: func(context.Context, *engineclient.Forward) (*http.Response, error) {
 			return nil, &engineclient.Error{Ran: errkind.RanUnknown, Cause: engineclient.CauseReset, Message: strings.Repeat("é", 1<<10)}
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -60,7 +60,7 @@
 	if t.x.Begun {
 		return engineclient.CauseCutStream
 	}
-	return engineclient.CauseCutBody
+	return engineclient.CauseBodyTruncated
 }
 
 // writeStatus sends the status line and the headers, those of the first server that sent an event.
