--- a/internal/engineclient/cause.go
+++ b/internal/engineclient/cause.go
@@ -57,8 +57,8 @@
 	CauseSwitched Cause = "switched_protocols"
 	// CauseBodyTruncated: the answer broke off, and the caller has none of it.
 	CauseBodyTruncated Cause = "cut_in_body"
-	// CauseCutStream: the answer broke off, and the caller has its beginning.
-	CauseCutStream Cause = "cut_in_stream"
+	// CauseStreamTruncated: the answer broke off, and the caller has its beginning.
+	CauseStreamTruncated Cause = "cut_in_stream"
 	// CauseNoStream: something else came in place of the rest of a stream.
 	CauseNoStream Cause = "no_stream"
 	// CauseFault: the server answered that it failed, and another one was asked.
@@ -69,7 +69,7 @@
 // all of the request, and its side ended the connection.
 func (c Cause) CrashLike() bool {
 	switch c {
-	case CauseReset, CauseClosed, CauseHeadTruncated, CauseBodyTruncated, CauseCutStream:
+	case CauseReset, CauseClosed, CauseHeadTruncated, CauseBodyTruncated, CauseStreamTruncated:
 		return true
 	}
 	return false
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -235,7 +235,7 @@
 			return servedOutcome(res)
 		}
 		if err != nil {
-			out := t.failure(balance.Broken, engineclient.CauseCutStream, "the answer was truncated: %v", err)
+			out := t.failure(balance.Broken, engineclient.CauseStreamTruncated, "the answer was truncated: %v", err)
 			out.retryable = false
 			return out
 		}
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -529,7 +529,7 @@
 	r = newRun(t, routes.Idempotent, answers(answer(200, long)))
 	r.writeErr = errReset
 	_ = r.do()
-	if r.x.Attempts[0].Cause == engineclient.CauseCutStream || fmt.Sprint(r.leases.results) == fmt.Sprint([]balance.Result{balance.Broken}) {
+	if r.x.Attempts[0].Cause == engineclient.CauseStreamTruncated || fmt.Sprint(r.leases.results) == fmt.Sprint([]balance.Result{balance.Broken}) {
 		t.Errorf("cause %s, results %v", r.x.Attempts[0].Cause, r.leases.results)
 	}
 }
@@ -539,7 +539,7 @@
 	res.Body.(*body).err = errReset
 	r := newRun(t, routes.Idempotent, answers(res))
 	wantKind(t, r.do(), errkind.BackendServerFailed, errkind.RanYes)
-	if !r.aborted || r.x.Attempts[0].Cause != engineclient.CauseCutStream {
+	if !r.aborted || r.x.Attempts[0].Cause != engineclient.CauseStreamTruncated {
 		t.Errorf("aborted %v, cause %s", r.aborted, r.x.Attempts[0].Cause)
 	}
 }
@@ -563,7 +563,7 @@
 		engineclient.CauseOtherRequest:  answers(answer(200, "", hID, "r0")),
 		engineclient.CauseSwitched:      answers(answer(http.StatusSwitchingProtocols, "")),
 		engineclient.CauseBodyTruncated:       answers(stream("id: 1\nda", errReset)),
-		engineclient.CauseCutStream:     answers(stream(event(1), errReset)),
+		engineclient.CauseStreamTruncated:     answers(stream(event(1), errReset)),
 		engineclient.CauseReset: func(context.Context, *engineclient.Forward) (*http.Response, error) {
 			return nil, &engineclient.Error{Ran: errkind.RanUnknown, Cause: engineclient.CauseReset, Message: strings.Repeat("é", 1<<10)}
 		},
--- a/internal/relay/forward/matrix_test.go
+++ b/internal/relay/forward/matrix_test.go
@@ -54,7 +54,7 @@
 				b.read(r)
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 			}},
-		{name: "in the answer", begins: true, causes: []engineclient.Cause{engineclient.CauseBodyTruncated, engineclient.CauseCutStream},
+		{name: "in the answer", begins: true, causes: []engineclient.Cause{engineclient.CauseBodyTruncated, engineclient.CauseStreamTruncated},
 			request: func(b *backend, c net.Conn, r *bufio.Reader) {
 				if req, ok := b.read(r); ok {
 					answer := answerTo(req)
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -58,7 +58,7 @@
 // cutCause returns the cause to log for a truncated stream.
 func (t *task) cutCause() engineclient.Cause {
 	if t.x.Begun {
-		return engineclient.CauseCutStream
+		return engineclient.CauseStreamTruncated
 	}
 	return engineclient.CauseBodyTruncated
 }
