--- a/internal/engineclient/cause.go
+++ b/internal/engineclient/cause.go
@@ -53,8 +53,8 @@
 	CauseOtherInstance Cause = "other_instance"
 	// CauseOtherRequest: the answer names another request.
 	CauseOtherRequest Cause = "other_request"
-	// CauseSwitched: the server switched protocols unasked.
-	CauseSwitched Cause = "switched_protocols"
+	// CauseSwitchedProtocols: the server switched protocols unasked.
+	CauseSwitchedProtocols Cause = "switched_protocols"
 	// CauseBodyTruncated: the answer broke off, and the caller has none of it.
 	CauseBodyTruncated Cause = "cut_in_body"
 	// CauseStreamTruncated: the answer broke off, and the caller has its beginning.
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -186,7 +186,7 @@
 	}
 	t.markMayHaveRun()
 	if res.StatusCode == http.StatusSwitchingProtocols {
-		return t.failure(balance.Broken, engineclient.CauseSwitched, "the backend server switched protocols without a request to do so")
+		return t.failure(balance.Broken, engineclient.CauseSwitchedProtocols, "the backend server switched protocols without a request to do so")
 	}
 	if res.StatusCode < http.StatusMultipleChoices && isEventStream(res) {
 		return t.relayStream(lease, res)
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -561,7 +561,7 @@
 		engineclient.CauseShed:          answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1")),
 		engineclient.CauseOtherInstance: answers(answer(http.StatusMisdirectedRequest, "", hID, "")),
 		engineclient.CauseOtherRequest:  answers(answer(200, "", hID, "r0")),
-		engineclient.CauseSwitched:      answers(answer(http.StatusSwitchingProtocols, "")),
+		engineclient.CauseSwitchedProtocols:      answers(answer(http.StatusSwitchingProtocols, "")),
 		engineclient.CauseBodyTruncated:       answers(stream("id: 1\nda", errReset)),
 		engineclient.CauseStreamTruncated:     answers(stream(event(1), errReset)),
 		engineclient.CauseReset: func(context.Context, *engineclient.Forward) (*http.Response, error) {
