--- a/internal/engineclient/cause.go
+++ b/internal/engineclient/cause.go
@@ -61,8 +61,8 @@
 	CauseStreamTruncated Cause = "cut_in_stream"
 	// CauseNoStream: something else came in place of the rest of a stream.
 	CauseNoStream Cause = "no_stream"
-	// CauseFault: the server answered that it failed, and another one was asked.
-	CauseFault Cause = "server_fault"
+	// CauseServerFault: the server answered that it failed, and another one was asked.
+	CauseServerFault Cause = "server_fault"
 )
 
 // CrashLike tells whether an exchange ended as those do whose server crashes: the server had
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -208,7 +208,7 @@
 	lease.FirstByte()
 	t.x.PromptConsumed = true
 	if res.StatusCode >= http.StatusInternalServerError && t.x.Route.Kind == routes.Idempotent && t.takeRetryEarly() {
-		return t.failure(balance.Served, engineclient.CauseFault, "the backend server answered %d", res.StatusCode)
+		return t.failure(balance.Served, engineclient.CauseServerFault, "the backend server answered %d", res.StatusCode)
 	}
 	t.writeHeader(res)
 	if length := t.contentLength(res, body); length != "" {
--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -584,7 +584,7 @@
 	}
 	r = newRun(t, routes.Idempotent, answers(answer(500, "")), answers(answer(200, "ok")))
 	_ = r.do()
-	if a := r.x.Attempts; a[0].Cause != engineclient.CauseFault || a[1].Cause != engineclient.CauseAnswered || a[1].Detail != "" {
+	if a := r.x.Attempts; a[0].Cause != engineclient.CauseServerFault || a[1].Cause != engineclient.CauseAnswered || a[1].Detail != "" {
 		t.Errorf("causes %s and %s", a[0].Cause, a[1].Cause)
 	}
 }
