--- a/internal/engineclient/answers.go
+++ b/internal/engineclient/answers.go
@@ -15,8 +15,8 @@
 	if err != nil {
 		return false
 	}
-	var d delivery
-	res, err := c.oneShot.RoundTrip(req.WithContext(d.follow(ctx)))
+	var d exchangeTrace
+	res, err := c.oneShot.RoundTrip(req.WithContext(d.withTrace(ctx)))
 	if err != nil {
 		return d.conn != nil && ctx.Err() != nil
 	}
--- a/internal/engineclient/cause.go
+++ b/internal/engineclient/cause.go
@@ -99,7 +99,7 @@
 }
 
 // exchangeCause is the cause of an exchange that failed on connection d.conn.
-func exchangeCause(ctx context.Context, d *delivery, err error) Cause {
+func exchangeCause(ctx context.Context, d *exchangeTrace, err error) Cause {
 	switch {
 	case ctx.Err() != nil:
 		return CauseRequestEnded
@@ -107,7 +107,7 @@
 		return CauseUnsent
 	case errors.Is(d.conn.writeFailure(), syscall.ETIMEDOUT):
 		return CauseSilent
-	case !d.answerBegun() && !d.whole():
+	case !d.answerBegun() && !d.fullyWritten():
 		return CauseHalfSent
 	case timedOut(err):
 		return CauseSilent
--- a/internal/engineclient/client.go
+++ b/internal/engineclient/client.go
@@ -109,7 +109,7 @@
 		dial = tcpDialer(c.cfg).DialContext
 	}
 	return &http.Transport{
-		DialContext:            counted(dial),
+		DialContext:            withCounting(dial),
 		ResponseHeaderTimeout:  c.cfg.HeaderTimeout,
 		MaxIdleConnsPerHost:    c.cfg.IdlePerServer,
 		IdleConnTimeout:        c.cfg.IdleTimeout,
@@ -129,13 +129,13 @@
 	return t
 }
 
-// Renew makes further calls to address use new connections. Idle ones are closed;
+// DropConnections makes further calls to address use new connections. Idle ones are closed;
 // those in use close when their call ends.
 //
 // What goes wrong without it: something between the two ends forgets its
 // connections. The one in use is noticed by its silence, but the idle ones beside
 // it are as dead, and each next call would find that out anew.
-func (c *Client) Renew(address string) {
+func (c *Client) DropConnections(address string) {
 	c.mu.Lock()
 	old := c.pools[address]
 	delete(c.pools, address)
@@ -194,8 +194,8 @@
 // send runs one exchange. A nil error comes with an open body. The error's Ran is
 // "no" only if no byte of the request was written to a connection.
 func (c *Client) send(ctx context.Context, r Request) (*http.Response, error) {
-	var d delivery
-	req, err := http.NewRequestWithContext(d.follow(ctx), r.Method, "http://"+r.Address+r.Path, nil)
+	var d exchangeTrace
+	req, err := http.NewRequestWithContext(d.withTrace(ctx), r.Method, "http://"+r.Address+r.Path, nil)
 	if err != nil {
 		return nil, &Error{Ran: errkind.RanNo, Cause: CauseInvalid, Message: err.Error()}
 	}
@@ -212,7 +212,7 @@
 	sent := time.Now()
 	res, err := transport.RoundTrip(req)
 	if err != nil {
-		return nil, d.failed(ctx, err)
+		return nil, d.failure(ctx, err)
 	}
 	c.observe(r, res, sent)
 	return res, nil
--- a/internal/engineclient/conn.go
+++ b/internal/engineclient/conn.go
@@ -15,10 +15,10 @@
 // server sent before it closed is with the kernel already, or a packet behind.
 const answerAfterWrite = 500 * time.Millisecond
 
-// errOutOfStep ends a kept connection on which something came that no request waits for.
-var errOutOfStep = errors.New("bytes or an end came on the idle connection")
+// errUnexpectedData ends a kept connection on which something came that no request waits for.
+var errUnexpectedData = errors.New("bytes or an end came on the idle connection")
 
-// countedConn counts what passes over a connection to a backend server, and lets reading
+// countingConn counts what passes over a connection to a backend server, and lets reading
 // alone decide how a request ends of which part was written.
 //
 // What goes wrong without the counts: net/http doesn't tell whether any byte of a request
@@ -30,7 +30,7 @@
 // read a long body, and closes, is answered with 502, since net/http takes the failure to
 // write for the end of the exchange and drops the answer that has come. One would notice
 // attempts half_sent at servers that say they refused them.
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	read, written atomic.Int64
 	// readEnded: a Read has failed, for good.
@@ -41,16 +41,16 @@
 	// Of the request under way, set before its first Write: how many bytes had passed, and
 	// whether the connection was kept idle before it.
 	startRead, startWritten int64
-	idle                    bool
+	checkBeforeWrite                    bool
 }
 
 // begin notes that a request was given the connection.
-func (c *countedConn) begin(kept bool) {
-	c.startRead, c.startWritten, c.idle = c.read.Load(), c.written.Load(), kept
+func (c *countingConn) begin(kept bool) {
+	c.startRead, c.startWritten, c.checkBeforeWrite = c.read.Load(), c.written.Load(), kept
 }
 
 // Read counts the bytes read.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.read.Add(int64(n))
 	if err != nil {
@@ -62,9 +62,9 @@
 // Write counts the bytes that the kernel took. It writes nothing of a request to a kept
 // connection that is not sound any more. Once a part of a request was written, further
 // failures are kept for writeFailure and the rest is dropped.
-func (c *countedConn) Write(b []byte) (int, error) {
-	if c.idle {
-		c.idle = false
+func (c *countingConn) Write(b []byte) (int, error) {
+	if c.checkBeforeWrite {
+		c.checkBeforeWrite = false
 		if err := c.checkIdle(); err != nil {
 			c.failWrite(err)
 			return 0, err
@@ -84,17 +84,17 @@
 }
 
 // afterFailure is the result of a Write that failed, or came after a failed one.
-func (c *countedConn) afterFailure(b []byte, err error) (int, error) {
+func (c *countingConn) afterFailure(b []byte, err error) (int, error) {
 	if c.written.Load() == c.startWritten {
 		return 0, err // nothing was written: there is no answer to wait for
 	}
 	return len(b), nil
 }
 
-func (c *countedConn) failWrite(err error) { c.writeErr.CompareAndSwap(nil, &err) }
+func (c *countingConn) failWrite(err error) { c.writeErr.CompareAndSwap(nil, &err) }
 
 // writeFailure is the first failure of a Write; nil: none.
-func (c *countedConn) writeFailure() error {
+func (c *countingConn) writeFailure() error {
 	if err := c.writeErr.Load(); err != nil {
 		return *err
 	}
@@ -110,12 +110,12 @@
 // unknown, or it is answered with bytes meant for another one. One would notice resets
 // and answers of other requests that come in the first millisecond after idle times.
 // Asking the kernel in the moment of the write leaves only what is still on its way.
-func (c *countedConn) checkIdle() error {
+func (c *countingConn) checkIdle() error {
 	if err := c.writeFailure(); err != nil {
 		return err // of the request before, whose answer came all the same
 	}
 	if c.read.Load() != c.startRead {
-		return errOutOfStep
+		return errUnexpectedData
 	}
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -134,20 +134,20 @@
 	case err != nil:
 		return err // closed at this end
 	case peekErr == nil:
-		return errOutOfStep // an end of the stream, or bytes
+		return errUnexpectedData // an end of the stream, or bytes
 	case errors.Is(peekErr, unix.ECONNRESET), errors.Is(peekErr, unix.EPIPE), errors.Is(peekErr, unix.ETIMEDOUT):
 		return peekErr
 	}
 	return nil // nothing to read, or the system can't tell
 }
 
-// counted makes dial return connections that count.
-func counted(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
+// withCounting makes dial return connections that count.
+func withCounting(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{Conn: c}, nil
+		return &countingConn{Conn: c}, nil
 	}
 }
--- a/internal/engineclient/conn_test.go
+++ b/internal/engineclient/conn_test.go
@@ -17,29 +17,29 @@
 
 const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// heldConn holds back the reading goroutine of net/http once an answer was read, as a
+// blockedConn holds back the reading goroutine of net/http once an answer was read, as a
 // host short of processor time does.
-type heldConn struct {
+type blockedConn struct {
 	*net.TCPConn
 	reads atomic.Int64
 	held  chan struct{}
 }
 
-func (c *heldConn) Read(b []byte) (int, error) {
+func (c *blockedConn) Read(b []byte) (int, error) {
 	if c.reads.Add(1) > 1 {
 		<-c.held
 	}
 	return c.TCPConn.Read(b)
 }
 
-// cutConn takes room bytes from its second request on, and is reset then.
-type cutConn struct {
+// limitedConn takes room bytes from its second request on, and is reset then.
+type limitedConn struct {
 	net.Conn
 	armed *atomic.Bool
 	room  int
 }
 
-func (c *cutConn) Write(b []byte) (int, error) {
+func (c *limitedConn) Write(b []byte) (int, error) {
 	if !c.armed.Load() || len(b) <= c.room {
 		if c.armed.Load() {
 			c.room -= len(b)
@@ -77,7 +77,7 @@
 	for name, after := range map[string]string{"closed": "", "surplus answer": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
 		var requests atomic.Int64
 		answered, ready := make(chan struct{}), make(chan struct{})
-		address := raw(t, func(n int, c net.Conn, r *bufio.Reader) {
+		address := startRawServer(t, func(n int, c net.Conn, r *bufio.Reader) {
 			for {
 				if _, err := http.ReadRequest(r); err != nil {
 					return
@@ -95,7 +95,7 @@
 			}
 		})
 		held := make(chan struct{})
-		c := New(Config{Dial: wrapFirst(func(tcp *net.TCPConn) net.Conn { return &heldConn{TCPConn: tcp, held: held} })})
+		c := New(Config{Dial: wrapFirst(func(tcp *net.TCPConn) net.Conn { return &blockedConn{TCPConn: tcp, held: held} })})
 		if _, body, err := forward(t, c, payment(address)); err != nil || body != "ok" {
 			t.Fatalf("%s: first request: %q %v", name, body, err)
 		}
@@ -124,7 +124,7 @@
 		"one byte":        {1, false, CauseHalfSent},
 		"half":            {40, false, CauseHalfSent},
 	} {
-		address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			for {
 				if _, err := http.ReadRequest(r); err != nil {
 					return
@@ -134,7 +134,7 @@
 		})
 		armed := &atomic.Bool{}
 		client := New(Config{Dial: wrapFirst(func(tcp *net.TCPConn) net.Conn {
-			return &cutConn{Conn: tcp, armed: armed, room: c.room}
+			return &limitedConn{Conn: tcp, armed: armed, room: c.room}
 		})})
 		if _, body, err := forward(t, client, payment(address)); err != nil || body != "ok" {
 			t.Fatalf("%s: first request: %q %v", name, body, err)
@@ -156,7 +156,7 @@
 func TestServerThatClosesAllKeptConnections(t *testing.T) {
 	// A server whose connections end before a byte is written is asked a bounded number of
 	// times, and what is said of the run stays true: no.
-	address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			_, _ = io.WriteString(c, wholeAnswer)
 		}
@@ -170,7 +170,7 @@
 		}
 		dialed.Add(1)
 		c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-		return &cutConn{Conn: c, armed: armed}, err
+		return &limitedConn{Conn: c, armed: armed}, err
 	}})
 	if _, _, err := forward(t, client, payment(address)); err != nil {
 		t.Fatal(err)
@@ -214,7 +214,7 @@
 		},
 		CauseSilent: func(_ net.Conn, r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) },
 	} {
-		address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) { handle(c, r) })
+		address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) { handle(c, r) })
 		cfg := Config{}
 		if want == CauseSilent {
 			cfg.HeaderTimeout = 1 // any wait is too long
--- a/internal/engineclient/dial.go
+++ b/internal/engineclient/dial.go
@@ -13,11 +13,11 @@
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 2 * time.Second
 	keepAliveCount    = 3
-	// promptIdle, promptInterval and promptCount are for connections with a bound on
+	// fastKeepAliveIdle, promptInterval and promptCount are for connections with a bound on
 	// unacknowledged bytes: TCP counts them in whole seconds.
-	promptIdle     = time.Second
-	promptInterval = time.Second
-	promptCount    = 1
+	fastKeepAliveIdle     = time.Second
+	fastKeepAliveInterval = time.Second
+	fastKeepAliveCount    = 1
 )
 
 // tcpDialer notices a connection that the network has lost by its missing keepalive
@@ -27,7 +27,7 @@
 	d := &net.Dialer{Timeout: cfg.DialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}}
 	if cfg.Unacknowledged > 0 {
-		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: promptIdle, Interval: promptInterval, Count: promptCount}
+		d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: fastKeepAliveIdle, Interval: fastKeepAliveInterval, Count: fastKeepAliveCount}
 		d.Control = boundUnacknowledged(cfg.Unacknowledged)
 	}
 	if cfg.Source != "" {
--- a/internal/engineclient/forward.go
+++ b/internal/engineclient/forward.go
@@ -40,15 +40,15 @@
 			f.Early = !d.encoded.Load()
 			return res, nil
 		}
-		if !d.kept || !d.unsent() || ctx.Err() != nil || unsent > c.cfg.IdlePerServer {
+		if !d.reused || !d.unsent() || ctx.Err() != nil || unsent > c.cfg.IdlePerServer {
 			return nil, err
 		}
 	}
 }
 
 // forward makes one try of Forward.
-func (c *Client) forward(ctx context.Context, f *Forward) (*http.Response, *delivery, error) {
-	d := &delivery{}
+func (c *Client) forward(ctx context.Context, f *Forward) (*http.Response, *exchangeTrace, error) {
+	d := &exchangeTrace{}
 	u, err := url.ParseRequestURI(f.Target)
 	if err != nil {
 		return nil, d, &Error{Ran: errkind.RanNo, Cause: CauseInvalid, Message: err.Error()}
@@ -58,13 +58,13 @@
 		Method: f.Method, URL: u, Host: f.Host, Header: f.Header,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Body: body(f), ContentLength: int64(len(f.Body)),
-	}).WithContext(d.follow(ctx))
+	}).WithContext(d.withTrace(ctx))
 	if _, given := f.Header["User-Agent"]; !given {
 		f.Header["User-Agent"] = []string{""} // net/http would name itself
 	}
 	res, err := c.pool(f.Address).RoundTrip(req)
 	if err != nil {
-		return nil, d, d.failed(ctx, err)
+		return nil, d, d.failure(ctx, err)
 	}
 	return res, d, nil
 }
@@ -79,8 +79,8 @@
 // An empty body of that form would be sent in chunks with a POST. There the header is
 // hidden from net/http instead, which looks for its usual spelling only.
 func body(f *Forward) io.ReadCloser {
-	if len(f.Body) > 0 || mostlyWithoutBody(f.Method) {
-		return once{bytes.NewReader(f.Body)}
+	if len(f.Body) > 0 || isUsuallyBodyless(f.Method) {
+		return singleReadBody{bytes.NewReader(f.Body)}
 	}
 	for _, key := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		if values, given := f.Header[key]; given {
@@ -91,9 +91,9 @@
 	return http.NoBody
 }
 
-// mostlyWithoutBody tells whether net/http sends no body of the method before it has seen
+// isUsuallyBodyless tells whether net/http sends no body of the method before it has seen
 // its first byte.
-func mostlyWithoutBody(method string) bool {
+func isUsuallyBodyless(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodDelete, http.MethodOptions:
 		return true
@@ -101,10 +101,10 @@
 	return false
 }
 
-// once is a request body that can be read a single time.
-type once struct{ *bytes.Reader }
+// singleReadBody is a request body that can be read a single time.
+type singleReadBody struct{ *bytes.Reader }
 
 // Close implements io.Closer.
-func (once) Close() error { return nil }
+func (singleReadBody) Close() error { return nil }
 
-var _ io.ReadCloser = once{}
+var _ io.ReadCloser = singleReadBody{}
--- a/internal/engineclient/forward_test.go
+++ b/internal/engineclient/forward_test.go
@@ -39,8 +39,8 @@
 	return e.Ran
 }
 
-// raw is a server that handles each connection by itself.
-func raw(t *testing.T, handle func(n int, c net.Conn, r *bufio.Reader)) string {
+// startRawServer is a server that handles each connection by itself.
+func startRawServer(t *testing.T, handle func(n int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	l := testutil.Listen(t)
 	t.Cleanup(func() { _ = l.Close() })
@@ -66,7 +66,7 @@
 	// Cause: net/http sends a GET again by itself when a kept connection dies under it.
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete, http.MethodPatch} {
 		var requests atomic.Int64
-		address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			for first := true; ; first = false {
 				req, err := http.ReadRequest(r)
 				if err != nil {
@@ -115,7 +115,7 @@
 		header           http.Header
 	}
 	got := make(chan seen, 1)
-	address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -145,7 +145,7 @@
 	// Sequence: a server sends more than its answer's length says; the bytes wait on the kept
 	// connection for the next request.
 	// Cause: the connection is used again though bytes were left on it.
-	address := raw(t, func(n int, c net.Conn, r *bufio.Reader) {
+	address := startRawServer(t, func(n int, c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
@@ -176,7 +176,7 @@
 		"header": "HTTP/1.1 200 OK\r\nContent-Le",
 		"noise":  "\x00\x01 no answer at all\r\n\r\n",
 	} {
-		address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if _, err := http.ReadRequest(r); err == nil {
 				_, _ = io.WriteString(c, answer)
 			}
@@ -189,7 +189,7 @@
 
 func TestCallerWhoLeavesEndsTheExchange(t *testing.T) {
 	closed := make(chan struct{})
-	address := raw(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
--- a/internal/filter/dispatch/model.go
+++ b/internal/filter/dispatch/model.go
@@ -279,7 +279,7 @@
 			a.failures++
 		}
 		a.c.Outcome.Silent = true
-		a.f.Client.Renew(a.server)
+		a.f.Client.DropConnections(a.server)
 		return silence
 	}
 	if errors.Is(err, io.EOF) {
--- a/internal/filter/dispatch/service.go
+++ b/internal/filter/dispatch/service.go
@@ -47,7 +47,7 @@
 	}
 	if try.Err() != nil {
 		c.Outcome.Silent = true
-		f.Client.Renew(server)
+		f.Client.DropConnections(server)
 	} else if engineclient.CauseOf(err).CrashLike() {
 		broke(c, server, began)
 	}
