--- a/internal/engineclient/conn_test.go
+++ b/internal/engineclient/conn_test.go
@@ -73,7 +73,7 @@
 // Sequence: the server closes an idle connection, or sends a surplus answer on it; a
 // request takes the connection before the goroutine that reads it has noticed.
 // Cause: the request is written to a connection that the kernel already knows to be over.
-func TestIdleConnectionThatEndedIsLeft(t *testing.T) {
+func TestEndedIdleConnectionIsNotUsed(t *testing.T) {
 	for name, after := range map[string]string{"closed": "", "surplus answer": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
 		var requests atomic.Int64
 		answered, ready := make(chan struct{}), make(chan struct{})
