--- a/internal/engineclient/conn_test.go
+++ b/internal/engineclient/conn_test.go
@@ -114,7 +114,7 @@
 
 // Symptom and cause as above, where a write fails before it has taken a byte; and its
 // reverse: after a single byte nobody may promise that the request did not run.
-func TestWrittenBytesDecideWhatIsKnown(t *testing.T) {
+func TestWrittenBytesDecideRan(t *testing.T) {
 	for name, c := range map[string]struct {
 		room   int
 		served bool
