--- a/internal/engineclient/conn_test.go
+++ b/internal/engineclient/conn_test.go
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestServerThatClosesAllKeptConnections(t *testing.T) {
+func TestAttemptsOnClosedIdleConnectionsAreBounded(t *testing.T) {
 	// A server whose connections end before a byte is written is asked a bounded number of
 	// times, and what is said of the run stays true: no.
 	address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
