--- a/internal/engineclient/manykept_test.go
+++ b/internal/engineclient/manykept_test.go
@@ -16,7 +16,7 @@
 // Sequence: it has closed all its idle connections; this host, short of processor, has noticed
 // none of that when the next request comes.
 // Cause: after eight that had ended the request was given up, though none was tried anew.
-func TestServerThatClosedAllKeptConnectionsIsReached(t *testing.T) {
+func TestRequestAfterAllIdleConnectionsClosed(t *testing.T) {
 	const kept = 40
 	l := testutil.Listen(t)
 	t.Cleanup(func() { _ = l.Close() })
