--- a/internal/engineclient/forward_test.go
+++ b/internal/engineclient/forward_test.go
@@ -59,7 +59,7 @@
 	return l.Addr().String()
 }
 
-func TestDeadKeptConnectionSendsNothingTwice(t *testing.T) {
+func TestNoResendOnClosedReusedConnection(t *testing.T) {
 	// Symptom: a server sees a request twice, and the allowance for retries was not asked.
 	// Sequence: a connection is kept after an answer; the server reads the next request on
 	// it and closes without a word.
