--- a/internal/engineclient/forward_test.go
+++ b/internal/engineclient/forward_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestRequestGoesOnAsItCame(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	type seen struct {
 		line, host, body string
 		header           http.Header
