--- a/internal/engineclient/forward_test.go
+++ b/internal/engineclient/forward_test.go
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestAnswerCutShortIsAnError(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
