--- a/internal/engineclient/forward_test.go
+++ b/internal/engineclient/forward_test.go
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestSilentServerIsGivenUp(t *testing.T) {
+func TestUserTimeoutIsSet(t *testing.T) {
 	// The bound on unacknowledged bytes needs a peer that is cut off, which loopback can't
 	// show; that the option is set on the socket can be seen.
 	d := tcpDialer(Config{DialTimeout: time.Second, Unacknowledged: 800 * time.Millisecond})
