--- a/internal/engineclient/heard_test.go
+++ b/internal/engineclient/heard_test.go
@@ -8,7 +8,7 @@
 
 // Guards against words of a server that are lost with its refusals, or taken from an answer to
 // another request.
-func TestServersWordsAreHeard(t *testing.T) {
+func TestObservations(t *testing.T) {
 	var answer func(w http.ResponseWriter)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { answer(w) }))
 	defer s.Close()
