--- a/internal/engineclient/cause.go
+++ b/internal/engineclient/cause.go
@@ -10,15 +10,15 @@
 	pkgerrors "github.com/pkg/errors"
 )
 
-// Cause is what became of one exchange with a backend server. The list is closed, so
-// that logs can be searched and counters kept by it.
+// Cause is the outcome of one exchange with a backend server. The set of values is fixed, so
+// that logs can be searched and counters kept by cause.
 type Cause string
 
 // Causes of exchanges without an answer, in the order in which an exchange proceeds.
 const (
-	// CauseAnswered: the answer came and was passed on.
+	// CauseAnswered: the answer arrived and was passed on.
 	CauseAnswered Cause = "answered"
-	// CauseInvalid: the request can't be sent as it is.
+	// CauseInvalid: the request is invalid and can't be sent.
 	CauseInvalid Cause = "invalid_request"
 	// CauseRefused: the server's machine refused the connection.
 	CauseRefused Cause = "refused"
@@ -26,47 +26,50 @@
 	CauseDialTimeout Cause = "dial_timeout"
 	// CauseDialFailed: the connection could not be established for another reason.
 	CauseDialFailed Cause = "dial_failed"
-	// CauseUnsent: the connection ended before a byte of the request was written to it.
+	// CauseUnsent: the connection ended before any byte of the request was written to it.
 	CauseUnsent Cause = "unsent"
-	// CauseHalfSent: the connection ended while the request was written.
+	// CauseHalfSent: the connection ended while the request was being written.
 	CauseHalfSent Cause = "half_sent"
 	// CauseReset: the connection was reset before the answer's first byte.
 	CauseReset Cause = "reset_before_answer"
-	// CauseClosed: the connection was closed in order before the answer's first byte.
+	// CauseClosed: the connection was closed normally (FIN) before the answer's first byte.
 	CauseClosed Cause = "closed_before_answer"
-	// CauseSilent: no byte of an answer came in time, or the server's machine
-	// acknowledged none of the request's.
+	// CauseSilent: no byte of an answer arrived in time, or the server's machine acknowledged
+	// none of the bytes sent.
 	CauseSilent Cause = "silent"
 	// CauseHeadTruncated: the connection ended within the answer's status line and headers.
 	CauseHeadTruncated Cause = "cut_in_head"
-	// CauseGarbled: bytes came that are no answer.
+	// CauseGarbled: the bytes received are not an HTTP answer.
 	CauseGarbled Cause = "garbled"
-	// CauseRequestEnded: the request's own end, by its caller or its deadline, ended the exchange.
+	// CauseRequestEnded: the exchange ended because the request did: its caller left or its
+	// deadline passed.
 	CauseRequestEnded Cause = "ended_by_request"
 )
 
-// Causes that the reader of an answer finds.
+// Causes determined by whoever reads the answer.
 const (
-	// CauseShed: the server said that it did not run the request.
+	// CauseShed: the server reported that it did not run the request.
 	CauseShed Cause = "shed"
-	// CauseOtherInstance: another instance has the address.
+	// CauseOtherInstance: the address now belongs to another instance.
 	CauseOtherInstance Cause = "other_instance"
-	// CauseOtherRequest: the answer names another request.
+	// CauseOtherRequest: the answer carries the ID of another request.
 	CauseOtherRequest Cause = "other_request"
-	// CauseSwitchedProtocols: the server switched protocols unasked.
+	// CauseSwitchedProtocols: the server switched protocols without being asked to.
 	CauseSwitchedProtocols Cause = "switched_protocols"
-	// CauseBodyTruncated: the answer broke off, and the caller has none of it.
+	// CauseBodyTruncated: the answer was truncated and no part of it was passed to the caller.
 	CauseBodyTruncated Cause = "cut_in_body"
-	// CauseStreamTruncated: the answer broke off, and the caller has its beginning.
+	// CauseStreamTruncated: the answer was truncated after its beginning was passed to the
+	// caller.
 	CauseStreamTruncated Cause = "cut_in_stream"
-	// CauseNoStream: something else came in place of the rest of a stream.
+	// CauseNoStream: the server answered with something other than the rest of a stream.
 	CauseNoStream Cause = "no_stream"
-	// CauseServerFault: the server answered that it failed, and another one was asked.
+	// CauseServerFault: the server answered with an error status, and the request was sent to
+	// another server.
 	CauseServerFault Cause = "server_fault"
 )
 
-// CrashLike tells whether an exchange ended as those do whose server crashes: the server had
-// all of the request, and its side ended the connection.
+// CrashLike reports whether the exchange ended the way it does when a server crashes: the
+// server had received the whole request, and its side ended the connection.
 func (c Cause) CrashLike() bool {
 	switch c {
 	case CauseReset, CauseClosed, CauseHeadTruncated, CauseBodyTruncated, CauseStreamTruncated:
@@ -75,7 +78,7 @@
 	return false
 }
 
-// CauseOf is the cause of a failed call; CauseGarbled for an error that is not an *Error.
+// CauseOf returns the cause of a failed call; CauseGarbled for an error that is not an *Error.
 func CauseOf(err error) Cause {
 	var e *Error
 	if pkgerrors.As(err, &e) && e.Cause != "" {
@@ -84,7 +87,7 @@
 	return CauseGarbled
 }
 
-// dialCause is the cause of an exchange for which no connection was had.
+// dialCause returns the cause of an exchange for which no connection was established.
 func dialCause(ctx context.Context, err error) Cause {
 	var timeout net.Error
 	switch {
@@ -98,22 +101,22 @@
 	return CauseDialFailed
 }
 
-// exchangeCause is the cause of an exchange that failed on connection d.conn.
-func exchangeCause(ctx context.Context, d *exchangeTrace, err error) Cause {
+// exchangeCause returns the cause of an exchange that failed on its connection.
+func exchangeCause(ctx context.Context, trace *exchangeTrace, err error) Cause {
 	switch {
 	case ctx.Err() != nil:
 		return CauseRequestEnded
-	case d.unsent():
+	case trace.unsent():
 		return CauseUnsent
-	case errors.Is(d.conn.writeFailure(), syscall.ETIMEDOUT):
+	case errors.Is(trace.conn.writeFailure(), syscall.ETIMEDOUT):
 		return CauseSilent
-	case !d.answerBegun() && !d.fullyWritten():
+	case !trace.answerBegun() && !trace.fullyWritten():
 		return CauseHalfSent
 	case timedOut(err):
 		return CauseSilent
-	case d.answerBegun() && d.conn.readEnded.Load():
+	case trace.answerBegun() && trace.conn.readEnded.Load():
 		return CauseHeadTruncated
-	case d.answerBegun():
+	case trace.answerBegun():
 		return CauseGarbled
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
 		return CauseReset
--- a/internal/engineclient/client.go
+++ b/internal/engineclient/client.go
@@ -1,6 +1,6 @@
-// Package engineclient calls backend servers over HTTP: model engines, whose streams
-// it starts, resumes and cancels, and plain services. Its errors say whether the
-// request can have run, which decides whether it may be sent again.
+// Package engineclient calls backend servers over HTTP: model engines, whose streams it
+// starts, resumes and cancels, and plain services. Its errors report whether the request may
+// have run, which decides whether it may be sent again.
 package engineclient
 
 import (
@@ -27,12 +27,12 @@
 
 // Headers between a host and a backend server.
 const (
-	// HeaderEngineRequest names a run at its engine, for resume and cancel.
+	// HeaderEngineRequest carries the ID of a run at its engine, for resume and cancel.
 	HeaderEngineRequest = "Bluebellsail-Engine-Request"
-	// HeaderRan set to "no" by a backend server says that it did not run the request.
+	// HeaderRan is set to "no" by a backend server that did not run the request.
 	HeaderRan = "Bluebellsail-Ran"
-	// HeaderRateLimit says how many requests a second a backend server takes from all hosts
-	// together, as a decimal number.
+	// HeaderRateLimit advertises how many requests per second a backend server accepts from
+	// all hosts together, as a decimal number.
 	HeaderRateLimit = "Bluebellsail-Rate-Limit"
 )
 
@@ -47,42 +47,44 @@
 	maxHeaderBytes       = 64 << 10
 )
 
-// Config of a Client. Zero fields take the defaults above.
+// Config configures a Client. Zero fields take the defaults above.
 type Config struct {
 	DialTimeout time.Duration
 	// HeaderTimeout bounds the time from the request's last byte to the answer's first.
 	HeaderTimeout time.Duration
-	// IdlePerServer is how many idle connections are kept per backend server, IdleTimeout
-	// how long each; less than the time after which servers close theirs.
+	// IdlePerServer is how many idle connections are kept per backend server, IdleTimeout how
+	// long each is kept. IdleTimeout should be shorter than the time after which servers close
+	// idle connections.
 	IdlePerServer int
 	IdleTimeout   time.Duration
-	// Unacknowledged bounds how long sent bytes may stay unacknowledged until a connection
-	// is given up; 0: no bound of its own.
+	// Unacknowledged bounds how long sent bytes may stay unacknowledged before the connection
+	// is closed; 0: no bound beyond that of the system.
 	Unacknowledged time.Duration
-	// Source is the IP number that connections are opened from; empty: the system's choice.
+	// Source is the IP address that connections are opened from; empty: chosen by the system.
 	Source string
 	// Dial opens connections; nil: TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// MaxAnswer bounds the body of a plain service's answer, in bytes.
 	MaxAnswer int64
-	// Observe is told what servers say of themselves with their answers; nil: nobody is.
+	// Observe is called with what servers report about themselves in their answers; nil: no
+	// call.
 	Observe func(Observation)
 }
 
-// Observation is what a server says of itself with an answer.
+// Observation is what a server reports about itself in an answer.
 type Observation struct {
 	Address   string
 	RequestID string
-	// Sent is when the request was sent that it answers.
+	// Sent is when the request was sent that this answer belongs to.
 	Sent time.Time
-	// RateLimit is the header's text; empty: none is named.
+	// RateLimit is the value of HeaderRateLimit; empty: none is advertised.
 	RateLimit string
-	// RetryAfter is the header's text in an answer that turns the request away (503 or 429):
-	// the server wants nothing from this host for so long.
+	// RetryAfter is the value of Retry-After in a rejection (503 or 429): the server is to
+	// receive nothing from this host for that time.
 	RetryAfter string
 }
 
-// Client calls any number of backend servers, each over connections of its own.
+// Client calls any number of backend servers. Each has its own connections.
 type Client struct {
 	cfg     Config
 	mu      sync.Mutex
@@ -90,7 +92,7 @@
 	oneShot *http.Transport
 }
 
-// New makes a Client.
+// New returns a Client.
 func New(cfg Config) *Client {
 	defaults.Set(&cfg.DialTimeout, DefaultDialTimeout)
 	defaults.Set(&cfg.HeaderTimeout, DefaultHeaderTimeout)
@@ -129,19 +131,19 @@
 	return t
 }
 
-// DropConnections makes further calls to address use new connections. Idle ones are closed;
-// those in use close when their call ends.
+// DropConnections makes further calls to address use new connections. Idle connections are
+// closed; those in use close when their call ends.
 //
-// What goes wrong without it: something between the two ends forgets its
-// connections. The one in use is noticed by its silence, but the idle ones beside
-// it are as dead, and each next call would find that out anew.
+// A device between the two ends may lose track of its connections. The call on the connection
+// in use then times out, but the idle connections beside it are dead as well, and without
+// DropConnections each of the next calls would time out on one of them.
 func (c *Client) DropConnections(address string) {
 	c.mu.Lock()
 	old := c.pools[address]
 	delete(c.pools, address)
 	c.mu.Unlock()
 	if old != nil {
-		// Also makes connections in use close when they come back.
+		// Also makes connections in use close when they become idle.
 		old.CloseIdleConnections()
 	}
 }
@@ -156,7 +158,7 @@
 	c.pools = make(map[string]*http.Transport)
 }
 
-// Request is one call of a backend server.
+// Request is one call to a backend server.
 type Request struct {
 	Address string
 	Method  string
@@ -164,26 +166,26 @@
 	Path        string
 	ContentType string
 	Body        []byte
-	// EngineRequestID names the run.
+	// EngineRequestID is the ID of the run.
 	EngineRequestID string
-	// IdempotencyKey lets a plain service recognise a request that comes again.
+	// IdempotencyKey lets a plain service recognize a request that is sent again.
 	IdempotencyKey string
-	// Remaining is the time left until the caller's deadline; 0: not said.
+	// Remaining is the time left until the caller's deadline; 0: not sent.
 	Remaining time.Duration
-	// Fresh asks for a connection of its own. For requests that must not run twice:
-	// net/http may send a request again by itself when an idle connection turns out
-	// to be closed, and an idle connection that went silent leaves the outcome unknown.
+	// Fresh requests a new connection. It is for requests that must not run twice: net/http
+	// may resend a request by itself when an idle connection turns out to be closed, and an
+	// idle connection that no longer delivers anything leaves the outcome unknown.
 	Fresh bool
 }
 
-// Error of a call, with what is known of the run.
+// Error is the error of a call, with what is known about the run.
 type Error struct {
 	Ran errkind.Ran
-	// Cause of the failure; empty: the server's answer is the failure.
+	// Cause of the failure; empty: the server's answer itself is the failure.
 	Cause Cause
-	// Status of the answer; 0: there was none.
+	// Status of the answer; 0: there was no answer.
 	Status int
-	// Refused: the server itself said that it did not run the request.
+	// Refused: the server reported that it did not run the request.
 	Refused bool
 	Message string
 }
@@ -191,16 +193,16 @@
 // Error implements error.
 func (e *Error) Error() string { return e.Message }
 
-// send runs one exchange. A nil error comes with an open body. The error's Ran is
-// "no" only if no byte of the request was written to a connection.
+// send performs one exchange. If the error is nil, the answer's body is open. The error's Ran
+// is "no" only if no byte of the request was written to a connection.
 func (c *Client) send(ctx context.Context, r Request) (*http.Response, error) {
-	var d exchangeTrace
-	req, err := http.NewRequestWithContext(d.withTrace(ctx), r.Method, "http://"+r.Address+r.Path, nil)
+	var trace exchangeTrace
+	req, err := http.NewRequestWithContext(trace.withTrace(ctx), r.Method, "http://"+r.Address+r.Path, nil)
 	if err != nil {
 		return nil, &Error{Ran: errkind.RanNo, Cause: CauseInvalid, Message: err.Error()}
 	}
 	if len(r.Body) > 0 {
-		// No GetBody: net/http must not send the body a second time by itself.
+		// No GetBody, so that net/http does not send the body a second time by itself.
 		req.Body = io.NopCloser(bytes.NewReader(r.Body))
 		req.ContentLength = int64(len(r.Body))
 	}
@@ -212,27 +214,27 @@
 	sent := time.Now()
 	res, err := transport.RoundTrip(req)
 	if err != nil {
-		return nil, d.failure(ctx, err)
+		return nil, trace.failure(ctx, err)
 	}
 	c.observe(r, res, sent)
 	return res, nil
 }
 
-// observe tells what a server says of itself. An answer to another request, which came late, may be
-// of a run of the server that has ended.
+// observe passes on what a server reports in an answer. A late answer to another request is
+// skipped, because it may come from an earlier incarnation of the server.
 func (c *Client) observe(r Request, res *http.Response, sent time.Time) {
 	id := res.Header.Get(HeaderEngineRequest)
 	if c.cfg.Observe == nil || r.EngineRequestID != "" && id != "" && id != r.EngineRequestID {
 		return
 	}
-	said := Observation{Address: r.Address, RequestID: r.EngineRequestID, Sent: sent, RateLimit: res.Header.Get(HeaderRateLimit)}
+	obs := Observation{Address: r.Address, RequestID: r.EngineRequestID, Sent: sent, RateLimit: res.Header.Get(HeaderRateLimit)}
 	if res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests {
-		said.RetryAfter = res.Header.Get("Retry-After")
+		obs.RetryAfter = res.Header.Get("Retry-After")
 	}
-	c.cfg.Observe(said)
+	c.cfg.Observe(obs)
 }
 
-// exchange is send for orders about a run: an answer that is no success is an error.
+// exchange is send for requests about a run: an answer that is not a success is an error.
 func (c *Client) exchange(ctx context.Context, r Request) (*http.Response, error) {
 	res, err := c.send(ctx, r)
 	if err != nil {
@@ -260,7 +262,7 @@
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(req.Header))
 }
 
-// statusError reads a refusal of the server and closes its body.
+// statusError converts an answer with an error status to an Error and closes the body.
 func statusError(res *http.Response) *Error {
 	body, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBody))
 	_ = res.Body.Close()
@@ -282,8 +284,7 @@
 	return newStream(res, r.EngineRequestID)
 }
 
-// Resume reads the stream of a run again from its token number from on, over a new
-// connection.
+// Resume reads the stream of a run again over a new connection, starting at token number from.
 func (c *Client) Resume(ctx context.Context, address, engineRequestID string, from uint64) (*Stream, error) {
 	path := streamPath(engineRequestID) + "?from=" + strconv.FormatUint(from, 10)
 	res, err := c.send(ctx, Request{Address: address, Method: http.MethodGet, Path: path, Fresh: true})
@@ -312,14 +313,14 @@
 
 func streamPath(id string) string { return "/v1/streams/" + url.PathEscape(id) }
 
-// Answer of a plain service.
+// Answer is the answer of a plain service.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Call makes one call of a plain service and reads its whole answer.
+// Call makes one call to a plain service and reads the whole answer.
 func (c *Client) Call(ctx context.Context, r Request) (*Answer, error) {
 	res, err := c.send(ctx, r)
 	if err != nil {
@@ -337,20 +338,20 @@
 		return nil, &Error{Ran: errkind.RanUnknown, Status: res.StatusCode, Message: err.Error()}
 	}
 	if int64(len(body)) > c.cfg.MaxAnswer {
-		return nil, &Error{Ran: errkind.RanYes, Status: res.StatusCode, Message: "the answer is too long"}
+		return nil, &Error{Ran: errkind.RanYes, Status: res.StatusCode, Message: "the answer is longer than the limit"}
 	}
 	return &Answer{Status: res.StatusCode, ContentType: res.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// errOtherAnswer is returned for an answer that names another run: one that came
-// late or crossed on the connection. It is dropped.
+// errOtherAnswer is returned for an answer with the ID of another run: one that arrived late
+// or was delivered on the wrong connection. The answer is dropped.
 var errOtherAnswer = errors.New("the answer belongs to another run")
 
-// CrossedAnswers counts answers dropped as errOtherAnswer.
+// CrossedAnswers counts the answers dropped with errOtherAnswer.
 var CrossedAnswers atomic.Int64
 
-// checkID makes sure that the answer is for this run, by id and not by its position
-// on the connection. On a mismatch the body is closed.
+// checkID checks by ID that the answer belongs to this run, since the position on the
+// connection does not prove it. On a mismatch it closes the body.
 func checkID(res *http.Response, id string) error {
 	got := res.Header.Get(HeaderEngineRequest)
 	if id == "" || got == "" || got == id {
--- a/internal/engineclient/conn.go
+++ b/internal/engineclient/conn.go
@@ -11,42 +11,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// answerAfterWrite bounds the wait for an answer after a write has failed. What the
-// server sent before it closed is with the kernel already, or a packet behind.
+// answerAfterWrite bounds the wait for an answer after a write has failed. What the server
+// sent before it closed the connection is in the kernel already, or at most a packet behind.
 const answerAfterWrite = 500 * time.Millisecond
 
-// errUnexpectedData ends a kept connection on which something came that no request waits for.
-var errUnexpectedData = errors.New("bytes or an end came on the idle connection")
+// errUnexpectedData ends an idle connection on which bytes or the end of the stream arrived
+// although no request was waiting for an answer.
+var errUnexpectedData = errors.New("idle connection received unexpected data or was closed by the server")
 
-// countingConn counts what passes over a connection to a backend server, and lets reading
-// alone decide how a request ends of which part was written.
+// countingConn counts the bytes read and written on a connection to a backend server. Once
+// part of a request was written, it hides write errors, so that only the reading side decides
+// how the request ends.
 //
-// What goes wrong without the counts: net/http doesn't tell whether any byte of a request
-// that failed on a kept connection was written. One that surely did not reach the server
-// would have to be answered as one that may have run, and its caller would neither be
-// served by another server nor be told that it may send it again.
+// The counts are needed because net/http does not tell whether any byte of a request that
+// failed on a reused connection was written. A request that certainly did not reach the server
+// would have to be answered as one that may have run: it could not be sent to another server,
+// and its caller would not learn that it may be sent again.
 //
-// What goes wrong if a failed write ends a request: a server that answers before it has
-// read a long body, and closes, is answered with 502, since net/http takes the failure to
-// write for the end of the exchange and drops the answer that has come. One would notice
-// attempts half_sent at servers that say they refused them.
+// Write errors are hidden because a server may answer before it has read a long body, and
+// close the connection. net/http takes the failed write for the end of the exchange and drops
+// the answer that has arrived, so the caller would get a 502 and the log would show half_sent
+// attempts at servers that report rejections.
 type countingConn struct {
 	net.Conn
 	read, written atomic.Int64
-	// readEnded: a Read has failed, for good.
+	// readEnded is set once a Read has failed; no further Read succeeds.
 	readEnded atomic.Bool
 	// writeErr is the first failure of a Write.
 	writeErr atomic.Pointer[error]
 
-	// Of the request under way, set before its first Write: how many bytes had passed, and
-	// whether the connection was kept idle before it.
+	// startRead and startWritten are the byte counts when the request under way was given the
+	// connection. checkBeforeWrite is set if the connection was idle before that and is
+	// cleared by the first Write.
 	startRead, startWritten int64
-	checkBeforeWrite                    bool
+	checkBeforeWrite        bool
 }
 
-// begin notes that a request was given the connection.
-func (c *countingConn) begin(kept bool) {
-	c.startRead, c.startWritten, c.checkBeforeWrite = c.read.Load(), c.written.Load(), kept
+// begin records that a request was given the connection. reused reports whether the connection
+// was used or idle before.
+func (c *countingConn) begin(reused bool) {
+	c.startRead, c.startWritten, c.checkBeforeWrite = c.read.Load(), c.written.Load(), reused
 }
 
 // Read counts the bytes read.
@@ -59,9 +63,9 @@
 	return n, err
 }
 
-// Write counts the bytes that the kernel took. It writes nothing of a request to a kept
-// connection that is not sound any more. Once a part of a request was written, further
-// failures are kept for writeFailure and the rest is dropped.
+// Write writes b and counts the bytes that the kernel accepted. It writes nothing of a request
+// to a reused connection that is no longer usable. Once part of a request was written, the
+// first error is kept for writeFailure and the remaining bytes are dropped.
 func (c *countingConn) Write(b []byte) (int, error) {
 	if c.checkBeforeWrite {
 		c.checkBeforeWrite = false
@@ -83,17 +87,17 @@
 	return c.afterFailure(b, err)
 }
 
-// afterFailure is the result of a Write that failed, or came after a failed one.
+// afterFailure returns the result of a Write that failed or that follows a failed one.
 func (c *countingConn) afterFailure(b []byte, err error) (int, error) {
 	if c.written.Load() == c.startWritten {
-		return 0, err // nothing was written: there is no answer to wait for
+		return 0, err // nothing was written, so no answer can come
 	}
 	return len(b), nil
 }
 
 func (c *countingConn) failWrite(err error) { c.writeErr.CompareAndSwap(nil, &err) }
 
-// writeFailure is the first failure of a Write; nil: none.
+// writeFailure returns the first error of a Write; nil: none.
 func (c *countingConn) writeFailure() error {
 	if err := c.writeErr.Load(); err != nil {
 		return *err
@@ -101,18 +105,18 @@
 	return nil
 }
 
-// checkIdle tells whether a kept connection is still as its last answer left it: open,
-// with nothing to read.
+// checkIdle returns an error unless an idle connection is still as its last answer left it:
+// open, with nothing to read.
 //
-// What goes wrong without it: the server closes an idle connection, or sends an answer
-// twice, and the goroutine that would notice has not run yet, as on a host short of
-// processor time. The next request is written to the dead connection and its outcome is
-// unknown, or it is answered with bytes meant for another one. One would notice resets
-// and answers of other requests that come in the first millisecond after idle times.
-// Asking the kernel in the moment of the write leaves only what is still on its way.
+// The server may close an idle connection, or send an answer twice, and the goroutine of
+// net/http that would notice may not have run yet, for example on a host short of processor
+// time. Without the check the next request would be written to the dead connection and its
+// outcome would be unknown, or it would be answered with bytes meant for another request. Such
+// resets and mismatched answers show within the first millisecond after an idle period. Asking
+// the kernel right before the write leaves only what is still in transit.
 func (c *countingConn) checkIdle() error {
 	if err := c.writeFailure(); err != nil {
-		return err // of the request before, whose answer came all the same
+		return err // of the previous request, whose answer arrived nevertheless
 	}
 	if c.read.Load() != c.startRead {
 		return errUnexpectedData
@@ -132,16 +136,16 @@
 	})
 	switch {
 	case err != nil:
-		return err // closed at this end
+		return err // closed on this side
 	case peekErr == nil:
-		return errUnexpectedData // an end of the stream, or bytes
+		return errUnexpectedData // the end of the stream, or unexpected bytes
 	case errors.Is(peekErr, unix.ECONNRESET), errors.Is(peekErr, unix.EPIPE), errors.Is(peekErr, unix.ETIMEDOUT):
 		return peekErr
 	}
-	return nil // nothing to read, or the system can't tell
+	return nil // nothing to read, or the state can't be determined
 }
 
-// withCounting makes dial return connections that count.
+// withCounting wraps dial so that it returns countingConns.
 func withCounting(dial func(ctx context.Context, network, address string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
--- a/internal/engineclient/conn_test.go
+++ b/internal/engineclient/conn_test.go
@@ -17,8 +17,8 @@
 
 const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// blockedConn holds back the reading goroutine of net/http once an answer was read, as a
-// host short of processor time does.
+// blockedConn blocks net/http's reading goroutine after the first read, as happens on a host
+// short of processor time.
 type blockedConn struct {
 	*net.TCPConn
 	reads atomic.Int64
@@ -32,7 +32,7 @@
 	return c.TCPConn.Read(b)
 }
 
-// limitedConn takes room bytes from its second request on, and is reset then.
+// limitedConn accepts room more bytes once armed, and fails with a reset after them.
 type limitedConn struct {
 	net.Conn
 	armed *atomic.Bool
@@ -63,16 +63,16 @@
 	}
 }
 
-// payment is a request that may run once only.
+// payment is a request that must not run more than once.
 func payment(address string) *Forward {
 	return &Forward{Address: address, Method: http.MethodPost, Target: "/pay", Host: "h", Body: []byte("1 token"), Header: http.Header{}}
 }
 
-// Symptom: a payment that no server has seen is answered "may have run", and its caller
-// can neither be served nor send it again.
-// Sequence: the server closes an idle connection, or sends a surplus answer on it; a
-// request takes the connection before the goroutine that reads it has noticed.
-// Cause: the request is written to a connection that the kernel already knows to be over.
+// Guards against a request that is reported as one that may have run although no server
+// received it. The server closes an idle connection, or sends a surplus answer on it, and a
+// request is given the connection before the goroutine that reads it has noticed. Unless the
+// connection is checked first, the request is written to a connection that the kernel already
+// knows to have ended.
 func TestEndedIdleConnectionIsNotUsed(t *testing.T) {
 	for name, after := range map[string]string{"closed": "", "surplus answer": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
 		var requests atomic.Int64
@@ -106,14 +106,15 @@
 			t.Errorf("%s: second request: %q %v", name, body, err)
 		}
 		if n := requests.Load(); n != 2 {
-			t.Errorf("%s: the server saw %d requests, want 2", name, n)
+			t.Errorf("%s: the server received %d requests, want 2", name, n)
 		}
 		close(held)
 	}
 }
 
-// Symptom and cause as above, where a write fails before it has taken a byte; and its
-// reverse: after a single byte nobody may promise that the request did not run.
+// Guards against the same fault where a write fails before any byte was written, and against
+// the reverse: after a single byte the request may have run, so it must not be reported as not
+// run.
 func TestWrittenBytesDecideRan(t *testing.T) {
 	for name, c := range map[string]struct {
 		room   int
@@ -154,8 +155,8 @@
 }
 
 func TestAttemptsOnClosedIdleConnectionsAreBounded(t *testing.T) {
-	// A server whose connections end before a byte is written is asked a bounded number of
-	// times, and what is said of the run stays true: no.
+	// If connections end before a byte is written, the number of attempts is bounded and the
+	// error still reports that the request did not run.
 	address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			_, _ = io.WriteString(c, wholeAnswer)
@@ -182,7 +183,7 @@
 	}
 }
 
-// Each way in which a server withholds its answer has a cause of its own.
+// Each way in which a server fails to answer has its own cause.
 func TestCauses(t *testing.T) {
 	refused := testutil.Listen(t)
 	_ = refused.Close()
@@ -217,7 +218,7 @@
 		address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) { handle(c, r) })
 		cfg := Config{}
 		if want == CauseSilent {
-			cfg.HeaderTimeout = 1 // any wait is too long
+			cfg.HeaderTimeout = 1 // 1 ns, so that any wait is too long
 		}
 		_, _, err := forward(t, New(cfg), payment(address))
 		if err == nil || CauseOf(err) != want || ranOf(t, err) != errkind.RanUnknown {
--- a/internal/engineclient/delivery.go
+++ b/internal/engineclient/delivery.go
@@ -8,69 +8,71 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// exchangeTrace follows one request onto the connection that it was given. Its fields may be
-// read once RoundTrip has returned: net/http waits for its writing goroutine before it
-// returns an error.
+// exchangeTrace observes one request and the connection that it was given. Its fields may be
+// read once RoundTrip has returned: net/http waits for its writing goroutine before it returns
+// an error.
 type exchangeTrace struct {
 	conn *countingConn
-	// reused: the connection has carried a request before, or waited for one.
+	// reused: the connection was used or idle before this request.
 	reused bool
-	// readBefore and writtenBefore are what had passed over the connection before this request.
+	// readBefore and writtenBefore are the connection's byte counts before this request.
 	readBefore, writtenBefore int64
-	// encoded: all of the request was given to the connection's buffer.
+	// encoded: the whole request was written to the connection's buffer.
 	encoded atomic.Bool
 }
 
-// withTrace returns ctx with the hooks through which net/http reports to d.
-func (d *exchangeTrace) withTrace(ctx context.Context) context.Context {
+// withTrace returns ctx with the hooks through which net/http reports to the trace.
+func (t *exchangeTrace) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: d.gotConn,
+		GotConn: t.gotConn,
 		WroteRequest: func(info httptrace.WroteRequestInfo) {
-			d.encoded.Store(info.Err == nil)
+			t.encoded.Store(info.Err == nil)
 		},
 	})
 }
 
-func (d *exchangeTrace) gotConn(info httptrace.GotConnInfo) {
+func (t *exchangeTrace) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
-	d.conn, d.reused = c, info.Reused
-	d.readBefore, d.writtenBefore = c.read.Load(), c.written.Load()
+	t.conn, t.reused = c, info.Reused
+	t.readBefore, t.writtenBefore = c.read.Load(), c.written.Load()
 	c.begin(info.Reused)
 }
 
-// hasConn tells whether the request was given a connection.
-func (d *exchangeTrace) hasConn() bool { return d.conn != nil }
+// hasConn reports whether the request was given a connection.
+func (t *exchangeTrace) hasConn() bool { return t.conn != nil }
 
-// unsent tells whether no byte of the request was written.
-func (d *exchangeTrace) unsent() bool { return d.conn == nil || d.conn.written.Load() == d.writtenBefore }
+// unsent reports whether no byte of the request was written.
+func (t *exchangeTrace) unsent() bool {
+	return t.conn == nil || t.conn.written.Load() == t.writtenBefore
+}
 
-// fullyWritten tells whether all of the request was written.
-func (d *exchangeTrace) fullyWritten() bool { return d.encoded.Load() && d.conn.writeFailure() == nil }
+// fullyWritten reports whether the whole request was written.
+func (t *exchangeTrace) fullyWritten() bool { return t.encoded.Load() && t.conn.writeFailure() == nil }
 
-// answerBegun tells whether a byte came after the request was given the connection.
-func (d *exchangeTrace) answerBegun() bool { return d.conn != nil && d.conn.read.Load() > d.readBefore }
+// answerBegun reports whether a byte was received after the request was given the connection.
+func (t *exchangeTrace) answerBegun() bool { return t.conn != nil && t.conn.read.Load() > t.readBefore }
 
-// failure is the error of an exchange that brought no answer.
-func (d *exchangeTrace) failure(ctx context.Context, err error) *Error {
-	e := &Error{Ran: errkind.RanUnknown, Message: d.message(err)}
-	if d.unsent() {
+// failure returns the error of an exchange that brought no answer.
+func (t *exchangeTrace) failure(ctx context.Context, err error) *Error {
+	e := &Error{Ran: errkind.RanUnknown, Message: t.message(err)}
+	if t.unsent() {
 		e.Ran = errkind.RanNo
 	}
-	if d.hasConn() {
-		e.Cause = exchangeCause(ctx, d, err)
+	if t.hasConn() {
+		e.Cause = exchangeCause(ctx, t, err)
 	} else {
 		e.Cause = dialCause(ctx, err)
 	}
 	return e
 }
 
-// message are those of err, after those of a failed write that led to it.
-func (d *exchangeTrace) message(err error) string {
-	if d.conn != nil {
-		if write := d.conn.writeFailure(); write != nil && write.Error() != err.Error() {
+// message returns the text of err, preceded by that of the write error that led to it, if any.
+func (t *exchangeTrace) message(err error) string {
+	if t.conn != nil {
+		if write := t.conn.writeFailure(); write != nil && write.Error() != err.Error() {
 			return write.Error() + "; then " + err.Error()
 		}
 	}
--- a/internal/engineclient/dial.go
+++ b/internal/engineclient/dial.go
@@ -13,16 +13,17 @@
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 2 * time.Second
 	keepAliveCount    = 3
-	// fastKeepAliveIdle, promptInterval and promptCount are for connections with a bound on
-	// unacknowledged bytes: TCP counts them in whole seconds.
+	// fastKeepAliveIdle, fastKeepAliveInterval and fastKeepAliveCount are for connections with
+	// a bound on unacknowledged bytes. TCP counts keepalive times in whole seconds.
 	fastKeepAliveIdle     = time.Second
 	fastKeepAliveInterval = time.Second
 	fastKeepAliveCount    = 1
 )
 
-// tcpDialer notices a connection that the network has lost by its missing keepalive
-// answers, after keepAliveIdle + keepAliveCount*keepAliveInterval, or, with a bound on
-// unacknowledged bytes, when that is reached.
+// tcpDialer returns a dialer with TCP keepalive. A connection that the network has lost is
+// detected by its missing keepalive acknowledgments after keepAliveIdle +
+// keepAliveCount*keepAliveInterval, or, with a bound on unacknowledged bytes, when that bound
+// is reached.
 func tcpDialer(cfg Config) *net.Dialer {
 	d := &net.Dialer{Timeout: cfg.DialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}}
@@ -36,12 +37,12 @@
 	return d
 }
 
-// boundUnacknowledged has TCP give a connection up on which sent bytes, keepalives
-// included, stay unacknowledged for longer.
+// boundUnacknowledged makes TCP close a connection on which sent bytes, including keepalives,
+// stay unacknowledged for longer than limit.
 //
-// What goes wrong without it: a server is gone without a word, or the network has lost a
-// connection, and TCP sends again for minutes. One would notice requests that end at
-// their deadline without an answer, all at one server.
+// Without it, TCP retransmits for minutes after a server's machine has disappeared or the
+// network has lost a connection, and requests to that one server end at their deadline without
+// an answer.
 func boundUnacknowledged(limit time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var setErr error
--- a/internal/engineclient/dial_test.go
+++ b/internal/engineclient/dial_test.go
@@ -9,7 +9,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// userTimeout reads a connection's bound on unacknowledged bytes, in milliseconds.
+// userTimeout returns a connection's TCP_USER_TIMEOUT, in milliseconds.
 func userTimeout(t *testing.T, c *net.TCPConn) (ms int) {
 	t.Helper()
 	conn, err := c.SyscallConn()
--- a/internal/engineclient/forward.go
+++ b/internal/engineclient/forward.go
@@ -11,73 +11,75 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// Forward is a caller's request on its way to a backend server, byte for byte but for
-// the headers that concern one connection.
+// Forward is a caller's request to be sent to a backend server unchanged, except for the
+// headers that concern a single connection.
 type Forward struct {
 	Address string
 	Method  string
-	// Target is the path and query as they stood in the caller's request line.
+	// Target is the path and query as in the caller's request line.
 	Target string
 	// Host header of the caller.
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Early is set with an answer that came before all of the request was sent.
+	// Early is set if the answer arrived before the whole request was sent.
 	Early bool
 }
 
-// Forward sends a request once and returns the answer with an open body. The error is
-// an *Error; its Ran is "no" only if no byte of the request was written to a connection.
+// Forward sends a request once and returns the answer with an open body. The error is an
+// *Error; its Ran is "no" only if no byte of the request was written to a connection.
 //
-// A kept connection that ends before a byte was written is left for another one: the
-// server closed it for idleness, which says nothing about the server and reached it in
-// no way. net/http does so only with requests that have no body. As many as are kept may have
-// ended so; after them the connection is a new one.
+// If a reused connection ends before a byte was written, the request is sent on another one:
+// the server closed the connection because it was idle, which is no sign of a fault, and the
+// request did not reach it. net/http does this only for requests without a body. At most
+// IdlePerServer connections can have ended this way; the next one is new.
 func (c *Client) Forward(ctx context.Context, f *Forward) (*http.Response, error) {
 	for unsent := 0; ; unsent++ {
-		res, d, err := c.forward(ctx, f)
+		res, trace, err := c.forward(ctx, f)
 		if err == nil {
-			f.Early = !d.encoded.Load()
+			f.Early = !trace.encoded.Load()
 			return res, nil
 		}
-		if !d.reused || !d.unsent() || ctx.Err() != nil || unsent > c.cfg.IdlePerServer {
+		if !trace.reused || !trace.unsent() || ctx.Err() != nil || unsent > c.cfg.IdlePerServer {
 			return nil, err
 		}
 	}
 }
 
-// forward makes one try of Forward.
+// forward makes one attempt of Forward.
 func (c *Client) forward(ctx context.Context, f *Forward) (*http.Response, *exchangeTrace, error) {
-	d := &exchangeTrace{}
+	trace := &exchangeTrace{}
 	u, err := url.ParseRequestURI(f.Target)
 	if err != nil {
-		return nil, d, &Error{Ran: errkind.RanNo, Cause: CauseInvalid, Message: err.Error()}
+		return nil, trace, &Error{Ran: errkind.RanNo, Cause: CauseInvalid, Message: err.Error()}
 	}
 	u.Scheme, u.Host = "http", f.Address
 	req := (&http.Request{
 		Method: f.Method, URL: u, Host: f.Host, Header: f.Header,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Body: body(f), ContentLength: int64(len(f.Body)),
-	}).WithContext(d.withTrace(ctx))
+	}).WithContext(trace.withTrace(ctx))
 	if _, given := f.Header["User-Agent"]; !given {
-		f.Header["User-Agent"] = []string{""} // net/http would name itself
+		f.Header["User-Agent"] = []string{""} // otherwise net/http sends its own User-Agent
 	}
 	res, err := c.pool(f.Address).RoundTrip(req)
 	if err != nil {
-		return nil, d, d.failure(ctx, err)
+		return nil, trace, trace.failure(ctx, err)
 	}
-	return res, d, nil
+	return res, trace, nil
 }
 
-// body is the request's body in a form that keeps net/http from sending it twice.
+// body returns the request's body in a form that keeps net/http from sending the request
+// twice.
 //
-// What goes wrong with http.NoBody, or a body that can be had again: when a kept
-// connection dies under a request, net/http sends a GET, or any request with an
-// Idempotency-Key, a second time by itself. The server sees two arrivals, and no retry
-// allowance was asked. It repeats no request whose body it can't have again.
+// With http.NoBody, or a body that can be read again, net/http resends a GET, or any request
+// with an Idempotency-Key, by itself when a reused connection ends during the request. The
+// server then sees two requests although the retry budget was not consulted. net/http never
+// resends a request whose body it can't read again.
 //
-// An empty body of that form would be sent in chunks with a POST. There the header is
-// hidden from net/http instead, which looks for its usual spelling only.
+// With other methods, such as POST, an empty body of this form would be sent as chunks. For
+// those the Idempotency-Key header is hidden from net/http, which looks only for its canonical
+// spelling.
 func body(f *Forward) io.ReadCloser {
 	if len(f.Body) > 0 || isUsuallyBodyless(f.Method) {
 		return singleReadBody{bytes.NewReader(f.Body)}
@@ -91,8 +93,8 @@
 	return http.NoBody
 }
 
-// isUsuallyBodyless tells whether net/http sends no body of the method before it has seen
-// its first byte.
+// isUsuallyBodyless reports whether net/http sends no body with the method before it has read
+// the body's first byte.
 func isUsuallyBodyless(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodDelete, http.MethodOptions:
@@ -101,7 +103,7 @@
 	return false
 }
 
-// singleReadBody is a request body that can be read a single time.
+// singleReadBody is a request body that can be read only once.
 type singleReadBody struct{ *bytes.Reader }
 
 // Close implements io.Closer.
--- a/internal/engineclient/forward_test.go
+++ b/internal/engineclient/forward_test.go
@@ -15,7 +15,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// forward sends a request and returns status and body.
+// forward sends a request and returns the answer and its body.
 func forward(t *testing.T, c *Client, f *Forward) (*http.Response, string, error) {
 	t.Helper()
 	if f.Header == nil {
@@ -39,7 +39,8 @@
 	return e.Ran
 }
 
-// startRawServer is a server that handles each connection by itself.
+// startRawServer starts a TCP server that calls handle for each connection, numbered from 1,
+// and returns its address.
 func startRawServer(t *testing.T, handle func(n int, c net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	l := testutil.Listen(t)
@@ -60,10 +61,9 @@
 }
 
 func TestNoResendOnClosedReusedConnection(t *testing.T) {
-	// Symptom: a server sees a request twice, and the allowance for retries was not asked.
-	// Sequence: a connection is kept after an answer; the server reads the next request on
-	// it and closes without a word.
-	// Cause: net/http sends a GET again by itself when a kept connection dies under it.
+	// Guards against a request that net/http sends twice by itself, without consulting the
+	// retry budget. This happens with a GET when a reused connection ends during the request:
+	// the server reads the second request of a connection and closes it without an answer.
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete, http.MethodPatch} {
 		var requests atomic.Int64
 		address := startRawServer(t, func(_ int, c net.Conn, r *bufio.Reader) {
@@ -73,7 +73,7 @@
 					return
 				}
 				if len(req.TransferEncoding) > 0 {
-					t.Errorf("%s: an empty body is sent in chunks", method)
+					t.Errorf("%s: an empty body was sent in chunks", method)
 				}
 				requests.Add(1)
 				if !first {
@@ -94,7 +94,7 @@
 			t.Errorf("%s: second request: %v", method, err)
 		}
 		if n := requests.Load(); n != 2 {
-			t.Errorf("%s: the server saw %d requests, 2 were sent", method, n)
+			t.Errorf("%s: the server received %d requests, 2 were sent", method, n)
 		}
 	}
 }
@@ -129,11 +129,11 @@
 	})
 	testutil.NoError(t, err)
 	if res.StatusCode != 301 || body != "abc" {
-		t.Errorf("the answer came as %d %q: redirects and encodings are the caller's matter", res.StatusCode, body)
+		t.Errorf("got answer %d %q, want it unchanged: redirects and encodings are left to the caller", res.StatusCode, body)
 	}
 	s := <-got
 	if s.line != "POST /a%2Fb//c?x=1&y=%20" || s.host != "host.example" || s.body != "body" {
-		t.Errorf("the server saw %+v", s)
+		t.Errorf("the server received %+v", s)
 	}
 	if s.header.Get("User-Agent") != "" || s.header.Get("Accept-Encoding") != "" || len(s.header["X-One"]) != 2 {
 		t.Errorf("headers %v", s.header)
@@ -141,10 +141,9 @@
 }
 
 func TestSurplusBytesEndAConnection(t *testing.T) {
-	// Symptom: a caller gets the answer to another one's request.
-	// Sequence: a server sends more than its answer's length says; the bytes wait on the kept
-	// connection for the next request.
-	// Cause: the connection is used again though bytes were left on it.
+	// Guards against a caller that gets the answer to another request. A server sends more
+	// bytes than its answer's Content-Length; they must not be read as the answer to the next
+	// request on the connection.
 	address := startRawServer(t, func(n int, c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
@@ -162,7 +161,7 @@
 	if err != nil || body != "ok" {
 		t.Fatalf("%q %v", body, err)
 	}
-	time.Sleep(20 * time.Millisecond) // the surplus is seen when the connection is idle
+	time.Sleep(20 * time.Millisecond) // net/http notices the surplus bytes while the connection is idle
 	_, body, err = forward(t, c, &Forward{Address: address, Method: "GET", Target: "/", Host: "h"})
 	if err == nil && body != "sane" {
 		t.Errorf("the second request got %q", body)
@@ -182,7 +181,7 @@
 			}
 		})
 		if _, _, err := forward(t, New(Config{}), &Forward{Address: address, Method: "GET", Target: "/", Host: "h"}); err == nil {
-			t.Errorf("%s: taken for a whole answer", name)
+			t.Errorf("%s: accepted as a complete answer", name)
 		}
 	}
 }
@@ -200,18 +199,18 @@
 	time.AfterFunc(20*time.Millisecond, cancel)
 	_, err := New(Config{}).Forward(ctx, &Forward{Address: address, Method: "GET", Target: "/", Host: "h", Header: http.Header{}})
 	if err == nil {
-		t.Fatal("answered")
+		t.Fatal("the exchange succeeded although its caller left")
 	}
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the server's connection stays open")
+		t.Fatal("the connection to the server stayed open")
 	}
 }
 
 func TestUserTimeoutIsSet(t *testing.T) {
-	// The bound on unacknowledged bytes needs a peer that is cut off, which loopback can't
-	// show; that the option is set on the socket can be seen.
+	// Reaching the bound on unacknowledged bytes needs a peer that is cut off, which loopback
+	// can't provide. The test checks that the option is set on the socket.
 	d := tcpDialer(Config{DialTimeout: time.Second, Unacknowledged: 800 * time.Millisecond})
 	l := testutil.Listen(t)
 	defer l.Close()
--- a/internal/engineclient/heard_test.go
+++ b/internal/engineclient/heard_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// Guards against words of a server that are lost with its refusals, or taken from an answer to
+// Guards against observations that are lost with rejections, or taken from an answer to
 // another request.
 func TestObservations(t *testing.T) {
 	var answer func(w http.ResponseWriter)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { answer(w) }))
 	defer s.Close()
-	var heard []Observation
-	c := New(Config{Observe: func(said Observation) { heard = append(heard, said) }})
+	var observed []Observation
+	c := New(Config{Observe: func(obs Observation) { observed = append(observed, obs) }})
 	defer c.Close()
 	for _, step := range []struct {
 		id     string
@@ -29,14 +29,14 @@
 			w.WriteHeader(step.status)
 		}
 		_, _ = c.Call(t.Context(), Request{Address: s.Listener.Addr().String(), Method: http.MethodPost, Path: "/", EngineRequestID: "r-1"})
-		if len(heard) != step.want {
-			t.Fatalf("heard %d words after an answer to %q, want %d", len(heard), step.id, step.want)
+		if len(observed) != step.want {
+			t.Fatalf("%d observations after an answer to %q, want %d", len(observed), step.id, step.want)
 		}
 	}
-	if heard[0].RetryAfter != "" || heard[1].RetryAfter != "3" || heard[2].RetryAfter != "" {
-		t.Errorf("a rest is what a server asks for that turns a request away: %+v", heard)
+	if observed[0].RetryAfter != "" || observed[1].RetryAfter != "3" || observed[2].RetryAfter != "" {
+		t.Errorf("RetryAfter must be set for rejections only: %+v", observed)
 	}
-	if said := heard[0]; said.RateLimit != "2.5" || said.Sent.IsZero() || said.RequestID != "r-1" {
-		t.Errorf("heard %+v", said)
+	if obs := observed[0]; obs.RateLimit != "2.5" || obs.Sent.IsZero() || obs.RequestID != "r-1" {
+		t.Errorf("observed %+v", obs)
 	}
 }
--- a/internal/engineclient/kv.go
+++ b/internal/engineclient/kv.go
@@ -9,17 +9,17 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// maxKV bounds the description of an exported KV cache, in bytes.
+// maxKV bounds the size of an exported KV cache, in bytes.
 const maxKV = 64 << 20
 
-// ExportKV reads a run's KV cache, in the engine's own form, so that another engine
-// can go on with the run without computing its prompt again.
+// ExportKV reads a run's KV cache, in the engine's own format, so that another engine can
+// continue the run without processing its prompt again.
 func (c *Client) ExportKV(ctx context.Context, address, engineRequestID string) ([]byte, error) {
 	return c.kv(ctx, Request{Address: address, Method: http.MethodGet, Path: kvPath(engineRequestID), Fresh: true})
 }
 
-// ImportKV gives an exported KV cache to an engine, which goes on with the run under
-// the name engineRequestID; Resume reads it.
+// ImportKV sends an exported KV cache to an engine, which continues the run under the ID
+// engineRequestID; Resume reads its stream.
 func (c *Client) ImportKV(ctx context.Context, address, engineRequestID string, kv []byte) error {
 	_, err := c.kv(ctx, Request{Address: address, Method: http.MethodPost, Path: kvPath(engineRequestID), Fresh: true,
 		ContentType: "application/json", Body: kv})
--- a/internal/engineclient/kv_test.go
+++ b/internal/engineclient/kv_test.go
@@ -20,7 +20,7 @@
 	return s
 }
 
-// read returns the texts of the stream's next n tokens; n < 0: all.
+// read returns the text of the stream's next n tokens; n < 0: all.
 func read(t *testing.T, s *Stream, n int) (text string) {
 	t.Helper()
 	for n != 0 {
@@ -61,6 +61,6 @@
 		t.Fatalf("got %q, want %q", text, want)
 	}
 	if _, err := c.ExportKV(ctx, b.Address(), "unknown"); err == nil {
-		t.Fatal("exported a run that doesn't exist")
+		t.Fatal("exported the KV cache of a run that doesn't exist")
 	}
 }
--- a/internal/engineclient/manykept_test.go
+++ b/internal/engineclient/manykept_test.go
@@ -12,10 +12,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// Symptom: a sound server counts as unreachable, and its next request is refused.
-// Sequence: it has closed all its idle connections; this host, short of processor, has noticed
-// none of that when the next request comes.
-// Cause: after eight that had ended the request was given up, though none was tried anew.
+// Guards against rejecting a request for a healthy server that has closed all its idle
+// connections. This host, short of processor time, has not noticed any of the closes when the
+// next request comes. The request used to fail after eight ended connections, without an
+// attempt on a new one.
 func TestRequestAfterAllIdleConnectionsClosed(t *testing.T) {
 	const kept = 40
 	l := testutil.Listen(t)
@@ -56,11 +56,11 @@
 		})
 	}
 	for range kept {
-		<-arrived // each on a connection of its own
+		<-arrived // each request has its own connection
 	}
 	close(hold)
 	asked.Wait()
-	// With one processor nothing of this process runs between the closes and the request.
+	// With one processor, no other goroutine runs between the closes and the request.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	mu.Lock()
 	for _, c := range conns {
@@ -70,7 +70,7 @@
 	testutil.NoError(t, ask("/next"))
 }
 
-// answerAll answers the requests of a connection, those to /held once hold is closed.
+// answerAll answers the requests of a connection; requests to /held wait until hold is closed.
 func answerAll(c net.Conn, arrived chan<- struct{}, hold <-chan struct{}) {
 	r := bufio.NewReader(c)
 	for {
--- a/internal/engineclient/stream.go
+++ b/internal/engineclient/stream.go
@@ -12,16 +12,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// Bounds of one event of a stream.
+// Bounds of one event of a stream, in bytes.
 const (
 	lineBuffer = 8 << 10
 	maxEvent   = 1 << 20
 )
 
-// errEventTooLong ends a stream whose engine sends an event over the bound.
-var errEventTooLong = errors.New("event over the limit")
+// errEventTooLong is returned if the engine sends an event longer than maxEvent.
+var errEventTooLong = errors.New("stream event is longer than the limit")
 
-// Usage of tokens as engines report it.
+// Usage is the token usage that an engine reports.
 type Usage struct {
 	PromptTokens     uint64 `json:"prompt_tokens"`
 	CompletionTokens uint64 `json:"completion_tokens"`
@@ -34,8 +34,7 @@
 	Data []byte
 }
 
-// Stream is an open answer of an engine. One goroutine reads it; Close may come
-// from any.
+// Stream is an engine's open answer. One goroutine reads it; Close may be called from any.
 type Stream struct {
 	res  *http.Response
 	r    *bufio.Reader
@@ -51,22 +50,22 @@
 	}
 	if ct := res.Header.Get("Content-Type"); !strings.HasPrefix(ct, "text/event-stream") {
 		_ = res.Body.Close()
-		return nil, &Error{Ran: errkind.RanUnknown, Status: res.StatusCode, Message: "answer is no event stream but " + ct}
+		return nil, &Error{Ran: errkind.RanUnknown, Status: res.StatusCode, Message: "answer is not an event stream but " + ct}
 	}
 	return &Stream{res: res, r: bufio.NewReaderSize(res.Body, lineBuffer)}, nil
 }
 
-// Close ends the stream. It closes the connection unless the stream was read to its end.
+// Close closes the stream, and its connection unless the stream was read to its end.
 func (s *Stream) Close() { _ = s.res.Body.Close() }
 
-// Drain reads what little may follow the last event, so that the connection can be
-// used again.
+// Drain reads the few bytes that may follow the last event, so that the connection can be
+// reused.
 func (s *Stream) Drain() { _, _ = io.CopyN(io.Discard, s.r, lineBuffer) }
 
-// Buffered tells whether more of the stream has arrived already.
+// Buffered reports whether more of the stream has already arrived.
 func (s *Stream) Buffered() bool { return s.r.Buffered() > 0 }
 
-// Next reads the next event. io.EOF is the end of the stream.
+// Next returns the next event, or io.EOF at the end of the stream.
 func (s *Stream) Next() (Event, error) {
 	var ev Event
 	s.data = s.data[:0]
@@ -90,7 +89,7 @@
 	}
 }
 
-// field takes one line of an event; comments and unknown fields are skipped.
+// field parses one line of an event; comments and unknown fields are skipped.
 func (s *Stream) field(ev *Event, line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
@@ -103,7 +102,7 @@
 	}
 }
 
-// line reads one line without its end. The result is valid until the next call.
+// line returns the next line without its line ending. The result is valid until the next call.
 func (s *Stream) line() ([]byte, error) {
 	line, err := s.r.ReadSlice('\n')
 	if err == nil {
--- a/internal/engineclient/stream_test.go
+++ b/internal/engineclient/stream_test.go
@@ -26,7 +26,7 @@
 		t.Fatalf("%d events, %v", len(got), err)
 	}
 	if _, err := events("data: " + strings.Repeat("x", 2*maxEvent)); err == nil || err == io.EOF {
-		t.Fatalf("event over the limit: %v", err)
+		t.Fatalf("event longer than the limit: %v", err)
 	}
 }
 
@@ -37,7 +37,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		got, err := events(s)
 		if err == nil {
-			t.Fatal("endless")
+			t.Fatal("the stream did not end")
 		}
 		for _, ev := range got {
 			if len(ev.Data) > maxEvent || strings.Contains(string(ev.Data), "\n\n\n") && !strings.Contains(s, "data") {
--- a/internal/engineclient/usage.go
+++ b/internal/engineclient/usage.go
@@ -6,13 +6,13 @@
 	"math"
 )
 
-// pastTheEnd is a token number that no run reaches: a stream read from there gives
-// only what comes after the last token.
+// pastTheEnd is a token number that no run reaches: a stream resumed from there contains only
+// what follows the last token.
 const pastTheEnd = math.MaxInt32
 
-// FinalUsage asks the engine what a finished run used. It returns nil for a run that
-// is not finished when ctx ends, that the engine no longer knows or whose usage it
-// does not say. The run itself is left as it is.
+// FinalUsage asks the engine for the usage of a finished run. It returns nil if the run has
+// not finished when ctx ends, the engine no longer knows the run or does not report its usage.
+// The run itself is not affected.
 func (c *Client) FinalUsage(ctx context.Context, address, engineRequestID string) *Usage {
 	stream, err := c.Resume(ctx, address, engineRequestID, pastTheEnd)
 	if err != nil {
