--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -140,9 +140,9 @@
 	a.deps.Dispatch.Wait()
 }
 
-// Always names the requests that an overloaded host still answers; for
+// NeverShed names the requests that an overloaded host still answers; for
 // httpserver.Config.
-func Always(r *http.Request) bool {
+func NeverShed(r *http.Request) bool {
 	switch r.URL.Path {
 	case PathAddresses, PathAnnounce, PathCacheEvents, PathHealth:
 		return true
@@ -154,28 +154,28 @@
 func (a *API) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	path := r.URL.Path
 	if strings.HasPrefix(path, parse.PrefixServices) {
-		a.work(w, r, filter.WorkService, a.chain)
+		a.serveWork(w, r, filter.WorkService, a.chain)
 		return
 	}
 	switch path {
 	case parse.PathChat, parse.PathCompletions:
-		if only(w, r, http.MethodPost) {
-			a.work(w, r, filter.WorkModel, a.chain)
+		if requireMethod(w, r, http.MethodPost) {
+			a.serveWork(w, r, filter.WorkModel, a.chain)
 		}
 	case PathModels:
-		if only(w, r, http.MethodGet) {
-			a.work(w, r, filter.WorkModel, a.models)
+		if requireMethod(w, r, http.MethodGet) {
+			a.serveWork(w, r, filter.WorkModel, a.models)
 		}
 	case PathAddresses:
-		if only(w, r, http.MethodGet) {
+		if requireMethod(w, r, http.MethodGet) {
 			a.addresses(w, r)
 		}
 	case PathAnnounce:
-		if only(w, r, http.MethodPost) {
+		if requireMethod(w, r, http.MethodPost) {
 			a.announce(w, r)
 		}
 	case PathCacheEvents:
-		if only(w, r, http.MethodPost) {
+		if requireMethod(w, r, http.MethodPost) {
 			a.cacheEvents(w, r)
 		}
 	case PathHealth:
@@ -185,7 +185,7 @@
 	}
 }
 
-func only(w http.ResponseWriter, r *http.Request, method string) bool {
+func requireMethod(w http.ResponseWriter, r *http.Request, method string) bool {
 	if r.Method == method {
 		return true
 	}
--- a/internal/callerapi/servers.go
+++ b/internal/callerapi/servers.go
@@ -30,15 +30,15 @@
 	hashBits                = 64
 )
 
-// announceAnswer tells a backend server where and how often to announce itself.
-type announceAnswer struct {
+// announceResponse tells a backend server where and how often to announce itself.
+type announceResponse struct {
 	// Hosts are addresses that take announcements.
 	Hosts      []string `json:"hosts"`
 	IntervalMs int64    `json:"interval_ms"`
 }
 
 func (a *API) announce(w http.ResponseWriter, r *http.Request) {
-	body, err := a.fromServer(r, maxAnnouncement)
+	body, err := a.readFromServer(r, maxAnnouncement)
 	if err == nil {
 		var st *pb.ServerState
 		if st, err = decodeAnnouncement(body); err == nil {
@@ -50,18 +50,18 @@
 	httpserver.WriteError(w, "", err)
 }
 
-// fromServer reads the body of a request that only backend servers may make.
+// readFromServer reads the body of a request that only backend servers may make.
 //
 // What goes wrong without the key: whoever reaches the callers' address announces a
 // server of his own and is sent other accounts' prompts.
-func (a *API) fromServer(r *http.Request, limit int64) ([]byte, error) {
+func (a *API) readFromServer(r *http.Request, limit int64) ([]byte, error) {
 	if hashes := a.deps.Settings.Fleet().AnnounceKeyHashes; len(hashes) > 0 {
 		key, _ := bearer.Key(r)
 		if !settings.ContainsHash(hashes, settings.HashKey(key)) {
 			return nil, errkind.New(errkind.Unauthenticated, "backend servers announce themselves with a key here")
 		}
 	}
-	return bounded(r, limit)
+	return readBounded(r, limit)
 }
 
 func (a *API) answerAnnouncement(w http.ResponseWriter, zone string) {
@@ -69,7 +69,7 @@
 	if interval <= 0 {
 		interval = defaultAnnounceInterval
 	}
-	answer := announceAnswer{Hosts: []string{}, IntervalMs: interval.Milliseconds()}
+	answer := announceResponse{Hosts: []string{}, IntervalMs: interval.Milliseconds()}
 	for _, h := range a.deps.Addresses.Addresses(zone) {
 		answer.Hosts = append(answer.Hosts, h.Address)
 	}
@@ -105,7 +105,7 @@
 func checkServer(address string, incarnation uint64) error {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil || ap.Port() == 0 {
-		return errkind.New(errkind.BadRequest, "address %q is not an IP number and port", clip(address))
+		return errkind.New(errkind.BadRequest, "address %q is not an IP number and port", truncate(address))
 	}
 	if incarnation == 0 {
 		return errkind.New(errkind.BadRequest, "the incarnation is missing")
@@ -119,13 +119,13 @@
 	}
 	for _, n := range names {
 		if len(n) > maxNameBytes {
-			return errkind.New(errkind.BadRequest, "name %q is over %d bytes", clip(n), maxNameBytes)
+			return errkind.New(errkind.BadRequest, "name %q is over %d bytes", truncate(n), maxNameBytes)
 		}
 	}
 	return nil
 }
 
-func clip(s string) string { return s[:min(len(s), maxNameBytes)] }
+func truncate(s string) string { return s[:min(len(s), maxNameBytes)] }
 
 // cacheReport is what a backend server says of its prefix cache. Events are numbered
 // per incarnation; hashes are written in hex.
@@ -149,7 +149,7 @@
 }
 
 func (a *API) cacheEvents(w http.ResponseWriter, r *http.Request) {
-	body, err := a.fromServer(r, maxCacheEvents)
+	body, err := a.readFromServer(r, maxCacheEvents)
 	if err == nil {
 		var events []backend.CacheEvent
 		if events, err = decodeCacheEvents(body); err == nil {
@@ -194,14 +194,14 @@
 	for _, s := range list {
 		h, err := strconv.ParseUint(s, hashBase, hashBits)
 		if err != nil {
-			return nil, errkind.New(errkind.BadRequest, "hash %q is not written in hex", clip(s))
+			return nil, errkind.New(errkind.BadRequest, "hash %q is not written in hex", truncate(s))
 		}
 		out = append(out, h)
 	}
 	return out, nil
 }
 
-func bounded(r *http.Request, limit int64) ([]byte, error) {
+func readBounded(r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
 		return nil, errkind.New(errkind.BadRequest, "the body can't be read: %v", err)
--- a/internal/callerapi/servers_test.go
+++ b/internal/callerapi/servers_test.go
@@ -74,8 +74,8 @@
 		if w.Code != c.status || !strings.Contains(w.Body.String(), c.want) || !json.Valid(w.Body.Bytes()) {
 			t.Errorf("%s %s: %d %s", c.method, c.path, w.Code, w.Body)
 		}
-		if Always(r) != (c.path != PathModels) {
-			t.Errorf("%s: Always is %v", c.path, Always(r))
+		if NeverShed(r) != (c.path != PathModels) {
+			t.Errorf("%s: Always is %v", c.path, NeverShed(r))
 		}
 	}
 	r := httptest.NewRequest(http.MethodGet, PathModels, nil)
--- a/internal/callerapi/work.go
+++ b/internal/callerapi/work.go
@@ -20,8 +20,8 @@
 	idBytes    = 16
 )
 
-// work runs one call through a chain and answers its refusal, if any.
-func (a *API) work(w http.ResponseWriter, r *http.Request, kind filter.WorkKind, chain filter.Handler) {
+// serveWork runs one call through a chain and answers its refusal, if any.
+func (a *API) serveWork(w http.ResponseWriter, r *http.Request, kind filter.WorkKind, chain filter.Handler) {
 	c := &filter.Call{ID: newID(), Kind: kind, Path: r.URL.Path, Arrived: a.deps.Clock.Now()}
 	w.Header().Set(filter.HeaderRequestID, c.ID)
 	ctx := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
@@ -32,7 +32,7 @@
 	status := c.Answer.Status
 	if e := filter.CorrectRan(c, err); e != nil {
 		span.SetAttributes(attribute.String("error_kind", string(e.Kind)))
-		refuse(w, c, e)
+		writeRefusal(w, c, e)
 		status = e.Status()
 		err = e
 	}
@@ -41,9 +41,9 @@
 	}
 }
 
-// refuse answers e: by itself, or as the last event of a stream that has begun. The
+// writeRefusal answers e: by itself, or as the last event of a stream that has begun. The
 // caller knows by the missing [DONE] that the stream is not whole.
-func refuse(w http.ResponseWriter, c *filter.Call, e *errkind.Error) {
+func writeRefusal(w http.ResponseWriter, c *filter.Call, e *errkind.Error) {
 	if !c.Answer.Begun {
 		httpserver.WriteError(w, c.ID, e)
 		return
