--- a/internal/callerapi/engine_test.go
+++ b/internal/callerapi/engine_test.go
@@ -66,7 +66,7 @@
 	return e
 }
 
-func (e *fakeEngine) refuse() bool {
+func (e *fakeEngine) refusesConnections() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.down || e.fault == "refuses connections"
--- a/internal/callerapi/fake_test.go
+++ b/internal/callerapi/fake_test.go
@@ -31,13 +31,13 @@
 	records map[string]*pb.InflightRecord
 	claims  map[string]*pb.ClaimResult
 	billed  map[string]uint64 // by identity: the ledger takes the first bill only
-	double  int
+	doubleBills  int
 	dead    map[string]bool
 	engines map[string]*fakeEngine
 	order   []string // addresses of engines, in the order they are tried
-	noQuor  bool
+	noQuorum  bool
 	dials   int
-	hang    string // name of the port that blocks until its context ends
+	blockedPort    string // name of the port that blocks until its context ends
 	hosts   []*fakeHost
 }
 
@@ -67,7 +67,7 @@
 	call     *filter.Call
 	closed   bool
 	noRetry  bool
-	apart    map[string]*pb.InflightRecord // own records of a host that is cut off from the others'
+	ownRecords    map[string]*pb.InflightRecord // own records of a host that is cut off from the others'
 	client   *engineclient.Client
 	api      *API
 }
@@ -90,7 +90,7 @@
 }
 
 func (f *fakeFleet) blocked(ctx context.Context, port string) error {
-	if f.hang != port {
+	if f.blockedPort != port {
 		return nil
 	}
 	<-ctx.Done()
@@ -140,7 +140,7 @@
 	delete(h.held, b.RequestId)
 	h.settled++
 	if _, ok := h.billed[b.Identity]; ok {
-		h.double++
+		h.doubleBills++
 		return
 	}
 	h.billed[b.Identity] = b.Tokens
@@ -152,10 +152,10 @@
 	delete(h.held, id)
 }
 
-// known is the records that the host can see.
-func (h *fakeHost) known() map[string]*pb.InflightRecord {
-	if h.apart != nil {
-		return h.apart
+// visibleRecords is the records that the host can see.
+func (h *fakeHost) visibleRecords() map[string]*pb.InflightRecord {
+	if h.ownRecords != nil {
+		return h.ownRecords
 	}
 	return h.records
 }
@@ -166,41 +166,41 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old, ok := h.known()[rec.Identity]
+	old, ok := h.visibleRecords()[rec.Identity]
 	if ok && old.State != pb.InflightState_INFLIGHT_STATE_ABANDONED {
 		return old, false, nil
 	}
-	h.known()[rec.Identity] = rec
+	h.visibleRecords()[rec.Identity] = rec
 	return nil, true, nil
 }
 
 func (h *fakeHost) Update(rec *pb.InflightRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if old := h.known()[rec.Identity]; !h.dead[h.name] && old.GetRequestId() == rec.RequestId {
-		h.known()[rec.Identity] = rec
+	if old := h.visibleRecords()[rec.Identity]; !h.dead[h.name] && old.GetRequestId() == rec.RequestId {
+		h.visibleRecords()[rec.Identity] = rec
 	}
 }
 
 func (h *fakeHost) Takeover(_ context.Context, rec *pb.InflightRecord, _ int) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.known()[rec.Identity] = rec
+	h.visibleRecords()[rec.Identity] = rec
 	return nil
 }
 
 func (h *fakeHost) Abandon(identity, id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if rec := h.known()[identity]; rec.GetRequestId() == id {
-		delete(h.known(), identity)
+	if rec := h.visibleRecords()[identity]; rec.GetRequestId() == id {
+		delete(h.visibleRecords(), identity)
 	}
 }
 
 func (h *fakeHost) Find(_ context.Context, identity string) (*pb.InflightRecord, bool, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	rec, ok := h.known()[identity]
+	rec, ok := h.visibleRecords()[identity]
 	return rec, ok, nil
 }
 
@@ -210,7 +210,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.noQuor {
+	if h.noQuorum {
 		return nil, errkind.New(errkind.NoQuorum, "no quorum")
 	}
 	if res, ok := h.claims[identity]; ok {
@@ -268,7 +268,7 @@
 	if e != nil && e.conns == nil {
 		return net.Dial(network, address)
 	}
-	if e == nil || e.refuse() {
+	if e == nil || e.refusesConnections() {
 		return nil, errors.New("connection refused")
 	}
 	near, far := net.Pipe()
--- a/internal/callerapi/oracle_test.go
+++ b/internal/callerapi/oracle_test.go
@@ -37,7 +37,7 @@
 type history struct {
 	Engines  []engineSpec
 	Arrivals []arrival
-	Apart    bool // the hosts don't see each other's records
+	Partitioned    bool // the hosts don't see each other's records
 	KillAtMs int  // when host 0 counts as dead, while it goes on; 0: never
 }
 
@@ -91,8 +91,8 @@
 		f.engine(s.Resumes, s.Fault, s.At).stuck = s.Stuck
 	}
 	hosts := []*fakeHost{f.host("a"), f.host("b")}
-	if h.Apart {
-		hosts[1].apart = map[string]*pb.InflightRecord{}
+	if h.Partitioned {
+		hosts[1].ownRecords = map[string]*pb.InflightRecord{}
 	}
 	if h.KillAtMs > 0 {
 		time.AfterFunc(time.Duration(h.KillAtMs)*time.Millisecond, func() { f.mu.Lock(); f.dead["a"] = true; f.mu.Unlock() })
--- a/internal/callerapi/outcome_test.go
+++ b/internal/callerapi/outcome_test.go
@@ -31,7 +31,7 @@
 				continue
 			}
 			inFleet(t, func(t *testing.T, f *fakeFleet) {
-				f.hang = c.hang
+				f.blockedPort = c.hang
 				for range 9 {
 					f.engine(true, c.hang, 2).stuck = true
 				}
@@ -126,8 +126,8 @@
 			t.Errorf("got %q, whole %v", text, whole)
 		}
 		<-first // a was only cut off: it ends its call too
-		if e.runs != 1 || f.billed["school/k"] != wholeUsage || a.settled+b.settled != 2 || f.double != 1 {
-			t.Errorf("runs %d, billed %v, bills %d and %d, of which double %d", e.runs, f.billed, a.settled, b.settled, f.double)
+		if e.runs != 1 || f.billed["school/k"] != wholeUsage || a.settled+b.settled != 2 || f.doubleBills != 1 {
+			t.Errorf("runs %d, billed %v, bills %d and %d, of which double %d", e.runs, f.billed, a.settled, b.settled, f.doubleBills)
 		}
 		if rec := f.records["school/k"]; rec.RequestId != b.call.ID || string(rec.Answer) != w.Body.String() {
 			t.Errorf("the record did not pass to b: %v", rec)
@@ -146,12 +146,12 @@
 		e := f.engine(false, "", 0)
 		a, b := f.host("a"), f.host("b")
 		marked := []string{filter.HeaderNotIdempotent, "true", filter.HeaderIdempotencyKey, "k"}
-		f.noQuor = true
+		f.noQuorum = true
 		if got := refusalOf(t, a.do(service, "x", marked...).Body.String()); got.Kind != errkind.ClaimUnavailable || got.Ran != errkind.RanNo || e.runs != 0 {
 			t.Errorf("without a quorum: %+v, runs %d", got, e.runs)
 		}
 		a.api.Wait()
-		f.noQuor = false
+		f.noQuorum = false
 		if w := a.do(service, "x", marked...); w.Code != 200 {
 			t.Errorf("got %d %s", w.Code, w.Body)
 		}
