--- a/internal/callerapi/oracle_test.go
+++ b/internal/callerapi/oracle_test.go
@@ -55,7 +55,7 @@
 	return history{rapid.SliceOfN(engine, 1, 3).Draw(t, "engines"), rapid.SliceOfN(call, 1, 8).Draw(t, "calls"), rapid.Bool().Draw(t, "apart"), rapid.SampledFrom([]int{0, 0, 500, 2000}).Draw(t, "kill")}
 }
 
-func marked(key int) bool { return key%2 == 1 }
+func isNotIdempotent(key int) bool { return key%2 == 1 }
 
 func requestOf(key int) (path, body string) {
 	switch key / 2 {
@@ -77,15 +77,15 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		h := drawHistory(rt)
 		var faults []string
-		synctest.Test(t, func(t *testing.T) { faults = play(t, h) })
+		synctest.Test(t, func(t *testing.T) { faults = runHistory(t, h) })
 		if len(faults) > 0 {
 			rt.Fatalf("%s", strings.Join(faults, "\n"))
 		}
 	})
 }
 
-// play runs a history and returns what an oracle that sees all engines objects to.
-func play(t *testing.T, h history) (faults []string) {
+// runHistory runs a history and returns what an oracle that sees all engines objects to.
+func runHistory(t *testing.T, h history) (faults []string) {
 	f := newFleet()
 	for _, s := range h.Engines {
 		f.engine(s.Resumes, s.Fault, s.At).stuck = s.Stuck
@@ -107,7 +107,7 @@
 	for i, a := range h.Arrivals {
 		wg.Go(func() {
 			time.Sleep(time.Duration(a.StartMs) * time.Millisecond)
-			judgeArrival(f, hosts[a.Host], i, a, object)
+			checkArrival(f, hosts[a.Host], i, a, object)
 		})
 	}
 	wg.Wait()
@@ -117,7 +117,7 @@
 		for _, e := range f.engines {
 			e.count(func() { runs += strings.Count(strings.Join(e.bodies, " "), fmt.Sprintf("key%d.", key)) })
 		}
-		if marked(key) && runs > 1 {
+		if isNotIdempotent(key) && runs > 1 {
 			object("key %d must not be repeated and ran %d times", key, runs)
 		}
 	}
@@ -125,11 +125,11 @@
 	return faults
 }
 
-// judgeArrival sends one request and checks its answer.
-func judgeArrival(f *fakeFleet, host *fakeHost, i int, a arrival, object func(string, ...any)) {
+// checkArrival sends one request and checks its answer.
+func checkArrival(f *fakeFleet, host *fakeHost, i int, a arrival, object func(string, ...any)) {
 	path, body := requestOf(a.Key)
 	began := time.Now()
-	w := host.do(path, body, filter.HeaderIdempotencyKey, fmt.Sprint(a.Key), filter.HeaderNotIdempotent, fmt.Sprint(marked(a.Key)),
+	w := host.do(path, body, filter.HeaderIdempotencyKey, fmt.Sprint(a.Key), filter.HeaderNotIdempotent, fmt.Sprint(isNotIdempotent(a.Key)),
 		filter.HeaderTimeout, fmt.Sprint(a.DeadlineMs))
 	if took := time.Since(began); took > time.Duration(a.DeadlineMs)*time.Millisecond {
 		object("arrival %d was answered after %v", i, took)
--- a/internal/callerapi/servers_test.go
+++ b/internal/callerapi/servers_test.go
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestRoutesBesidesTheWork(t *testing.T) {
+func TestOtherPaths(t *testing.T) {
 	h := newFleet().host("a")
 	for _, c := range []struct {
 		method, path, body string
