--- a/internal/callerapi/standin_test.go
+++ b/internal/callerapi/standin_test.go
@@ -30,7 +30,7 @@
 	return servers[0], servers[1]
 }
 
-func TestStandinWithFaults(t *testing.T) {
+func TestFaultsOfStandinServers(t *testing.T) {
 	// Symptom: the chain works with its own fake engine only.
 	// Sequence: the stand-in backend server breaks, silences or overruns a stream; another one is there.
 	// Cause: the two read the protocol between them differently.
