--- a/internal/callerapi/announcekey_test.go
+++ b/internal/callerapi/announcekey_test.go
@@ -19,7 +19,7 @@
 // Symptom: prompts of client accounts arrive at a server that nobody set up.
 // Sequence: a stranger who reaches the callers' address announces his own server.
 // Cause: an announcement was taken from whoever sent it.
-func TestAnnouncementsNeedTheKeyWhereOneIsSet(t *testing.T) {
+func TestAnnouncementsRequireKeyIfSet(t *testing.T) {
 	h := newFleet().host("a")
 	deps := h.api.deps
 	deps.Settings = keyedSettings{h}
