--- a/internal/callerapi/server_test.go
+++ b/internal/callerapi/server_test.go
@@ -126,7 +126,7 @@
 	wg.Wait()
 }
 
-func TestDrainLetsStreamsEnd(t *testing.T) {
+func TestDrainCompletesStreams(t *testing.T) {
 	// Symptom: a restart of a host cuts answers off.
 	// Sequence: the host drains with a stream open.
 	// Cause: shutdown closes connections that handlers still write to.
