--- a/internal/callerapi/outcome_test.go
+++ b/internal/callerapi/outcome_test.go
@@ -13,7 +13,7 @@
 
 const service = "/services/ledger/post"
 
-func TestNobodyIsUnansweredAtTheDeadline(t *testing.T) {
+func TestEveryCallIsAnsweredByItsDeadline(t *testing.T) {
 	// Symptom: a caller's deadline passes without an answer or a refusal.
 	// Sequence: any one thing that the chain waits for never comes.
 	// Cause: a wait that is not bounded by the deadline.
