--- a/internal/callerapi/outcome_test.go
+++ b/internal/callerapi/outcome_test.go
@@ -83,7 +83,7 @@
 	})
 }
 
-func TestUnrepeatableRunGoesOnWithoutItsCaller(t *testing.T) {
+func TestNonIdempotentRunContinuesWithoutCaller(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fakeFleet) {
 		e := f.engine(false, "is slow", 2)
 		h := f.host("a")
