--- a/internal/callerapi/outcome_test.go
+++ b/internal/callerapi/outcome_test.go
@@ -138,7 +138,7 @@
 	})
 }
 
-func TestUnrepeatableCallRunsAtMostOnce(t *testing.T) {
+func TestNonIdempotentCallRunsAtMostOnce(t *testing.T) {
 	// Symptom: a ledger entry stands twice.
 	// Sequence: the caller sends it to two hosts that don't see each other's records, or while there is no quorum.
 	// Cause: dispatch before the claim is committed, or in spite of losing it.
