--- a/internal/callerapi/outcome_test.go
+++ b/internal/callerapi/outcome_test.go
@@ -165,7 +165,7 @@
 	})
 }
 
-func TestRunPastItsReservationIsCut(t *testing.T) {
+func TestRunOverReservationIsStopped(t *testing.T) {
 	// Symptom: a budget is overspent by an engine that ignores max_tokens.
 	// Sequence: the engine sends more tokens than the cap that was reserved.
 	// Cause: the cap is only sent, never checked.
