--- a/internal/callerapi/outcome_test.go
+++ b/internal/callerapi/outcome_test.go
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestSecondAttemptDoesNotHideTheFirst(t *testing.T) {
+func TestRanCoversAllAttempts(t *testing.T) {
 	// Symptom: "did not run" about work that may have run.
 	// Sequence: the first server dies with the request; no other server is there.
 	// Cause: the scheduler's refusal says "did not run" of the second attempt alone.
