--- a/internal/callerapi/chain_test.go
+++ b/internal/callerapi/chain_test.go
@@ -105,7 +105,7 @@
 	})
 }
 
-func TestRanIsTrueWhateverTheServerDoes(t *testing.T) {
+func TestRanIsCorrectForEachServerFault(t *testing.T) {
 	// Symptom: a caller is told "did not run", sends the entry again, and it stands twice.
 	// Sequence: the backend server dies or refuses at each step of a request.
 	// Cause: a failure after the first byte is taken for one before it.
