--- a/internal/callerapi/chain_test.go
+++ b/internal/callerapi/chain_test.go
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestConnectionsToServersAreUsedAgain(t *testing.T) {
+func TestServerConnectionsAreReused(t *testing.T) {
 	// Symptom: each call waits for a new connection, and the host runs out of ports.
 	// Sequence: the end of a body comes a little after the stream's last event.
 	// Cause: a stream left at its last event closes its connection.
