--- a/internal/callerapi/chain_test.go
+++ b/internal/callerapi/chain_test.go
@@ -250,7 +250,7 @@
 	})
 }
 
-func TestSilenceIsLearnedPerServer(t *testing.T) {
+func TestSilenceLimitsForStreams(t *testing.T) {
 	// Symptom: a connection that is lost in the stream costs seconds, or a stalled engine's work is thrown away.
 	// Sequence: after some streams with steady gaps, one falls silent; another only stalls for some seconds.
 	// Cause: one fixed limit for all, or giving a run up while its engine answers.
