--- a/internal/callerapi/announcekey_test.go
+++ b/internal/callerapi/announcekey_test.go
@@ -9,16 +9,15 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// keyedSettings wants a key of backend servers.
+// keyedSettings requires a key from backend servers.
 type keyedSettings struct{ *fakeHost }
 
 func (keyedSettings) Fleet() settings.Fleet {
 	return settings.Fleet{AnnounceKeyHashes: []string{settings.HashKey("server-key")}}.WithDefaults()
 }
 
-// Symptom: prompts of client accounts arrive at a server that nobody set up.
-// Sequence: a stranger who reaches the callers' address announces his own server.
-// Cause: an announcement was taken from whoever sent it.
+// Guards against prompts of client accounts being sent to an unauthorized server: without the
+// check, anyone who can reach the callers' address may announce a server.
 func TestAnnouncementsRequireKeyIfSet(t *testing.T) {
 	h := newFleet().host("a")
 	deps := h.api.deps
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -1,21 +1,20 @@
 // Package callerapi is the HTTP API for callers and for backend servers that announce
-// themselves. Work goes through the filter chain.
+// themselves. Requests for models and services go through the filter chain.
 //
-// The order of the chain, and why:
+// The order of the chain, and the reasons for it:
 //
-//   - callergone: everything behind it waits with a context that ends when the caller
-//     goes.
+//   - callergone: everything after it waits with a context that ends when the caller
+//     disconnects.
 //   - identify, limit, deadline, parse: cheap checks that need no other host.
-//   - idempotency: before budget, since a replay or a take-over must not be refused
-//     for want of tokens, and before anything is dispatched, so that peers know of the
-//     run.
+//   - idempotency: before budget, since a replay or a takeover must not be rejected for
+//     lack of tokens, and before anything is dispatched, so that peers know of the run.
 //   - settle: inside idempotency, so that a replay is not billed, and around budget,
 //     so that each reservation ends.
-//   - quarantine: before budget and claim, which a call that is refused must not take.
-//   - budget: before claim, which costs a commit of the quorum; a call without tokens
-//     should not take it.
-//   - claim: before any byte goes out, and around route, so that one claim holds for
-//     all attempts.
+//   - quarantine: before budget and claim, so that a rejected call takes neither.
+//   - budget: before claim, which costs a commit by the quorum; a call without tokens
+//     should not cause one.
+//   - claim: before any byte is sent to a server, and around route, so that one claim
+//     holds for all attempts.
 //   - route, dispatch: attempts at backend servers.
 package callerapi
 
@@ -45,7 +44,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Paths besides those of the work.
+// Paths other than those of models and services, which package parse defines.
 const (
 	PathModels      = "/v1/models"
 	PathAddresses   = "/v1/addresses"
@@ -54,14 +53,14 @@
 	PathHealth      = "/healthz"
 )
 
-// Registry takes what backend servers say of themselves.
+// Registry records what backend servers report.
 type Registry interface {
-	// Announce is false for an announcement older than what is known.
+	// Announce records an announcement. It returns false for one older than the last.
 	Announce(st *pb.ServerState) bool
 	CacheEvent(ev backend.CacheEvent)
 }
 
-// Addresses names the hosts that a caller in an availability zone should use.
+// Addresses lists the hosts that a caller in an availability zone should use.
 type Addresses interface {
 	Addresses(zone string) []membership.Address
 }
@@ -71,7 +70,7 @@
 	Models() []string
 }
 
-// Deps are the ports that the API works on.
+// Deps are the dependencies of an API.
 type Deps struct {
 	Settings  filter.Settings
 	Budget    filter.Budget
@@ -80,24 +79,26 @@
 	Claims    filter.Claims
 	Scheduler filter.Scheduler
 	Retries   filter.Retries
-	// Quarantine keeps calls from servers; nil: none.
+	// Quarantine blocks calls that crash servers; nil: no quarantine.
 	Quarantine filter.Quarantine
 	Explainer  filter.Explainer
 	Registry   Registry
 	Addresses  Addresses
 	Models     Models
-	// Health is nil while the host may take work.
+	// Health returns nil while the host accepts requests; nil func: always.
 	Health func() error
-	// Dispatch is the end of the chain.
+	// Dispatch is the last handler of the chain.
 	Dispatch *dispatch.Filter
-	// AnnounceInterval is what backend servers are told to announce in; 0: a second.
+	// AnnounceInterval is the interval at which backend servers are asked to announce
+	// themselves; 0: one second.
 	AnnounceInterval time.Duration
 	Clock            filter.Clock
-	// CallerClosed tells whether a caller's connection is closed; nil: httpserver.ConnClosed.
+	// CallerClosed reports whether a caller's connection is closed; nil:
+	// httpserver.ConnClosed.
 	CallerClosed func(w http.ResponseWriter) bool
 }
 
-// API is the handler of the callers' address.
+// API is the HTTP handler of the callers' address.
 type API struct {
 	deps   Deps
 	claims *claim.Filter
@@ -105,7 +106,7 @@
 	models filter.Handler
 }
 
-// New makes the API.
+// New returns an API.
 func New(d Deps) *API {
 	a := &API{deps: d, claims: &claim.Filter{Claims: d.Claims, Records: d.Records}}
 	gone := &callergone.Filter{
@@ -133,14 +134,14 @@
 	return a
 }
 
-// Wait returns once what calls left to do behind their answers is done: ends of
-// claims and cancel orders. A draining host calls it after its last request.
+// Wait returns when the work that calls left to do after their answers is done: finishing
+// claims and canceling runs. A draining host calls it after its last request.
 func (a *API) Wait() {
 	a.claims.Wait()
 	a.deps.Dispatch.Wait()
 }
 
-// NeverShed names the requests that an overloaded host still answers; for
+// NeverShed reports whether an overloaded host still answers the request; for
 // httpserver.Config.
 func NeverShed(r *http.Request) bool {
 	switch r.URL.Path {
--- a/internal/callerapi/chain_test.go
+++ b/internal/callerapi/chain_test.go
@@ -22,7 +22,7 @@
 	wholeUsage = 8
 )
 
-// textOf is the answer's text as a caller reads it, and whether it is whole.
+// textOf returns the text of a streamed answer and whether the stream is complete.
 func textOf(body string) (text string, whole bool) {
 	for _, line := range strings.Split(body, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
@@ -49,7 +49,7 @@
 	}
 	var a httpserver.ErrorAnswer
 	if err := json.Unmarshal([]byte(strings.TrimSpace(body)), &a); err != nil || a.Error.Kind == "" {
-		t.Fatalf("no refusal: %q", body)
+		t.Fatalf("not a refusal: %q", body)
 	}
 	return a.Error
 }
@@ -63,18 +63,18 @@
 			t.Fatalf("got %d %q", w.Code, w.Body)
 		}
 		if strings.Contains(w.Body.String(), "usage") {
-			t.Error("usage chunk went to a caller that did not ask for it")
+			t.Error("usage chunk sent to a caller that did not request it")
 		}
 		for _, want := range []string{`"max_tokens":5`, `"seed":7`, `"include_usage":true`, `"stream":true`} {
 			if !strings.Contains(e.bodies[0], want) {
-				t.Errorf("engine's body lacks %s: %s", want, e.bodies[0])
+				t.Errorf("%s is missing in the request to the engine: %s", want, e.bodies[0])
 			}
 		}
 		key := w.Header().Get(filter.HeaderIdempotencyKey)
 		if h.settled != 1 || f.billed["school/"+key] != wholeUsage {
 			t.Errorf("billed %v", f.billed)
 		}
-		// The same key again: the same answer, no second run, no second bill.
+		// The same key again gets the same answer, without a second run or a second bill.
 		again := h.do(parse.PathChat, chatBody, filter.HeaderIdempotencyKey, key)
 		if again.Body.String() != w.Body.String() || e.runs != 1 || h.settled != 1 {
 			t.Errorf("replay differs: runs %d, bills %d, %q", e.runs, h.settled, again.Body)
@@ -106,9 +106,9 @@
 }
 
 func TestRanIsCorrectForEachServerFault(t *testing.T) {
-	// Symptom: a caller is told "did not run", sends the entry again, and it stands twice.
-	// Sequence: the backend server dies or refuses at each step of a request.
-	// Cause: a failure after the first byte is taken for one before it.
+	// Guards against a caller that is told that its request did not run, sends it again and
+	// has it executed twice. The server crashes or rejects the request at each step; a failure
+	// after the first byte must not be taken for one before it.
 	const model, service = parse.PathChat, "/services/ledger/post"
 	for _, c := range []struct {
 		fault string
@@ -117,28 +117,28 @@
 		ran   errkind.Ran
 	}{
 		{"refuses connections", model, errkind.BackendServerFailed, errkind.RanNo},
-		{"refuses before running", model, errkind.BackendServerFailed, errkind.RanNo},
-		{"refuses as wrong", model, errkind.BadRequest, errkind.RanNo},
+		{"rejects before running", model, errkind.BackendServerFailed, errkind.RanNo},
+		{"rejects as invalid", model, errkind.BadRequest, errkind.RanNo},
 		{"is stopped", model, errkind.OutcomeUnknown, errkind.RanYes},
 		{"dies without an answer", model, errkind.OutcomeUnknown, errkind.RanUnknown},
 		{"answers 500", model, errkind.OutcomeUnknown, errkind.RanUnknown},
 		{"answers 400", model, errkind.BadRequest, errkind.RanUnknown},
-		{"answers another run", model, errkind.OutcomeUnknown, errkind.RanUnknown},
+		{"answers for another run", model, errkind.OutcomeUnknown, errkind.RanUnknown},
 		{"dies in the stream", model, errkind.OutcomeUnknown, errkind.RanYes},
 		{"reports an error", model, errkind.OutcomeUnknown, errkind.RanYes},
 		{"falls silent", model, errkind.DeadlineExceeded, errkind.RanYes},
-		{"says nothing", model, errkind.DeadlineExceeded, errkind.RanUnknown},
+		{"never answers", model, errkind.DeadlineExceeded, errkind.RanUnknown},
 		{"refuses connections", service, errkind.BackendServerFailed, errkind.RanNo},
-		{"refuses before running", service, errkind.BackendServerFailed, errkind.RanNo},
+		{"rejects before running", service, errkind.BackendServerFailed, errkind.RanNo},
 		{"dies without an answer", service, errkind.OutcomeUnknown, errkind.RanUnknown},
-		{"answers another run", service, errkind.OutcomeUnknown, errkind.RanUnknown},
-		{"says nothing", service, errkind.DeadlineExceeded, errkind.RanUnknown},
+		{"answers for another run", service, errkind.OutcomeUnknown, errkind.RanUnknown},
+		{"never answers", service, errkind.DeadlineExceeded, errkind.RanUnknown},
 	} {
 		t.Run(c.path+" "+c.fault, func(t *testing.T) {
 			inFleet(t, func(t *testing.T, f *fakeFleet) {
 				e, spare := f.engine(false, c.fault, 2), f.engine(false, "", 0)
 				h := f.host("a")
-				h.noRetry = true // a retry would hide what the first attempt said
+				h.noRetry = true // a retry would hide the result of the first attempt
 				w := h.do(c.path, chatBody, filter.HeaderNotIdempotent, "true")
 				got := refusalOf(t, w.Body.String())
 				if got.Kind != c.kind || got.Ran != c.ran {
@@ -153,14 +153,14 @@
 }
 
 func TestRetryOnlyWhenSafe(t *testing.T) {
-	// Symptom: a posting that may not be repeated is made at two servers.
-	// Sequence: the first server fails, before or after the request reached it.
-	// Cause: a retry without regard to what may have run.
+	// Guards against a non-idempotent request that is executed by two servers. The first
+	// server fails before or after the request has reached it; a retry is safe only if the
+	// request can't have run.
 	for _, c := range []struct {
 		fault, idempotent string
 		want              int
 	}{
-		{"refuses connections", "true", 1}, {"refuses before running", "true", 1},
+		{"refuses connections", "true", 1}, {"rejects before running", "true", 1},
 		{"dies without an answer", "true", 0}, {"answers 500", "true", 0}, {"dies in the stream", "true", 0},
 		{"dies without an answer", "false", 1}, {"answers 500", "false", 1}, {"answers 400", "false", 0},
 	} {
@@ -173,16 +173,17 @@
 				t.Errorf("%s, not idempotent %s: %d runs at the second server, want %d", c.fault, c.idempotent, second.runs, c.want)
 			}
 			if _, whole := textOf(w.Body.String()); whole != (c.want == 1) {
-				t.Errorf("%s: answer whole: %v", c.fault, whole)
+				t.Errorf("%s: answer complete: %v", c.fault, whole)
 			}
 		})
 	}
 }
 
 func TestNoTokenTwice(t *testing.T) {
-	// Symptom: an answer repeats or lacks words.
-	// Sequence: the connection breaks or falls silent in the stream; the run is read again there or made again elsewhere.
-	// Cause: tokens are relayed by what a connection brings, not by what the caller has.
+	// Guards against answers with repeated or missing tokens. The connection breaks or falls
+	// silent during the stream, and the run is resumed at the same server or executed again at
+	// another one. What is sent on must depend on the tokens that the caller already has, not
+	// on what the new connection delivers.
 	for _, c := range []struct {
 		name, fault, prefix string
 		resumes, whole      bool
@@ -203,7 +204,7 @@
 				w := h.do(parse.PathChat, chatBody)
 				text, whole := textOf(w.Body.String())
 				if whole != c.whole || (whole && text != wholeText) || (!whole && text != "t1 t2 ") {
-					t.Errorf("got %q, whole %v", text, whole)
+					t.Errorf("got %q, complete %v", text, whole)
 				}
 				if c.resumes && (strings.Join(first.resumed, " ") != "2" || second.runs != 0) {
 					t.Errorf("resumed from %v, runs elsewhere %d", first.resumed, second.runs)
@@ -219,9 +220,9 @@
 }
 
 func TestServerConnectionsAreReused(t *testing.T) {
-	// Symptom: each call waits for a new connection, and the host runs out of ports.
-	// Sequence: the end of a body comes a little after the stream's last event.
-	// Cause: a stream left at its last event closes its connection.
+	// Guards against a new connection for each call, which adds latency and may use up the
+	// host's ports. The end of a body may arrive a little after the stream's last event; a
+	// stream that is closed at its last event closes its connection.
 	inFleet(t, func(t *testing.T, f *fakeFleet) {
 		f.engine(true, "", 0).lateEnd = 10 * time.Millisecond
 		h := f.host("a")
@@ -230,17 +231,16 @@
 			h.api.Wait()
 		}
 		if f.dials != 1 {
-			t.Errorf("%d connections for 5 calls", f.dials)
+			t.Errorf("%d connections for 5 calls, want 1", f.dials)
 		}
 	})
 }
 
 func TestSilentConnectionOfAPlainService(t *testing.T) {
-	// Symptom: a kiosk's lookup fails although servers are idle.
-	// Sequence: something between host and server has lost track of the connection; the call on it gets no answer.
-	// Cause: the whole time up to the deadline is spent waiting on that connection.
+	// Guards against a call that fails although servers are idle: a device between host and
+	// server has lost track of the connection, and the call waits on it until its deadline.
 	inFleet(t, func(t *testing.T, f *fakeFleet) {
-		f.engine(false, "says nothing", 0)
+		f.engine(false, "never answers", 0)
 		f.engine(false, "", 0)
 		h := f.host("a")
 		w := h.do("/services/codes/tv", "brand", filter.HeaderTimeout, "2000")
@@ -251,9 +251,10 @@
 }
 
 func TestSilenceLimitsForStreams(t *testing.T) {
-	// Symptom: a connection that is lost in the stream costs seconds, or a stalled engine's work is thrown away.
-	// Sequence: after some streams with steady gaps, one falls silent; another only stalls for some seconds.
-	// Cause: one fixed limit for all, or giving a run up while its engine answers.
+	// Guards against a connection lost during a stream that costs seconds, and against
+	// discarding the run of an engine that only stalls. After some streams with steady gaps,
+	// one stream falls silent; another stalls for some seconds. One fixed limit for all
+	// servers, or abandoning a run while its engine still answers, would fail here.
 	inFleet(t, func(t *testing.T, f *fakeFleet) {
 		e, other := f.engine(true, "", 2), f.engine(true, "", 0)
 		e.tokenDelay = 30 * time.Millisecond
@@ -270,7 +271,7 @@
 			began := time.Now()
 			text, whole := textOf(h.do(parse.PathChat, chatBody).Body.String())
 			if took := time.Since(began); took > c.limit || text != wholeText || !whole {
-				t.Errorf("%s: got %q, whole %v, after %v", c.fault, text, whole, took)
+				t.Errorf("%s: got %q, complete %v, after %v", c.fault, text, whole, took)
 			}
 		}
 		if other.runs != 0 {
@@ -280,14 +281,15 @@
 }
 
 func TestSilenceBeforeTheFirstToken(t *testing.T) {
-	// Symptom: a call fails at its deadline on a lost connection, or a long prompt is begun again and again.
-	// Sequence: the engine's answer never comes; or it comes late because the prompt takes most of the time.
-	// Cause: one limit for the first token, whatever the deadline and the prompt.
+	// Guards against a call that fails at its deadline on a lost connection, and against a
+	// long prompt that is started again and again. Either the engine's answer never arrives,
+	// or it arrives late because processing the prompt takes most of the time. A limit for the
+	// first token must take the deadline and the prompt into account.
 	for _, c := range []struct {
 		fault       string
 		prefill     float64
 		runs, other int
-	}{{"says nothing", 0, 1, 0}, {"computes long", 10, 1, 0}} {
+	}{{"never answers", 0, 1, 0}, {"computes for long", 10, 1, 0}} {
 		inFleet(t, func(t *testing.T, f *fakeFleet) {
 			e, other := f.engine(true, c.fault, 0), f.engine(true, "", 0)
 			e.prefill = c.prefill
@@ -295,7 +297,7 @@
 			h.api.deps.Dispatch.Silence = dispatch.NewLearnedSilence(silence.Config{})
 			_, whole := textOf(h.do(parse.PathChat, chatBody).Body.String())
 			if !whole || e.runs != c.runs || other.runs != c.other {
-				t.Errorf("%s: whole %v, runs %d and %d", c.fault, whole, e.runs, other.runs)
+				t.Errorf("%s: complete %v, runs %d and %d", c.fault, whole, e.runs, other.runs)
 			}
 		})
 	}
--- a/internal/callerapi/engine_test.go
+++ b/internal/callerapi/engine_test.go
@@ -17,14 +17,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/filter"
 )
 
-// fakeEngine is a model engine and plain service within the process. Its tokens are
-// "t1 ", "t2 " and so on.
+// fakeEngine is an in-process model engine and plain service. Its tokens are "t1 ", "t2 " and
+// so on.
 type fakeEngine struct {
 	mu      sync.Mutex
 	conns   chan net.Conn
 	server  *http.Server
 	resumes bool
-	// fault breaks the run at a token number; tokens is the run's length.
+	// fault takes effect after token number at; tokens is the run's length.
 	fault  string
 	at     int
 	tokens int
@@ -33,18 +33,18 @@
 	delay  func(body string) time.Duration // before a plain service's answer
 	// tokenDelay is the time before each token.
 	tokenDelay time.Duration
-	until      time.Time     // end of a stall
+	until      time.Time     // when a stall ends
 	lateEnd    time.Duration // between the last event and the body's end
-	stuck      bool          // resumes meet the same fault
-	burst      bool          // sends what it has at the run's end
-	runs       int           // requests that reached the engine and ran
+	stuck      bool          // resumed streams have the same fault
+	burst      bool          // sends everything at the end of the run, without flushing
+	runs       int           // requests that were executed
 	cancels    int
 	resumed    []string // "from" of each resume
 	bodies     []string
-	ids        []string // engine request ids of the runs
-	prefill    float64  // announced speed
-	key        string   // idempotency key of the last call of the plain service
-	open       int      // streams being generated
+	ids        []string // engine request IDs of the runs
+	prefill    float64  // announced prefill speed
+	key        string   // idempotency key of the plain service's last call
+	open       int      // streams in progress
 }
 
 func (f *fakeFleet) engine(resumes bool, fault string, at int) *fakeEngine {
@@ -56,7 +56,7 @@
 	return e
 }
 
-// tcpEngine is an engine on the loopback.
+// tcpEngine returns an engine that listens on a loopback address.
 func (f *fakeFleet) tcpEngine(t testing.TB, fault string, at int) *fakeEngine {
 	e := &fakeEngine{resumes: true, fault: fault, at: at, tokens: 5}
 	s := httptest.NewServer(e)
@@ -72,7 +72,7 @@
 	return e.down || e.fault == "refuses connections"
 }
 
-// Accept, Close and Addr make the engine its own listener.
+// Accept, Close and Addr implement net.Listener on the engine itself.
 func (e *fakeEngine) Accept() (net.Conn, error) {
 	c, ok := <-e.conns
 	if !ok {
@@ -96,10 +96,10 @@
 		if e.stuck {
 			fault = e.fault
 		}
-		if e.fault == "computes long" {
+		if e.fault == "computes for long" {
 			time.Sleep(time.Until(e.until))
 		}
-		if fault == "says nothing" {
+		if fault == "never answers" {
 			<-r.Context().Done()
 			return
 		}
@@ -117,12 +117,12 @@
 
 func (e *fakeEngine) run(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	if e.fault == "refuses before running" {
+	if e.fault == "rejects before running" {
 		w.Header().Set(engineclient.HeaderRan, "no")
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
 	}
-	if e.fault == "refuses as wrong" {
+	if e.fault == "rejects as invalid" {
 		w.Header().Set(engineclient.HeaderRan, "no")
 		http.Error(w, "bad field", http.StatusBadRequest)
 		return
@@ -136,10 +136,10 @@
 	switch e.fault {
 	case "dies without an answer":
 		panic(http.ErrAbortHandler)
-	case "says nothing":
+	case "never answers":
 		<-r.Context().Done()
 		return
-	case "computes long":
+	case "computes for long":
 		e.count(func() { e.until = time.Now().Add(8 * time.Second) })
 		time.Sleep(8 * time.Second)
 	case "answers 500":
@@ -150,7 +150,7 @@
 		return
 	case "is slow":
 		time.Sleep(time.Second)
-	case "answers another run":
+	case "answers for another run":
 		w.Header().Set(engineclient.HeaderEngineRequest, "other")
 	}
 	if strings.HasPrefix(r.URL.Path, "/services/") {
--- a/internal/callerapi/fake_test.go
+++ b/internal/callerapi/fake_test.go
@@ -25,23 +25,23 @@
 
 const testKey = "secret"
 
-// fakeFleet is the state that all hosts of a test share.
+// fakeFleet is the state shared by all hosts of a test.
 type fakeFleet struct {
-	mu      sync.Mutex
-	records map[string]*pb.InflightRecord
-	claims  map[string]*pb.ClaimResult
-	billed  map[string]uint64 // by identity: the ledger takes the first bill only
-	doubleBills  int
-	dead    map[string]bool
-	engines map[string]*fakeEngine
-	order   []string // addresses of engines, in the order they are tried
-	noQuorum  bool
-	dials   int
-	blockedPort    string // name of the port that blocks until its context ends
-	hosts   []*fakeHost
+	mu          sync.Mutex
+	records     map[string]*pb.InflightRecord
+	claims      map[string]*pb.ClaimResult
+	billed      map[string]uint64 // by identity; the ledger accepts only the first bill
+	doubleBills int
+	dead        map[string]bool
+	engines     map[string]*fakeEngine
+	order       []string // addresses of engines, in the order of attempts
+	noQuorum    bool
+	dials       int
+	blockedPort string // name of the dependency that blocks until its context ends
+	hosts       []*fakeHost
 }
 
-// inFleet runs a test on a fleet of its own, in virtual time.
+// inFleet runs a test with its own fleet in virtual time.
 func inFleet(t *testing.T, test func(t *testing.T, f *fakeFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
@@ -55,21 +55,21 @@
 		billed: map[string]uint64{}, dead: map[string]bool{}, engines: map[string]*fakeEngine{}}
 }
 
-// fakeHost implements the ports of one host.
+// fakeHost implements the dependencies of one host's API.
 type fakeHost struct {
 	*fakeFleet
-	name     string
-	team     settings.Team
-	held     map[string]uint64
-	settled  int
-	outcomes []filter.Outcome
-	status   int
-	call     *filter.Call
-	closed   bool
-	noRetry  bool
-	ownRecords    map[string]*pb.InflightRecord // own records of a host that is cut off from the others'
-	client   *engineclient.Client
-	api      *API
+	name       string
+	team       settings.Team
+	held       map[string]uint64
+	settled    int
+	outcomes   []filter.Outcome
+	status     int
+	call       *filter.Call
+	closed     bool
+	noRetry    bool
+	ownRecords map[string]*pb.InflightRecord // records of a host that can't see those of the others; nil: shared
+	client     *engineclient.Client
+	api        *API
 }
 
 func (f *fakeFleet) host(name string) *fakeHost {
@@ -152,7 +152,7 @@
 	delete(h.held, id)
 }
 
-// visibleRecords is the records that the host can see.
+// visibleRecords returns the records that the host can see.
 func (h *fakeHost) visibleRecords() map[string]*pb.InflightRecord {
 	if h.ownRecords != nil {
 		return h.ownRecords
@@ -246,7 +246,7 @@
 	l.h.outcomes = append(l.h.outcomes, o)
 }
 
-// Acquire gives the first engine by address that is not excluded.
+// Acquire returns the first engine in order that is not excluded.
 func (h *fakeHost) Acquire(ctx context.Context, w filter.Work) (filter.ServerLease, error) {
 	if err := h.blocked(ctx, "scheduler"); err != nil {
 		return nil, err
@@ -256,10 +256,10 @@
 			return &fakeLease{h: h, st: &pb.ServerState{Address: address, Resumes: h.engines[address].resumes, PrefillPerSecond: h.engines[address].prefill}}, nil
 		}
 	}
-	return nil, errkind.New(errkind.NoBackendServer, "none left")
+	return nil, errkind.New(errkind.NoBackendServer, "no server is left")
 }
 
-// dial connects to an engine on TCP, or to one within the process, so that virtual time holds.
+// dial connects to an engine over TCP, or in memory for one that runs in virtual time.
 func (f *fakeFleet) dial(_ context.Context, network, address string) (net.Conn, error) {
 	f.mu.Lock()
 	e := f.engines[address]
@@ -276,7 +276,7 @@
 	return near, nil
 }
 
-// do sends one request through a host's chain.
+// do sends one request through the host's chain.
 func (h *fakeHost) do(path, body string, header ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+testKey)
@@ -288,7 +288,7 @@
 	return w
 }
 
-// end checks that nothing is left behind and lets a bubble's goroutines end.
+// end checks that no reservation is left and lets the goroutines of a synctest bubble end.
 func (f *fakeFleet) end(t *testing.T) {
 	t.Helper()
 	for _, h := range f.hosts {
@@ -298,7 +298,7 @@
 			t.Errorf("host %s still holds reservations: %v", h.name, maps.Clone(h.held))
 		}
 	}
-	time.Sleep(time.Second) // virtual: the watch for callers that go ends by itself
+	time.Sleep(time.Second) // virtual time in which the watch for disconnected callers ends
 	for _, e := range f.engines {
 		if e.conns == nil {
 			continue
@@ -308,9 +308,9 @@
 	}
 }
 
-// fixedSilence is a dispatch.Silence with the same limits for all servers.
+// fixedSilence is a dispatch.Silence with fixed limits for all servers.
 type fixedSilence struct {
-	// first is the limit before the first token of a run, gap the one after.
+	// first is the limit before the first token of a run, gap the limit between tokens.
 	first, gap time.Duration
 }
 
--- a/internal/callerapi/lists.go
+++ b/internal/callerapi/lists.go
@@ -12,11 +12,11 @@
 	Status string `json:"status"`
 }
 
-// addressesAnswer is an ordered list: callers use the first and go down the list
-// when one refuses or doesn't answer.
+// addressesAnswer is an ordered list: callers use the first address and try the next ones in
+// order when a host rejects them or doesn't answer.
 type addressesAnswer struct {
 	Addresses []address `json:"addresses"`
-	// TTLMs is how long the list may be kept, in milliseconds.
+	// TTLMs is how long the list may be cached, in milliseconds.
 	TTLMs int64 `json:"ttl_ms"`
 }
 
@@ -40,7 +40,7 @@
 	writeJSON(w, answer)
 }
 
-// modelsAnswer has the form of the usual API for language models.
+// modelsAnswer has the format that APIs for language models commonly use.
 type modelsAnswer struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -51,7 +51,7 @@
 	Object string `json:"object"`
 }
 
-// listModels names the models in service that the caller's team may use.
+// listModels lists the models in service that the caller's team may use.
 func (a *API) listModels(w http.ResponseWriter, r *http.Request) error {
 	c := filter.CallFrom(r.Context())
 	answer := modelsAnswer{Object: "list", Data: []modelItem{}}
--- a/internal/callerapi/oracle_test.go
+++ b/internal/callerapi/oracle_test.go
@@ -32,17 +32,17 @@
 	Stuck   bool
 }
 
-// history is one random case: which engines there are and who asks what and when.
-// The key decides the path, whether the call may be repeated, and the body.
+// history is one random case: the engines, and which requests arrive where and when. The key
+// determines the path, whether the request is idempotent, and the body.
 type history struct {
-	Engines  []engineSpec
-	Arrivals []arrival
-	Partitioned    bool // the hosts don't see each other's records
-	KillAtMs int  // when host 0 counts as dead, while it goes on; 0: never
+	Engines     []engineSpec
+	Arrivals    []arrival
+	Partitioned bool // the hosts don't see each other's records
+	KillAtMs    int  // when host 0 starts to count as dead although it continues to run; 0: never
 }
 
-var faultNames = []string{"", "", "", "refuses connections", "refuses before running", "refuses as wrong", "dies without an answer",
-	"says nothing", "answers 500", "answers 400", "answers another run", "dies in the stream", "falls silent", "reports an error", "is stopped", "stalls", "is slow"}
+var faultNames = []string{"", "", "", "refuses connections", "rejects before running", "rejects as invalid", "dies without an answer",
+	"never answers", "answers 500", "answers 400", "answers for another run", "dies in the stream", "falls silent", "reports an error", "is stopped", "stalls", "is slow"}
 
 func drawHistory(t *rapid.T) history {
 	engine := rapid.Custom(func(t *rapid.T) engineSpec {
@@ -68,9 +68,9 @@
 }
 
 func TestRandomHistories(t *testing.T) {
-	// Symptom: any breach of what must always hold, in a case that nobody thought of.
-	// Sequence: random faults of engines, arrivals of few keys at two hosts, one of which counts as dead from some time on.
-	// Cause: whatever the history printed shows.
+	// Checks invariants in random histories: engines with random faults, and requests with few
+	// keys that arrive at two hosts, one of which counts as dead from some time on. A failure
+	// prints the history.
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "500"} {
 		testutil.NoError(t, flag.Set(name, value))
 	}
@@ -84,7 +84,8 @@
 	})
 }
 
-// runHistory runs a history and returns what an oracle that sees all engines objects to.
+// runHistory runs a history and returns the violations found with the knowledge of all
+// engines.
 func runHistory(t *testing.T, h history) (faults []string) {
 	f := newFleet()
 	for _, s := range h.Engines {
@@ -118,7 +119,7 @@
 			e.count(func() { runs += strings.Count(strings.Join(e.bodies, " "), fmt.Sprintf("key%d.", key)) })
 		}
 		if isNotIdempotent(key) && runs > 1 {
-			object("key %d must not be repeated and ran %d times", key, runs)
+			object("key %d is not idempotent and ran %d times", key, runs)
 		}
 	}
 	f.end(t)
@@ -146,15 +147,15 @@
 	f.mu.Unlock()
 	switch {
 	case whole == refused && w.Code < 400:
-		object("arrival %d got neither a whole answer nor a refusal, or both: %q", i, got)
+		object("arrival %d got neither a complete answer nor a refusal, or both: %q", i, got)
 	case whole && !billed:
-		object("arrival %d got its answer unbilled", i)
+		object("arrival %d got its answer without a bill", i)
 	case refused && strings.Contains(got, `"ran":"`+string(errkind.RanNo)+`"`) && ranAnywhere(f, w.Header().Get(filter.HeaderRequestID)):
-		object("arrival %d was told that it did not run: %s", i, got)
+		object("arrival %d ran but was answered with ran \"no\": %s", i, got)
 	}
 }
 
-// ranAnywhere tells whether an engine ran any attempt of a request.
+// ranAnywhere reports whether an engine ran any attempt of a request.
 func ranAnywhere(f *fakeFleet, requestID string) (ran bool) {
 	for _, e := range f.engines {
 		e.count(func() { ran = ran || strings.Contains(strings.Join(e.ids, " "), requestID) })
--- a/internal/callerapi/outcome_test.go
+++ b/internal/callerapi/outcome_test.go
@@ -14,17 +14,16 @@
 const service = "/services/ledger/post"
 
 func TestEveryCallIsAnsweredByItsDeadline(t *testing.T) {
-	// Symptom: a caller's deadline passes without an answer or a refusal.
-	// Sequence: any one thing that the chain waits for never comes.
-	// Cause: a wait that is not bounded by the deadline.
+	// Guards against a deadline that passes without an answer or a refusal. Each dependency of
+	// the chain in turn never answers; every wait must be bounded by the deadline.
 	for _, c := range []struct {
 		hang, path string
 		ran        errkind.Ran
 	}{
 		{"records", parse.PathChat, errkind.RanNo}, {"budget", parse.PathChat, errkind.RanNo},
 		{"claims", parse.PathChat, errkind.RanNo}, {"scheduler", parse.PathChat, errkind.RanNo},
-		{"says nothing", parse.PathChat, errkind.RanUnknown}, {"falls silent", parse.PathChat, errkind.RanYes},
-		{"says nothing", service, errkind.RanUnknown},
+		{"never answers", parse.PathChat, errkind.RanUnknown}, {"falls silent", parse.PathChat, errkind.RanYes},
+		{"never answers", service, errkind.RanUnknown},
 	} {
 		for _, notIdempotent := range []string{"true", "false"} {
 			if c.hang == "claims" && notIdempotent == "false" {
@@ -43,7 +42,7 @@
 				}
 				kind := errkind.DeadlineExceeded
 				if c.hang == "falls silent" && notIdempotent == "false" {
-					kind = errkind.BackendServerFailed // three servers were tried, each for half of the time left
+					kind = errkind.BackendServerFailed // three servers were tried, each for half of the remaining time
 				}
 				if got := refusalOf(t, w.Body.String()); got.Kind != kind || got.Ran != c.ran {
 					t.Errorf("%s at %s, not idempotent %s: got %s, ran %s, want ran %s", c.hang, c.path, notIdempotent, got.Kind, got.Ran, c.ran)
@@ -54,9 +53,8 @@
 }
 
 func TestCallerGoneCancelsTheRun(t *testing.T) {
-	// Symptom: engines generate for callers who have hung up.
-	// Sequence: the caller closes its connection in the stream.
-	// Cause: nothing looks at the caller's connection while the engine is awaited.
+	// Guards against engines that generate tokens for callers that have disconnected. The
+	// caller closes its connection during the stream, while the chain waits for the engine.
 	inFleet(t, func(t *testing.T, f *fakeFleet) {
 		e := f.engine(true, "falls silent", 2)
 		e.stuck = true
@@ -73,9 +71,9 @@
 		}
 		h.api.Wait()
 		if e.cancels != 1 {
-			t.Errorf("%d cancel orders", e.cancels)
+			t.Errorf("%d runs canceled, want 1", e.cancels)
 		}
-		// Two tokens and the bound of the prompt are billed.
+		// The bill covers two tokens and the upper bound of the prompt's tokens.
 		want := h.call.PromptTokens + 2
 		if got := f.billed[h.call.Identity]; got != want {
 			t.Errorf("billed %d, want %d", got, want)
@@ -103,9 +101,9 @@
 }
 
 func TestRetryAtAnotherHostRunsAndBillsOnce(t *testing.T) {
-	// Symptom: a caller whose router died pays twice, or its work runs twice.
-	// Sequence: host a dies with the stream open; the caller retries at host b with its key.
-	// Cause: b doesn't know of the run, or starts another one.
+	// Guards against a caller that pays twice, or whose request runs twice, because its host
+	// failed. Host a dies during the stream and the caller retries at host b with the same
+	// key; b must continue the run instead of starting another one.
 	inFleet(t, func(t *testing.T, f *fakeFleet) {
 		e := f.engine(true, "falls silent", 2)
 		a, b := f.host("a"), f.host("b")
@@ -116,21 +114,21 @@
 		}()
 		time.Sleep(500 * time.Millisecond)
 		if got := refusalOf(t, b.do(parse.PathChat, chatBody, filter.HeaderIdempotencyKey, "k").Body.String()); got.Kind != errkind.InProgress {
-			t.Errorf("while a lives: %+v", got)
+			t.Errorf("while a is alive: %+v", got)
 		}
 		f.mu.Lock()
 		f.dead["a"] = true
 		f.mu.Unlock()
 		w := b.do(parse.PathChat, chatBody, filter.HeaderIdempotencyKey, "k")
 		if text, whole := textOf(w.Body.String()); text != wholeText || !whole {
-			t.Errorf("got %q, whole %v", text, whole)
+			t.Errorf("got %q, complete %v", text, whole)
 		}
-		<-first // a was only cut off: it ends its call too
+		<-first // a is only cut off, so its call ends too
 		if e.runs != 1 || f.billed["school/k"] != wholeUsage || a.settled+b.settled != 2 || f.doubleBills != 1 {
-			t.Errorf("runs %d, billed %v, bills %d and %d, of which double %d", e.runs, f.billed, a.settled, b.settled, f.doubleBills)
+			t.Errorf("runs %d, billed %v, bills %d and %d, of which duplicate %d", e.runs, f.billed, a.settled, b.settled, f.doubleBills)
 		}
 		if rec := f.records["school/k"]; rec.RequestId != b.call.ID || string(rec.Answer) != w.Body.String() {
-			t.Errorf("the record did not pass to b: %v", rec)
+			t.Errorf("host b did not take over the record: %v", rec)
 		}
 		if got := refusalOf(t, b.do(parse.PathChat, plainBody, filter.HeaderIdempotencyKey, "k").Body.String()); got.Kind != errkind.KeyConflict {
 			t.Errorf("same key, another body: %+v", got)
@@ -139,36 +137,35 @@
 }
 
 func TestNonIdempotentCallRunsAtMostOnce(t *testing.T) {
-	// Symptom: a ledger entry stands twice.
-	// Sequence: the caller sends it to two hosts that don't see each other's records, or while there is no quorum.
-	// Cause: dispatch before the claim is committed, or in spite of losing it.
+	// Guards against a non-idempotent request that runs twice. The caller sends it to two
+	// hosts that don't see each other's records, or while there is no quorum. It may be
+	// dispatched only after the claim is committed and won.
 	inFleet(t, func(t *testing.T, f *fakeFleet) {
 		e := f.engine(false, "", 0)
 		a, b := f.host("a"), f.host("b")
-		marked := []string{filter.HeaderNotIdempotent, "true", filter.HeaderIdempotencyKey, "k"}
+		nonIdempotent := []string{filter.HeaderNotIdempotent, "true", filter.HeaderIdempotencyKey, "k"}
 		f.noQuorum = true
-		if got := refusalOf(t, a.do(service, "x", marked...).Body.String()); got.Kind != errkind.ClaimUnavailable || got.Ran != errkind.RanNo || e.runs != 0 {
+		if got := refusalOf(t, a.do(service, "x", nonIdempotent...).Body.String()); got.Kind != errkind.ClaimUnavailable || got.Ran != errkind.RanNo || e.runs != 0 {
 			t.Errorf("without a quorum: %+v, runs %d", got, e.runs)
 		}
 		a.api.Wait()
 		f.noQuorum = false
-		if w := a.do(service, "x", marked...); w.Code != 200 {
+		if w := a.do(service, "x", nonIdempotent...); w.Code != 200 {
 			t.Errorf("got %d %s", w.Code, w.Body)
 		}
-		clear(f.records) // b is cut off from what a knows
-		if got := refusalOf(t, b.do(service, "x", marked...).Body.String()); got.Kind != errkind.AnswerNotKept && got.Kind != errkind.OutcomeUnknown {
+		clear(f.records) // b can't see the records of a
+		if got := refusalOf(t, b.do(service, "x", nonIdempotent...).Body.String()); got.Kind != errkind.AnswerNotKept && got.Kind != errkind.OutcomeUnknown {
 			t.Errorf("claim lost: %+v", got)
 		}
 		if e.runs != 1 {
-			t.Errorf("%d runs", e.runs)
+			t.Errorf("%d runs, want 1", e.runs)
 		}
 	})
 }
 
 func TestRunOverReservationIsStopped(t *testing.T) {
-	// Symptom: a budget is overspent by an engine that ignores max_tokens.
-	// Sequence: the engine sends more tokens than the cap that was reserved.
-	// Cause: the cap is only sent, never checked.
+	// Guards against an engine that ignores max_tokens and overspends a budget: the engine
+	// sends more tokens than were reserved. The cap must be enforced, not only sent.
 	for _, body := range []string{chatBody, plainBody} {
 		inFleet(t, func(t *testing.T, f *fakeFleet) {
 			e := f.engine(true, "", 0)
@@ -179,20 +176,20 @@
 				t.Errorf("got %+v", got)
 			}
 			if text, _ := textOf(w.Body.String()); strings.Count(text, "t") > 5 {
-				t.Errorf("relayed %q", text)
+				t.Errorf("sent %q to the caller", text)
 			}
 			h.api.Wait()
 			if e.cancels != 1 || f.billed[h.call.Identity] != h.call.Reserved {
-				t.Errorf("%d cancel orders, billed %v of %d", e.cancels, f.billed, h.call.Reserved)
+				t.Errorf("%d runs canceled, billed %v of %d", e.cancels, f.billed, h.call.Reserved)
 			}
 		})
 	}
 }
 
 func TestRanCoversAllAttempts(t *testing.T) {
-	// Symptom: "did not run" about work that may have run.
-	// Sequence: the first server dies with the request; no other server is there.
-	// Cause: the scheduler's refusal says "did not run" of the second attempt alone.
+	// Guards against reporting a request as not run although it may have run. The first server
+	// crashes with the request and there is no other one; the scheduler's refusal then covers
+	// only the second attempt.
 	inFleet(t, func(t *testing.T, f *fakeFleet) {
 		f.engine(false, "dies without an answer", 0)
 		h := f.host("a")
--- a/internal/callerapi/server_test.go
+++ b/internal/callerapi/server_test.go
@@ -24,7 +24,7 @@
 
 func init() { zerolog.SetGlobalLevel(zerolog.WarnLevel) }
 
-// serve puts a host's API on nbhttp.
+// serve starts an nbhttp server with the host's API.
 func serve(t testing.TB, h *fakeHost) *httpserver.Server {
 	t.Helper()
 	h.api.deps.CallerClosed = nil
@@ -60,13 +60,12 @@
 			return
 		}
 	}
-	t.Fatalf("%s never reached %d", what, want)
+	t.Fatalf("the number of %s never reached %d", what, want)
 }
 
 func TestClosedConnectionCancelsTheRun(t *testing.T) {
-	// Symptom: as in TestCallerGoneCancelsTheRun, on real connections.
-	// Sequence: the caller's TCP connection closes in the stream.
-	// Cause: nbhttp tells no handler.
+	// Same as TestCallerGoneCancelsTheRun on real connections: the caller closes its TCP
+	// connection during the stream, of which nbhttp does not notify the handler.
 	f := newFleet()
 	e := f.tcpEngine(t, "falls silent", 2)
 	e.stuck = true
@@ -82,14 +81,14 @@
 		}
 	}
 	_ = c.Close()
-	e.awaitCount(t, "cancel orders", func() int { return e.cancels }, 1)
+	e.awaitCount(t, "canceled runs", func() int { return e.cancels }, 1)
 	e.awaitCount(t, "open streams", func() int { return e.open }, 0)
 }
 
 func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
-	// Symptom: a school reads another school's ledger.
-	// Sequence: many callers at once over shared connections, some of whose deadlines pass, so that their answers come late.
-	// Cause: an answer is matched by its place on a connection.
+	// Guards against a caller that gets another caller's answer. Many callers use shared
+	// connections at once, and some deadlines pass, so that their answers arrive late. An
+	// answer must be matched by its ID and not by its position on a connection.
 	f := newFleet()
 	e := f.tcpEngine(t, "", 0)
 	e.delay = func(body string) time.Duration {
@@ -127,9 +126,8 @@
 }
 
 func TestDrainCompletesStreams(t *testing.T) {
-	// Symptom: a restart of a host cuts answers off.
-	// Sequence: the host drains with a stream open.
-	// Cause: shutdown closes connections that handlers still write to.
+	// Guards against truncated answers when a host restarts: it drains with a stream open, and
+	// shutdown must not close connections that handlers still write to.
 	f := newFleet()
 	e := f.tcpEngine(t, "", 0)
 	e.tokenDelay = 20 * time.Millisecond
@@ -142,7 +140,7 @@
 	go func() { drained <- s.Drain(ctx) }()
 	body, _ := io.ReadAll(res.Body)
 	if text, whole := textOf(string(body)); text != wholeText || !whole {
-		t.Errorf("got %q, whole %v", text, whole)
+		t.Errorf("got %q, complete %v", text, whole)
 	}
 	if err := <-drained; err != nil {
 		t.Error(err)
@@ -153,8 +151,8 @@
 func BenchmarkWhole(b *testing.B)   { benchmark(b, parse.PathChat, plainBody) }
 func BenchmarkService(b *testing.B) { benchmark(b, "/services/ledger/read", "entry") }
 
-// benchmark counts requests through nbhttp, the chain and an engine on the loopback,
-// all in this process; bytes and allocations are those of all three and the caller.
+// benchmark measures requests through nbhttp, the chain and an engine on the loopback
+// interface, all in this process. Bytes and allocations include all three and the caller.
 func benchmark(b *testing.B, path, body string) {
 	f := newFleet()
 	f.tcpEngine(b, "", 0)
@@ -175,8 +173,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-// BenchmarkToken measures one token of a long stream through the chain, from an
-// engine on the loopback in this process.
+// BenchmarkToken measures one token of a long stream through the chain, from an engine on the
+// loopback interface in this process.
 func BenchmarkToken(b *testing.B) {
 	f := newFleet()
 	e := f.tcpEngine(b, "", 0)
@@ -186,12 +184,12 @@
 	b.ReportAllocs()
 	w := h.do(parse.PathChat, strings.Replace(chatBody, `"max_tokens":5,`, "", 1), filter.HeaderTimeout, "900000")
 	if !strings.HasSuffix(w.Body.String(), "[DONE]\n\n") {
-		b.Fatalf("answer is not whole: %.200s", w.Body)
+		b.Fatalf("answer is incomplete: %.200s", w.Body)
 	}
 }
 
-// BenchmarkFirstToken measures the time to the first token of one caller at a time,
-// through the host and straight at the engine; their difference is what the host adds.
+// BenchmarkFirstToken measures the time to the first token of one caller at a time, through
+// the host and directly at the engine. The difference is what the host adds.
 func BenchmarkFirstToken(b *testing.B) {
 	f := newFleet()
 	f.tcpEngine(b, "", 0)
--- a/internal/callerapi/servers.go
+++ b/internal/callerapi/servers.go
@@ -19,7 +19,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Bounds of what backend servers send.
+// Bounds of requests from backend servers.
 const (
 	defaultAnnounceInterval = time.Second
 	maxAnnouncement         = 64 << 10
@@ -30,9 +30,9 @@
 	hashBits                = 64
 )
 
-// announceResponse tells a backend server where and how often to announce itself.
+// announceResponse tells a backend server to which hosts and how often to announce itself.
 type announceResponse struct {
-	// Hosts are addresses that take announcements.
+	// Hosts are the addresses of hosts that accept announcements.
 	Hosts      []string `json:"hosts"`
 	IntervalMs int64    `json:"interval_ms"`
 }
@@ -42,7 +42,7 @@
 	if err == nil {
 		var st *pb.ServerState
 		if st, err = decodeAnnouncement(body); err == nil {
-			a.deps.Registry.Announce(st) // an old one changes nothing and is answered all the same
+			a.deps.Registry.Announce(st) // an outdated one has no effect but is answered the same way
 			a.answerAnnouncement(w, st.Zone)
 			return
 		}
@@ -52,13 +52,14 @@
 
 // readFromServer reads the body of a request that only backend servers may make.
 //
-// What goes wrong without the key: whoever reaches the callers' address announces a
-// server of his own and is sent other accounts' prompts.
+// If a key is set in the fleet's settings, the request must carry it. Without a key, anyone
+// who can reach the callers' address could announce a server and be sent the prompts of other
+// accounts.
 func (a *API) readFromServer(r *http.Request, limit int64) ([]byte, error) {
 	if hashes := a.deps.Settings.Fleet().AnnounceKeyHashes; len(hashes) > 0 {
 		key, _ := bearer.Key(r)
 		if !settings.ContainsHash(hashes, settings.HashKey(key)) {
-			return nil, errkind.New(errkind.Unauthenticated, "backend servers announce themselves with a key here")
+			return nil, errkind.New(errkind.Unauthenticated, "requests of backend servers to this fleet need the announcement key")
 		}
 	}
 	return readBounded(r, limit)
@@ -76,22 +77,22 @@
 	writeJSON(w, answer)
 }
 
-// decodeAnnouncement reads an announcement: the fields of pb.ServerState in snake
-// case, times in milliseconds. Unknown fields are passed over.
+// decodeAnnouncement decodes an announcement: the fields of pb.ServerState in snake case,
+// times in milliseconds. Unknown fields are ignored.
 func decodeAnnouncement(body []byte) (*pb.ServerState, error) {
 	st := &pb.ServerState{}
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, st); err != nil {
-		return nil, errkind.New(errkind.BadRequest, "the announcement can't be read: %v", err)
+		return nil, errkind.New(errkind.BadRequest, "invalid announcement: %v", err)
 	}
 	if err := checkServer(st.Address, st.Incarnation); err != nil {
 		return nil, err
 	}
 	if st.AgeMs < 0 || st.LoadAgeMs < 0 {
-		return nil, errkind.New(errkind.BadRequest, "an age is negative")
+		return nil, errkind.New(errkind.BadRequest, "age_ms and load_age_ms must not be negative")
 	}
 	for _, speed := range []float64{st.TokensPerSecond, st.PrefillPerSecond} {
 		if speed < 0 || math.IsNaN(speed) || math.IsInf(speed, 0) {
-			return nil, errkind.New(errkind.BadRequest, "a speed is no number of tokens a second")
+			return nil, errkind.New(errkind.BadRequest, "tokens_per_second and prefill_per_second must be finite and not negative")
 		}
 	}
 	for _, names := range [][]string{st.Models, st.Services, st.Adapters, {st.Pool, st.Zone, st.Role}} {
@@ -105,7 +106,7 @@
 func checkServer(address string, incarnation uint64) error {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil || ap.Port() == 0 {
-		return errkind.New(errkind.BadRequest, "address %q is not an IP number and port", truncate(address))
+		return errkind.New(errkind.BadRequest, "address %q is not an IP address and port", truncate(address))
 	}
 	if incarnation == 0 {
 		return errkind.New(errkind.BadRequest, "the incarnation is missing")
@@ -115,11 +116,11 @@
 
 func checkNames(names []string) error {
 	if len(names) > maxNames {
-		return errkind.New(errkind.BadRequest, "a list has over %d names", maxNames)
+		return errkind.New(errkind.BadRequest, "a list has more than %d names", maxNames)
 	}
 	for _, n := range names {
 		if len(n) > maxNameBytes {
-			return errkind.New(errkind.BadRequest, "name %q is over %d bytes", truncate(n), maxNameBytes)
+			return errkind.New(errkind.BadRequest, "name %q is longer than %d bytes", truncate(n), maxNameBytes)
 		}
 	}
 	return nil
@@ -127,15 +128,15 @@
 
 func truncate(s string) string { return s[:min(len(s), maxNameBytes)] }
 
-// cacheReport is what a backend server says of its prefix cache. Events are numbered
-// per incarnation; hashes are written in hex.
+// cacheReport reports changes of a backend server's prefix cache. Events are numbered per
+// incarnation; hashes are in hexadecimal.
 type cacheReport struct {
 	Address     string        `json:"address"`
 	Incarnation uint64        `json:"incarnation"`
 	Events      []cacheChange `json:"events"`
 }
 
-// cacheChange is one numbered event.
+// cacheChange is one event of a cacheReport.
 type cacheChange struct {
 	Seq     uint64   `json:"seq"`
 	Stored  []string `json:"stored,omitempty"`
@@ -143,7 +144,7 @@
 	Cleared bool     `json:"cleared,omitempty"`
 }
 
-// cacheAnswer confirms events up to a number.
+// cacheAnswer acknowledges the events up to Seq.
 type cacheAnswer struct {
 	Seq uint64 `json:"seq"`
 }
@@ -165,11 +166,11 @@
 	httpserver.WriteError(w, "", err)
 }
 
-// decodeCacheEvents reads a cacheReport.
+// decodeCacheEvents decodes a cacheReport.
 func decodeCacheEvents(body []byte) ([]backend.CacheEvent, error) {
 	var report cacheReport
 	if err := json.Unmarshal(body, &report); err != nil {
-		return nil, errkind.New(errkind.BadRequest, "the events can't be read: %v", err)
+		return nil, errkind.New(errkind.BadRequest, "invalid cache events: %v", err)
 	}
 	if err := checkServer(report.Address, report.Incarnation); err != nil {
 		return nil, err
@@ -194,7 +195,7 @@
 	for _, s := range list {
 		h, err := strconv.ParseUint(s, hashBase, hashBits)
 		if err != nil {
-			return nil, errkind.New(errkind.BadRequest, "hash %q is not written in hex", truncate(s))
+			return nil, errkind.New(errkind.BadRequest, "hash %q is not a hexadecimal number of 64 bits", truncate(s))
 		}
 		out = append(out, h)
 	}
--- a/internal/callerapi/standin_test.go
+++ b/internal/callerapi/standin_test.go
@@ -15,7 +15,7 @@
 
 const standinBody = `{"model":"m","stream":true,"max_tokens":12,"ignore_eos":true,"messages":[{"role":"user","content":"hello"}]}`
 
-// standins puts two stand-in backend servers behind a host, the first with a fault.
+// standins starts two stand-in backend servers, the first with faults.
 func standins(t *testing.T, f *fakeFleet, faults standin.Faults) (first, second *standin.Server) {
 	t.Helper()
 	var servers []*standin.Server
@@ -31,9 +31,9 @@
 }
 
 func TestFaultsOfStandinServers(t *testing.T) {
-	// Symptom: the chain works with its own fake engine only.
-	// Sequence: the stand-in backend server breaks, silences or overruns a stream; another one is there.
-	// Cause: the two read the protocol between them differently.
+	// Guards against a chain that works only with its own fake engine because the fake and the
+	// stand-in backend server implement the protocol differently. The first stand-in server
+	// breaks off, silences or overruns a stream; the second one has no faults.
 	body := []byte(standinBody)
 	prompt, err := standin.ParsePrompt(body)
 	testutil.NoError(t, err)
@@ -73,7 +73,7 @@
 				return
 			}
 			if text, whole := textOf(string(got)); res.StatusCode != http.StatusOK || text != want || !whole {
-				t.Errorf("got %d %q, whole %v, want %q", res.StatusCode, text, whole, want)
+				t.Errorf("got %d %q, complete %v, want %q", res.StatusCode, text, whole, want)
 			}
 			h.mu.Lock()
 			defer h.mu.Unlock()
--- a/internal/callerapi/work.go
+++ b/internal/callerapi/work.go
@@ -20,7 +20,7 @@
 	idBytes    = 16
 )
 
-// serveWork runs one call through a chain and answers its refusal, if any.
+// serveWork runs one call through a chain and answers with its refusal, if any.
 func (a *API) serveWork(w http.ResponseWriter, r *http.Request, kind filter.WorkKind, chain filter.Handler) {
 	c := &filter.Call{ID: newID(), Kind: kind, Path: r.URL.Path, Arrived: a.deps.Clock.Now()}
 	w.Header().Set(filter.HeaderRequestID, c.ID)
@@ -41,8 +41,8 @@
 	}
 }
 
-// writeRefusal answers e: by itself, or as the last event of a stream that has begun. The
-// caller knows by the missing [DONE] that the stream is not whole.
+// writeRefusal sends e as the answer, or as the last event of a stream that has begun. The
+// missing [DONE] shows the caller that the stream is incomplete.
 func writeRefusal(w http.ResponseWriter, c *filter.Call, e *errkind.Error) {
 	if !c.Answer.Begun {
 		httpserver.WriteError(w, c.ID, e)
