--- a/internal/callerapi/server_test.go
+++ b/internal/callerapi/server_test.go
@@ -28,7 +28,7 @@
 func serve(t testing.TB, h *fakeHost) *httpserver.Server {
 	t.Helper()
 	h.api.deps.CallerClosed = nil
-	s := httpserver.New(httpserver.Config{Address: "127.0.0.1:0", Handler: New(h.api.deps), Always: NeverShed})
+	s := httpserver.New(httpserver.Config{Address: "127.0.0.1:0", Handler: New(h.api.deps), NeverShed: NeverShed})
 	testutil.NoError(t, s.Start())
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -233,7 +233,7 @@
 	})
 	e.http = httpserver.New(httpserver.Config{
 		Name: "callers", Address: cfg.Listen.Callers, TLS: serverTLS(e.d.tls.callers), Handler: e.api,
-		MaxBodyBytes: cfg.Limits.MaxBodyBytes, Streams: cfg.Limits.Streams, Always: callerapi.NeverShed,
+		MaxBodyBytes: cfg.Limits.MaxBodyBytes, Streams: cfg.Limits.Streams, NeverShed: callerapi.NeverShed,
 	})
 	e.d.countConnections("callers", e.http)
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -86,9 +86,9 @@
 	// requests are refused as Overloaded rather than queued: a queue here would hold
 	// them past their deadlines unseen.
 	Streams int
-	// Always names requests that Streams doesn't refuse, such as announcements and
+	// NeverShed names requests that Streams doesn't refuse, such as announcements and
 	// health checks, which an overloaded host still has to answer. Nil: none.
-	Always func(r *http.Request) bool
+	NeverShed func(r *http.Request) bool
 	// MaxQueuedBytes bounds what is kept for a caller who does not read; then its
 	// connection is closed.
 	MaxQueuedBytes int
@@ -284,7 +284,7 @@
 }
 
 func (s *Server) always(r *http.Request) bool {
-	return s.cfg.Always != nil && s.cfg.Always(r)
+	return s.cfg.NeverShed != nil && s.cfg.NeverShed(r)
 }
 
 // recoverPanic answers a panicking handler's request. Without it nbhttp swallows
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -384,7 +384,7 @@
 func TestStreamsBoundRefusesAtOnceButNotAlways(t *testing.T) {
 	release := make(chan struct{})
 	entered := make(chan struct{}, 2)
-	s := start(t, Config{Streams: 1, Always: func(r *http.Request) bool { return r.URL.Path == "/healthz" },
+	s := start(t, Config{Streams: 1, NeverShed: func(r *http.Request) bool { return r.URL.Path == "/healthz" },
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/hold" {
 				entered <- struct{}{}
