--- a/internal/httpserver/closing.go
+++ b/internal/httpserver/closing.go
@@ -28,8 +28,8 @@
 	CauseReset Cause = "reset"
 	// CauseIdle: no request began within the idle timeout.
 	CauseIdle Cause = "idle"
-	// CauseStalled: the caller took nothing of an answer within the idle timeout.
-	CauseStalled Cause = "write-stalled"
+	// CauseWriteStalled: the caller took nothing of an answer within the idle timeout.
+	CauseWriteStalled Cause = "write-stalled"
 	// CauseOverflow: more of an answer waits for the caller than MaxQueuedBytes.
 	CauseOverflow Cause = "write-overflow"
 	// CauseAborted: Abort broke an answer off.
--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -246,7 +246,7 @@
 	if n+rest < size {
 		t.Errorf("the answer broke off at %d of %d bytes", n+rest, size)
 	}
-	if _, busy := counted(t, s, CauseStalled); busy[CauseStalled] != 1 {
+	if _, busy := counted(t, s, CauseWriteStalled); busy[CauseWriteStalled] != 1 {
 		t.Errorf("counted %v", busy)
 	}
 }
--- a/internal/httpserver/idle.go
+++ b/internal/httpserver/idle.go
@@ -110,7 +110,7 @@
 	case !g.over && g.conn.hasUnread():
 		// A host short of processor is late to read, which is not its caller's fault.
 	case !g.conn.quiet():
-		g.conn.closeFor(CauseStalled, nil)
+		g.conn.closeFor(CauseWriteStalled, nil)
 	default:
 		g.conn.closeFor(cause, nil)
 	}
