--- a/internal/httpserver/closing.go
+++ b/internal/httpserver/closing.go
@@ -30,8 +30,8 @@
 	CauseIdle Cause = "idle"
 	// CauseWriteStalled: the caller took nothing of an answer within the idle timeout.
 	CauseWriteStalled Cause = "write-stalled"
-	// CauseOverflow: more of an answer waits for the caller than MaxQueuedBytes.
-	CauseOverflow Cause = "write-overflow"
+	// CauseWriteOverflow: more of an answer waits for the caller than MaxQueuedBytes.
+	CauseWriteOverflow Cause = "write-overflow"
 	// CauseAborted: Abort broke an answer off.
 	CauseAborted Cause = "aborted"
 	// CauseSlowSender: a request did not arrive whole in time.
--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -213,10 +213,10 @@
 	})})
 	c := dial(t, s)
 	_, _ = io.WriteString(c, plainRequest)
-	if got := <-seen; got != CauseOverflow {
+	if got := <-seen; got != CauseWriteOverflow {
 		t.Errorf("closed because of %q", got)
 	}
-	if _, busy := counted(t, s, CauseOverflow); busy[CauseOverflow] != 1 {
+	if _, busy := counted(t, s, CauseWriteOverflow); busy[CauseWriteOverflow] != 1 {
 		t.Errorf("counted %v", busy)
 	}
 	await(t, "the connection is given up", s.conns.empty)
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -61,7 +61,7 @@
 // is closed or its queue full. Calls for one connection come one after the other.
 func (c *trackedConn) Write(b []byte) (int, error) {
 	if c.unsent.Load()+int64(len(b)) > int64(c.server.cfg.MaxQueuedBytes) {
-		c.closeFor(CauseOverflow, nbio.ErrOverflow)
+		c.closeFor(CauseWriteOverflow, nbio.ErrOverflow)
 	}
 	n, err := c.writeNow(b)
 	if err != nil {
