--- a/internal/httpserver/accept.go
+++ b/internal/httpserver/accept.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// acceptPause is how long no connection is accepted after one could not be, for want of
+// acceptBackoff is how long no connection is accepted after one could not be, for want of
 // descriptors as a rule: some close within it.
 //
 // What goes wrong without it: nbhttp tries again at once, and the host spends its processor on
 // the attempts, and its log on a line for each, while it has requests to serve.
-const acceptPause = 50 * time.Millisecond
+const acceptBackoff = 50 * time.Millisecond
 
 // onAcceptError runs on the accepting goroutine.
 func (s *Server) onAcceptError(error) {
 	select {
 	case <-s.stopping: // the listener is closed
 	default:
-		s.ends.refused.Add(1)
-		time.Sleep(acceptPause)
+		s.closes.notAccepted.Add(1)
+		time.Sleep(acceptBackoff)
 	}
 }
--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -42,7 +42,7 @@
 	if !get(c, bufio.NewReader(c)) {
 		t.Fatal("no answer")
 	}
-	if n := s.ends.refused.Value(); n != failures {
+	if n := s.closes.notAccepted.Value(); n != failures {
 		t.Fatalf("%d failures counted, want %d", n, failures)
 	}
 }
--- a/internal/httpserver/barrier.go
+++ b/internal/httpserver/barrier.go
@@ -12,18 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// libraryWrites tells of the closes that nbio does by itself on a handler's goroutine: that
+// writeTracker tells of the closes that nbio does by itself on a handler's goroutine: that
 // of a connection on which a write has failed. All other closes are left to the poller, see
 // trackedConn.
-type libraryWrites struct {
-	// underway are the writes that may end in a close, failed those that have.
-	underway, failed atomic.Int64
+type writeTracker struct {
+	// ongoing are the writes that may end in a close, failed those that have.
+	ongoing, failed atomic.Int64
 }
 
 // write has nbio write.
-func (w *libraryWrites) write(f func() (int, error)) (int, error) {
-	w.underway.Add(1)
-	defer w.underway.Add(-1)
+func (w *writeTracker) write(f func() (int, error)) (int, error) {
+	w.ongoing.Add(1)
+	defer w.ongoing.Add(-1)
 	n, err := f()
 	if err != nil {
 		w.failed.Add(1)
@@ -49,18 +49,18 @@
 	// stopped is closed when the poller may have ended.
 	stopped chan struct{}
 	once    sync.Once
-	writes  *libraryWrites
-	// seen is how many writes had failed when somebody passed last.
-	seen atomic.Int64
+	writes  *writeTracker
+	// seenFailed is how many writes had failed when somebody passed last.
+	seenFailed atomic.Int64
 
 	mu sync.Mutex
-	// arrived wait for a byte that is written after they came; passing wait for one that the
+	// waiting wait for a byte that is written after they came; passing wait for one that the
 	// poller itself wrote after that, thus in a later batch.
-	arrived, passing []chan struct{}
+	waiting, passing []chan struct{}
 }
 
 // newPollBarrier makes the barrier of an engine with one poller, which must run.
-func newPollBarrier(engine *nbio.Engine, writes *libraryWrites) (*pollBarrier, error) {
+func newPollBarrier(engine *nbio.Engine, writes *writeTracker) (*pollBarrier, error) {
 	wake, read, err := socketPair()
 	if err != nil {
 		return nil, err
@@ -110,13 +110,13 @@
 // nbio has closed a connection since it last had, or may be doing so; or when the server stops.
 func (b *pollBarrier) await() {
 	// In this order: a write that is no longer under way has been counted if it failed.
-	idle := b.writes.underway.Load() == 0
+	idle := b.writes.ongoing.Load() == 0
 	failed := b.writes.failed.Load()
-	if idle && failed == b.seen.Load() {
+	if idle && failed == b.seenFailed.Load() {
 		return
 	}
 	if b.wait() {
-		b.seen.Store(failed)
+		b.seenFailed.Store(failed)
 	}
 }
 
@@ -124,9 +124,9 @@
 func (b *pollBarrier) wait() bool {
 	passed := make(chan struct{})
 	b.mu.Lock()
-	b.arrived = append(b.arrived, passed)
-	if len(b.arrived) == 1 && len(b.passing) == 0 {
-		b.kick()
+	b.waiting = append(b.waiting, passed)
+	if len(b.waiting) == 1 && len(b.passing) == 0 {
+		b.wakePoller()
 	}
 	b.mu.Unlock()
 	select {
@@ -142,7 +142,7 @@
 func (b *pollBarrier) read(c *nbio.Conn, buffer []byte) {
 	n, err := c.Read(buffer)
 	if n > 0 {
-		b.polled()
+		b.nextRound()
 		return
 	}
 	if err == nil || errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
@@ -154,24 +154,24 @@
 	_ = c.CloseWithError(err)
 }
 
-// polled begins a further round. Those that arrived may have done so in the middle of this
+// nextRound begins a further round. Those that arrived may have done so in the middle of this
 // batch. Those that were passing came before the end of an earlier one, whose events are all
 // handled by now.
-func (b *pollBarrier) polled() {
+func (b *pollBarrier) nextRound() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, passed := range b.passing {
 		close(passed)
 	}
-	b.passing, b.arrived = b.arrived, nil
+	b.passing, b.waiting = b.waiting, nil
 	if len(b.passing) > 0 {
-		b.kick()
+		b.wakePoller()
 	}
 }
 
-// kick has the poller fetch a further batch; b.mu is held. At most two bytes are unread, so
+// wakePoller has the poller fetch a further batch; b.mu is held. At most two bytes are unread, so
 // the write does not block.
-func (b *pollBarrier) kick() {
+func (b *pollBarrier) wakePoller() {
 	if _, err := b.wake.Write([]byte{0}); err != nil && !b.isStopped() {
 		log.Error().Str("event", "poll-barrier-failed").Err(err).Send()
 	}
--- a/internal/httpserver/bodies_test.go
+++ b/internal/httpserver/bodies_test.go
@@ -54,7 +54,7 @@
 	if status != http.StatusTooManyRequests || e.Kind != errkind.Overloaded || e.Ran != errkind.RanNo || e.RetryAfterMs == 0 {
 		t.Errorf("a body without room is answered %d %+v", status, e)
 	}
-	if held := s.bodies.Load(); held >= 2*large {
+	if held := s.heldBytes.Load(); held >= 2*large {
 		t.Errorf("%d bytes count as held, with those that were refused", held)
 	}
 	wantAnswer(t, dial(t, s), small) // small ones are not what fills the memory
@@ -63,9 +63,9 @@
 	if got := answer(t, holder); got != fmt.Sprint(large) {
 		t.Errorf("the first request got %s", got)
 	}
-	await(t, "the first body is given back", func() bool { return s.bodies.Load() == 0 })
+	await(t, "the first body is given back", func() bool { return s.heldBytes.Load() == 0 })
 	wantAnswer(t, dial(t, s), large)
-	await(t, "the next body is given back", func() bool { return s.bodies.Load() == 0 })
+	await(t, "the next body is given back", func() bool { return s.heldBytes.Load() == 0 })
 	wantAnswer(t, holder, large)
 }
 
@@ -84,11 +84,11 @@
 	half := dial(t, s)
 	_, err := fmt.Fprintf(half, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size/2))
 	testutil.NoError(t, err)
-	await(t, "both are held", func() bool { return s.bodies.Load() > 2*size })
+	await(t, "both are held", func() bool { return s.heldBytes.Load() > 2*size })
 	_, _ = half.Close(), atHandler.Close()
-	await(t, "half a body is given back", func() bool { return s.bodies.Load() < 2*size })
+	await(t, "half a body is given back", func() bool { return s.heldBytes.Load() < 2*size })
 	close(release)
-	await(t, "the other is, once its handler has returned", func() bool { return s.bodies.Load() == 0 })
+	await(t, "the other is, once its handler has returned", func() bool { return s.heldBytes.Load() == 0 })
 }
 
 // Symptom: of forty large requests that come together none is served, and all are refused.
@@ -106,7 +106,7 @@
 		_, err := fmt.Fprintf(conns[n], "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size/2))
 		testutil.NoError(t, err)
 		wanted := int64(min(n+1, fit)) * size
-		await(t, "the head has arrived", func() bool { return s.bodies.Load() >= wanted })
+		await(t, "the head has arrived", func() bool { return s.heldBytes.Load() >= wanted })
 	}
 	for n, c := range conns[fit:] {
 		if status, _ := readKind(t, bufio.NewReader(c)); status != http.StatusTooManyRequests {
--- a/internal/httpserver/closing.go
+++ b/internal/httpserver/closing.go
@@ -83,13 +83,13 @@
 	return CauseLibrary
 }
 
-// closeFor gives the connection up for a reason of the server's own: it shuts the socket down in
+// closeWithCause gives the connection up for a reason of the server's own: it shuts the socket down in
 // both directions, which the poller sees as an event of this connection, and closes it. See
 // trackedConn for why it isn't closed here.
-func (c *trackedConn) closeFor(cause Cause, err error) {
+func (c *trackedConn) closeWithCause(cause Cause, err error) {
 	own := &closeError{cause, err}
 	c.Lock() // as long as it is held, nbio doesn't close the socket
-	first := !c.isClosed() && c.own.CompareAndSwap(nil, own)
+	first := !c.isClosed() && c.closeReason.CompareAndSwap(nil, own)
 	if first {
 		_ = c.onSocket(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_RDWR) })
 	}
@@ -98,11 +98,11 @@
 		c.reportEnd(own)
 		return
 	}
-	c.seenClosed()
+	c.reportIfClosed()
 }
 
-// seenClosed reports the end of the connection if it is closed and nbio has said why.
-func (c *trackedConn) seenClosed() {
+// reportIfClosed reports the end of the connection if it is closed and nbio has said why.
+func (c *trackedConn) reportIfClosed() {
 	if closed, err := c.IsClosed(); closed && err != nil {
 		c.reportEnd(err)
 	}
@@ -115,8 +115,8 @@
 // nothing tells whether it left by itself, or which of the server's own reasons closed it.
 func (c *trackedConn) reportEnd(err error) {
 	c.ended.Do(func() {
-		cause, open := c.server.causeOf(err, c.endRead.Load()), !c.quiet()
-		c.server.ends.add(cause, open)
+		cause, open := c.server.causeOf(err, c.endRead.Load()), !c.isDrained()
+		c.server.closes.add(cause, open)
 		if open {
 			c.logEnd(cause, err)
 		}
@@ -129,11 +129,11 @@
 		level = zerolog.InfoLevel
 	}
 	event := log.WithLevel(level).Str("event", "connection-closed").Str("server", c.server.cfg.Name).Str("cause", string(cause))
-	if id := c.request.Load(); id != nil {
+	if id := c.requestID.Load(); id != nil {
 		event = event.Str("request", *id)
 	}
 	event.
-		Int64("open", c.busy.Load()).Int64("sent", c.taken.Load()-c.takenBefore.Load()).Int64("unsent", max(c.unsent.Load(), 0)).
+		Int64("open", c.openRequests.Load()).Int64("sent", c.written.Load()-c.writtenBefore.Load()).Int64("unsent", max(c.unsent.Load(), 0)).
 		Int64("requests", c.requests.Load()).Dur("age", time.Since(c.opened)).Stringer("remote", c.RemoteAddr()).
 		AnErr("error", err).Send()
 }
@@ -142,38 +142,38 @@
 // log: the line of a connection that ends under it then has it, too.
 func NameRequest(w http.ResponseWriter, id string) {
 	if c := connOf(w); c != nil {
-		c.request.Store(&id)
+		c.requestID.Store(&id)
 	}
 }
 
-// ends counts the ends of a server's connections by cause.
-type ends struct {
+// closeCounters counts the closeCounters of a server's connections by cause.
+type closeCounters struct {
 	// all connections, and those among them on which a request was open.
-	all, busy expvar.Map
-	// refused counts connections that could not be accepted.
-	refused expvar.Int
+	all, withRequest expvar.Map
+	// notAccepted counts connections that could not be accepted.
+	notAccepted expvar.Int
 	vars    expvar.Map
 }
 
-func newEnds() *ends {
-	e := &ends{}
+func newCloseCounters() *closeCounters {
+	e := &closeCounters{}
 	e.vars.Set("closed", &e.all)
-	e.vars.Set("closed_with_request", &e.busy)
-	e.vars.Set("not_accepted", &e.refused)
+	e.vars.Set("closed_with_request", &e.withRequest)
+	e.vars.Set("not_accepted", &e.notAccepted)
 	return e
 }
 
-func (e *ends) add(cause Cause, busy bool) {
+func (e *closeCounters) add(cause Cause, busy bool) {
 	e.all.Add(string(cause), 1)
 	if busy {
-		e.busy.Add(string(cause), 1)
+		e.withRequest.Add(string(cause), 1)
 	}
 }
 
 // Vars are the server's counters: the ends of its connections by Cause, of all under
 // "closed" and of those with a request open under "closed_with_request"; and under
 // "not_accepted" the connections that could not be accepted.
-func (s *Server) Vars() expvar.Var { return &s.ends.vars }
+func (s *Server) Vars() expvar.Var { return &s.closes.vars }
 
 // CloseCause says why the caller's connection is closed; false while it is open, and for a
 // ResponseWriter that is not nbhttp's.
@@ -182,14 +182,14 @@
 	if c == nil {
 		return "", false
 	}
-	if own := c.own.Load(); own != nil {
+	if own := c.closeReason.Load(); own != nil {
 		return own.cause, true
 	}
 	closed, err := c.IsClosed()
 	if !closed {
 		return "", false
 	}
-	c.seenClosed()
+	c.reportIfClosed()
 	if err == nil && !c.server.draining.Load() {
 		return CauseCaller, true // nbio notes the error just after it marks the connection
 	}
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -29,29 +29,29 @@
 	// unsent counts the bytes that were given to nbio and not yet to the kernel. Closing the
 	// connection drops them: Drain waits for zero.
 	unsent atomic.Int64
-	// busy is the number of requests read and not yet answered in full.
-	busy atomic.Int64
-	// request is the id of the one whose handler runs, if that has named it.
-	request atomic.Pointer[string]
+	// openRequests is the number of requests read and not yet answered in full.
+	openRequests atomic.Int64
+	// requestID is the id of the one whose handler runs, if that has named it.
+	requestID atomic.Pointer[string]
 	// requests counts those that came on the connection.
 	requests atomic.Int64
-	// taken is the number of bytes that the kernel took, takenBefore what it was when the
+	// written is the number of bytes that the kernel took, writtenBefore what it was when the
 	// first of the requests that are open was read.
-	taken, takenBefore atomic.Int64
-	// touched is when something last moved on the connection, in nanoseconds after opened.
-	touched atomic.Int64
-	// takenAtLook is what taken was at the idle watch's last look.
-	takenAtLook int64
-	// own is why the server closes the connection; nil as long as it does not. From then on
+	written, writtenBefore atomic.Int64
+	// lastActive is when something last moved on the connection, in nanoseconds after opened.
+	lastActive atomic.Int64
+	// writtenAtSweep is what taken was at the idle watch's last look.
+	writtenAtSweep int64
+	// closeReason is why the server closes the connection; nil as long as it does not. From then on
 	// no request is begun and nothing is written.
-	own atomic.Pointer[closeError]
+	closeReason atomic.Pointer[closeError]
 	// endRead: the poller has read the end of the caller's side.
 	endRead atomic.Bool
 	// ended: the end was counted.
 	ended sync.Once
-	// came is what has come of the request that is being read, in bytes, and held what is
+	// received is what has come of the request that is being read, in bytes, and counted what is
 	// counted of it; guard.mu guards both.
-	came, held int64
+	received, counted int64
 }
 
 // SetReadDeadline does nothing: see libraryKeepalive.
@@ -61,11 +61,11 @@
 // is closed or its queue full. Calls for one connection come one after the other.
 func (c *trackedConn) Write(b []byte) (int, error) {
 	if c.unsent.Load()+int64(len(b)) > int64(c.server.cfg.MaxQueuedBytes) {
-		c.closeFor(CauseWriteOverflow, nbio.ErrOverflow)
+		c.closeWithCause(CauseWriteOverflow, nbio.ErrOverflow)
 	}
 	n, err := c.writeNow(b)
 	if err != nil {
-		c.closeFor(CauseReset, err)
+		c.closeWithCause(CauseReset, err)
 		return 0, err
 	}
 	if n == len(b) {
@@ -94,7 +94,7 @@
 		return 0, rawErr
 	}
 	if n > 0 {
-		c.taken.Add(int64(n))
+		c.written.Add(int64(n))
 	}
 	if errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR) {
 		err = nil
@@ -104,7 +104,7 @@
 
 // Close is what nbhttp calls.
 func (c *trackedConn) Close() error {
-	c.closeFor(CauseLibrary, nil)
+	c.closeWithCause(CauseLibrary, nil)
 	return nil
 }
 
@@ -116,22 +116,22 @@
 // isClosed tells whether the connection is closed, or will be as soon as the poller
 // comes to it.
 func (c *trackedConn) isClosed() bool {
-	if c.own.Load() != nil {
+	if c.closeReason.Load() != nil {
 		return true
 	}
 	closed, _ := c.IsClosed()
 	return closed
 }
 
-// quiet tells whether every request is answered and every answer with the kernel.
-func (c *trackedConn) quiet() bool {
-	return c.busy.Load() == 0 && c.unsent.Load() <= 0
+// isDrained tells whether every request is answered and every answer with the kernel.
+func (c *trackedConn) isDrained() bool {
+	return c.openRequests.Load() == 0 && c.unsent.Load() <= 0
 }
 
 // onWritten is nbio's report of bytes that the kernel took.
 func onWritten(c *nbio.Conn, _ []byte, n int) {
 	if t := trackedOf(c); t != nil {
-		t.taken.Add(int64(n))
+		t.written.Add(int64(n))
 		t.unsent.Add(-int64(n))
 	}
 }
@@ -180,12 +180,12 @@
 	return len(s.m) == 0
 }
 
-// quiet tells whether no connection has a request or an answer under way.
-func (s *connSet) quiet() bool {
+// isDrained tells whether no connection has a request or an answer under way.
+func (s *connSet) isDrained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.m {
-		if !c.isClosed() && !c.quiet() {
+		if !c.isClosed() && !c.isDrained() {
 			return false
 		}
 	}
@@ -228,8 +228,8 @@
 	}
 }
 
-// connBelow finds the connection of a response that its handler is just given.
-func connBelow(w http.ResponseWriter) *trackedConn {
+// underlyingConn finds the connection of a response that its handler is just given.
+func underlyingConn(w http.ResponseWriter) *trackedConn {
 	res, ok := w.(*nbhttp.Response)
 	if !ok || res.Parser == nil {
 		return nil
--- a/internal/httpserver/descriptors.go
+++ b/internal/httpserver/descriptors.go
@@ -11,7 +11,7 @@
 // would need more memory than a host has long before.
 const maxDescriptors = 1 << 16
 
-// boundDescriptors has nbio keep a table for so many descriptors per server.
+// limitDescriptors has nbio keep a table for so many descriptors per server.
 //
 // What goes wrong without it: nbio's table has eight bytes for each descriptor that the system
 // lets the process open, two million at most. On a machine that sets no bound, the six servers
@@ -19,4 +19,4 @@
 // counts them as live: with a memory limit below that it collects without end, and each
 // collection reads all of them. One would notice a host whose processor is busy while it
 // has no requests.
-var boundDescriptors = sync.OnceFunc(func() { nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, maxDescriptors) })
+var limitDescriptors = sync.OnceFunc(func() { nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, maxDescriptors) })
--- a/internal/httpserver/descriptors_test.go
+++ b/internal/httpserver/descriptors_test.go
@@ -13,7 +13,7 @@
 // Cause: each server keeps a table of as many entries, which the runtime counts as live.
 func TestTablesOfDescriptorsAreBounded(t *testing.T) {
 	const servers, most = 6, 16 << 20 // bytes; without the bound it is 96 MiB
-	boundDescriptors()
+	limitDescriptors()
 	if nbio.MaxOpenFiles > maxDescriptors {
 		t.Fatalf("tables for %d descriptors", nbio.MaxOpenFiles)
 	}
--- a/internal/httpserver/ends_test.go
+++ b/internal/httpserver/ends_test.go
@@ -67,7 +67,7 @@
 		close(closed)
 	}()
 	_ = conn.Conn.SetReadDeadline(time.Now().Add(2 * shortIdle))
-	h.idle.look()
+	h.idle.sweep()
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\n") // a request has begun: it is not idle
 	time.Sleep(4 * shortIdle)
 	select {
@@ -109,7 +109,7 @@
 	for range 10 {
 		s := New(Config{Address: "127.0.0.1:0", Handler: text("ran")})
 		testutil.NoError(t, s.Start())
-		s.writes.underway.Add(1) // accepted connections wait
+		s.writes.ongoing.Add(1) // accepted connections wait
 		s.barrier.mu.Lock()      // and the poller can't let them pass
 		c := dial(t, s)
 		await(t, "the connection is accepted", func() bool { return s.engine.Online() == 1 })
--- a/internal/httpserver/framing/framing.go
+++ b/internal/httpserver/framing/framing.go
@@ -69,8 +69,8 @@
 	// line is what has come of a line whose end has not.
 	line []byte
 	head head
-	// left is how many bytes of the plain body or of the chunk are missing.
-	left int64
+	// remaining is how many bytes of the plain body or of the chunk are missing.
+	remaining int64
 	// size is what has come of a chunked body.
 	size  int64
 	begun uint64
@@ -103,7 +103,7 @@
 	if c.state != plainBody {
 		return 0
 	}
-	return c.left
+	return c.remaining
 }
 
 // Begun counts the requests of which a byte has come.
@@ -138,9 +138,9 @@
 
 // skip passes over body bytes.
 func (c *Checker) skip(data []byte) int {
-	n := min(int64(len(data)), c.left)
-	c.left -= n
-	if c.left > 0 {
+	n := min(int64(len(data)), c.remaining)
+	c.remaining -= n
+	if c.remaining > 0 {
 		return int(n)
 	}
 	if c.state == chunkData {
@@ -158,7 +158,7 @@
 	if end >= 0 {
 		part = data[:end+1]
 	}
-	if err := c.bound(int64(len(c.line)+len(part)), l); err != nil {
+	if err := c.checkLength(int64(len(c.line)+len(part)), l); err != nil {
 		return 0, err
 	}
 	if end < 0 {
@@ -171,17 +171,17 @@
 		c.line = c.line[:0]
 	}
 	if !bytes.HasSuffix(line, []byte("\r\n")) {
-		return 0, fault("a line ends without a carriage return")
+		return 0, badRequest("a line ends without a carriage return")
 	}
 	text := line[:len(line)-2]
-	if !plainText(text) {
-		return 0, fault("a line holds control characters")
+	if !isPlainText(text) {
+		return 0, badRequest("a line holds control characters")
 	}
 	return len(part), c.endLine(text, l)
 }
 
-// bound refuses a line that makes its part of the request too long.
-func (c *Checker) bound(length int64, l Limits) *errkind.Error {
+// checkLength refuses a line that makes its part of the request too long.
+func (c *Checker) checkLength(length int64, l Limits) *errkind.Error {
 	switch c.state {
 	case requestLine, headerLine:
 		if c.head.bytes+length > l.Header {
@@ -189,14 +189,14 @@
 		}
 	default:
 		if length > maxChunkLine {
-			return fault("a chunk's size line is over %d bytes", maxChunkLine)
+			return badRequest("a chunk's size line is over %d bytes", maxChunkLine)
 		}
 	}
 	return nil
 }
 
-// plainText tells whether a line is free of control characters, tabs aside.
-func plainText(line []byte) bool {
+// isPlainText tells whether a line is free of control characters, tabs aside.
+func isPlainText(line []byte) bool {
 	for _, b := range line {
 		if b < ' ' && b != '\t' || b == 0x7f {
 			return false
@@ -219,7 +219,7 @@
 		c.state = requestLine
 	}
 	if len(line) > 0 {
-		return fault("a chunk is followed by something else than its end")
+		return badRequest("a chunk is followed by something else than its end")
 	}
 	return nil
 }
@@ -233,24 +233,24 @@
 	c.head.bytes += int64(len(line)) + 2
 	fields := strings.Split(string(line), " ")
 	if len(fields) != 3 {
-		return fault("the request line has %d fields", len(fields))
+		return badRequest("the request line has %d fields", len(fields))
 	}
 	method, target, version := fields[0], fields[1], fields[2]
 	switch {
 	case !methods[method]:
-		return fault("the method %q is not known", method)
-	case !plainTarget(target):
-		return fault("the request's target is not a plain path")
+		return badRequest("the method %q is not known", method)
+	case !isPlainTarget(target):
+		return badRequest("the request's target is not a plain path")
 	case version != "HTTP/1.1" && version != "HTTP/1.0":
-		return fault("the version %q is not known", version)
+		return badRequest("the version %q is not known", version)
 	}
 	c.head.version = version
 	c.state = headerLine
 	return nil
 }
 
-// plainTarget tells whether a target is a path in visible ASCII with whole escapes.
-func plainTarget(target string) bool {
+// isPlainTarget tells whether a target is a path in visible ASCII with whole escapes.
+func isPlainTarget(target string) bool {
 	if !strings.HasPrefix(target, "/") {
 		return false
 	}
@@ -269,41 +269,41 @@
 		return c.endHead(l)
 	}
 	colon := bytes.IndexByte(line, ':')
-	if colon <= 0 || !token(line[:colon]) {
-		return fault("a header has no proper name")
+	if colon <= 0 || !isToken(line[:colon]) {
+		return badRequest("a header has no proper name")
 	}
 	value := strings.Trim(string(line[colon+1:]), " \t")
 	switch strings.ToLower(string(line[:colon])) {
 	case "host":
 		c.head.hosts++
 	case "trailer":
-		return fault("trailers are not taken")
+		return badRequest("trailers are not taken")
 	case "content-length":
-		return c.takeLength(value)
+		return c.parseLength(value)
 	case "transfer-encoding":
 		c.head.codings++
 		if !strings.EqualFold(value, "chunked") {
-			return fault("the transfer coding %q is not known", value)
+			return badRequest("the transfer coding %q is not known", value)
 		}
 	}
 	return nil
 }
 
-func (c *Checker) takeLength(value string) *errkind.Error {
+func (c *Checker) parseLength(value string) *errkind.Error {
 	c.head.lengths++
 	if len(value) == 0 || len(value) > maxLengthDigits || strings.Trim(value, "0123456789") != "" {
-		return fault("the Content-Length %q is not a number", value)
+		return badRequest("the Content-Length %q is not a number", value)
 	}
 	n, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
-		return fault("the Content-Length %q is not a number", value)
+		return badRequest("the Content-Length %q is not a number", value)
 	}
 	c.head.length = n
 	return nil
 }
 
-// token tells whether name is made of the characters of a header's name.
-func token(name []byte) bool {
+// isToken tells whether name is made of the characters of a header's name.
+func isToken(name []byte) bool {
 	for _, b := range name {
 		letter := b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b >= '0' && b <= '9'
 		if !letter && !strings.ContainsRune("!#$%&'*+-.^_`|~", rune(b)) {
@@ -318,19 +318,19 @@
 	h := &c.head
 	switch {
 	case h.hosts > 1 || h.hosts == 0 && h.version == "HTTP/1.1":
-		return fault("the request has %d Host headers", h.hosts)
+		return badRequest("the request has %d Host headers", h.hosts)
 	case h.lengths > 1:
-		return fault("the request has %d lengths", h.lengths)
+		return badRequest("the request has %d lengths", h.lengths)
 	case h.codings > 1 || h.codings == 1 && h.lengths > 0:
-		return fault("the request's length is given in more than one way")
+		return badRequest("the request's length is given in more than one way")
 	case h.codings == 1 && h.version != "HTTP/1.1":
-		return fault("HTTP/1.0 has no transfer codings")
+		return badRequest("HTTP/1.0 has no transfer codings")
 	case h.length > l.Body:
-		return tooLong(l)
+		return bodyTooLarge(l)
 	case h.codings == 1:
 		c.state, c.size = chunkSize, 0
 	case h.length > 0:
-		c.state, c.left = plainBody, h.length
+		c.state, c.remaining = plainBody, h.length
 	default:
 		c.state = requestLine
 	}
@@ -340,27 +340,27 @@
 func (c *Checker) endChunkSize(line []byte, l Limits) *errkind.Error {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	if len(digits) == 0 || len(digits) > maxChunkDigits {
-		return fault("a chunk has no proper size")
+		return badRequest("a chunk has no proper size")
 	}
 	n, err := strconv.ParseUint(string(digits), 16, 32)
 	if err != nil {
-		return fault("a chunk has no proper size")
+		return badRequest("a chunk has no proper size")
 	}
 	if n == 0 {
 		c.state = lastChunkEnd
 		return nil
 	}
 	if c.size += int64(n); c.size > l.Body {
-		return tooLong(l)
+		return bodyTooLarge(l)
 	}
-	c.state, c.left = chunkData, int64(n)
+	c.state, c.remaining = chunkData, int64(n)
 	return nil
 }
 
-func tooLong(l Limits) *errkind.Error {
+func bodyTooLarge(l Limits) *errkind.Error {
 	return errkind.New(errkind.BodyTooLarge, "the body is over %d bytes", l.Body)
 }
 
-func fault(format string, args ...any) *errkind.Error {
+func badRequest(format string, args ...any) *errkind.Error {
 	return errkind.New(errkind.BadRequest, format, args...)
 }
--- a/internal/httpserver/framing/framing_test.go
+++ b/internal/httpserver/framing/framing_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestWhatReadersCouldReadDifferentlyIsRefused(t *testing.T) {
+func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	// Symptom: a request runs that no caller sent by itself, under another's key.
 	// Sequence: its bytes stand in what one reader takes for the body of a request and
 	// another for a request of its own.
--- a/internal/httpserver/guard.go
+++ b/internal/httpserver/guard.go
@@ -27,20 +27,20 @@
 	// a request holds it, too: the idle watch, the timer of slow senders, nbio's close.
 	mu     sync.Mutex
 	frames framing.Checker
-	// over: a refusal was sent in place of an answer; the rest is read and dropped. Closing
+	// rejected: a refusal was sent in place of an answer; the rest is read and dropped. Closing
 	// at once would reset the connection under the bytes still arriving and the caller would
 	// lose the refusal.
-	over bool
-	// refused is why.
-	refused Cause
+	rejected bool
+	// rejectCause is why.
+	rejectCause Cause
 
-	slow *time.Timer
-	// timing counts the spans that were timed, so that a late timer of one leaves the next
+	slowTimer *time.Timer
+	// timerSeq counts the spans that were timed, so that a late timer of one leaves the next
 	// alone.
-	timing int64
-	// timed is the phase that the running timer bounds, of the request begun as number timedOf.
-	timed   framing.Phase
-	timedOf uint64
+	timerSeq int64
+	// timedPhase is the phase that the running timer bounds, of the request begun as number timedOf.
+	timedPhase   framing.Phase
+	timedRequest uint64
 	started time.Time
 }
 
@@ -49,13 +49,13 @@
 
 // Parse checks data and hands the sound part of it to the parser. Server.read holds mu.
 func (g *guard) Parse(data []byte) error {
-	if g.over || g.conn.own.Load() != nil {
+	if g.rejected || g.conn.closeReason.Load() != nil {
 		return nil
 	}
 	limits := g.server.limits()
 	n, fault := g.frames.Check(data, framing.Limits{Header: limits.HeaderBytes, Body: limits.BodyBytes})
-	if !g.hold(int64(n)) {
-		g.refuse(errkind.New(errkind.Overloaded, "this host holds as many bodies of requests as it can").After(overloadedRetry), CauseNoRoom)
+	if !g.countBytes(int64(n)) {
+		g.reject(errkind.New(errkind.Overloaded, "this host holds as many bodies of requests as it can").After(overloadedRetry), CauseNoRoom)
 		return nil
 	}
 	if n > 0 {
@@ -65,10 +65,10 @@
 		}
 	}
 	if fault != nil {
-		g.refuse(fault, CauseUnreadable)
+		g.reject(fault, CauseUnreadable)
 		return nil
 	}
-	g.timeSender(limits)
+	g.updateTimer(limits)
 	return nil
 }
 
@@ -78,30 +78,30 @@
 	defer g.mu.Unlock()
 	g.stopTimer()
 	g.parser.CloseAndClean(err)
-	g.server.bodies.Add(-g.conn.held)
-	g.conn.held = 0
+	g.server.heldBytes.Add(-g.conn.counted)
+	g.conn.counted = 0
 }
 
-// hold counts bytes of a request that are about to be held; false: there is no room for them.
+// countBytes counts bytes of a request that are about to be held; false: there is no room for them.
 // They count until the request is answered or the connection closed.
 //
 // A body whose length is known counts whole from its head on. What goes wrong otherwise: forty
 // bodies that begin together all find room, all fill what there is, and all are refused half-way.
-func (g *guard) hold(n int64) bool {
-	before := g.conn.came
-	g.conn.came += n
-	more := g.conn.came + g.frames.Missing() - g.conn.held
+func (g *guard) countBytes(n int64) bool {
+	before := g.conn.received
+	g.conn.received += n
+	more := g.conn.received + g.frames.Missing() - g.conn.counted
 	if more <= 0 {
 		return true
 	}
-	total := g.server.bodies.Add(more)
-	g.conn.held += more
+	total := g.server.heldBytes.Add(more)
+	g.conn.counted += more
 	if g.hasRoom(total) {
 		return true
 	}
 	// What came before is with the parser until the connection closes.
-	g.server.bodies.Add(before - g.conn.held)
-	g.conn.held = before
+	g.server.heldBytes.Add(before - g.conn.counted)
+	g.conn.counted = before
 	return false
 }
 
@@ -111,19 +111,19 @@
 	if bound <= 0 || total <= bound {
 		return true
 	}
-	return g.conn.held <= smallRequest && total <= bound+bound/smallShare
+	return g.conn.counted <= smallRequest && total <= bound+bound/smallShare
 }
 
-// refuse answers a request that can't be read, after the answers before it, and drops
+// reject answers a request that can't be read, after the answers before it, and drops
 // what comes after it. The idle watch closes the connection later.
-func (g *guard) refuse(e *errkind.Error, cause Cause) {
+func (g *guard) reject(e *errkind.Error, cause Cause) {
 	g.stopTimer()
-	g.over, g.refused = true, cause
-	g.answer(e)
+	g.rejected, g.rejectCause = true, cause
+	g.writeRefusal(e)
 }
 
-// answer sends a refusal outside a handler.
-func (g *guard) answer(e *errkind.Error) {
+// writeRefusal sends a refusal outside a handler.
+func (g *guard) writeRefusal(e *errkind.Error) {
 	body := ErrorBody("", e)
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", e.Status(), http.StatusText(e.Status()))
@@ -134,22 +134,22 @@
 	b.Write(body)
 	g.parser.Execute(func() {
 		_, _ = g.parser.Conn.Write(b.Bytes())
-		g.conn.touch()
+		g.conn.markActive()
 	})
 }
 
-// timeSender has the head of a request that has begun arrive within HeaderTimeout and all
+// updateTimer has the head of a request that has begun arrive within HeaderTimeout and all
 // of it within ReadTimeout. A request that arrives in one piece needs no timer.
-func (g *guard) timeSender(l Limits) {
+func (g *guard) updateTimer(l Limits) {
 	phase, of := g.frames.Phase(), g.frames.Begun()
-	if phase == g.timed && (phase == framing.Idle || of == g.timedOf) {
+	if phase == g.timedPhase && (phase == framing.Idle || of == g.timedRequest) {
 		return
 	}
 	g.stopTimer()
-	if of != g.timedOf {
+	if of != g.timedRequest {
 		g.started = time.Now()
 	}
-	g.timed, g.timedOf = phase, of
+	g.timedPhase, g.timedRequest = phase, of
 	limit := g.server.cfg.ReadTimeout
 	switch phase {
 	case framing.Idle:
@@ -157,33 +157,33 @@
 	case framing.Head:
 		limit = min(limit, l.HeaderTimeout)
 	}
-	n := g.timing
-	g.slow = time.AfterFunc(time.Until(g.started.Add(limit)), func() {
+	n := g.timerSeq
+	g.slowTimer = time.AfterFunc(time.Until(g.started.Add(limit)), func() {
 		defer panics.Log(g.server.log, "timing a sender")
-		g.refuseSlow(n, limit)
+		g.rejectSlow(n, limit)
 	})
 }
 
 func (g *guard) stopTimer() {
-	g.timing++
-	if g.slow != nil {
-		g.slow.Stop()
+	g.timerSeq++
+	if g.slowTimer != nil {
+		g.slowTimer.Stop()
 	}
 }
 
-// refuseSlow runs on a timer's goroutine when part of a request has not arrived in time. It
+// rejectSlow runs on a timer's goroutine when part of a request has not arrived in time. It
 // closes the connection after the refusal; if part of an answer still waits for the caller
 // then, the idle watch does it later.
-func (g *guard) refuseSlow(n int64, limit time.Duration) {
+func (g *guard) rejectSlow(n int64, limit time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.timing != n {
+	if g.timerSeq != n {
 		return
 	}
-	g.refuse(errkind.New(errkind.RequestTimeout, "the request did not arrive whole within %v", limit), CauseSlowSender)
+	g.reject(errkind.New(errkind.RequestTimeout, "the request did not arrive whole within %v", limit), CauseSlowSender)
 	g.parser.Execute(func() {
 		if g.conn.unsent.Load() <= 0 {
-			g.conn.closeFor(CauseSlowSender, nil)
+			g.conn.closeWithCause(CauseSlowSender, nil)
 		}
 	})
 }
--- a/internal/httpserver/idle.go
+++ b/internal/httpserver/idle.go
@@ -54,7 +54,7 @@
 	}
 	w.running = true
 	if w.timer == nil {
-		w.timer = time.AfterFunc(w.interval(), w.look)
+		w.timer = time.AfterFunc(w.interval(), w.sweep)
 		return
 	}
 	w.timer.Reset(w.interval())
@@ -64,11 +64,11 @@
 	return min(max(w.server.limits().IdleTimeout/sweepShare, minSweep), maxSweep)
 }
 
-// look closes what is idle, and sets the timer again unless no connection is left.
-func (w *idleWatch) look() {
+// sweep closes what is idle, and sets the timer again unless no connection is left.
+func (w *idleWatch) sweep() {
 	defer panics.Log(w.server.log, "watching for idle connections")
 	interval := maxSweep
-	defer func() { w.again(interval) }()
+	defer func() { w.reschedule(interval) }()
 	limit := w.server.limits().IdleTimeout
 	w.conns = w.server.conns.appendTo(w.conns[:0])
 	defer clear(w.conns)
@@ -81,9 +81,9 @@
 	interval = w.interval()
 }
 
-// again sets the timer unless no connection is left. A connection that was added meanwhile has
+// reschedule sets the timer unless no connection is left. A connection that was added meanwhile has
 // found the watch running.
-func (w *idleWatch) again(interval time.Duration) {
+func (w *idleWatch) reschedule(interval time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running = !w.server.conns.empty()
@@ -100,40 +100,40 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cause := CauseIdle
-	if g.over {
-		cause, limit = g.refused, g.server.cfg.ReadTimeout
+	if g.rejected {
+		cause, limit = g.rejectCause, g.server.cfg.ReadTimeout
 	}
 	switch {
-	case g.reading(), g.conn.busy.Load() > 0, g.conn.stillWriting():
-		g.conn.touch()
-	case g.conn.untouched() < limit:
-	case !g.over && g.conn.hasUnread():
+	case g.reading(), g.conn.openRequests.Load() > 0, g.conn.wroteSinceSweep():
+		g.conn.markActive()
+	case g.conn.idleTime() < limit:
+	case !g.rejected && g.conn.hasUnread():
 		// A host short of processor is late to read, which is not its caller's fault.
-	case !g.conn.quiet():
-		g.conn.closeFor(CauseWriteStalled, nil)
+	case !g.conn.isDrained():
+		g.conn.closeWithCause(CauseWriteStalled, nil)
 	default:
-		g.conn.closeFor(cause, nil)
+		g.conn.closeWithCause(cause, nil)
 	}
 }
 
 // reading tells whether a part of a request has come, whose rest the timer of slow senders
 // bounds.
-func (g *guard) reading() bool { return !g.over && g.frames.Phase() != framing.Idle }
+func (g *guard) reading() bool { return !g.rejected && g.frames.Phase() != framing.Idle }
 
-// touch notes that something moves on the connection now.
-func (c *trackedConn) touch() { c.touched.Store(int64(time.Since(c.opened))) }
+// markActive notes that something moves on the connection now.
+func (c *trackedConn) markActive() { c.lastActive.Store(int64(time.Since(c.opened))) }
 
-// untouched is the time since something moved on the connection.
-func (c *trackedConn) untouched() time.Duration {
-	return time.Since(c.opened) - time.Duration(c.touched.Load())
+// idleTime is the time since something moved on the connection.
+func (c *trackedConn) idleTime() time.Duration {
+	return time.Since(c.opened) - time.Duration(c.lastActive.Load())
 }
 
-// stillWriting tells whether the kernel has taken more of an answer since the last look. It is
+// wroteSinceSweep tells whether the kernel has taken more of an answer since the last look. It is
 // called by the idle watch alone.
-func (c *trackedConn) stillWriting() bool {
-	before := c.takenAtLook
-	c.takenAtLook = c.taken.Load()
-	return c.takenAtLook != before
+func (c *trackedConn) wroteSinceSweep() bool {
+	before := c.writtenAtSweep
+	c.writtenAtSweep = c.written.Load()
+	return c.writtenAtSweep != before
 }
 
 // hasUnread tells whether the kernel holds bytes that the caller has sent.
--- a/internal/httpserver/idle_test.go
+++ b/internal/httpserver/idle_test.go
@@ -76,7 +76,7 @@
 	defer h.conns.mu.Unlock()
 	n := 0
 	for _, c := range h.conns.m {
-		n += int(c.busy.Load())
+		n += int(c.openRequests.Load())
 	}
 	return n
 }
@@ -244,7 +244,7 @@
 		p.Execute = func(f func()) bool {
 			if refusing.CompareAndSwap(false, true) {
 				_, _ = io.WriteString(c, plainRequest[10:])
-				for end := time.Now().Add(shortIdle); conn.busy.Load() == 0 && time.Now().Before(end); {
+				for end := time.Now().Add(shortIdle); conn.openRequests.Load() == 0 && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
 			}
--- a/internal/httpserver/processor.go
+++ b/internal/httpserver/processor.go
@@ -28,24 +28,24 @@
 
 // OnComplete hands the request to the server's handler.
 func (p *processor) OnComplete(parser *nbhttp.Parser) {
-	held := p.conn.held
-	p.conn.came, p.conn.held = 0, 0
-	if p.conn.busy.Add(1) == 1 {
-		p.conn.takenBefore.Store(p.conn.taken.Load())
+	held := p.conn.counted
+	p.conn.received, p.conn.counted = 0, 0
+	if p.conn.openRequests.Add(1) == 1 {
+		p.conn.writtenBefore.Store(p.conn.written.Load())
 	}
 	p.Processor.OnComplete(parser)
 	// Jobs of one connection run in order: this one runs after the answer is written, also
 	// if the connection has closed meanwhile.
 	p.conn.MustExecute(func() {
-		p.conn.server.bodies.Add(-held)
+		p.conn.server.heldBytes.Add(-held)
 		p.answered()
 	})
 }
 
 // answered runs once an answer is written.
 func (p *processor) answered() {
-	p.conn.seenClosed()
-	p.conn.request.Store(nil)
-	p.conn.touch()
-	p.conn.busy.Add(-1)
+	p.conn.reportIfClosed()
+	p.conn.requestID.Store(nil)
+	p.conn.markActive()
+	p.conn.openRequests.Add(-1)
 }
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -7,9 +7,9 @@
 
 // Bounds of what nbhttp is given of a chunked answer.
 const (
-	// maxHeld is the most that may wait in nbhttp's buffer, in bytes. It leaves room for
+	// maxBuffered is the most that may wait in nbhttp's buffer, in bytes. It leaves room for
 	// the header within the 64 KiB from which nbhttp sends by itself.
-	maxHeld = 48 << 10
+	maxBuffered = 48 << 10
 	// chunkFraming is the most that nbhttp adds to a chunk, in bytes.
 	chunkFraming = 16
 )
@@ -20,13 +20,13 @@
 	http.ResponseWriter
 	// conn is the caller's; nil in a test without one.
 	conn *trackedConn
-	// over: the handler has returned.
-	over  atomic.Bool
+	// handlerReturned: the handler has returned.
+	handlerReturned  atomic.Bool
 	begun bool
 	// mayChunk: the request's HTTP version allows a chunked answer.
 	mayChunk bool
-	// held bounds what waits in nbhttp's buffer.
-	held int
+	// buffered bounds what waits in nbhttp's buffer.
+	buffered int
 }
 
 // Unwrap gives the ResponseWriter below, as http.ResponseController expects.
@@ -34,8 +34,8 @@
 
 // abort closes the caller's connection while the handler runs.
 func (r *response) abort() {
-	if r.conn != nil && !r.over.Load() {
-		r.conn.closeFor(CauseAborted, nil)
+	if r.conn != nil && !r.handlerReturned.Load() {
+		r.conn.closeWithCause(CauseAborted, nil)
 	}
 }
 
@@ -67,11 +67,11 @@
 	}
 	written := 0
 	for written < len(b) {
-		piece := b[written:min(written+maxHeld-chunkFraming, len(b))]
-		if r.held+len(piece)+chunkFraming > maxHeld {
+		piece := b[written:min(written+maxBuffered-chunkFraming, len(b))]
+		if r.buffered+len(piece)+chunkFraming > maxBuffered {
 			r.Flush()
 		}
-		r.held += len(piece) + chunkFraming
+		r.buffered += len(piece) + chunkFraming
 		n, err := r.ResponseWriter.Write(piece)
 		written += n
 		if err != nil {
@@ -84,7 +84,7 @@
 // Flush sends what is buffered.
 func (r *response) Flush() {
 	r.begun = true
-	r.held = 0
+	r.buffered = 0
 	if f, ok := r.ResponseWriter.(http.Flusher); ok {
 		f.Flush()
 	}
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -121,13 +121,13 @@
 	engine   *nbhttp.Engine
 	address  string
 	inFlight atomic.Int64
-	// bodies is what is held of requests, in bytes.
-	bodies   atomic.Int64
+	// heldBytes is what is held of requests, in bytes.
+	heldBytes   atomic.Int64
 	draining atomic.Bool
-	// closing: answers tell callers to close their connections.
-	closing atomic.Bool
+	// closeAfterAnswer: answers tell callers to close their connections.
+	closeAfterAnswer atomic.Bool
 	conns   connSet
-	ends    *ends
+	closes    *closeCounters
 	idle    idleWatch
 	// stopping is closed when the server no longer accepts.
 	stopping chan struct{}
@@ -135,7 +135,7 @@
 	// barrier is set when started is closed.
 	barrier *pollBarrier
 	started chan struct{}
-	writes  libraryWrites
+	writes  writeTracker
 	// cancelRequests ends the contexts of all requests.
 	cancelRequests context.CancelCauseFunc
 	log            zerolog.Logger
@@ -144,7 +144,7 @@
 // New makes a server; Start makes it listen.
 func New(cfg Config) *Server {
 	s := &Server{
-		cfg: cfg.withDefaults(), log: log.Logger, ends: newEnds(), started: make(chan struct{}), stopping: make(chan struct{}),
+		cfg: cfg.withDefaults(), log: log.Logger, closes: newCloseCounters(), started: make(chan struct{}), stopping: make(chan struct{}),
 	}
 	requests, cancel := context.WithCancelCause(context.Background())
 	s.cancelRequests = cancel
@@ -171,7 +171,7 @@
 	}
 	setLibraryLog()
 	s.idle.server = s
-	boundDescriptors()
+	limitDescriptors()
 	s.engine = nbhttp.NewEngine(conf)
 	s.engine.Engine.OnOpen(s.onOpen)
 	s.engine.Engine.OnRead(s.read)
@@ -249,16 +249,16 @@
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	running := s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	conn := connBelow(w)
-	if conn != nil && conn.own.Load() != nil {
+	conn := underlyingConn(w)
+	if conn != nil && conn.closeReason.Load() != nil {
 		return // it came with a request whose answer was broken off, and can get none
 	}
 	res := &response{ResponseWriter: w, conn: conn, mayChunk: r.ProtoAtLeast(1, 1)}
-	defer res.over.Store(true)
+	defer res.handlerReturned.Store(true)
 	// nbhttp closes the connection right after an answer to "Connection: close", also
 	// when part of the answer still waits in its queue; the caller would see a cut
 	// answer. The caller is told to close instead, which it does after the last byte.
-	if s.wornOut(res.conn) || r.Close || s.closing.Load() || s.draining.Load() {
+	if s.isLastRequest(res.conn) || r.Close || s.closeAfterAnswer.Load() || s.draining.Load() {
 		r.Close = false
 		w.Header().Set("Connection", "close")
 	}
@@ -267,15 +267,15 @@
 		WriteError(res, "", errkind.New(errkind.HostLeaving, "this host is shutting down"))
 		return
 	}
-	if running > int64(s.cfg.Streams) && !s.always(r) {
+	if running > int64(s.cfg.Streams) && !s.neverShed(r) {
 		WriteError(res, "", errkind.New(errkind.Overloaded, "%d requests are in flight at this host", running).After(overloadedRetry))
 		return
 	}
 	s.cfg.Handler.ServeHTTP(res, r)
 }
 
-// wornOut counts a request on its connection and tells whether it is the last one there.
-func (s *Server) wornOut(c *trackedConn) bool {
+// isLastRequest counts a request on its connection and tells whether it is the last one there.
+func (s *Server) isLastRequest(c *trackedConn) bool {
 	if c == nil {
 		return false
 	}
@@ -283,7 +283,7 @@
 	return s.cfg.RequestsPerConnection > 0 && n >= s.cfg.RequestsPerConnection
 }
 
-func (s *Server) always(r *http.Request) bool {
+func (s *Server) neverShed(r *http.Request) bool {
 	return s.cfg.NeverShed != nil && s.cfg.NeverShed(r)
 }
 
@@ -305,7 +305,7 @@
 
 // CloseAfterAnswers tells every caller with its next answer to close its connection, so
 // that it asks anew where to connect.
-func (s *Server) CloseAfterAnswers() { s.closing.Store(true) }
+func (s *Server) CloseAfterAnswers() { s.closeAfterAnswer.Store(true) }
 
 // Drain stops taking work and waits until every handler has returned and every
 // answer is handed to the kernel, then closes. Requests that arrive meanwhile are
@@ -313,7 +313,7 @@
 // end, and ctx's error is returned; what has no answer within lastAnswers is cut.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
-	err := s.awaitQuiet(ctx)
+	err := s.awaitDrained(ctx)
 	if err == nil {
 		s.stop()
 		return nil
@@ -324,9 +324,9 @@
 	return err
 }
 
-// lastAnswers is how long handlers have to answer once their requests' contexts have ended. An
+// finalAnswerTimeout is how long handlers have to answer once their requests' contexts have ended. An
 // answer takes a millisecond; a host short of processor time pauses for up to 80 ms.
-const lastAnswers = 200 * time.Millisecond
+const finalAnswerTimeout = 200 * time.Millisecond
 
 // endRequests ends the contexts of all requests and waits for their answers.
 //
@@ -334,15 +334,15 @@
 // silent server get a closed connection in place of an answer that says what is known of the run.
 func (s *Server) endRequests() {
 	s.cancelRequests(errkind.New(errkind.HostLeaving, "this host shuts down before the answer came"))
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+	ctx, cancel := context.WithTimeout(context.Background(), finalAnswerTimeout)
 	defer cancel()
-	if err := s.awaitQuiet(ctx); err != nil {
+	if err := s.awaitDrained(ctx); err != nil {
 		log.Warn().Str("event", "requests-cut").Str("server", s.cfg.Name).Int("requests", s.InFlight()).Send()
 	}
 }
 
-// stopLimit bounds the wait for the end of nbio's loops. Nothing is served any more by then.
-const stopLimit = time.Second
+// stopTimeout bounds the wait for the end of nbio's loops. Nothing is served any more by then.
+const stopTimeout = time.Second
 
 // stop closes the listener and all connections.
 func (s *Server) stop() {
@@ -353,8 +353,8 @@
 	}()
 	select {
 	case <-stopped:
-	case <-time.After(stopLimit):
-		log.Warn().Str("event", "server-not-stopped").Str("server", s.cfg.Name).Dur("after", stopLimit).Send()
+	case <-time.After(stopTimeout):
+		log.Warn().Str("event", "server-not-stopped").Str("server", s.cfg.Name).Dur("after", stopTimeout).Send()
 	}
 }
 
@@ -384,11 +384,11 @@
 	}
 }
 
-func (s *Server) awaitQuiet(ctx context.Context) error {
+func (s *Server) awaitDrained(ctx context.Context) error {
 	t := time.NewTicker(drainPoll)
 	defer t.Stop()
 	for {
-		if s.InFlight() == 0 && s.conns.quiet() {
+		if s.InFlight() == 0 && s.conns.isDrained() {
 			return nil
 		}
 		select {
