--- a/internal/httpserver/framing/framing_test.go
+++ b/internal/httpserver/framing/framing_test.go
@@ -30,7 +30,7 @@
 
 const get = "GET /a/b?c=d HTTP/1.1\r\nHost: h\r\n\r\n"
 
-func TestProperRequestsPass(t *testing.T) {
+func TestValidRequestsPass(t *testing.T) {
 	for name, text := range map[string]string{
 		"no body":            get,
 		"two in a row":       get + get,
