--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -65,7 +65,7 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, s) }
 }
 
-func TestBodyOverLimitIsRefusedInFull(t *testing.T) {
+func TestBodyOverLimitIsRejectedWithAnswer(t *testing.T) {
 	// Symptom: a caller with too long a prompt sees a reset connection and doesn't know whether it ran.
 	// Sequence: the body is declared, or sent in chunks, past the limit.
 	// Cause: nbhttp closes the connection without an answer.
