--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestSlowSenderIsRefusedAndClosed(t *testing.T) {
+func TestSlowSenderIsRejectedAndClosed(t *testing.T) {
 	// Symptom: connections pile up on the host until it can't accept.
 	// Sequence: a caller sends half a request and then nothing, or goes without a close.
 	// Cause: nothing bounds the reading of a request.
