--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestCallersAreToldToConnectAnew(t *testing.T) {
+func TestRequestsPerConnection(t *testing.T) {
 	// Symptom: one host of 70 serves a seventh of all requests.
 	// Sequence: a caller that sends many requests has chosen an address, and keeps it.
 	// Cause: nothing makes it choose again.
