--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -161,7 +161,7 @@
 	send(body, 413)
 }
 
-func TestHeadersHaveATimeoutOfTheirOwn(t *testing.T) {
+func TestHeaderTimeout(t *testing.T) {
 	// Symptom: connections pile up though an operator bounds the time for headers.
 	// Sequence: a caller sends its headers one byte now and then; another one sends them at
 	// once and takes its time for the body.
