--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestConnClosedSeesCallerGo(t *testing.T) {
+func TestConnClosedAfterCallerCloses(t *testing.T) {
 	// Symptom: engines go on generating for callers who have hung up.
 	// Sequence: the caller closes its connection in the middle of a stream.
 	// Cause: nbhttp cancels no context and fails no write.
