--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -330,7 +330,7 @@
 	wg.Wait()
 }
 
-func TestDrainCutsNoAnswer(t *testing.T) {
+func TestDrainCompletesAnswers(t *testing.T) {
 	// Symptom: callers get the first part of an answer when a host is restarted.
 	// Sequence: a stream is under way and a large answer waits for a slow reader when the host drains.
 	// Cause: nbhttp's shutdown closes connections without regard to handlers or queued bytes.
