--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -381,7 +381,7 @@
 	testutil.NoError(t, <-drained)
 }
 
-func TestStreamsBoundRefusesAtOnceButNotAlways(t *testing.T) {
+func TestStreamsLimitSparesNeverShed(t *testing.T) {
 	release := make(chan struct{})
 	entered := make(chan struct{}, 2)
 	s := start(t, Config{Streams: 1, NeverShed: func(r *http.Request) bool { return r.URL.Path == "/healthz" },
