--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -444,7 +444,7 @@
 // Sequence: it opens a server, fails at the next one and stops the first at once.
 // Cause: an event loop of nbio that begins after it was told to stop takes that back, and
 // Stop waits for it.
-func TestServerThatIsStoppedAtOnceStops(t *testing.T) {
+func TestStopRightAfterStart(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // nothing that Start begins runs before Drain
 	s := New(Config{Address: "127.0.0.1:0", Handler: http.NotFoundHandler()})
 	testutil.NoError(t, s.Start())
