--- a/internal/httpserver/start_test.go
+++ b/internal/httpserver/start_test.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-func TestServerThatIsStoppedAtOnceEnds(t *testing.T) {
+func TestRepeatedStopRightAfterStart(t *testing.T) {
 	// Symptom: a process whose start failed, or a test on a busy machine, never ends and uses
 	// a whole processor.
 	// Sequence: the server is stopped before its reading goroutines had their first turn.
