--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -461,7 +461,7 @@
 	}
 }
 
-func TestRequestsLeftAtTheEndOfADrainAreAnswered(t *testing.T) {
+func TestRequestsAreAnsweredWhenDrainTimesOut(t *testing.T) {
 	// Symptom: a caller of a host that leaves gets a closed connection and no answer.
 	// Sequence: its request waits for a backend server that is silent; the time of the drain
 	// ends.
