--- a/internal/httpserver/ends_test.go
+++ b/internal/httpserver/ends_test.go
@@ -15,7 +15,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-func TestEndedConnectionsAreForgotten(t *testing.T) {
+func TestClosedConnectionsAreReleased(t *testing.T) {
 	// Symptom: the memory of a host grows by a kilobyte or more with each caller who leaves
 	// while part of its answer still waits.
 	// Sequence: the answer is longer than the kernel takes; the caller leaves; the rest fails.
