--- a/internal/httpserver/ends_test.go
+++ b/internal/httpserver/ends_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestIdleWatchTakesTheLibrarysDeadlineOff(t *testing.T) {
+func TestIdleWatchClearsLibraryDeadline(t *testing.T) {
 	// Symptom: a stream ends in its middle, at a round time after its connection was accepted.
 	// Sequence: the library sets a deadline when it accepts a connection.
 	// Cause: its timer closes the connection, whatever has begun since.
