--- a/internal/httpserver/ends_test.go
+++ b/internal/httpserver/ends_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestEndThatWasNotReadIsNotTheCallers(t *testing.T) {
+func TestUnreadEndIsUnexplained(t *testing.T) {
 	// Symptom: the log says that callers left who had not.
 	// Sequence: an event of another connection has the poller close one with a request open.
 	// Cause: its error is the one of a caller who closes.
