--- a/internal/httpserver/ends_test.go
+++ b/internal/httpserver/ends_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestStopClosesWhoWaitsAtTheBarrier(t *testing.T) {
+func TestStopClosesConnectionsAtBarrier(t *testing.T) {
 	// Symptom: a server does not stop, and a caller waits on a connection that nobody reads.
 	// Sequence: a connection is accepted and waits for the poller; the server stops.
 	// Cause: it was registered after all that were known had been closed.
