--- a/internal/httpserver/ends_test.go
+++ b/internal/httpserver/ends_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestIdleWatchOutlivesAPanic(t *testing.T) {
+func TestIdleWatchSurvivesPanic(t *testing.T) {
 	// Symptom: the process ends with all its requests.
 	// Sequence: what the idle watch asks for the limits panics.
 	// Cause: it runs on a timer's goroutine, whose panics nobody recovered.
