--- a/internal/httpserver/idle_test.go
+++ b/internal/httpserver/idle_test.go
@@ -107,7 +107,7 @@
 	return err == nil && string(b) == "ran"
 }
 
-func TestIdleTimeoutSparesARequestThatHasArrived(t *testing.T) {
+func TestIdleTimeoutSparesArrivedRequest(t *testing.T) {
 	// Symptom: a request on a kept connection is passed on to a server, and 3 ms later its
 	// caller's connection is closed with no answer.
 	// Sequence: a request arrives before the connection's idle timeout is over. The host is
