--- a/internal/httpserver/idle_test.go
+++ b/internal/httpserver/idle_test.go
@@ -191,7 +191,7 @@
 	return answered(r), counts
 }
 
-func TestRefusalLeavesTheAnswerBeforeItWhole(t *testing.T) {
+func TestRefusalDoesNotTruncatePreviousAnswer(t *testing.T) {
 	// Symptom: a stream breaks off ReadTimeout after something unreadable came behind its request.
 	// Sequence: a request is handled for longer than the read timeout; bytes that are no request
 	// follow on its connection.
