--- a/internal/httpserver/idle_test.go
+++ b/internal/httpserver/idle_test.go
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestSlowSenderIsRefusedOrServed(t *testing.T) {
+func TestSlowSenderIsRejectedOrServed(t *testing.T) {
 	// Symptom: a caller gets two answers to one request, or a request that was refused as too
 	// slow runs.
 	// Sequence: the time for a request ends at the moment at which its last bytes are read.
