--- a/internal/httpserver/bodies_test.go
+++ b/internal/httpserver/bodies_test.go
@@ -70,7 +70,7 @@
 }
 
 // Sequence: callers leave in the middle of a body, and while it waits at a handler.
-func TestBodiesOfThoseWhoLeftAreGivenBack(t *testing.T) {
+func TestBytesOfClosedConnectionsAreReleased(t *testing.T) {
 	const size = 300 << 10
 	reading, release := make(chan struct{}, 1), make(chan struct{})
 	s := start(t, Config{MaxBodiesBytes: 1 << 20, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
