--- a/internal/httpserver/bodies_test.go
+++ b/internal/httpserver/bodies_test.go
@@ -94,7 +94,7 @@
 // Symptom: of forty large requests that come together none is served, and all are refused.
 // Sequence: each sends a part of its body; together they fill what there is.
 // Cause: what has come was counted, not what was going to come.
-func TestBodiesThatFindRoomAreServed(t *testing.T) {
+func TestBodiesAdmittedAtHeadAreServed(t *testing.T) {
 	const size, fit, callers = 256 << 10, 4, 16
 	s := start(t, Config{MaxBodiesBytes: fit*size + smallRequest, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
