--- a/internal/httpserver/start_test.go
+++ b/internal/httpserver/start_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestTakenAddressIsAnError(t *testing.T) {
+func TestAddressInUseIsAnError(t *testing.T) {
 	// Symptom: a process whose address is taken logs nothing, serves nothing and never ends.
 	// Sequence: another socket has the address when the server starts.
 	// Cause: the library stops what it has begun and waits for loops that have not begun.
