--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -24,7 +24,7 @@
 	return l.Listener.Accept()
 }
 
-func TestAcceptingGoesOnAfterWantOfDescriptors(t *testing.T) {
+func TestAcceptContinuesAfterDescriptorShortage(t *testing.T) {
 	// Symptom: a host with all descriptors in use burns its processor and answers nobody.
 	// Sequence: connections wait to be accepted, and no descriptor is free for them.
 	// Cause: accepting is tried again at once.
