--- a/internal/httpserver/descriptors_test.go
+++ b/internal/httpserver/descriptors_test.go
@@ -11,7 +11,7 @@
 // Symptom: a process with a memory limit is busy though it has no requests.
 // Sequence: it starts on a machine where a process may have millions of descriptors open.
 // Cause: each server keeps a table of as many entries, which the runtime counts as live.
-func TestTablesOfDescriptorsAreBounded(t *testing.T) {
+func TestDescriptorTablesAreBounded(t *testing.T) {
 	const servers, most = 6, 16 << 20 // bytes; without the bound it is 96 MiB
 	limitDescriptors()
 	if nbio.MaxOpenFiles > maxDescriptors {
