--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -59,7 +59,7 @@
 
 const plainRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-func TestEndUnderARequestIsLoggedWithItsCause(t *testing.T) {
+func TestCloseDuringRequestIsLoggedWithCause(t *testing.T) {
 	// Symptom: a caller says that its connection was closed with no answer, and the host's log
 	// says that the caller left.
 	// Sequence: a connection ends under a request: the caller closes it or resets it, or the
