--- a/internal/callerapi/fake_test.go
+++ b/internal/callerapi/fake_test.go
@@ -25,23 +25,23 @@
 
 const testKey = "secret"
 
-// fakeFleet is the state that all hosts of a test share.
+// fakeFleet is the state shared by all hosts of a test.
 type fakeFleet struct {
-	mu      sync.Mutex
-	records map[string]*pb.InflightRecord
-	claims  map[string]*pb.ClaimResult
-	billed  map[string]uint64 // by identity: the ledger takes the first bill only
-	double  int
-	dead    map[string]bool
-	engines map[string]*fakeEngine
-	order   []string // addresses of engines, in the order they are tried
-	noQuor  bool
-	dials   int
-	hang    string // name of the port that blocks until its context ends
-	hosts   []*fakeHost
+	mu          sync.Mutex
+	records     map[string]*pb.InflightRecord
+	claims      map[string]*pb.ClaimResult
+	billed      map[string]uint64 // by identity; the ledger accepts only the first bill
+	doubleBills int
+	dead        map[string]bool
+	engines     map[string]*fakeEngine
+	order       []string // addresses of engines, in the order of attempts
+	noQuorum    bool
+	dials       int
+	blockedPort string // name of the dependency that blocks until its context ends
+	hosts       []*fakeHost
 }
 
-// inFleet runs a test on a fleet of its own, in virtual time.
+// inFleet runs a test with its own fleet in virtual time.
 func inFleet(t *testing.T, test func(t *testing.T, f *fakeFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
@@ -55,21 +55,21 @@
 		billed: map[string]uint64{}, dead: map[string]bool{}, engines: map[string]*fakeEngine{}}
 }
 
-// fakeHost implements the ports of one host.
+// fakeHost implements the dependencies of one host's API.
 type fakeHost struct {
 	*fakeFleet
-	name     string
-	team     settings.Team
-	held     map[string]uint64
-	settled  int
-	outcomes []filter.Outcome
-	status   int
-	call     *filter.Call
-	closed   bool
-	noRetry  bool
-	apart    map[string]*pb.InflightRecord // own records of a host that is cut off from the others'
-	client   *engineclient.Client
-	api      *API
+	name       string
+	team       settings.Team
+	held       map[string]uint64
+	settled    int
+	outcomes   []filter.Outcome
+	status     int
+	call       *filter.Call
+	closed     bool
+	noRetry    bool
+	ownRecords map[string]*pb.InflightRecord // records of a host that can't see those of the others; nil: shared
+	client     *engineclient.Client
+	api        *API
 }
 
 func (f *fakeFleet) host(name string) *fakeHost {
@@ -90,7 +90,7 @@
 }
 
 func (f *fakeFleet) blocked(ctx context.Context, port string) error {
-	if f.hang != port {
+	if f.blockedPort != port {
 		return nil
 	}
 	<-ctx.Done()
@@ -140,7 +140,7 @@
 	delete(h.held, b.RequestId)
 	h.settled++
 	if _, ok := h.billed[b.Identity]; ok {
-		h.double++
+		h.doubleBills++
 		return
 	}
 	h.billed[b.Identity] = b.Tokens
@@ -152,10 +152,10 @@
 	delete(h.held, id)
 }
 
-// known is the records that the host can see.
-func (h *fakeHost) known() map[string]*pb.InflightRecord {
-	if h.apart != nil {
-		return h.apart
+// visibleRecords returns the records that the host can see.
+func (h *fakeHost) visibleRecords() map[string]*pb.InflightRecord {
+	if h.ownRecords != nil {
+		return h.ownRecords
 	}
 	return h.records
 }
@@ -166,41 +166,41 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old, ok := h.known()[rec.Identity]
+	old, ok := h.visibleRecords()[rec.Identity]
 	if ok && old.State != pb.InflightState_INFLIGHT_STATE_ABANDONED {
 		return old, false, nil
 	}
-	h.known()[rec.Identity] = rec
+	h.visibleRecords()[rec.Identity] = rec
 	return nil, true, nil
 }
 
 func (h *fakeHost) Update(rec *pb.InflightRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if old := h.known()[rec.Identity]; !h.dead[h.name] && old.GetRequestId() == rec.RequestId {
-		h.known()[rec.Identity] = rec
+	if old := h.visibleRecords()[rec.Identity]; !h.dead[h.name] && old.GetRequestId() == rec.RequestId {
+		h.visibleRecords()[rec.Identity] = rec
 	}
 }
 
 func (h *fakeHost) Takeover(_ context.Context, rec *pb.InflightRecord, _ int) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.known()[rec.Identity] = rec
+	h.visibleRecords()[rec.Identity] = rec
 	return nil
 }
 
 func (h *fakeHost) Abandon(identity, id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if rec := h.known()[identity]; rec.GetRequestId() == id {
-		delete(h.known(), identity)
+	if rec := h.visibleRecords()[identity]; rec.GetRequestId() == id {
+		delete(h.visibleRecords(), identity)
 	}
 }
 
 func (h *fakeHost) Find(_ context.Context, identity string) (*pb.InflightRecord, bool, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	rec, ok := h.known()[identity]
+	rec, ok := h.visibleRecords()[identity]
 	return rec, ok, nil
 }
 
@@ -210,7 +210,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.noQuor {
+	if h.noQuorum {
 		return nil, errkind.New(errkind.NoQuorum, "no quorum")
 	}
 	if res, ok := h.claims[identity]; ok {
@@ -246,7 +246,7 @@
 	l.h.outcomes = append(l.h.outcomes, o)
 }
 
-// Acquire gives the first engine by address that is not excluded.
+// Acquire returns the first engine in order that is not excluded.
 func (h *fakeHost) Acquire(ctx context.Context, w filter.Work) (filter.ServerLease, error) {
 	if err := h.blocked(ctx, "scheduler"); err != nil {
 		return nil, err
@@ -256,10 +256,10 @@
 			return &fakeLease{h: h, st: &pb.ServerState{Address: address, Resumes: h.engines[address].resumes, PrefillPerSecond: h.engines[address].prefill}}, nil
 		}
 	}
-	return nil, errkind.New(errkind.NoBackendServer, "none left")
+	return nil, errkind.New(errkind.NoBackendServer, "no server is left")
 }
 
-// dial connects to an engine on TCP, or to one within the process, so that virtual time holds.
+// dial connects to an engine over TCP, or in memory for one that runs in virtual time.
 func (f *fakeFleet) dial(_ context.Context, network, address string) (net.Conn, error) {
 	f.mu.Lock()
 	e := f.engines[address]
@@ -268,7 +268,7 @@
 	if e != nil && e.conns == nil {
 		return net.Dial(network, address)
 	}
-	if e == nil || e.refuse() {
+	if e == nil || e.refusesConnections() {
 		return nil, errors.New("connection refused")
 	}
 	near, far := net.Pipe()
@@ -276,7 +276,7 @@
 	return near, nil
 }
 
-// do sends one request through a host's chain.
+// do sends one request through the host's chain.
 func (h *fakeHost) do(path, body string, header ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+testKey)
@@ -288,7 +288,7 @@
 	return w
 }
 
-// end checks that nothing is left behind and lets a bubble's goroutines end.
+// end checks that no reservation is left and lets the goroutines of a synctest bubble end.
 func (f *fakeFleet) end(t *testing.T) {
 	t.Helper()
 	for _, h := range f.hosts {
@@ -298,7 +298,7 @@
 			t.Errorf("host %s still holds reservations: %v", h.name, maps.Clone(h.held))
 		}
 	}
-	time.Sleep(time.Second) // virtual: the watch for callers that go ends by itself
+	time.Sleep(time.Second) // virtual time in which the watch for disconnected callers ends
 	for _, e := range f.engines {
 		if e.conns == nil {
 			continue
@@ -308,9 +308,9 @@
 	}
 }
 
-// fixedSilence is a dispatch.Silence with the same limits for all servers.
+// fixedSilence is a dispatch.Silence with fixed limits for all servers.
 type fixedSilence struct {
-	// first is the limit before the first token of a run, gap the one after.
+	// first is the limit before the first token of a run, gap the limit between tokens.
 	first, gap time.Duration
 }
 
--- a/internal/callerapi/oracle_test.go
+++ b/internal/callerapi/oracle_test.go
@@ -32,17 +32,17 @@
 	Stuck   bool
 }
 
-// history is one random case: which engines there are and who asks what and when.
-// The key decides the path, whether the call may be repeated, and the body.
+// history is one random case: the engines, and which requests arrive where and when. The key
+// determines the path, whether the request is idempotent, and the body.
 type history struct {
-	Engines  []engineSpec
-	Arrivals []arrival
-	Apart    bool // the hosts don't see each other's records
-	KillAtMs int  // when host 0 counts as dead, while it goes on; 0: never
+	Engines     []engineSpec
+	Arrivals    []arrival
+	Partitioned bool // the hosts don't see each other's records
+	KillAtMs    int  // when host 0 starts to count as dead although it continues to run; 0: never
 }
 
-var faultNames = []string{"", "", "", "refuses connections", "refuses before running", "refuses as wrong", "dies without an answer",
-	"says nothing", "answers 500", "answers 400", "answers another run", "dies in the stream", "falls silent", "reports an error", "is stopped", "stalls", "is slow"}
+var faultNames = []string{"", "", "", "refuses connections", "rejects before running", "rejects as invalid", "dies without an answer",
+	"never answers", "answers 500", "answers 400", "answers for another run", "dies in the stream", "falls silent", "reports an error", "is stopped", "stalls", "is slow"}
 
 func drawHistory(t *rapid.T) history {
 	engine := rapid.Custom(func(t *rapid.T) engineSpec {
@@ -55,7 +55,7 @@
 	return history{rapid.SliceOfN(engine, 1, 3).Draw(t, "engines"), rapid.SliceOfN(call, 1, 8).Draw(t, "calls"), rapid.Bool().Draw(t, "apart"), rapid.SampledFrom([]int{0, 0, 500, 2000}).Draw(t, "kill")}
 }
 
-func marked(key int) bool { return key%2 == 1 }
+func isNotIdempotent(key int) bool { return key%2 == 1 }
 
 func requestOf(key int) (path, body string) {
 	switch key / 2 {
@@ -68,31 +68,32 @@
 }
 
 func TestRandomHistories(t *testing.T) {
-	// Symptom: any breach of what must always hold, in a case that nobody thought of.
-	// Sequence: random faults of engines, arrivals of few keys at two hosts, one of which counts as dead from some time on.
-	// Cause: whatever the history printed shows.
+	// Checks invariants in random histories: engines with random faults, and requests with few
+	// keys that arrive at two hosts, one of which counts as dead from some time on. A failure
+	// prints the history.
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "500"} {
 		testutil.NoError(t, flag.Set(name, value))
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		h := drawHistory(rt)
 		var faults []string
-		synctest.Test(t, func(t *testing.T) { faults = play(t, h) })
+		synctest.Test(t, func(t *testing.T) { faults = runHistory(t, h) })
 		if len(faults) > 0 {
 			rt.Fatalf("%s", strings.Join(faults, "\n"))
 		}
 	})
 }
 
-// play runs a history and returns what an oracle that sees all engines objects to.
-func play(t *testing.T, h history) (faults []string) {
+// runHistory runs a history and returns the violations found with the knowledge of all
+// engines.
+func runHistory(t *testing.T, h history) (faults []string) {
 	f := newFleet()
 	for _, s := range h.Engines {
 		f.engine(s.Resumes, s.Fault, s.At).stuck = s.Stuck
 	}
 	hosts := []*fakeHost{f.host("a"), f.host("b")}
-	if h.Apart {
-		hosts[1].apart = map[string]*pb.InflightRecord{}
+	if h.Partitioned {
+		hosts[1].ownRecords = map[string]*pb.InflightRecord{}
 	}
 	if h.KillAtMs > 0 {
 		time.AfterFunc(time.Duration(h.KillAtMs)*time.Millisecond, func() { f.mu.Lock(); f.dead["a"] = true; f.mu.Unlock() })
@@ -107,7 +108,7 @@
 	for i, a := range h.Arrivals {
 		wg.Go(func() {
 			time.Sleep(time.Duration(a.StartMs) * time.Millisecond)
-			judgeArrival(f, hosts[a.Host], i, a, object)
+			checkArrival(f, hosts[a.Host], i, a, object)
 		})
 	}
 	wg.Wait()
@@ -117,19 +118,19 @@
 		for _, e := range f.engines {
 			e.count(func() { runs += strings.Count(strings.Join(e.bodies, " "), fmt.Sprintf("key%d.", key)) })
 		}
-		if marked(key) && runs > 1 {
-			object("key %d must not be repeated and ran %d times", key, runs)
+		if isNotIdempotent(key) && runs > 1 {
+			object("key %d is not idempotent and ran %d times", key, runs)
 		}
 	}
 	f.end(t)
 	return faults
 }
 
-// judgeArrival sends one request and checks its answer.
-func judgeArrival(f *fakeFleet, host *fakeHost, i int, a arrival, object func(string, ...any)) {
+// checkArrival sends one request and checks its answer.
+func checkArrival(f *fakeFleet, host *fakeHost, i int, a arrival, object func(string, ...any)) {
 	path, body := requestOf(a.Key)
 	began := time.Now()
-	w := host.do(path, body, filter.HeaderIdempotencyKey, fmt.Sprint(a.Key), filter.HeaderNotIdempotent, fmt.Sprint(marked(a.Key)),
+	w := host.do(path, body, filter.HeaderIdempotencyKey, fmt.Sprint(a.Key), filter.HeaderNotIdempotent, fmt.Sprint(isNotIdempotent(a.Key)),
 		filter.HeaderTimeout, fmt.Sprint(a.DeadlineMs))
 	if took := time.Since(began); took > time.Duration(a.DeadlineMs)*time.Millisecond {
 		object("arrival %d was answered after %v", i, took)
@@ -146,15 +147,15 @@
 	f.mu.Unlock()
 	switch {
 	case whole == refused && w.Code < 400:
-		object("arrival %d got neither a whole answer nor a refusal, or both: %q", i, got)
+		object("arrival %d got neither a complete answer nor a refusal, or both: %q", i, got)
 	case whole && !billed:
-		object("arrival %d got its answer unbilled", i)
+		object("arrival %d got its answer without a bill", i)
 	case refused && strings.Contains(got, `"ran":"`+string(errkind.RanNo)+`"`) && ranAnywhere(f, w.Header().Get(filter.HeaderRequestID)):
-		object("arrival %d was told that it did not run: %s", i, got)
+		object("arrival %d ran but was answered with ran \"no\": %s", i, got)
 	}
 }
 
-// ranAnywhere tells whether an engine ran any attempt of a request.
+// ranAnywhere reports whether an engine ran any attempt of a request.
 func ranAnywhere(f *fakeFleet, requestID string) (ran bool) {
 	for _, e := range f.engines {
 		e.count(func() { ran = ran || strings.Contains(strings.Join(e.ids, " "), requestID) })
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -109,7 +109,7 @@
 		Seed: seedOf(cfg.Host), Peers: d.pool, Registry: registry{e.sched}, Limits: e.limits, Load: e.load,
 		Log: d.tel.Log, Metrics: d.tel.Metrics, Ticked: d.watch.Tick,
 	})
-	e.client = engineclient.New(engineclient.Config{Heard: e.sched.Observe})
+	e.client = engineclient.New(engineclient.Config{Observe: e.sched.Observe})
 	e.makeQuarantine()
 	e.placement = e.newPlacement()
 	d.tel.Metrics.Set("scheduler", e.sched.Metrics().Map())
@@ -237,7 +237,7 @@
 	})
 	e.http = httpserver.New(httpserver.Config{
 		Name: "callers", Address: cfg.Listen.Callers, TLS: serverTLS(e.d.tls.callers), Handler: e.api,
-		MaxBodyBytes: cfg.Limits.MaxBodyBytes, Streams: cfg.Limits.Streams, Always: callerapi.Always,
+		MaxBodyBytes: cfg.Limits.MaxBodyBytes, Streams: cfg.Limits.Streams, NeverShed: callerapi.NeverShed,
 	})
 	e.d.countConnections("callers", e.http)
 }
--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -24,7 +24,7 @@
 	return l.Listener.Accept()
 }
 
-func TestAcceptingGoesOnAfterWantOfDescriptors(t *testing.T) {
+func TestAcceptContinuesAfterDescriptorShortage(t *testing.T) {
 	// Symptom: a host with all descriptors in use burns its processor and answers nobody.
 	// Sequence: connections wait to be accepted, and no descriptor is free for them.
 	// Cause: accepting is tried again at once.
@@ -42,7 +42,7 @@
 	if !get(c, bufio.NewReader(c)) {
 		t.Fatal("no answer")
 	}
-	if n := s.ends.refused.Value(); n != failures {
+	if n := s.closes.notAccepted.Value(); n != failures {
 		t.Fatalf("%d failures counted, want %d", n, failures)
 	}
 }
--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -59,7 +59,7 @@
 
 const plainRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-func TestEndUnderARequestIsLoggedWithItsCause(t *testing.T) {
+func TestCloseDuringRequestIsLoggedWithCause(t *testing.T) {
 	// Symptom: a caller says that its connection was closed with no answer, and the host's log
 	// says that the caller left.
 	// Sequence: a connection ends under a request: the caller closes it or resets it, or the
@@ -213,10 +213,10 @@
 	})})
 	c := dial(t, s)
 	_, _ = io.WriteString(c, plainRequest)
-	if got := <-seen; got != CauseOverflow {
+	if got := <-seen; got != CauseWriteOverflow {
 		t.Errorf("closed because of %q", got)
 	}
-	if _, busy := counted(t, s, CauseOverflow); busy[CauseOverflow] != 1 {
+	if _, busy := counted(t, s, CauseWriteOverflow); busy[CauseWriteOverflow] != 1 {
 		t.Errorf("counted %v", busy)
 	}
 	await(t, "the connection is given up", s.conns.empty)
@@ -246,7 +246,7 @@
 	if n+rest < size {
 		t.Errorf("the answer broke off at %d of %d bytes", n+rest, size)
 	}
-	if _, busy := counted(t, s, CauseStalled); busy[CauseStalled] != 1 {
+	if _, busy := counted(t, s, CauseWriteStalled); busy[CauseWriteStalled] != 1 {
 		t.Errorf("counted %v", busy)
 	}
 }
--- a/internal/httpserver/ends_test.go
+++ b/internal/httpserver/ends_test.go
@@ -15,7 +15,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-func TestEndedConnectionsAreForgotten(t *testing.T) {
+func TestClosedConnectionsAreReleased(t *testing.T) {
 	// Symptom: the memory of a host grows by a kilobyte or more with each caller who leaves
 	// while part of its answer still waits.
 	// Sequence: the answer is longer than the kernel takes; the caller leaves; the rest fails.
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestIdleWatchTakesTheLibrarysDeadlineOff(t *testing.T) {
+func TestIdleWatchClearsLibraryDeadline(t *testing.T) {
 	// Symptom: a stream ends in its middle, at a round time after its connection was accepted.
 	// Sequence: the library sets a deadline when it accepts a connection.
 	// Cause: its timer closes the connection, whatever has begun since.
@@ -67,7 +67,7 @@
 		close(closed)
 	}()
 	_ = conn.Conn.SetReadDeadline(time.Now().Add(2 * shortIdle))
-	h.idle.look()
+	h.idle.sweep()
 	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\n") // a request has begun: it is not idle
 	time.Sleep(4 * shortIdle)
 	select {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestEndThatWasNotReadIsNotTheCallers(t *testing.T) {
+func TestUnreadEndIsUnexplained(t *testing.T) {
 	// Symptom: the log says that callers left who had not.
 	// Sequence: an event of another connection has the poller close one with a request open.
 	// Cause: its error is the one of a caller who closes.
@@ -102,14 +102,14 @@
 	}
 }
 
-func TestStopClosesWhoWaitsAtTheBarrier(t *testing.T) {
+func TestStopClosesConnectionsAtBarrier(t *testing.T) {
 	// Symptom: a server does not stop, and a caller waits on a connection that nobody reads.
 	// Sequence: a connection is accepted and waits for the poller; the server stops.
 	// Cause: it was registered after all that were known had been closed.
 	for range 10 {
 		s := New(Config{Address: "127.0.0.1:0", Handler: text("ran")})
 		testutil.NoError(t, s.Start())
-		s.writes.underway.Add(1) // accepted connections wait
+		s.writes.ongoing.Add(1) // accepted connections wait
 		s.barrier.mu.Lock()      // and the poller can't let them pass
 		c := dial(t, s)
 		await(t, "the connection is accepted", func() bool { return s.engine.Online() == 1 })
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestIdleWatchOutlivesAPanic(t *testing.T) {
+func TestIdleWatchSurvivesPanic(t *testing.T) {
 	// Symptom: the process ends with all its requests.
 	// Sequence: what the idle watch asks for the limits panics.
 	// Cause: it runs on a timer's goroutine, whose panics nobody recovered.
--- a/internal/httpserver/idle_test.go
+++ b/internal/httpserver/idle_test.go
@@ -76,7 +76,7 @@
 	defer h.conns.mu.Unlock()
 	n := 0
 	for _, c := range h.conns.m {
-		n += int(c.busy.Load())
+		n += int(c.openRequests.Load())
 	}
 	return n
 }
@@ -107,7 +107,7 @@
 	return err == nil && string(b) == "ran"
 }
 
-func TestIdleTimeoutSparesARequestThatHasArrived(t *testing.T) {
+func TestIdleTimeoutSparesArrivedRequest(t *testing.T) {
 	// Symptom: a request on a kept connection is passed on to a server, and 3 ms later its
 	// caller's connection is closed with no answer.
 	// Sequence: a request arrives before the connection's idle timeout is over. The host is
@@ -191,7 +191,7 @@
 	return answered(r), counts
 }
 
-func TestRefusalLeavesTheAnswerBeforeItWhole(t *testing.T) {
+func TestRefusalDoesNotTruncatePreviousAnswer(t *testing.T) {
 	// Symptom: a stream breaks off ReadTimeout after something unreadable came behind its request.
 	// Sequence: a request is handled for longer than the read timeout; bytes that are no request
 	// follow on its connection.
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestSlowSenderIsRefusedOrServed(t *testing.T) {
+func TestSlowSenderIsRejectedOrServed(t *testing.T) {
 	// Symptom: a caller gets two answers to one request, or a request that was refused as too
 	// slow runs.
 	// Sequence: the time for a request ends at the moment at which its last bytes are read.
@@ -244,7 +244,7 @@
 		p.Execute = func(f func()) bool {
 			if refusing.CompareAndSwap(false, true) {
 				_, _ = io.WriteString(c, plainRequest[10:])
-				for end := time.Now().Add(shortIdle); conn.busy.Load() == 0 && time.Now().Before(end); {
+				for end := time.Now().Add(shortIdle); conn.openRequests.Load() == 0 && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
 			}
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -65,7 +65,7 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, s) }
 }
 
-func TestBodyOverLimitIsRefusedInFull(t *testing.T) {
+func TestBodyOverLimitIsRejectedWithAnswer(t *testing.T) {
 	// Symptom: a caller with too long a prompt sees a reset connection and doesn't know whether it ran.
 	// Sequence: the body is declared, or sent in chunks, past the limit.
 	// Cause: nbhttp closes the connection without an answer.
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestSlowSenderIsRefusedAndClosed(t *testing.T) {
+func TestSlowSenderIsRejectedAndClosed(t *testing.T) {
 	// Symptom: connections pile up on the host until it can't accept.
 	// Sequence: a caller sends half a request and then nothing, or goes without a close.
 	// Cause: nothing bounds the reading of a request.
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestCallersAreToldToConnectAnew(t *testing.T) {
+func TestRequestsPerConnection(t *testing.T) {
 	// Symptom: one host of 70 serves a seventh of all requests.
 	// Sequence: a caller that sends many requests has chosen an address, and keeps it.
 	// Cause: nothing makes it choose again.
@@ -161,7 +161,7 @@
 	send(body, 413)
 }
 
-func TestHeadersHaveATimeoutOfTheirOwn(t *testing.T) {
+func TestHeaderTimeout(t *testing.T) {
 	// Symptom: connections pile up though an operator bounds the time for headers.
 	// Sequence: a caller sends its headers one byte now and then; another one sends them at
 	// once and takes its time for the body.
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestConnClosedSeesCallerGo(t *testing.T) {
+func TestConnClosedAfterCallerCloses(t *testing.T) {
 	// Symptom: engines go on generating for callers who have hung up.
 	// Sequence: the caller closes its connection in the middle of a stream.
 	// Cause: nbhttp cancels no context and fails no write.
@@ -330,7 +330,7 @@
 	wg.Wait()
 }
 
-func TestDrainCutsNoAnswer(t *testing.T) {
+func TestDrainCompletesAnswers(t *testing.T) {
 	// Symptom: callers get the first part of an answer when a host is restarted.
 	// Sequence: a stream is under way and a large answer waits for a slow reader when the host drains.
 	// Cause: nbhttp's shutdown closes connections without regard to handlers or queued bytes.
@@ -381,10 +381,10 @@
 	testutil.NoError(t, <-drained)
 }
 
-func TestStreamsBoundRefusesAtOnceButNotAlways(t *testing.T) {
+func TestStreamsLimitSparesNeverShed(t *testing.T) {
 	release := make(chan struct{})
 	entered := make(chan struct{}, 2)
-	s := start(t, Config{Streams: 1, Always: func(r *http.Request) bool { return r.URL.Path == "/healthz" },
+	s := start(t, Config{Streams: 1, NeverShed: func(r *http.Request) bool { return r.URL.Path == "/healthz" },
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/hold" {
 				entered <- struct{}{}
@@ -444,7 +444,7 @@
 // Sequence: it opens a server, fails at the next one and stops the first at once.
 // Cause: an event loop of nbio that begins after it was told to stop takes that back, and
 // Stop waits for it.
-func TestServerThatIsStoppedAtOnceStops(t *testing.T) {
+func TestStopRightAfterStart(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // nothing that Start begins runs before Drain
 	s := New(Config{Address: "127.0.0.1:0", Handler: http.NotFoundHandler()})
 	testutil.NoError(t, s.Start())
@@ -461,7 +461,7 @@
 	}
 }
 
-func TestRequestsLeftAtTheEndOfADrainAreAnswered(t *testing.T) {
+func TestRequestsAreAnsweredWhenDrainTimesOut(t *testing.T) {
 	// Symptom: a caller of a host that leaves gets a closed connection and no answer.
 	// Sequence: its request waits for a backend server that is silent; the time of the drain
 	// ends.
--- a/internal/httpserver/start_test.go
+++ b/internal/httpserver/start_test.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-func TestServerThatIsStoppedAtOnceEnds(t *testing.T) {
+func TestRepeatedStopRightAfterStart(t *testing.T) {
 	// Symptom: a process whose start failed, or a test on a busy machine, never ends and uses
 	// a whole processor.
 	// Sequence: the server is stopped before its reading goroutines had their first turn.
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestTakenAddressIsAnError(t *testing.T) {
+func TestAddressInUseIsAnError(t *testing.T) {
 	// Symptom: a process whose address is taken logs nothing, serves nothing and never ends.
 	// Sequence: another socket has the address when the server starts.
 	// Cause: the library stops what it has begun and waits for loops that have not begun.
--- a/internal/relay/forward/attempt.go
+++ b/internal/relay/forward/attempt.go
@@ -98,7 +98,7 @@
 // failure returns the outcome of a failed attempt that may be retried at another server.
 func (t *task) failure(result balance.Result, cause engineclient.Cause, format string, args ...any) outcome {
 	if t.ctx.Err() != nil {
-		result, cause = balance.Abandoned, engineclient.CauseLeft // caused by the end of the request's own context
+		result, cause = balance.Abandoned, engineclient.CauseRequestEnded // caused by the end of the request's own context
 	}
 	err := errkind.New(errkind.BackendServerFailed, format, args...).WithRan(t.ran)
 	return outcome{err: err, cause: cause, result: result, retryable: true}
@@ -186,7 +186,7 @@
 	}
 	t.markMayHaveRun()
 	if res.StatusCode == http.StatusSwitchingProtocols {
-		return t.failure(balance.Broken, engineclient.CauseSwitched, "the backend server switched protocols without a request to do so")
+		return t.failure(balance.Broken, engineclient.CauseSwitchedProtocols, "the backend server switched protocols without a request to do so")
 	}
 	if res.StatusCode < http.StatusMultipleChoices && isEventStream(res) {
 		return t.relayStream(lease, res)
@@ -203,12 +203,12 @@
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxBuffered+1))
 	if err != nil {
 		t.x.PromptConsumed = t.x.PromptConsumed || t.ctx.Err() == nil
-		return t.failure(balance.Broken, engineclient.CauseCutBody, "the answer was truncated: %v", err)
+		return t.failure(balance.Broken, engineclient.CauseBodyTruncated, "the answer was truncated: %v", err)
 	}
 	lease.FirstByte()
 	t.x.PromptConsumed = true
 	if res.StatusCode >= http.StatusInternalServerError && t.x.Route.Kind == routes.Idempotent && t.takeRetryEarly() {
-		return t.failure(balance.Served, engineclient.CauseFault, "the backend server answered %d", res.StatusCode)
+		return t.failure(balance.Served, engineclient.CauseServerFault, "the backend server answered %d", res.StatusCode)
 	}
 	t.writeHeader(res)
 	if length := t.contentLength(res, body); length != "" {
@@ -227,7 +227,7 @@
 	for {
 		n, err := res.Body.Read(buf)
 		if n > 0 && !t.writeToCaller(buf[:n]) {
-			out := t.failure(balance.Abandoned, engineclient.CauseLeft, "the caller's connection is closed")
+			out := t.failure(balance.Abandoned, engineclient.CauseRequestEnded, "the caller's connection is closed")
 			out.retryable = false
 			return out
 		}
@@ -235,7 +235,7 @@
 			return servedOutcome(res)
 		}
 		if err != nil {
-			out := t.failure(balance.Broken, engineclient.CauseCutStream, "the answer was truncated: %v", err)
+			out := t.failure(balance.Broken, engineclient.CauseStreamTruncated, "the answer was truncated: %v", err)
 			out.retryable = false
 			return out
 		}
--- a/internal/relay/forward/matrix_test.go
+++ b/internal/relay/forward/matrix_test.go
@@ -49,12 +49,12 @@
 				b.read(r)
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}},
-		{name: "after the status line", causes: []engineclient.Cause{engineclient.CauseCutHead},
+		{name: "after the status line", causes: []engineclient.Cause{engineclient.CauseHeadTruncated},
 			request: func(b *backend, c net.Conn, r *bufio.Reader) {
 				b.read(r)
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 			}},
-		{name: "in the answer", begins: true, causes: []engineclient.Cause{engineclient.CauseCutBody, engineclient.CauseCutStream},
+		{name: "in the answer", begins: true, causes: []engineclient.Cause{engineclient.CauseBodyTruncated, engineclient.CauseStreamTruncated},
 			request: func(b *backend, c net.Conn, r *bufio.Reader) {
 				if req, ok := b.read(r); ok {
 					answer := answerTo(req)
--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -34,7 +34,7 @@
 			t.writeStatus(res) // the status line of a stream without events
 			return servedOutcome(res)
 		case t.ctx.Err() != nil:
-			return t.failure(balance.Abandoned, engineclient.CauseLeft, "%v", t.ctx.Err())
+			return t.failure(balance.Abandoned, engineclient.CauseRequestEnded, "%v", t.ctx.Err())
 		case readErr != nil:
 			return t.failure(balance.Broken, t.cutCause(), "the stream was truncated: %v", readErr)
 		}
@@ -58,9 +58,9 @@
 // cutCause returns the cause to log for a truncated stream.
 func (t *task) cutCause() engineclient.Cause {
 	if t.x.Begun {
-		return engineclient.CauseCutStream
+		return engineclient.CauseStreamTruncated
 	}
-	return engineclient.CauseCutBody
+	return engineclient.CauseBodyTruncated
 }
 
 // writeStatus sends the status line and the headers, those of the first server that sent an event.
