--- a/internal/controller/records/records.go
+++ b/internal/controller/records/records.go
@@ -29,7 +29,7 @@
 // fenced together with its records.
 type Grants interface {
 	Fence(dead *pb.Holder) []*pb.Transfer
-	GiveSettled(id string)
+	MarkTransferSettled(id string)
 }
 
 // Defaults of Config, and bounds.
--- a/internal/controller/records/serve.go
+++ b/internal/controller/records/serve.go
@@ -36,7 +36,7 @@
 	if t := rec.GetTransfer(); own && t != nil {
 		c.store.MarkSettled(time.Now(), inflight.TransferIdentity(t.GetId()))
 		if c.grants != nil {
-			c.grants.GiveSettled(t.GetId())
+			c.grants.MarkTransferSettled(t.GetId())
 		}
 		return nil
 	}
