--- a/internal/controller/grants/distrust_test.go
+++ b/internal/controller/grants/distrust_test.go
@@ -54,7 +54,7 @@
 	var failures []error
 	m := New(Config{
 		Self: &pb.Holder{Host: "a", Incarnation: 1}, Proposer: world, Asker: world, Recorder: world, Log: zerolog.Nop(),
-		Failed: func(err error) { failures = append(failures, err) },
+		OnFailure: func(err error) { failures = append(failures, err) },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/internal/controller/grants/grants.go
+++ b/internal/controller/grants/grants.go
@@ -72,9 +72,9 @@
 	PolicyFor func(budget string) grant.Policy
 	// OnSettled is called with bills that the ledger acknowledged; may be nil.
 	OnSettled func(bills []*pb.Bill)
-	// Failed is called when the manager can't trust its own state any more and gives nothing
+	// OnFailure is called when the manager can't trust its own state any more and gives nothing
 	// out from then on. It must not call the Manager; may be nil.
-	Failed func(error)
+	OnFailure func(error)
 	Log    zerolog.Logger
 	// Seed of the order in which peers are asked.
 	Seed           int64
@@ -191,8 +191,8 @@
 	}
 	panics.Report(m.cfg.Log, "grants", p)
 	m.refuseAll()
-	if m.cfg.Failed != nil {
-		m.cfg.Failed(errors.Errorf("the tokens held here are not known any more: %v", p))
+	if m.cfg.OnFailure != nil {
+		m.cfg.OnFailure(errors.Errorf("the tokens held here are not known any more: %v", p))
 	}
 }
 
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -245,7 +245,7 @@
 		Self: reg.Holder, Holder: gatewayHolder(g.d),
 		Proposer: group{g.d.client}, Asker: gatewayPeers{g}, Recorder: noCopies{},
 		PolicyFor: g.policyFor,
-		Log:       g.d.tel.Log, Seed: int64(reg.Holder.Incarnation), Failed: g.d.tasks.fail,
+		Log:       g.d.tel.Log, Seed: int64(reg.Holder.Incarnation), OnFailure: g.d.tasks.fail,
 	})
 	manager.Contact(registered)
 	g.grants.Store(manager)
