--- a/internal/controller/grants/calls.go
+++ b/internal/controller/grants/calls.go
@@ -100,12 +100,12 @@
 	if err != nil {
 		metrics.Add("batches_unanswered", 1)
 		m.cfg.Log.Warn().Str("event", "settle-unanswered").Uint64("seq", batch.GetSeq()).Err(err).Send()
-		if m.ledgerLost.CompareAndSwap(false, true) {
+		if m.ledgerUnreachable.CompareAndSwap(false, true) {
 			m.cfg.Log.Warn().Str("event", "ledger-lost").Err(err).Send()
 		}
 		return
 	}
-	if m.ledgerLost.CompareAndSwap(true, false) {
+	if m.ledgerUnreachable.CompareAndSwap(true, false) {
 		m.cfg.Log.Info().Str("event", "ledger-regained").Uint64("seq", batch.GetSeq()).Send()
 	}
 	m.step(func(now time.Time) grant.Output {
@@ -175,10 +175,10 @@
 	defer m.mu.Unlock()
 	defer m.distrust()
 	t, state := m.holder.HandleAsk(time.Now(), req)
-	_, busy := m.giving[req.GetId()]
+	_, busy := m.outgoing[req.GetId()]
 	copying = state == grant.NewTransfer || state == grant.PendingTransfer
 	if copying && !busy && !m.closed {
-		m.giving[req.GetId()] = struct{}{}
+		m.outgoing[req.GetId()] = struct{}{}
 	}
 	return t, copying, copying && (busy || m.closed)
 }
@@ -218,17 +218,17 @@
 		return
 	}
 	for _, t := range m.holder.PendingTransfers() {
-		if _, busy := m.giving[t.GetId()]; busy {
+		if _, busy := m.outgoing[t.GetId()]; busy {
 			continue
 		}
-		m.giving[t.GetId()] = struct{}{}
+		m.outgoing[t.GetId()] = struct{}{}
 		m.call(func() { m.give(t) })
 	}
 }
 
 func (m *Manager) doneGiving(id string) {
 	m.mu.Lock()
-	delete(m.giving, id)
+	delete(m.outgoing, id)
 	m.mu.Unlock()
 }
 
--- a/internal/controller/grants/grants.go
+++ b/internal/controller/grants/grants.go
@@ -53,11 +53,11 @@
 	defaultProposeTimeout = time.Second
 	defaultAskTimeout     = 250 * time.Millisecond
 	defaultCopyTimeout    = 150 * time.Millisecond
-	// policyEvery is how often the policies of held budgets are asked for anew.
-	policyEvery = time.Second
-	// giveRetry is how often a transfer without its copies is tried again, also when its
+	// policyInterval is how often the policies of held budgets are asked for anew.
+	policyInterval = time.Second
+	// transferRetryInterval is how often a transfer without its copies is tried again, also when its
 	// asker is gone: its tokens would else stay deducted.
-	giveRetry = time.Second
+	transferRetryInterval = time.Second
 )
 
 // Config of a Manager. Zero durations mean the defaults.
@@ -96,14 +96,14 @@
 	holder *grant.Holder
 	// waiting holds the channel of each Reserve without a decision, by request id.
 	waiting map[string]chan error
-	// giving are the ids of transfers whose copies are being made.
-	giving map[string]struct{}
-	// flushing tells that a timer for the next batch runs.
-	flushing bool
+	// outgoing are the ids of transfers whose copies are being made.
+	outgoing map[string]struct{}
+	// flushScheduled tells that a timer for the next batch runs.
+	flushScheduled bool
 	// closed: nothing is set aside any more, and no call begins.
 	closed bool
-	// ledgerLost: the last batch got no answer.
-	ledgerLost atomic.Bool
+	// ledgerUnreachable: the last batch got no answer.
+	ledgerUnreachable atomic.Bool
 }
 
 var _ filter.Budget = (*Manager)(nil)
@@ -123,7 +123,7 @@
 		cfg: cfg, ctx: ctx, cancel: cancel,
 		holder:  grant.New(cfg.Self, cfg.Holder, rand.New(rand.NewSource(cfg.Seed))),
 		waiting: make(map[string]chan error),
-		giving:  make(map[string]struct{}),
+		outgoing:  make(map[string]struct{}),
 	}
 }
 
@@ -133,9 +133,9 @@
 	running.Store(m)
 	ticker := time.NewTicker(m.cfg.Tick)
 	defer ticker.Stop()
-	gives := time.NewTicker(giveRetry)
+	gives := time.NewTicker(transferRetryInterval)
 	defer gives.Stop()
-	policies := time.NewTicker(policyEvery)
+	policies := time.NewTicker(policyInterval)
 	defer policies.Stop()
 	for {
 		select {
@@ -236,9 +236,9 @@
 	return m.holder.Fence(dead)
 }
 
-// GiveSettled forgets a given transfer that the ledger knows; the records controller
+// MarkTransferSettled forgets a given transfer that the ledger knows; the records controller
 // calls it when the receiver says so.
-func (m *Manager) GiveSettled(id string) {
+func (m *Manager) MarkTransferSettled(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.holder.MarkTransferSettled(time.Now(), id)
--- a/internal/controller/grants/port.go
+++ b/internal/controller/grants/port.go
@@ -133,13 +133,13 @@
 // scheduleFlush sends the next batch when its first bill has waited long enough; m.mu
 // is held.
 func (m *Manager) scheduleFlush() {
-	if m.flushing || m.closed {
+	if m.flushScheduled || m.closed {
 		return
 	}
-	m.flushing = true
+	m.flushScheduled = true
 	time.AfterFunc(m.cfg.Holder.BatchWait, func() {
 		m.step(func(now time.Time) grant.Output {
-			m.flushing = false
+			m.flushScheduled = false
 			return m.holder.Flush(now)
 		})
 	})
