--- a/internal/controller/grants/calls.go
+++ b/internal/controller/grants/calls.go
@@ -30,11 +30,11 @@
 		return
 	}
 	refusal := errkind.From(err)
-	if refused(err) {
+	if isRefusal(err) {
 		m.cfg.Log.Warn().Str("event", "acquire-refused").Str("budget", budget).Str("kind", string(refusal.Kind)).
 			Str("error", refusal.Message).Send()
 		m.step(func(now time.Time) grant.Output {
-			return m.holder.AcquireRefused(now, budget, seq, callerKind(refusal.Kind), refusal.Message)
+			return m.holder.AcquireRefused(now, budget, seq, callerErrorKind(refusal.Kind), refusal.Message)
 		})
 		return
 	}
@@ -42,15 +42,15 @@
 	m.step(func(now time.Time) grant.Output { return m.holder.AcquireFailed(now, budget, seq) })
 }
 
-// applied is the refusal of the ledger itself: the command was committed and changed
+// refusalError is the refusal of the ledger itself: the command was committed and changed
 // nothing.
-type applied struct{ refusal error }
+type refusalError struct{ refusal error }
 
 // Error implements error.
-func (a applied) Error() string { return a.refusal.Error() }
+func (a refusalError) Error() string { return a.refusal.Error() }
 
 // Unwrap gives errors.As the refusal.
-func (a applied) Unwrap() error { return a.refusal }
+func (a refusalError) Unwrap() error { return a.refusal }
 
 // propose returns the result of an applied command. An error that is refused() is the
 // ledger's own; after any other the command may still take effect.
@@ -62,19 +62,19 @@
 		return nil, err
 	}
 	if err := wire.DecodeError(result.GetError()); err != nil {
-		return nil, applied{err}
+		return nil, refusalError{err}
 	}
 	return result, nil
 }
 
-// refused tells whether err is the ledger's definite answer.
-func refused(err error) bool {
-	var a applied
+// isRefusal tells whether err is the ledger's definite answer.
+func isRefusal(err error) bool {
+	var a refusalError
 	return errors.As(err, &a) || errkind.Is(err, errkind.BudgetUnknown) || errkind.Is(err, errkind.NotFound)
 }
 
-// callerKind is the refusal a caller gets for the ledger's refusal of an acquire.
-func callerKind(k errkind.Kind) errkind.Kind {
+// callerErrorKind is the refusal a caller gets for the ledger's refusal of an acquire.
+func callerErrorKind(k errkind.Kind) errkind.Kind {
 	switch k {
 	case errkind.NotFound:
 		return errkind.BudgetUnknown
@@ -92,7 +92,7 @@
 		Actor: m.cfg.Self.GetHost(),
 		Body:  &pb.Command_Settle{Settle: batch},
 	})
-	if refused(err) {
+	if isRefusal(err) {
 		metrics.Add("batches_refused", 1)
 		m.cfg.Log.Error().Str("event", "settle-refused").Uint64("seq", batch.GetSeq()).Err(err).Send()
 		return
@@ -111,14 +111,14 @@
 	m.step(func(now time.Time) grant.Output {
 		out, done := m.holder.SettleAnswered(now, batch.GetSeq(), result.GetSettle())
 		m.scheduleFlush()
-		m.noteSettled(done, result.GetSettle())
+		m.reportSettled(done, result.GetSettle())
 		return out
 	})
 }
 
-// noteSettled lets records and copies go; done is nil for a doubled answer. The calls
+// reportSettled lets records and copies go; done is nil for a doubled answer. The calls
 // run apart because m.mu is held.
-func (m *Manager) noteSettled(done *pb.Settle, r *pb.SettleResult) {
+func (m *Manager) reportSettled(done *pb.Settle, r *pb.SettleResult) {
 	if done == nil || m.closed {
 		return
 	}
@@ -157,23 +157,23 @@
 // HandleAskTokens is the giver's side of a transfer. Tokens are deducted first and the
 // transfer is copied to a third host before it is answered.
 func (m *Manager) HandleAskTokens(req *pb.AskTokensRequest) *pb.AskTokensReply {
-	t, copying, refuse := m.beginGiving(req)
+	t, copying, refuse := m.beginTransfer(req)
 	switch {
 	case refuse:
 		return &pb.AskTokensReply{Error: wire.EncodeError(grant.CopyInProgress())}
 	case copying:
-		return m.give(t)
+		return m.completeTransfer(t)
 	default:
 		return &pb.AskTokensReply{Transfer: t}
 	}
 }
 
-// beginGiving deducts the tokens of a transfer. copying tells that its copies have to be made,
+// beginTransfer deducts the tokens of a transfer. copying tells that its copies have to be made,
 // refuse that they can't be now.
-func (m *Manager) beginGiving(req *pb.AskTokensRequest) (t *pb.Transfer, copying, refuse bool) {
+func (m *Manager) beginTransfer(req *pb.AskTokensRequest) (t *pb.Transfer, copying, refuse bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	defer m.distrust()
+	defer m.stopOnPanic()
 	t, state := m.holder.HandleAsk(time.Now(), req)
 	_, busy := m.outgoing[req.GetId()]
 	copying = state == grant.NewTransfer || state == grant.PendingTransfer
@@ -183,12 +183,12 @@
 	return t, copying, copying && (busy || m.closed)
 }
 
-// give copies a deducted transfer and answers it. If no third host can be reached it is
+// completeTransfer copies a deducted transfer and answers it. If no third host can be reached it is
 // undone, but only once every host that may hold a copy knows that it is void: a copy
 // left behind would move tokens that the giver spends itself if both ends were lost.
 // Until then the tokens stay deducted and the asker must come back.
-func (m *Manager) give(t *pb.Transfer) *pb.AskTokensReply {
-	defer m.doneGiving(t.GetId())
+func (m *Manager) completeTransfer(t *pb.Transfer) *pb.AskTokensReply {
+	defer m.endTransfer(t.GetId())
 	ctx, cancel := context.WithTimeout(m.ctx, m.cfg.CopyTimeout)
 	defer cancel()
 	copyErr := m.cfg.Recorder.CopyTransfer(ctx, t)
@@ -196,22 +196,22 @@
 		m.mu.Lock()
 		m.holder.MarkTransferReady(t.GetId())
 		m.mu.Unlock()
-		m.noteTransfer("transfer-given", t, nil)
+		m.recordTransfer("transfer-given", t, nil)
 		return &pb.AskTokensReply{Transfer: t}
 	}
 	undoCtx, cancelUndo := context.WithTimeout(m.ctx, m.cfg.CopyTimeout)
 	defer cancelUndo()
 	if err := m.cfg.Recorder.AbandonTransfer(undoCtx, t); err != nil {
-		m.noteTransfer("transfer-stuck", t, err)
+		m.recordTransfer("transfer-stuck", t, err)
 		return &pb.AskTokensReply{Error: wire.EncodeError(grant.CopyInProgress())}
 	}
 	m.step(func(now time.Time) grant.Output { return m.holder.UndoTransfer(now, t.GetId()) })
-	m.noteTransfer("transfer-undone", t, copyErr)
+	m.recordTransfer("transfer-undone", t, copyErr)
 	return &pb.AskTokensReply{}
 }
 
-// retryGives ends the transfers whose copies could be neither made nor undone.
-func (m *Manager) retryGives() {
+// retryTransfers ends the transfers whose copies could be neither made nor undone.
+func (m *Manager) retryTransfers() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -222,18 +222,18 @@
 			continue
 		}
 		m.outgoing[t.GetId()] = struct{}{}
-		m.call(func() { m.give(t) })
+		m.call(func() { m.completeTransfer(t) })
 	}
 }
 
-func (m *Manager) doneGiving(id string) {
+func (m *Manager) endTransfer(id string) {
 	m.mu.Lock()
 	delete(m.outgoing, id)
 	m.mu.Unlock()
 }
 
-// noteTransfer counts and logs what became of a transfer given by this host.
-func (m *Manager) noteTransfer(event string, t *pb.Transfer, err error) {
+// recordTransfer counts and logs what became of a transfer given by this host.
+func (m *Manager) recordTransfer(event string, t *pb.Transfer, err error) {
 	metrics.Add(event, 1)
 	m.cfg.Log.Info().Str("event", event).Str("budget", t.GetBudget()).Str("to", t.GetTo().GetHost()).
 		Str("id", t.GetId()).Uint64("tokens", t.GetTokens()).AnErr("error", err).Send()
--- a/internal/controller/grants/distrust_test.go
+++ b/internal/controller/grants/distrust_test.go
@@ -13,44 +13,44 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// loner is a host without peers whose ledger gives no answer.
-type loner struct{ faulty bool }
+// isolatedHost is a host without peers whose ledger gives no answer.
+type isolatedHost struct{ panicking bool }
 
-func (l *loner) Peers() []string {
-	if l.faulty {
+func (l *isolatedHost) Peers() []string {
+	if l.panicking {
 		panic("in the middle of a change")
 	}
 	return nil
 }
 
-func (*loner) AskTokens(context.Context, string, *pb.AskTokensRequest) (*pb.AskTokensReply, error) {
+func (*isolatedHost) AskTokens(context.Context, string, *pb.AskTokensRequest) (*pb.AskTokensReply, error) {
 	return nil, errkind.New(errkind.NotFound, "no peers")
 }
 
-func (*loner) Propose(ctx context.Context, _ *pb.Command) (*pb.CommandResult, error) {
+func (*isolatedHost) Propose(ctx context.Context, _ *pb.Command) (*pb.CommandResult, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func (*loner) CopyTransfer(context.Context, *pb.Transfer) error    { return nil }
-func (*loner) AbandonTransfer(context.Context, *pb.Transfer) error { return nil }
-func (*loner) TransferSettled(*pb.Transfer)                        {}
+func (*isolatedHost) CopyTransfer(context.Context, *pb.Transfer) error    { return nil }
+func (*isolatedHost) AbandonTransfer(context.Context, *pb.Transfer) error { return nil }
+func (*isolatedHost) TransferSettled(*pb.Transfer)                        {}
 
 // Symptom: after a panic in its log a host answers nothing any more, or gives tokens out
 // twice.
 // Sequence: a change of what the host holds panics half-way, on the loop, a timer's goroutine or
 // a request's; who waits for tokens goes on waiting.
 // Cause: the lock stays held, or the books go on being used though they are half changed.
-func TestHalfAChangeGivesNothingOutAnyMore(t *testing.T) {
+func TestPanicDuringChangeStopsGrants(t *testing.T) {
 	for _, where := range []string{"step", "reserve"} {
 		t.Run(where, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { halfAChange(t, where) })
+			synctest.Test(t, func(t *testing.T) { testPanicDuringChange(t, where) })
 		})
 	}
 }
 
-func halfAChange(t *testing.T, where string) {
-	world := &loner{}
+func testPanicDuringChange(t *testing.T, where string) {
+	world := &isolatedHost{}
 	var failures []error
 	m := New(Config{
 		Self: &pb.Holder{Host: "a", Incarnation: 1}, Proposer: world, Asker: world, Recorder: world, Log: zerolog.Nop(),
@@ -66,7 +66,7 @@
 	go func() { waiting <- m.Reserve(ctx, "school", "first", 10) }()
 	synctest.Wait()
 
-	world.faulty = true
+	world.panicking = true
 	switch where {
 	case "step":
 		m.step(func(time.Time) grant.Output { return grant.Output{} })
@@ -75,7 +75,7 @@
 			t.Errorf("the request in whose name it panicked got %v", err)
 		}
 	}
-	world.faulty = false
+	world.panicking = false
 	go func() {
 		defer close(ended)
 		m.Run(ctx)
--- a/internal/controller/grants/grants.go
+++ b/internal/controller/grants/grants.go
@@ -130,7 +130,7 @@
 // Run drives resends and settlement until ctx ends. It returns after all the manager's
 // calls have ended.
 func (m *Manager) Run(ctx context.Context) {
-	running.Store(m)
+	currentManager.Store(m)
 	ticker := time.NewTicker(m.cfg.Tick)
 	defer ticker.Stop()
 	gives := time.NewTicker(transferRetryInterval)
@@ -143,7 +143,7 @@
 			m.close()
 			return
 		case <-gives.C:
-			m.retryGives()
+			m.retryTransfers()
 		case <-policies.C:
 			m.renewPolicies()
 		case <-ticker.C:
@@ -155,21 +155,21 @@
 func (m *Manager) renewPolicies() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	defer m.distrust()
+	defer m.stopOnPanic()
 	m.holder.SetPolicies(m.cfg.PolicyFor)
 }
 
 // close refuses the waiting requests and ends all calls.
 func (m *Manager) close() {
 	m.mu.Lock()
-	m.refuseAll()
+	m.stopGranting()
 	m.mu.Unlock()
 	m.cancel()
 	m.wg.Wait()
 }
 
-// refuseAll ends the giving out of tokens; m.mu is held.
-func (m *Manager) refuseAll() {
+// stopGranting ends the giving out of tokens; m.mu is held.
+func (m *Manager) stopGranting() {
 	m.closed = true
 	for id, ch := range m.waiting {
 		ch <- errkind.New(errkind.HostLeaving, "this host is shutting down")
@@ -177,20 +177,20 @@
 	}
 }
 
-// distrust is deferred by whoever changes the holder, and runs while m.mu is held. It recovers
+// stopOnPanic is deferred by whoever changes the holder, and runs while m.mu is held. It recovers
 // a panic in the middle of a change.
 //
 // What goes wrong without it: the books are half changed, and a host that goes on by them may
 // give the same tokens out twice. One that ends at once takes all its requests with it. So it
 // sets nothing aside any more, tells the ledger nothing more, and has the process end in
 // order: what it held stays locked under this incarnation.
-func (m *Manager) distrust() {
+func (m *Manager) stopOnPanic() {
 	p := recover()
 	if p == nil {
 		return
 	}
 	panics.Report(m.cfg.Log, "grants", p)
-	m.refuseAll()
+	m.stopGranting()
 	if m.cfg.OnFailure != nil {
 		m.cfg.OnFailure(errors.Errorf("the tokens held here are not known any more: %v", p))
 	}
@@ -248,10 +248,10 @@
 func (m *Manager) step(input func(now time.Time) grant.Output) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	defer m.distrust()
+	defer m.stopOnPanic()
 	m.holder.SetPeers(m.cfg.Asker.Peers())
 	out := input(time.Now())
-	m.carryOut(out)
+	m.execute(out)
 }
 
 func (m *Manager) isClosed() bool {
@@ -268,8 +268,8 @@
 	})
 }
 
-// carryOut delivers decisions and starts calls; m.mu is held.
-func (m *Manager) carryOut(out grant.Output) {
+// execute delivers decisions and starts calls; m.mu is held.
+func (m *Manager) execute(out grant.Output) {
 	for _, d := range out.Decisions {
 		m.decide(d)
 	}
--- a/internal/controller/grants/grants_test.go
+++ b/internal/controller/grants/grants_test.go
@@ -19,10 +19,10 @@
 type cluster struct {
 	mu       sync.Mutex
 	ledger   *fakeledger.Ledger
-	cut      bool // the ledger can't be reached
-	loseNext int  // answers of the ledger to lose
+	ledgerDown      bool // the ledger can't be reached
+	loseReplies int  // answers of the ledger to lose
 	noCopies bool
-	voidFail bool
+	abandonFails bool
 	managers map[string]*Manager
 	copied   map[string]bool
 	settled  int
@@ -31,12 +31,12 @@
 func (c *cluster) Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut {
+	if c.ledgerDown {
 		return nil, errkind.New(errkind.NoQuorum, "cut")
 	}
 	r := c.ledger.Apply(cmd)
-	if c.loseNext > 0 {
-		c.loseNext--
+	if c.loseReplies > 0 {
+		c.loseReplies--
 		return nil, context.DeadlineExceeded
 	}
 	return r, nil
@@ -75,7 +75,7 @@
 func (n node) AbandonTransfer(context.Context, *pb.Transfer) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.voidFail {
+	if n.abandonFails {
 		return errkind.New(errkind.Internal, "a copy's host is out of reach")
 	}
 	return nil
@@ -148,7 +148,7 @@
 				m := c.managers[string("abc"[i%3])]
 				id := fmt.Sprintf("r%d", i)
 				if i%20 == 0 {
-					c.set(func() { c.loseNext = 1 })
+					c.set(func() { c.loseReplies = 1 })
 				}
 				time.Sleep(time.Duration(i) * 7 * time.Millisecond)
 				if err := m.Reserve(t.Context(), "x", id, 100); err != nil {
@@ -167,18 +167,18 @@
 	})
 }
 
-// TestCutServedByTransfers
+// TestTransfersServeWhileLedgerUnreachable
 //
 // Symptom: a host refuses in a cut though a peer beside it holds tokens.
 // Sequence: a holds tokens; the ledger is cut off; b needs some of them.
 // Cause: the peers not asked, or the transfer not taken in.
-func TestCutServedByTransfers(t *testing.T) {
+func TestTransfersServeWhileLedgerUnreachable(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		if err := c.managers["a"].Reserve(t.Context(), "x", "r1", 1000); err != nil {
 			t.Fatal(err)
 		}
 		c.managers["a"].Release("r1")
-		c.set(func() { c.cut = true })
+		c.set(func() { c.ledgerDown = true })
 		if err := c.managers["b"].Reserve(t.Context(), "x", "r2", 400); err != nil {
 			t.Fatal(err)
 		}
@@ -187,7 +187,7 @@
 			t.Fatalf("got %v, want budget_unreachable", err)
 		}
 		c.managers["b"].Settle(&pb.Bill{Identity: "r2", RequestId: "r2", Tokens: 400})
-		c.set(func() { c.cut = false; c.ledger.Fund("x", 5) })
+		c.set(func() { c.ledgerDown = false; c.ledger.Fund("x", 5) })
 		c.drain(t)
 		if b := c.ledger.Budgets["x"]; b.Billed != 400 || b.Free() != 605 || c.settled == 0 {
 			t.Errorf("billed %d, free %d, transfers settled %d", b.Billed, b.Free(), c.settled)
@@ -195,18 +195,18 @@
 	})
 }
 
-// TestUncopiedTransferMovesNothing
+// TestUncopiedTransferIsUndone
 //
 // Symptom: tokens freed twice after giver and receiver were lost.
 // Sequence: no third host can take the copy of a transfer, and the void can't be told at once.
 // Cause: the transfer answered without its copy, or its tokens spent by the giver too soon.
-func TestUncopiedTransferMovesNothing(t *testing.T) {
+func TestUncopiedTransferIsUndone(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		if err := c.managers["a"].Reserve(t.Context(), "x", "r1", 1000); err != nil {
 			t.Fatal(err)
 		}
 		c.managers["a"].Release("r1")
-		c.set(func() { c.cut, c.noCopies, c.voidFail = true, true, true })
+		c.set(func() { c.ledgerDown, c.noCopies, c.abandonFails = true, true, true })
 		err := c.managers["b"].Reserve(t.Context(), "x", "r2", 400)
 		if !errkind.Is(err, errkind.BudgetUnreachable) {
 			t.Fatalf("got %v, want budget_unreachable", err)
@@ -214,35 +214,35 @@
 		if l := c.managers["a"].Levels()[0]; l.Free != 800 {
 			t.Errorf("giver has %d free while the void isn't known, want 800: b asks each peer for 200", l.Free)
 		}
-		c.set(func() { c.voidFail = false })
+		c.set(func() { c.abandonFails = false })
 		time.Sleep(3 * time.Second)
 		if l := c.managers["a"].Levels()[0]; l.Free != 1000 {
 			t.Errorf("giver has %d free after the void is known, want 1000", l.Free)
 		}
-		c.set(func() { c.cut = false })
+		c.set(func() { c.ledgerDown = false })
 		c.drain(t)
 	})
 }
 
-// TestStuckTransferOfLostAsker
+// TestPendingTransferToDeadReceiverIsUndone
 //
 // Symptom: tokens stay deducted at the giver for as long as it lives.
 // Sequence: a transfer can be neither copied nor undone at once; its asker dies.
 // Cause: only the asker's return made the giver try again.
-func TestStuckTransferOfLostAsker(t *testing.T) {
+func TestPendingTransferToDeadReceiverIsUndone(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		m := c.managers["a"]
 		if err := m.Reserve(t.Context(), "x", "r1", 1000); err != nil {
 			t.Fatal(err)
 		}
 		m.Release("r1")
-		c.set(func() { c.noCopies, c.voidFail = true, true })
+		c.set(func() { c.noCopies, c.abandonFails = true, true })
 		lost := &pb.Holder{Host: "z", Incarnation: 1}
 		m.HandleAskTokens(&pb.AskTokensRequest{From: lost, Budget: "x", Tokens: 300, Id: "z/1/1"})
 		if l := m.Levels()[0]; l.Free != 700 {
 			t.Fatalf("got %+v, want 300 deducted", l)
 		}
-		c.set(func() { c.voidFail = false })
+		c.set(func() { c.abandonFails = false })
 		time.Sleep(3 * time.Second)
 		if l := m.Levels()[0]; l.Free != 1000 {
 			t.Errorf("got %+v, want 1000 free", l)
@@ -251,14 +251,14 @@
 	})
 }
 
-// TestReserveEndsWithContext
+// TestReserveReturnsWhenContextEnds
 //
 // Symptom: a caller that gave up leaves its tokens set aside.
 // Sequence: Reserve waits for a ledger that answers late; its context ends first.
 // Cause: the waiter, or a decision that crossed the end of the context, kept.
-func TestReserveEndsWithContext(t *testing.T) {
+func TestReserveReturnsWhenContextEnds(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
-		c.set(func() { c.loseNext = 1 })
+		c.set(func() { c.loseReplies = 1 })
 		for name := range c.managers {
 			if name != "a" {
 				delete(c.managers, name)
@@ -275,12 +275,12 @@
 	})
 }
 
-// TestDecisionCrossesEndOfContext
+// TestGrantDuringCancelIsReleased
 //
 // Symptom: tokens set aside for ever.
 // Sequence: the tokens are granted and the context ends before Reserve looks.
 // Cause: the crossing reservation not released.
-func TestDecisionCrossesEndOfContext(t *testing.T) {
+func TestGrantDuringCancelIsReleased(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		m := c.managers["a"]
 		ch, err := m.enqueue("x", "r1", 10)
@@ -293,7 +293,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		if err := m.giveUp(ctx, "x", "r1", ch); err == nil {
+		if err := m.cancelReserve(ctx, "x", "r1", ch); err == nil {
 			t.Error("giving up reports no error")
 		}
 		if l := m.Levels()[0]; l.Reserved != 0 {
--- a/internal/controller/grants/metrics.go
+++ b/internal/controller/grants/metrics.go
@@ -10,8 +10,8 @@
 // metrics counts reservations, refusals by kind, messages and transfers of this process.
 var metrics = expvar.NewMap("grants")
 
-// running is the process's manager, whose levels the metrics address shows.
-var running atomic.Pointer[Manager]
+// currentManager is the process's manager, whose levels the metrics address shows.
+var currentManager atomic.Pointer[Manager]
 
 func init() {
 	expvar.Publish("grant_levels", expvar.Func(func() any { return levels() }))
@@ -19,7 +19,7 @@
 
 // levels is what this process holds of each budget, in tokens.
 func levels() []grant.Level {
-	if m := running.Load(); m != nil {
+	if m := currentManager.Load(); m != nil {
 		return m.Levels()
 	}
 	return nil
--- a/internal/controller/grants/port.go
+++ b/internal/controller/grants/port.go
@@ -19,7 +19,7 @@
 	case refused := <-ch:
 		return refused
 	case <-ctx.Done():
-		return m.giveUp(ctx, budget, requestID, ch)
+		return m.cancelReserve(ctx, budget, requestID, ch)
 	}
 }
 
@@ -27,7 +27,7 @@
 func (m *Manager) enqueue(budget, requestID string, tokens uint64) (ch chan error, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	defer m.distrust()
+	defer m.stopOnPanic()
 	if m.closed {
 		return nil, errkind.New(errkind.HostLeaving, "this host is shutting down")
 	}
@@ -38,14 +38,14 @@
 	m.waiting[requestID] = ch
 	m.holder.SetPeers(m.cfg.Asker.Peers())
 	out := m.holder.Reserve(time.Now(), requestID, budget, tokens, m.cfg.PolicyFor(budget))
-	m.carryOut(out)
+	m.execute(out)
 	return ch, nil
 }
 
-// giveUp ends the wait of a request whose context ended. The decision may have come at
+// cancelReserve ends the wait of a request whose context ended. The decision may have come at
 // the same time: a reservation is then given back, or its tokens would stay set aside
 // for a request that nobody runs.
-func (m *Manager) giveUp(ctx context.Context, budget, requestID string, ch chan error) error {
+func (m *Manager) cancelReserve(ctx context.Context, budget, requestID string, ch chan error) error {
 	m.mu.Lock()
 	delete(m.waiting, requestID)
 	m.holder.Cancel(requestID, budget)
@@ -104,8 +104,8 @@
 	})
 }
 
-// Contact tells when the answer to this run's registration came.
-func (m *Manager) Contact(at time.Time) {
+// RecordContact tells when the answer to this run's registration came.
+func (m *Manager) RecordContact(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.holder.RecordContact(at)
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -247,7 +247,7 @@
 		PolicyFor: g.policyFor,
 		Log:       g.d.tel.Log, Seed: int64(reg.Holder.Incarnation), OnFailure: g.d.tasks.fail,
 	})
-	manager.Contact(registered)
+	manager.RecordContact(registered)
 	g.grants.Store(manager)
 	close(g.registered)
 	g.d.tasks.runTrusted("grants", manager.Run)
