--- a/internal/controller/grants/calls.go
+++ b/internal/controller/grants/calls.go
@@ -12,7 +12,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// acquire carries one acquire to the ledger.
+// acquire sends one acquire to the ledger and passes the answer to the holder.
 func (m *Manager) acquire(msg *pb.Acquire) {
 	metrics.Add("acquires", 1)
 	result, err := m.propose(&pb.Command{
@@ -42,18 +42,18 @@
 	m.step(func(now time.Time) grant.Output { return m.holder.AcquireFailed(now, budget, seq) })
 }
 
-// refusalError is the refusal of the ledger itself: the command was committed and changed
+// refusalError is a refusal by the ledger itself: the command was committed and changed
 // nothing.
 type refusalError struct{ refusal error }
 
 // Error implements error.
 func (a refusalError) Error() string { return a.refusal.Error() }
 
-// Unwrap gives errors.As the refusal.
+// Unwrap returns the refusal for errors.As.
 func (a refusalError) Unwrap() error { return a.refusal }
 
-// propose returns the result of an applied command. An error that is refused() is the
-// ledger's own; after any other the command may still take effect.
+// propose returns the result of an applied command. If isRefusal holds for the error, the
+// ledger rejected the command; after any other error the command may still take effect.
 func (m *Manager) propose(cmd *pb.Command) (*pb.CommandResult, error) {
 	ctx, cancel := context.WithTimeout(m.ctx, m.cfg.ProposeTimeout)
 	defer cancel()
@@ -67,13 +67,14 @@
 	return result, nil
 }
 
-// isRefusal tells whether err is the ledger's definite answer.
+// isRefusal reports whether err is a definite rejection by the ledger.
 func isRefusal(err error) bool {
 	var a refusalError
 	return errors.As(err, &a) || errkind.Is(err, errkind.BudgetUnknown) || errkind.Is(err, errkind.NotFound)
 }
 
-// callerErrorKind is the refusal a caller gets for the ledger's refusal of an acquire.
+// callerErrorKind returns the kind of error that a caller gets if the ledger rejects an
+// acquire with an error of kind k.
 func callerErrorKind(k errkind.Kind) errkind.Kind {
 	switch k {
 	case errkind.NotFound:
@@ -84,8 +85,8 @@
 	return k
 }
 
-// settle carries one batch to the ledger. A batch that isn't acknowledged is resent by
-// the holder, so nothing is done about a failure but to count it.
+// settle sends one batch to the ledger. The holder resends a batch that isn't acknowledged,
+// so a failure is only counted and logged.
 func (m *Manager) settle(batch *pb.Settle) {
 	metrics.Add("batches", 1)
 	result, err := m.propose(&pb.Command{
@@ -116,8 +117,9 @@
 	})
 }
 
-// reportSettled lets records and copies go; done is nil for a doubled answer. The calls
-// run apart because m.mu is held.
+// reportSettled reports the bills and transfers of a settled batch, so that their records
+// and copies can be dropped; done is nil for a duplicate answer. The callbacks run in a
+// separate goroutine because m.mu is held.
 func (m *Manager) reportSettled(done *pb.Settle, r *pb.SettleResult) {
 	if done == nil || m.closed {
 		return
@@ -134,7 +136,7 @@
 	})
 }
 
-// ask carries one request for tokens to a peer.
+// ask sends one request for tokens to a peer.
 func (m *Manager) ask(a grant.Ask) {
 	metrics.Add("asks", 1)
 	ctx, cancel := context.WithTimeout(m.ctx, m.cfg.AskTimeout)
@@ -154,8 +156,8 @@
 	m.step(func(now time.Time) grant.Output { return m.holder.AskAnswered(now, id, reply.GetTransfer()) })
 }
 
-// HandleAskTokens is the giver's side of a transfer. Tokens are deducted first and the
-// transfer is copied to a third host before it is answered.
+// HandleAskTokens answers a peer's request for tokens as the sender of a transfer. The
+// tokens are deducted first, and the transfer is copied to a third host before the reply.
 func (m *Manager) HandleAskTokens(req *pb.AskTokensRequest) *pb.AskTokensReply {
 	t, copying, refuse := m.beginTransfer(req)
 	switch {
@@ -168,8 +170,8 @@
 	}
 }
 
-// beginTransfer deducts the tokens of a transfer. copying tells that its copies have to be made,
-// refuse that they can't be now.
+// beginTransfer deducts the tokens of a transfer. copying is true if its copies have yet to
+// be made; refuse is true if they can't be made now.
 func (m *Manager) beginTransfer(req *pb.AskTokensRequest) (t *pb.Transfer, copying, refuse bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -183,10 +185,11 @@
 	return t, copying, copying && (busy || m.closed)
 }
 
-// completeTransfer copies a deducted transfer and answers it. If no third host can be reached it is
-// undone, but only once every host that may hold a copy knows that it is void: a copy
-// left behind would move tokens that the giver spends itself if both ends were lost.
-// Until then the tokens stay deducted and the asker must come back.
+// completeTransfer copies a deducted transfer and returns the reply to the receiver. If the
+// copy fails, the transfer is undone, but only once every host that may hold a copy knows
+// that it is void: if sender and receiver both died, recovery from a leftover copy would
+// count tokens as transferred that the sender has spent itself. Until then the tokens stay
+// deducted and the receiver has to ask again.
 func (m *Manager) completeTransfer(t *pb.Transfer) *pb.AskTokensReply {
 	defer m.endTransfer(t.GetId())
 	ctx, cancel := context.WithTimeout(m.ctx, m.cfg.CopyTimeout)
@@ -210,7 +213,8 @@
 	return &pb.AskTokensReply{}
 }
 
-// retryTransfers ends the transfers whose copies could be neither made nor undone.
+// retryTransfers completes or undoes the transfers whose copies could be neither made nor
+// undone so far.
 func (m *Manager) retryTransfers() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -232,7 +236,7 @@
 	m.mu.Unlock()
 }
 
-// recordTransfer counts and logs what became of a transfer given by this host.
+// recordTransfer counts and logs the outcome of a transfer that this host sends.
 func (m *Manager) recordTransfer(event string, t *pb.Transfer, err error) {
 	metrics.Add(event, 1)
 	m.cfg.Log.Info().Str("event", event).Str("budget", t.GetBudget()).Str("to", t.GetTo().GetHost()).
--- a/internal/controller/grants/distrust_test.go
+++ b/internal/controller/grants/distrust_test.go
@@ -13,12 +13,12 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// isolatedHost is a host without peers whose ledger gives no answer.
+// isolatedHost is a host without peers whose ledger does not answer.
 type isolatedHost struct{ panicking bool }
 
 func (l *isolatedHost) Peers() []string {
 	if l.panicking {
-		panic("in the middle of a change")
+		panic("panic in the middle of a change")
 	}
 	return nil
 }
@@ -36,11 +36,10 @@
 func (*isolatedHost) AbandonTransfer(context.Context, *pb.Transfer) error { return nil }
 func (*isolatedHost) TransferSettled(*pb.Transfer)                        {}
 
-// Symptom: after a panic in its log a host answers nothing any more, or gives tokens out
-// twice.
-// Sequence: a change of what the host holds panics half-way, on the loop, a timer's goroutine or
-// a request's; who waits for tokens goes on waiting.
-// Cause: the lock stays held, or the books go on being used though they are half changed.
+// TestPanicDuringChangeStopsGrants guards against a panic in the middle of a change of the
+// held tokens, in the loop, a timer's goroutine or a request's. If the lock stayed held, the
+// host would answer no more and waiting requests would wait forever; if the half-changed
+// state stayed in use, tokens could be granted twice.
 func TestPanicDuringChangeStopsGrants(t *testing.T) {
 	for _, where := range []string{"step", "reserve"} {
 		t.Run(where, func(t *testing.T) {
@@ -50,10 +49,10 @@
 }
 
 func testPanicDuringChange(t *testing.T, where string) {
-	world := &isolatedHost{}
+	host := &isolatedHost{}
 	var failures []error
 	m := New(Config{
-		Self: &pb.Holder{Host: "a", Incarnation: 1}, Proposer: world, Asker: world, Recorder: world, Log: zerolog.Nop(),
+		Self: &pb.Holder{Host: "a", Incarnation: 1}, Proposer: host, Asker: host, Recorder: host, Log: zerolog.Nop(),
 		OnFailure: func(err error) { failures = append(failures, err) },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -66,32 +65,32 @@
 	go func() { waiting <- m.Reserve(ctx, "school", "first", 10) }()
 	synctest.Wait()
 
-	world.panicking = true
+	host.panicking = true
 	switch where {
 	case "step":
 		m.step(func(time.Time) grant.Output { return grant.Output{} })
 	case "reserve":
 		if err := m.Reserve(ctx, "school", "second", 10); !errkind.Is(err, errkind.HostLeaving) {
-			t.Errorf("the request in whose name it panicked got %v", err)
+			t.Errorf("the request whose change panicked got %v", err)
 		}
 	}
-	world.panicking = false
+	host.panicking = false
 	go func() {
 		defer close(ended)
 		m.Run(ctx)
 	}()
 	if err := <-waiting; !errkind.Is(err, errkind.HostLeaving) {
-		t.Errorf("who waited got %v", err)
+		t.Errorf("the waiting request got %v", err)
 	}
 	if err := m.Reserve(ctx, "school", "third", 10); !errkind.Is(err, errkind.HostLeaving) {
-		t.Errorf("who came later got %v", err)
+		t.Errorf("a later request got %v", err)
 	}
 	if len(failures) != 1 {
-		t.Errorf("the process was told %d times", len(failures))
+		t.Errorf("OnFailure was called %d times, want 1", len(failures))
 	}
 	drain, cancelDrain := context.WithTimeout(ctx, time.Minute)
 	defer cancelDrain()
 	if err := m.Drain(drain); err == nil || drain.Err() != nil {
-		t.Errorf("a host that ends in order waits for its grants: %v", err)
+		t.Errorf("Drain waits for grants after a panic: %v", err)
 	}
 }
--- a/internal/controller/grants/grants.go
+++ b/internal/controller/grants/grants.go
@@ -1,6 +1,6 @@
 // Package grants runs a grant.Holder: it implements the request chain's Budget port,
-// carries the holder's messages to the control group and to peers, and feeds the
-// answers back.
+// sends the holder's messages to the control group and to peers, and passes the answers
+// to the holder.
 package grants
 
 import (
@@ -27,23 +27,24 @@
 	Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error)
 }
 
-// Asker reaches the peers.
+// Asker asks peers for tokens.
 type Asker interface {
 	AskTokens(ctx context.Context, host string, req *pb.AskTokensRequest) (*pb.AskTokensReply, error)
-	// Peers are the names of the other hosts that seem reachable. It must not call the
+	// Peers returns the names of the other hosts that seem reachable. It must not call the
 	// Manager.
 	Peers() []string
 }
 
-// TransferRecorder keeps copies of transfers at third hosts, so that the loss of giver
-// and receiver can't free the same tokens twice.
+// TransferRecorder keeps copies of transfers at third hosts, so that the same tokens are
+// not released twice if both sender and receiver die.
 type TransferRecorder interface {
-	// CopyTransfer returns nil once a third host holds the copy, or none can be reached.
+	// CopyTransfer returns nil once a third host holds the copy, or if none can be reached.
 	CopyTransfer(ctx context.Context, t *pb.Transfer) error
-	// AbandonTransfer makes a transfer void that was never answered. It returns nil once
-	// every host that may hold a copy knows.
+	// AbandonTransfer makes void a transfer whose receiver got no reply. It returns nil once
+	// every host that may hold a copy knows that the transfer is void.
 	AbandonTransfer(ctx context.Context, t *pb.Transfer) error
-	// TransferSettled lets the copies go: the ledger knows the transfer.
+	// TransferSettled allows the copies to be dropped because the ledger has recorded the
+	// transfer.
 	TransferSettled(t *pb.Transfer)
 }
 
@@ -53,30 +54,30 @@
 	defaultProposeTimeout = time.Second
 	defaultAskTimeout     = 250 * time.Millisecond
 	defaultCopyTimeout    = 150 * time.Millisecond
-	// policyInterval is how often the policies of held budgets are asked for anew.
+	// policyInterval is how often the policies of held budgets are refreshed.
 	policyInterval = time.Second
-	// transferRetryInterval is how often a transfer without its copies is tried again, also when its
-	// asker is gone: its tokens would else stay deducted.
+	// transferRetryInterval is how often a transfer without its copies is retried, even if
+	// its receiver has stopped: otherwise its tokens would stay deducted.
 	transferRetryInterval = time.Second
 )
 
-// Config of a Manager. Zero durations mean the defaults.
+// Config configures a Manager. Zero durations are replaced by the defaults.
 type Config struct {
 	Self     *pb.Holder
 	Holder   grant.Config
 	Proposer Proposer
 	Asker    Asker
 	Recorder TransferRecorder
-	// PolicyFor returns the policy in force for a budget; nil: defaults for all. It must not
-	// call the Manager.
+	// PolicyFor returns the policy in force for a budget. It must not call the Manager. If it
+	// is nil, all budgets have the default policy.
 	PolicyFor func(budget string) grant.Policy
-	// OnSettled is called with bills that the ledger acknowledged; may be nil.
+	// OnSettled is called with the bills that the ledger acknowledged; may be nil.
 	OnSettled func(bills []*pb.Bill)
-	// OnFailure is called when the manager can't trust its own state any more and gives nothing
-	// out from then on. It must not call the Manager; may be nil.
+	// OnFailure is called when the manager's state may be inconsistent and the manager grants
+	// no more tokens. It must not call the Manager; may be nil.
 	OnFailure func(error)
-	Log    zerolog.Logger
-	// Seed of the order in which peers are asked.
+	Log       zerolog.Logger
+	// Seed seeds the random order in which peers are asked.
 	Seed           int64
 	Tick           time.Duration
 	ProposeTimeout time.Duration
@@ -84,31 +85,31 @@
 	CopyTimeout    time.Duration
 }
 
-// Manager is the runtime of one holder. Its methods are safe for concurrent use.
+// Manager runs one holder. Its methods are safe for concurrent use.
 type Manager struct {
 	cfg Config
-	// ctx ends the manager's own calls; wg counts them.
+	// ctx is canceled to end the manager's own calls; wg counts them.
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
 	mu     sync.Mutex
 	holder *grant.Holder
-	// waiting holds the channel of each Reserve without a decision, by request id.
+	// waiting holds the channels of the Reserve calls without a decision, by request id.
 	waiting map[string]chan error
-	// outgoing are the ids of transfers whose copies are being made.
+	// outgoing holds the ids of the transfers to peers whose copies are being made or undone.
 	outgoing map[string]struct{}
-	// flushScheduled tells that a timer for the next batch runs.
+	// flushScheduled is true while a timer for the next batch runs.
 	flushScheduled bool
-	// closed: nothing is set aside any more, and no call begins.
+	// closed is true if no more tokens are reserved and no more calls begin.
 	closed bool
-	// ledgerUnreachable: the last batch got no answer.
+	// ledgerUnreachable is true if the last batch got no answer.
 	ledgerUnreachable atomic.Bool
 }
 
 var _ filter.Budget = (*Manager)(nil)
 
-// New makes a manager. Run must be called for resends and settlement.
+// New returns a Manager. Run must be called for resends and settlement.
 func New(cfg Config) *Manager {
 	defaults.Set(&cfg.Tick, defaultTick)
 	defaults.Set(&cfg.ProposeTimeout, defaultProposeTimeout)
@@ -121,20 +122,20 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Manager{
 		cfg: cfg, ctx: ctx, cancel: cancel,
-		holder:  grant.New(cfg.Self, cfg.Holder, rand.New(rand.NewSource(cfg.Seed))),
-		waiting: make(map[string]chan error),
-		outgoing:  make(map[string]struct{}),
+		holder:   grant.New(cfg.Self, cfg.Holder, rand.New(rand.NewSource(cfg.Seed))),
+		waiting:  make(map[string]chan error),
+		outgoing: make(map[string]struct{}),
 	}
 }
 
-// Run drives resends and settlement until ctx ends. It returns after all the manager's
-// calls have ended.
+// Run drives resends and settlement until ctx ends. It returns when all calls of the manager
+// have ended.
 func (m *Manager) Run(ctx context.Context) {
 	currentManager.Store(m)
 	ticker := time.NewTicker(m.cfg.Tick)
 	defer ticker.Stop()
-	gives := time.NewTicker(transferRetryInterval)
-	defer gives.Stop()
+	transfers := time.NewTicker(transferRetryInterval)
+	defer transfers.Stop()
 	policies := time.NewTicker(policyInterval)
 	defer policies.Stop()
 	for {
@@ -142,7 +143,7 @@
 		case <-ctx.Done():
 			m.close()
 			return
-		case <-gives.C:
+		case <-transfers.C:
 			m.retryTransfers()
 		case <-policies.C:
 			m.renewPolicies()
@@ -159,7 +160,7 @@
 	m.holder.SetPolicies(m.cfg.PolicyFor)
 }
 
-// close refuses the waiting requests and ends all calls.
+// close rejects the waiting requests and ends all calls.
 func (m *Manager) close() {
 	m.mu.Lock()
 	m.stopGranting()
@@ -168,7 +169,7 @@
 	m.wg.Wait()
 }
 
-// stopGranting ends the giving out of tokens; m.mu is held.
+// stopGranting ends all granting of tokens and rejects the waiting requests; m.mu is held.
 func (m *Manager) stopGranting() {
 	m.closed = true
 	for id, ch := range m.waiting {
@@ -177,13 +178,13 @@
 	}
 }
 
-// stopOnPanic is deferred by whoever changes the holder, and runs while m.mu is held. It recovers
-// a panic in the middle of a change.
+// stopOnPanic recovers a panic in the middle of a change of the holder. Each function that
+// changes the holder defers it; it runs while m.mu is held.
 //
-// What goes wrong without it: the books are half changed, and a host that goes on by them may
-// give the same tokens out twice. One that ends at once takes all its requests with it. So it
-// sets nothing aside any more, tells the ledger nothing more, and has the process end in
-// order: what it held stays locked under this incarnation.
+// After such a panic the holder's state may be half changed, and granting from it could
+// grant the same tokens twice. Exiting at once would fail all requests of this host. So the
+// manager reserves no more tokens, sends the ledger nothing more, and has the process shut
+// down in order; the tokens held here stay locked under this incarnation.
 func (m *Manager) stopOnPanic() {
 	p := recover()
 	if p == nil {
@@ -192,16 +193,16 @@
 	panics.Report(m.cfg.Log, "grants", p)
 	m.stopGranting()
 	if m.cfg.OnFailure != nil {
-		m.cfg.OnFailure(errors.Errorf("the tokens held here are not known any more: %v", p))
+		m.cfg.OnFailure(errors.Errorf("panic during a change of the grants; the number of tokens held here is unknown: %v", p))
 	}
 }
 
-// Drain refuses new requests, settles all bills and returns all tokens. It ends when
-// nothing is left or with ctx; Run must still be running.
+// Drain rejects new requests, settles all bills and returns all tokens to the ledger. It
+// returns when no tokens are held any more or ctx ends; Run must still be running.
 func (m *Manager) Drain(ctx context.Context) error {
 	m.step(m.holder.Drain)
 	if m.isClosed() {
-		return errkind.New(errkind.Internal, "grants not returned, what is held here is not known; they stay locked until recovery")
+		return errkind.New(errkind.Internal, "grants not returned because the number of tokens held here is unknown; they stay locked until recovery")
 	}
 	ticker := time.NewTicker(m.cfg.Tick / 4)
 	defer ticker.Stop()
@@ -214,37 +215,37 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errkind.New(errkind.NoQuorum, "grants not returned in time; they stay locked until recovery")
+			return errkind.New(errkind.NoQuorum, "grants not returned to the ledger in time; they stay locked until recovery")
 		case <-ticker.C:
 			m.step(m.holder.Tick)
 		}
 	}
 }
 
-// Levels lists what this host holds of each budget.
+// Levels lists the tokens that this host holds of each budget.
 func (m *Manager) Levels() []grant.Level {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.holder.Levels()
 }
 
-// Fence refuses transfers of a dead incarnation and returns those accepted from it that
-// the ledger hasn't acknowledged.
+// Fence rejects further transfers from a dead incarnation and returns those accepted from it
+// that the ledger hasn't acknowledged.
 func (m *Manager) Fence(dead *pb.Holder) []*pb.Transfer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.holder.Fence(dead)
 }
 
-// MarkTransferSettled forgets a given transfer that the ledger knows; the records controller
-// calls it when the receiver says so.
+// MarkTransferSettled drops a transfer to a peer that the ledger has recorded; the records
+// controller calls it when the receiver reports that.
 func (m *Manager) MarkTransferSettled(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.holder.MarkTransferSettled(time.Now(), id)
 }
 
-// step feeds one input to the holder and carries out its output.
+// step passes one input to the holder and executes its output.
 func (m *Manager) step(input func(now time.Time) grant.Output) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -260,10 +261,10 @@
 	return m.closed
 }
 
-// call runs f beside the manager's own loop; m.mu is held and m not closed.
+// call runs f in a separate goroutine; m.mu is held and m is not closed.
 func (m *Manager) call(f func()) {
 	m.wg.Go(func() {
-		defer panics.Log(m.cfg.Log, "a call of the grants")
+		defer panics.Log(m.cfg.Log, "a call of the grants manager")
 		f()
 	})
 }
@@ -287,7 +288,7 @@
 	}
 }
 
-// decide ends one Reserve; m.mu is held. Each channel has room for its one decision.
+// decide ends one Reserve; m.mu is held. Each channel is buffered for its one decision.
 func (m *Manager) decide(d grant.Decision) {
 	ch, ok := m.waiting[d.Request]
 	if !ok {
--- a/internal/controller/grants/grants_test.go
+++ b/internal/controller/grants/grants_test.go
@@ -15,24 +15,24 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// cluster is a fake ledger and some managers that reach each other in memory.
+// cluster is a fake ledger and several managers that call each other in memory.
 type cluster struct {
-	mu       sync.Mutex
-	ledger   *fakeledger.Ledger
-	ledgerDown      bool // the ledger can't be reached
-	loseReplies int  // answers of the ledger to lose
-	noCopies bool
+	mu           sync.Mutex
+	ledger       *fakeledger.Ledger
+	ledgerDown   bool // the ledger can't be reached
+	loseReplies  int  // answers of the ledger to lose
+	copyFails    bool
 	abandonFails bool
-	managers map[string]*Manager
-	copied   map[string]bool
-	settled  int
+	managers     map[string]*Manager
+	copied       map[string]bool
+	settled      int
 }
 
 func (c *cluster) Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ledgerDown {
-		return nil, errkind.New(errkind.NoQuorum, "cut")
+		return nil, errkind.New(errkind.NoQuorum, "the ledger is unreachable")
 	}
 	r := c.ledger.Apply(cmd)
 	if c.loseReplies > 0 {
@@ -65,7 +65,7 @@
 func (n node) CopyTransfer(_ context.Context, t *pb.Transfer) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.noCopies {
+	if n.copyFails {
 		return errkind.New(errkind.Internal, "no third host")
 	}
 	n.copied[t.GetId()] = true
@@ -76,7 +76,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.abandonFails {
-		return errkind.New(errkind.Internal, "a copy's host is out of reach")
+		return errkind.New(errkind.Internal, "a host that may hold a copy is unreachable")
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 	n.settled++
 }
 
-// withCluster runs f in a bubble with managers a, b, c; all have ended afterwards.
+// withCluster runs f in a synctest bubble with managers a, b, c and stops them afterwards.
 func withCluster(t *testing.T, funds uint64, f func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{ledger: fakeledger.New(), managers: make(map[string]*Manager), copied: make(map[string]bool)}
@@ -135,11 +135,9 @@
 	f()
 }
 
-// TestConcurrentRequestsBilledOnce
-//
-// Symptom: bills missing or doubled after answers of the ledger were lost.
-// Sequence: 200 requests at 3 hosts; every few answers are lost; drain.
-// Cause: a resend under a new number.
+// TestConcurrentRequestsBilledOnce checks that bills are neither lost nor duplicated if
+// answers of the ledger are lost, as they would be if a message were resent under a new
+// sequence number.
 func TestConcurrentRequestsBilledOnce(t *testing.T) {
 	withCluster(t, 100_000, func(t *testing.T, c *cluster) {
 		var wg sync.WaitGroup
@@ -167,11 +165,9 @@
 	})
 }
 
-// TestTransfersServeWhileLedgerUnreachable
-//
-// Symptom: a host refuses in a cut though a peer beside it holds tokens.
-// Sequence: a holds tokens; the ledger is cut off; b needs some of them.
-// Cause: the peers not asked, or the transfer not taken in.
+// TestTransfersServeWhileLedgerUnreachable checks that a host gets tokens from a peer while
+// the ledger is unreachable. A host that doesn't ask its peers, or doesn't add the transfer to
+// its tokens, rejects requests although a peer holds tokens for them.
 func TestTransfersServeWhileLedgerUnreachable(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		if err := c.managers["a"].Reserve(t.Context(), "x", "r1", 1000); err != nil {
@@ -195,40 +191,36 @@
 	})
 }
 
-// TestUncopiedTransferIsUndone
-//
-// Symptom: tokens freed twice after giver and receiver were lost.
-// Sequence: no third host can take the copy of a transfer, and the void can't be told at once.
-// Cause: the transfer answered without its copy, or its tokens spent by the giver too soon.
+// TestUncopiedTransferIsUndone has a transfer that no third host can copy, and that can't be
+// made void at once. If it were answered without its copy, or the sender spent its tokens too
+// early, the tokens would be released twice after sender and receiver died.
 func TestUncopiedTransferIsUndone(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		if err := c.managers["a"].Reserve(t.Context(), "x", "r1", 1000); err != nil {
 			t.Fatal(err)
 		}
 		c.managers["a"].Release("r1")
-		c.set(func() { c.ledgerDown, c.noCopies, c.abandonFails = true, true, true })
+		c.set(func() { c.ledgerDown, c.copyFails, c.abandonFails = true, true, true })
 		err := c.managers["b"].Reserve(t.Context(), "x", "r2", 400)
 		if !errkind.Is(err, errkind.BudgetUnreachable) {
 			t.Fatalf("got %v, want budget_unreachable", err)
 		}
 		if l := c.managers["a"].Levels()[0]; l.Free != 800 {
-			t.Errorf("giver has %d free while the void isn't known, want 800: b asks each peer for 200", l.Free)
+			t.Errorf("sender has %d free before all hosts know that the transfer is void, want 800: b asks each peer for 200", l.Free)
 		}
 		c.set(func() { c.abandonFails = false })
 		time.Sleep(3 * time.Second)
 		if l := c.managers["a"].Levels()[0]; l.Free != 1000 {
-			t.Errorf("giver has %d free after the void is known, want 1000", l.Free)
+			t.Errorf("sender has %d free after all hosts know that the transfer is void, want 1000", l.Free)
 		}
 		c.set(func() { c.ledgerDown = false })
 		c.drain(t)
 	})
 }
 
-// TestPendingTransferToDeadReceiverIsUndone
-//
-// Symptom: tokens stay deducted at the giver for as long as it lives.
-// Sequence: a transfer can be neither copied nor undone at once; its asker dies.
-// Cause: only the asker's return made the giver try again.
+// TestPendingTransferToDeadReceiverIsUndone has a transfer that can be neither copied nor
+// undone at once and whose receiver dies. If the sender only retried when the receiver asked
+// again, the tokens would stay deducted for as long as the sender runs.
 func TestPendingTransferToDeadReceiverIsUndone(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		m := c.managers["a"]
@@ -236,7 +228,7 @@
 			t.Fatal(err)
 		}
 		m.Release("r1")
-		c.set(func() { c.noCopies, c.abandonFails = true, true })
+		c.set(func() { c.copyFails, c.abandonFails = true, true })
 		lost := &pb.Holder{Host: "z", Incarnation: 1}
 		m.HandleAskTokens(&pb.AskTokensRequest{From: lost, Budget: "x", Tokens: 300, Id: "z/1/1"})
 		if l := m.Levels()[0]; l.Free != 700 {
@@ -251,11 +243,9 @@
 	})
 }
 
-// TestReserveReturnsWhenContextEnds
-//
-// Symptom: a caller that gave up leaves its tokens set aside.
-// Sequence: Reserve waits for a ledger that answers late; its context ends first.
-// Cause: the waiter, or a decision that crossed the end of the context, kept.
+// TestReserveReturnsWhenContextEnds has a Reserve whose context ends before the ledger
+// answers. Its tokens must not stay reserved, neither by the waiter nor by a decision that
+// comes as the context ends.
 func TestReserveReturnsWhenContextEnds(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		c.set(func() { c.loseReplies = 1 })
@@ -275,11 +265,8 @@
 	})
 }
 
-// TestGrantDuringCancelIsReleased
-//
-// Symptom: tokens set aside for ever.
-// Sequence: the tokens are granted and the context ends before Reserve looks.
-// Cause: the crossing reservation not released.
+// TestGrantDuringCancelIsReleased has tokens that are granted just before the context of
+// their Reserve ends. Unless the reservation is released they stay reserved forever.
 func TestGrantDuringCancelIsReleased(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		m := c.managers["a"]
@@ -294,7 +281,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if err := m.cancelReserve(ctx, "x", "r1", ch); err == nil {
-			t.Error("giving up reports no error")
+			t.Error("cancelReserve returned no error")
 		}
 		if l := m.Levels()[0]; l.Reserved != 0 {
 			t.Errorf("got %+v, want nothing reserved", l)
@@ -303,11 +290,9 @@
 	})
 }
 
-// TestUnknownBudget
-//
-// Symptom: a caller of a budget that doesn't exist waits or is told to come back.
-// Sequence: the ledger refuses the acquire; the budget is created later.
-// Cause: a definite refusal treated as an unanswered message.
+// TestUnknownBudget checks that a request for a budget that doesn't exist gets a definite
+// refusal. If the ledger's rejection of the acquire were treated as a missing answer, the
+// caller would wait or be asked to retry.
 func TestUnknownBudget(t *testing.T) {
 	withCluster(t, 10, func(t *testing.T, c *cluster) {
 		err := c.managers["a"].Reserve(t.Context(), "y", "r1", 10)
--- a/internal/controller/grants/metrics.go
+++ b/internal/controller/grants/metrics.go
@@ -10,14 +10,14 @@
 // metrics counts reservations, refusals by kind, messages and transfers of this process.
 var metrics = expvar.NewMap("grants")
 
-// currentManager is the process's manager, whose levels the metrics address shows.
+// currentManager is the process's manager, whose levels are published as a metric.
 var currentManager atomic.Pointer[Manager]
 
 func init() {
 	expvar.Publish("grant_levels", expvar.Func(func() any { return levels() }))
 }
 
-// levels is what this process holds of each budget, in tokens.
+// levels returns the tokens that this process holds of each budget.
 func levels() []grant.Level {
 	if m := currentManager.Load(); m != nil {
 		return m.Levels()
@@ -25,5 +25,6 @@
 	return nil
 }
 
-// CountStranded adds to the tokens that this host's former run held and that count as spent.
+// CountStranded adds to the number of stranded tokens: those that this host's previous
+// incarnation held and that count as spent.
 func CountStranded(tokens uint64) { metrics.Add("former_run_tokens_stranded", int64(tokens)) }
--- a/internal/controller/grants/port.go
+++ b/internal/controller/grants/port.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// enqueue hands the request to the holder; its decision comes on the channel.
+// enqueue passes the request to the holder; the decision is sent on the returned channel.
 func (m *Manager) enqueue(budget, requestID string, tokens uint64) (ch chan error, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -31,8 +31,8 @@
 	if m.closed {
 		return nil, errkind.New(errkind.HostLeaving, "this host is shutting down")
 	}
-	if _, twice := m.waiting[requestID]; twice {
-		return nil, errkind.New(errkind.Internal, "request %s waits for tokens already", requestID)
+	if _, waiting := m.waiting[requestID]; waiting {
+		return nil, errkind.New(errkind.Internal, "request %s is already waiting for tokens", requestID)
 	}
 	ch = make(chan error, 1)
 	m.waiting[requestID] = ch
@@ -42,9 +42,9 @@
 	return ch, nil
 }
 
-// cancelReserve ends the wait of a request whose context ended. The decision may have come at
-// the same time: a reservation is then given back, or its tokens would stay set aside
-// for a request that nobody runs.
+// cancelReserve ends the wait of a request whose context ended. If the tokens were granted
+// at the same time, the reservation is released; otherwise they would stay reserved for a
+// request that never runs.
 func (m *Manager) cancelReserve(ctx context.Context, budget, requestID string, ch chan error) error {
 	m.mu.Lock()
 	delete(m.waiting, requestID)
@@ -59,13 +59,14 @@
 	default:
 	}
 	if ctx.Err() == context.DeadlineExceeded {
-		return errkind.New(errkind.DeadlineExceeded, "no tokens of budget %s in time", budget).WithRan(errkind.RanNo)
+		return errkind.New(errkind.DeadlineExceeded, "deadline exceeded while waiting for tokens of budget %s", budget).WithRan(errkind.RanNo)
 	}
 	return errkind.New(errkind.CallerGone, "caller gone while waiting for tokens").WithRan(errkind.RanNo)
 }
 
-// Settle implements filter.Budget. A bill without a time or an identity gets the present
-// time and its request id: the ledger refuses a whole batch for one such bill.
+// Settle implements filter.Budget. A bill without a time gets the current time, and one
+// without an identity its request id: the ledger rejects a whole batch that contains one
+// such bill.
 func (m *Manager) Settle(bill *pb.Bill) {
 	if bill.GetTimeMs() <= 0 {
 		bill.TimeMs = time.Now().UnixMilli()
@@ -104,14 +105,14 @@
 	})
 }
 
-// RecordContact tells when the answer to this run's registration came.
+// RecordContact records when the answer to the registration of this incarnation was received.
 func (m *Manager) RecordContact(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.holder.RecordContact(at)
 }
 
-// ReturnFree gives all free tokens of a budget back to the ledger.
+// ReturnFree returns all free tokens of a budget to the ledger.
 func (m *Manager) ReturnFree(budget string) {
 	m.step(func(now time.Time) grant.Output {
 		defer m.scheduleFlush()
@@ -130,8 +131,8 @@
 	})
 }
 
-// scheduleFlush sends the next batch when its first bill has waited long enough; m.mu
-// is held.
+// scheduleFlush schedules the next batch for when its first bill has waited for BatchWait;
+// m.mu is held.
 func (m *Manager) scheduleFlush() {
 	if m.flushScheduled || m.closed {
 		return
