--- a/internal/controller/records/find.go
+++ b/internal/controller/records/find.go
@@ -22,7 +22,7 @@
 // a request would look like a takeover's to a peer that knows the identity: the peer would
 // take it in place of refusing it, and a retry at another host would run a second time.
 func (c *Controller) Begin(ctx context.Context, rec *pb.InflightRecord, copies int) (*pb.InflightRecord, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginWait)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginTimeout)
 	defer cancel()
 	rec = proto.CloneOf(rec)
 	rec.Version = 0
@@ -41,9 +41,9 @@
 // beginKnown answers a Begin whose identity this host knows, unless the owner says that
 // the record is void.
 func (c *Controller) beginKnown(ctx context.Context, rec, known *pb.InflightRecord, copies int) (*pb.InflightRecord, bool, error) {
-	if fresh, ok := c.freshest(ctx, known); ok {
+	if fresh, ok := c.confirmWithOwner(ctx, known); ok {
 		metrics.Add("existing_here", 1)
-		return running(fresh), false, nil
+		return asRunning(fresh), false, nil
 	}
 	c.mu.Lock()
 	err := c.store.Adopt(time.Now(), rec, copies)
@@ -56,58 +56,58 @@
 
 func (c *Controller) beginNew(ctx context.Context, rec *pb.InflightRecord, copies int) (*pb.InflightRecord, bool, error) {
 	request, identity := rec.GetRequestId(), rec.GetIdentity()
-	spread := c.spread(ctx, request)
+	spread := c.replicate(ctx, request)
 	if spread.conflict != "" {
 		c.Abandon(identity, request)
 		return nil, false, errkind.New(errkind.KeyConflict, "the idempotency key was used with another body")
 	}
-	found := c.ask(ctx, identity, c.others(identity, request, copies))
+	found := c.queryAll(ctx, identity, c.hostsToQuery(identity, request, copies))
 	if spread.exists != "" {
-		found = append(found, c.askOne(ctx, spread.exists, identity))
+		found = append(found, c.query(ctx, spread.exists, identity))
 	}
 	for _, other := range found {
-		if existing := c.standing(ctx, rec, other); existing != nil {
-			return c.yield(rec, existing)
+		if existing := c.findWinner(ctx, rec, other); existing != nil {
+			return c.yieldTo(rec, existing)
 		}
 	}
-	c.noteBegun(request, copies)
+	c.confirmBegin(request, copies)
 	return nil, true, nil
 }
 
-// standing returns the other host's record if ours has to yield to it.
+// findWinner returns the other host's record if ours has to yield to it.
 //
 // Two hosts that begin the same identity at once may each see the other's record, or only
 // one may see the other's, so neither can go by its own view alone. A host that has not
 // decided says so: the one with the greater request id yields at once, the other waits
 // for its decision. Then exactly one goes on, unless one of them stops answering.
-func (c *Controller) standing(ctx context.Context, ours, found *pb.InflightRecord) *pb.InflightRecord {
+func (c *Controller) findWinner(ctx context.Context, ours, found *pb.InflightRecord) *pb.InflightRecord {
 	for {
-		fresh, ok := c.freshest(ctx, found)
+		fresh, ok := c.confirmWithOwner(ctx, found)
 		if !ok || fresh.GetRequestId() == ours.GetRequestId() {
 			return nil
 		}
 		decided := fresh.GetState() != pb.InflightState_INFLIGHT_STATE_NONE
 		if decided || ours.GetRequestId() > fresh.GetRequestId() {
-			return running(fresh)
+			return asRunning(fresh)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(raceWait):
+		case <-time.After(racePollInterval):
 		}
 	}
 }
 
-// running hides from the request chain that the owner hasn't decided yet.
-func running(rec *pb.InflightRecord) *pb.InflightRecord {
+// asRunning hides from the request chain that the owner hasn't decided yet.
+func asRunning(rec *pb.InflightRecord) *pb.InflightRecord {
 	if rec.GetState() == pb.InflightState_INFLIGHT_STATE_NONE {
 		rec.State = pb.InflightState_INFLIGHT_STATE_RUNNING
 	}
 	return rec
 }
 
-// yield takes our record back in favour of an existing one.
-func (c *Controller) yield(ours, existing *pb.InflightRecord) (*pb.InflightRecord, bool, error) {
+// yieldTo takes our record back in favour of an existing one.
+func (c *Controller) yieldTo(ours, existing *pb.InflightRecord) (*pb.InflightRecord, bool, error) {
 	c.Abandon(ours.GetIdentity(), ours.GetRequestId())
 	metrics.Add("existing_at_peer", 1)
 	if existing.GetBodyHash() != ours.GetBodyHash() {
@@ -116,7 +116,7 @@
 	return existing, false, nil
 }
 
-func (c *Controller) noteBegun(request string, copies int) {
+func (c *Controller) confirmBegin(request string, copies int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.store.ConfirmBegin(request)
@@ -130,7 +130,7 @@
 // Takeover makes this host the owner of a request whose owner died: rec carries the new
 // request id, the reservation here and the backend server's stream that is resumed.
 func (c *Controller) Takeover(ctx context.Context, rec *pb.InflightRecord, copies int) error {
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginWait)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginTimeout)
 	defer cancel()
 	c.mu.Lock()
 	err := c.store.Adopt(time.Now(), rec, copies)
@@ -138,26 +138,26 @@
 	if err != nil {
 		return err
 	}
-	c.spread(ctx, rec.GetRequestId())
-	c.noteBegun(rec.GetRequestId(), copies)
+	c.replicate(ctx, rec.GetRequestId())
+	c.confirmBegin(rec.GetRequestId(), copies)
 	return nil
 }
 
 // Find implements filter.Records.
 func (c *Controller) Find(ctx context.Context, identity string) (*pb.InflightRecord, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginWait)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginTimeout)
 	defer cancel()
 	c.mu.Lock()
 	here, _ := c.store.Find(time.Now(), identity)
 	c.mu.Unlock()
 	found := []*pb.InflightRecord{here}
 	if here == nil || !c.conclusive(here) {
-		found = append(c.ask(ctx, identity, c.lookup(identity, lookupCopies)), here)
-		c.sortByTruth(found)
+		found = append(c.queryAll(ctx, identity, c.lookup(identity, lookupCopies)), here)
+		c.sortByAuthority(found)
 	}
 	for _, rec := range found {
-		if fresh, ok := c.freshest(ctx, rec); ok {
-			return running(fresh), true, nil
+		if fresh, ok := c.confirmWithOwner(ctx, rec); ok {
+			return asRunning(fresh), true, nil
 		}
 	}
 	return nil, false, nil
@@ -169,9 +169,9 @@
 	return c.store.Lookup(identity, copies)
 }
 
-// others are the hosts that may know another record of the identity. A host that took ours
+// hostsToQuery are the hosts that may know another record of the identity. A host that took ours
 // knew no other, and refuses any that comes later.
-func (c *Controller) others(identity, request string, copies int) []inflight.Host {
+func (c *Controller) hostsToQuery(identity, request string, copies int) []inflight.Host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hosts := c.store.Lookup(identity, copies)
@@ -186,10 +186,10 @@
 	return ok && host.Incarnation == rec.GetHolder().GetIncarnation()
 }
 
-// freshest asks the record's owner, if it lives, for its present state. A running copy
+// confirmWithOwner asks the record's owner, if it lives, for its present state. A running copy
 // that its living owner doesn't know is void: the owner abandoned the request. What else
 // the owner knows of the identity may itself be such a copy and doesn't count.
-func (c *Controller) freshest(ctx context.Context, rec *pb.InflightRecord) (*pb.InflightRecord, bool) {
+func (c *Controller) confirmWithOwner(ctx context.Context, rec *pb.InflightRecord) (*pb.InflightRecord, bool) {
 	if rec == nil {
 		return nil, false
 	}
@@ -218,17 +218,17 @@
 	return here, ok && here.GetRequestId() == rec.GetRequestId()
 }
 
-// ask looks an identity up at several hosts, the most telling record first. One answer isn't
+// queryAll looks an identity up at several hosts, the most telling record first. One answer isn't
 // enough: a host may still know a record that its owner has given up.
-func (c *Controller) ask(ctx context.Context, identity string, hosts []inflight.Host) []*pb.InflightRecord {
+func (c *Controller) queryAll(ctx context.Context, identity string, hosts []inflight.Host) []*pb.InflightRecord {
 	found := make([]*pb.InflightRecord, len(hosts))
 	var wg sync.WaitGroup
 	for i, host := range hosts {
-		wg.Go(func() { found[i] = c.askOne(ctx, host.Name, identity) })
+		wg.Go(func() { found[i] = c.query(ctx, host.Name, identity) })
 	}
 	wg.Wait()
 	found = slices.DeleteFunc(found, func(rec *pb.InflightRecord) bool { return rec == nil })
-	c.sortByTruth(found)
+	c.sortByAuthority(found)
 	return found
 }
 
@@ -238,8 +238,8 @@
 	return rec.GetState() == pb.InflightState_INFLIGHT_STATE_DONE || c.OwnerAlive(rec)
 }
 
-// sortByTruth puts finished records first, then running ones of living owners.
-func (c *Controller) sortByTruth(found []*pb.InflightRecord) {
+// sortByAuthority puts finished records first, then running ones of living owners.
+func (c *Controller) sortByAuthority(found []*pb.InflightRecord) {
 	truth := func(rec *pb.InflightRecord) int {
 		switch {
 		case rec.GetState() == pb.InflightState_INFLIGHT_STATE_DONE:
@@ -252,7 +252,7 @@
 	slices.SortStableFunc(found, func(a, b *pb.InflightRecord) int { return truth(a) - truth(b) })
 }
 
-func (c *Controller) askOne(ctx context.Context, host, identity string) *pb.InflightRecord {
+func (c *Controller) query(ctx context.Context, host, identity string) *pb.InflightRecord {
 	reply, err := c.findAt(ctx, host, identity)
 	if err != nil || !reply.GetFound() {
 		return nil
@@ -265,7 +265,7 @@
 	if !ok {
 		return nil, errkind.New(errkind.NotFound, "no connection to %s", host)
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.CallWait)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.CallTimeout)
 	defer cancel()
 	return client.FindRecord(ctx, &pb.FindRecordRequest{Identity: identity})
 }
--- a/internal/controller/records/pacer.go
+++ b/internal/controller/records/pacer.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// earlyEvery is the time between rounds of updates that don't wait for their turn, on
+	// earlyInterval is the time between rounds of updates that don't wait for their turn, on
 	// average; earlyBurst may come at once. Above that rate updates gather for the regular
 	// rounds: sent one by one they cost a saturated host a third of its processor time.
-	earlyEvery = 10 * time.Millisecond
+	earlyInterval = 10 * time.Millisecond
 	earlyBurst = 20
 )
 
@@ -17,12 +17,12 @@
 }
 
 func (p *pacer) allow(now time.Time) bool {
-	if p.next.Sub(now) > (earlyBurst-1)*earlyEvery {
+	if p.next.Sub(now) > (earlyBurst-1)*earlyInterval {
 		return false
 	}
 	if p.next.Before(now) {
 		p.next = now
 	}
-	p.next = p.next.Add(earlyEvery)
+	p.next = p.next.Add(earlyInterval)
 	return true
 }
--- a/internal/controller/records/put.go
+++ b/internal/controller/records/put.go
@@ -25,7 +25,7 @@
 
 // put sends records to a host and notes the outcome in the store.
 func (c *Controller) put(ctx context.Context, host inflight.Host, records []*pb.InflightRecord) putOutcome {
-	c.noteSending(host, records)
+	c.markSending(host, records)
 	reply, err := c.call(ctx, host.Name, records)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +39,7 @@
 		if len(records) == 1 {
 			c.store.MarkDeclined(records[0].GetRequestId(), host.Name)
 		}
-		return refusedOutcome(e)
+		return refusalOutcome(e)
 	}
 	metrics.Add("puts", 1)
 	for _, rec := range records {
@@ -48,7 +48,7 @@
 	return putDone
 }
 
-func refusedOutcome(e *pb.Error) putOutcome {
+func refusalOutcome(e *pb.Error) putOutcome {
 	switch errkind.Kind(e.GetKind()) {
 	case errkind.AlreadyExists:
 		return putExists
@@ -58,7 +58,7 @@
 	return putRefused
 }
 
-func (c *Controller) noteSending(host inflight.Host, records []*pb.InflightRecord) {
+func (c *Controller) markSending(host inflight.Host, records []*pb.InflightRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, rec := range records {
@@ -74,16 +74,16 @@
 	return client.PutRecords(ctx, &pb.PutRecordsRequest{Records: records, From: c.self})
 }
 
-// spreadResult sums up one spread.
-type spreadResult struct {
+// replicateResult sums up one spread.
+type replicateResult struct {
 	// exists and conflict name a host that knows the identity otherwise.
 	exists, conflict string
 }
 
-// spread sends an own record to the hosts that should hold it until it has its copies,
+// replicate sends an own record to the hosts that should hold it until it has its copies,
 // no host is left, or ctx ends. Hosts that fail are replaced by the next in rendezvous order.
-func (c *Controller) spread(ctx context.Context, requestID string) spreadResult {
-	var result spreadResult
+func (c *Controller) replicate(ctx context.Context, requestID string) replicateResult {
+	var result replicateResult
 	tried := make(map[string]bool)
 	for ctx.Err() == nil {
 		targets, rec := c.targets(requestID, tried)
@@ -95,14 +95,14 @@
 		for i, host := range targets {
 			tried[host.Name] = true
 			wg.Go(func() {
-				callCtx, cancel := context.WithTimeout(ctx, c.cfg.CallWait)
+				callCtx, cancel := context.WithTimeout(ctx, c.cfg.CallTimeout)
 				defer cancel()
 				outcomes[i] = c.put(callCtx, host, []*pb.InflightRecord{rec})
 			})
 		}
 		wg.Wait()
 		for i, outcome := range outcomes {
-			result.note(targets[i].Name, outcome)
+			result.add(targets[i].Name, outcome)
 		}
 		if result.exists != "" || result.conflict != "" {
 			return result
@@ -111,7 +111,7 @@
 	return result
 }
 
-func (r *spreadResult) note(host string, outcome putOutcome) {
+func (r *replicateResult) add(host string, outcome putOutcome) {
 	switch outcome {
 	case putExists:
 		r.exists = host
--- a/internal/controller/records/records.go
+++ b/internal/controller/records/records.go
@@ -34,18 +34,18 @@
 
 // Defaults of Config, and bounds.
 const (
-	defaultBeginWait = 60 * time.Millisecond
-	defaultCallWait  = 25 * time.Millisecond
-	defaultSyncEvery = 25 * time.Millisecond
-	sweepEvery       = time.Second
-	settledWait      = time.Second
-	syncRecords      = 512
+	defaultBeginTimeout = 60 * time.Millisecond
+	defaultCallTimeout  = 25 * time.Millisecond
+	defaultSyncInterval = 25 * time.Millisecond
+	sweepInterval       = time.Second
+	settledTimeout      = time.Second
+	maxSyncRecords      = 512
 	// lookupCopies is the greatest number of copies a team may set; a lookup without
 	// knowledge of the team asks the hosts of so many.
 	lookupCopies = 2
-	// raceWait is how long to wait before asking again whether another host that began the
+	// racePollInterval is how long to wait before asking again whether another host that began the
 	// same identity has decided.
-	raceWait = 2 * time.Millisecond
+	racePollInterval = 2 * time.Millisecond
 )
 
 // Config of a Controller. Zero durations mean the defaults.
@@ -53,17 +53,17 @@
 	Store inflight.Config
 	Peers Dialer
 	Log   zerolog.Logger
-	// BeginWait bounds how long Begin and Find wait for peers, CallWait one call of theirs.
-	BeginWait time.Duration
-	CallWait  time.Duration
-	// SyncEvery is how often updates are sent to copies.
-	SyncEvery time.Duration
+	// BeginTimeout bounds how long Begin and Find wait for peers, CallWait one call of theirs.
+	BeginTimeout time.Duration
+	CallTimeout  time.Duration
+	// SyncInterval is how often updates are sent to copies.
+	SyncInterval time.Duration
 }
 
 // Controller keeps the records of one incarnation. Its methods are safe for concurrent use.
 type Controller struct {
-	// soon asks for a round of updates before the next regular one.
-	soon chan struct{}
+	// syncSoon asks for a round of updates before the next regular one.
+	syncSoon chan struct{}
 
 	cfg  Config
 	self *pb.Holder
@@ -78,10 +78,10 @@
 
 // New makes a controller without records; it copies nothing until SetHosts.
 func New(cfg Config) *Controller {
-	defaults.Set(&cfg.BeginWait, defaultBeginWait)
-	defaults.Set(&cfg.CallWait, defaultCallWait)
-	defaults.Set(&cfg.SyncEvery, defaultSyncEvery)
-	return &Controller{soon: make(chan struct{}, 1), cfg: cfg, self: cfg.Store.Self, store: inflight.New(cfg.Store)}
+	defaults.Set(&cfg.BeginTimeout, defaultBeginTimeout)
+	defaults.Set(&cfg.CallTimeout, defaultCallTimeout)
+	defaults.Set(&cfg.SyncInterval, defaultSyncInterval)
+	return &Controller{syncSoon: make(chan struct{}, 1), cfg: cfg, self: cfg.Store.Self, store: inflight.New(cfg.Store)}
 }
 
 // SetGrants names the holder that Gather fences together with the records.
@@ -107,9 +107,9 @@
 
 // Run sends updates to copies until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(c.cfg.SyncEvery)
+	ticker := time.NewTicker(c.cfg.SyncInterval)
 	defer ticker.Stop()
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	var early pacer
 	for {
@@ -118,7 +118,7 @@
 			return
 		case <-ticker.C:
 			c.sync(ctx)
-		case <-c.soon:
+		case <-c.syncSoon:
 			if early.allow(time.Now()) {
 				c.sync(ctx)
 			}
@@ -134,7 +134,7 @@
 // up the next round by CallWait x 4 at most.
 func (c *Controller) sync(ctx context.Context) {
 	c.mu.Lock()
-	sends := c.store.Plan(time.Now(), syncRecords)
+	sends := c.store.Plan(time.Now(), maxSyncRecords)
 	c.mu.Unlock()
 	var wg sync.WaitGroup
 	for _, send := range sends {
@@ -145,7 +145,7 @@
 
 // sendBatch puts records to one host, one by one if the host refuses one of them.
 func (c *Controller) sendBatch(ctx context.Context, send inflight.CopyBatch) {
-	ctx, cancel := context.WithTimeout(ctx, 4*c.cfg.CallWait)
+	ctx, cancel := context.WithTimeout(ctx, 4*c.cfg.CallTimeout)
 	defer cancel()
 	if len(send.Records) > 1 {
 		outcome := c.put(ctx, send.Host, send.Records)
@@ -158,8 +158,8 @@
 	}
 }
 
-// Settled marks records whose bills the ledger acknowledged; grants.Config.OnSettled.
-func (c *Controller) Settled(bills []*pb.Bill) {
+// MarkSettled marks records whose bills the ledger acknowledged; grants.Config.OnSettled.
+func (c *Controller) MarkSettled(bills []*pb.Bill) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -182,7 +182,7 @@
 		return
 	}
 	select {
-	case c.soon <- struct{}{}:
+	case c.syncSoon <- struct{}{}:
 	default: // a round is due already and takes this update along
 	}
 }
--- a/internal/controller/records/records_test.go
+++ b/internal/controller/records/records_test.go
@@ -23,7 +23,7 @@
 	nodes  map[string]*Controller
 	hosts  []inflight.Host
 	silent map[string]bool // takes calls and never answers
-	lost   map[string]bool // takes calls, its answers are lost
+	loseReplies   map[string]bool // takes calls, its answers are lost
 	wg     sync.WaitGroup
 }
 
@@ -48,7 +48,7 @@
 func (l link) deliver(ctx context.Context, handle func(*Controller)) error {
 	time.Sleep(time.Millisecond)
 	l.f.mu.Lock()
-	node, silent, lost := l.f.nodes[l.host], l.f.silent[l.host], l.f.lost[l.host]
+	node, silent, lost := l.f.nodes[l.host], l.f.silent[l.host], l.f.loseReplies[l.host]
 	l.f.mu.Unlock()
 	if !silent {
 		handle(node)
@@ -76,14 +76,14 @@
 // send updates every sync.
 func withFleet(t *testing.T, n int, sync time.Duration, f func(t *testing.T, fl *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := &fleet{nodes: make(map[string]*Controller), silent: make(map[string]bool), lost: make(map[string]bool)}
+		fl := &fleet{nodes: make(map[string]*Controller), silent: make(map[string]bool), loseReplies: make(map[string]bool)}
 		ctx, cancel := context.WithCancel(context.Background())
 		for i := range n {
 			h := inflight.Host{Name: fmt.Sprintf("h%d", i), Zone: string("xyz"[i%3]), Incarnation: 1}
 			fl.hosts = append(fl.hosts, h)
 			c := New(Config{
 				Store: inflight.Config{Self: &pb.Holder{Host: h.Name, Incarnation: 1}, Zone: h.Zone},
-				Peers: peers{fl}, Log: zerolog.Nop(), SyncEvery: sync,
+				Peers: peers{fl}, Log: zerolog.Nop(), SyncInterval: sync,
 			})
 			fl.nodes[h.Name] = c
 			fl.wg.Go(func() { c.Run(ctx) })
@@ -146,7 +146,7 @@
 // Cause: owners in different zones choose different hosts, and the retry asks the wrong ones.
 func TestRetryAnywhereFindsTheRecord(t *testing.T) {
 	for _, copies := range []int{1, 2} {
-		withFleet(t, 7, defaultSyncEvery, func(t *testing.T, fl *fleet) {
+		withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 			for i := range 40 {
 				owner := fmt.Sprintf("h%d", i%7)
 				if _, begun, err := fl.nodes[owner].Begin(t.Context(), record(i, owner), copies); !begun || err != nil {
@@ -163,13 +163,13 @@
 	}
 }
 
-// TestOneOfRacersRuns
+// TestConcurrentBeginsRunOnce
 //
 // Symptom: one key runs at two hosts, or at none.
 // Sequence: the same request arrives at two hosts at once.
 // Cause: each puts its record to a different peer and then sees, or misses, the other's.
-func TestOneOfRacersRuns(t *testing.T) {
-	withFleet(t, 7, defaultSyncEvery, func(t *testing.T, fl *fleet) {
+func TestConcurrentBeginsRunOnce(t *testing.T) {
+	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		for i := range 60 {
 			var begun [2]bool
 			var wg sync.WaitGroup
@@ -186,13 +186,13 @@
 	})
 }
 
-// TestRecordSurvivesHosts
+// TestRecordSurvivesTwoDeaths
 //
 // Symptom: a request in flight is forgotten after two hosts were lost one after another.
 // Sequence: a copy's host dies; a second later the owner dies; a retry comes.
 // Cause: no new copy made after the first loss.
-func TestRecordSurvivesHosts(t *testing.T) {
-	withFleet(t, 7, defaultSyncEvery, func(t *testing.T, fl *fleet) {
+func TestRecordSurvivesTwoDeaths(t *testing.T) {
+	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		rec := record(1, "h0")
 		if _, begun, err := fl.nodes["h0"].Begin(t.Context(), rec, 1); !begun || err != nil {
 			t.Fatal(begun, err)
@@ -225,7 +225,7 @@
 		rec := record(1, "h0")
 		start := time.Now()
 		_, begun, err := fl.nodes["h0"].Begin(t.Context(), rec, 1)
-		if !begun || err != nil || time.Since(start) > defaultBeginWait {
+		if !begun || err != nil || time.Since(start) > defaultBeginTimeout {
 			t.Fatalf("begun %v, %v after %v", begun, err, time.Since(start))
 		}
 		if got := fl.holders(rec.GetIdentity()); len(got) != 2 {
@@ -234,21 +234,21 @@
 	})
 }
 
-// TestAbandonedIsTold
+// TestAbandonReachesUnacknowledgedCopy
 //
 // Symptom: a request that did not run blocks its key, or is billed when its owner dies.
 // Sequence: the record reached a peer whose answer was lost; the request is abandoned.
 // Cause: a peer that may hold the record not told, because it never acknowledged it.
-func TestAbandonedIsTold(t *testing.T) {
-	withFleet(t, 7, defaultSyncEvery, func(t *testing.T, fl *fleet) {
-		target, _ := fl.nodes["h0"].targetsOfNew("acc/key1")
-		fl.set(fl.lost, target, true)
+func TestAbandonReachesUnacknowledgedCopy(t *testing.T) {
+	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
+		target, _ := fl.nodes["h0"].firstTarget("acc/key1")
+		fl.set(fl.loseReplies, target, true)
 		rec := record(1, "h0")
 		if _, begun, err := fl.nodes["h0"].Begin(t.Context(), rec, 1); !begun || err != nil {
 			t.Fatal(begun, err)
 		}
 		fl.nodes["h0"].Abandon(rec.GetIdentity(), rec.GetRequestId())
-		fl.set(fl.lost, target, false)
+		fl.set(fl.loseReplies, target, false)
 		time.Sleep(3 * time.Second)
 		if got := fl.holders(rec.GetIdentity()); len(got) != 0 {
 			t.Errorf("still known at %v", got)
@@ -259,14 +259,14 @@
 	})
 }
 
-// TestCutOffCopyLearnsTheEnd
+// TestAbandonReachesPartitionedCopy
 //
 // Symptom: a request that did not run is billed when its owner dies.
 // Sequence: a copy's host is cut off and leaves the list; the request is abandoned; the host
 // comes back as it was, after the window of finished records.
 // Cause: its old version forgotten with its place in the list.
-func TestCutOffCopyLearnsTheEnd(t *testing.T) {
-	withFleet(t, 7, defaultSyncEvery, func(t *testing.T, fl *fleet) {
+func TestAbandonReachesPartitionedCopy(t *testing.T) {
+	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		rec := record(1, "h0")
 		if _, begun, err := fl.nodes["h0"].Begin(t.Context(), rec, 1); !begun || err != nil {
 			t.Fatal(begun, err)
@@ -293,8 +293,8 @@
 	})
 }
 
-// targetsOfNew is the first copy's host of an identity that h0 would begin.
-func (c *Controller) targetsOfNew(identity string) (string, bool) {
+// firstTarget is the first copy's host of an identity that h0 would begin.
+func (c *Controller) firstTarget(identity string) (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	probe := &pb.InflightRecord{Identity: identity, RequestId: "probe"}
@@ -312,7 +312,7 @@
 // Sequence: the owner dies; a peer takes over; it dies too; a retry comes.
 // Cause: the new record refused by the hosts that hold the dead owner's.
 func TestTakeoverIsCopied(t *testing.T) {
-	withFleet(t, 7, defaultSyncEvery, func(t *testing.T, fl *fleet) {
+	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		if _, begun, err := fl.nodes["h0"].Begin(t.Context(), record(1, "h0"), 1); !begun || err != nil {
 			t.Fatal(begun, err)
 		}
@@ -343,7 +343,7 @@
 // Sequence: one key comes with another body, here and at another host.
 // Cause: the body not compared.
 func TestOtherBodyRefused(t *testing.T) {
-	withFleet(t, 7, defaultSyncEvery, func(t *testing.T, fl *fleet) {
+	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		if _, begun, err := fl.nodes["h0"].Begin(t.Context(), record(1, "h0"), 1); !begun || err != nil {
 			t.Fatal(begun, err)
 		}
@@ -365,7 +365,7 @@
 // Cause: a transfer without its copy though a third host is there, one undone while a host
 // may hold its copy, or one undone after the receiver's recovery counted it.
 func TestTransferCopied(t *testing.T) {
-	withFleet(t, 3, defaultSyncEvery, func(t *testing.T, fl *fleet) {
+	withFleet(t, 3, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		giver, third := fl.nodes["h0"], fl.nodes["h2"]
 		tr := func(id string) *pb.Transfer {
 			return &pb.Transfer{Id: id, Budget: "x", From: giver.self, To: fl.nodes["h1"].self, Tokens: 5}
@@ -376,7 +376,7 @@
 		if err := giver.CopyTransfer(t.Context(), tr("1")); err != nil || !copied("1") {
 			t.Fatalf("%v, copied %v", err, copied("1"))
 		}
-		fl.set(fl.lost, "h2", true)
+		fl.set(fl.loseReplies, "h2", true)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		for _, id := range []string{"3", "2"} { // "3" is sent; h2 then counts as out of reach
@@ -387,7 +387,7 @@
 		if err := giver.AbandonTransfer(ctx, tr("3")); err == nil {
 			t.Error("void though the third host may hold the copy")
 		}
-		fl.set(fl.lost, "h2", false)
+		fl.set(fl.loseReplies, "h2", false)
 		time.Sleep(2 * time.Second)
 		if err := giver.AbandonTransfer(t.Context(), tr("3")); err != nil || copied("3") || !copied("2") {
 			t.Errorf("after the third host knows: %v, copies %v %v", err, copied("2"), copied("3"))
--- a/internal/controller/records/serve.go
+++ b/internal/controller/records/serve.go
@@ -16,7 +16,7 @@
 	defer c.mu.Unlock()
 	reply := &pb.PutRecordsReply{Self: c.self}
 	for _, rec := range req.GetRecords() {
-		err := c.take(rec, req.GetFrom())
+		err := c.storeFromPeer(rec, req.GetFrom())
 		if err != nil && reply.Error == nil {
 			reply.Error = wire.EncodeError(err)
 		}
@@ -24,14 +24,14 @@
 	return reply
 }
 
-// take stores one record of a peer; c.mu is held. A transfer's receiver tells its giver
+// storeFromPeer stores one record of a peer; c.mu is held. A transfer's receiver tells its giver
 // in the same way that the ledger knows the transfer.
 //
 // A record of this host's own that comes back isn't stored. It comes from a guardian that
 // took this host for dead during a cut and may be older than what is known here. Stored as a
 // copy it would stand for a request that was given up: this host would vouch for it, callers
 // would be told for ever that their request runs, and recoveries would wait for its end.
-func (c *Controller) take(rec *pb.InflightRecord, from *pb.Holder) error {
+func (c *Controller) storeFromPeer(rec *pb.InflightRecord, from *pb.Holder) error {
 	own := c.isOwn(rec)
 	if t := rec.GetTransfer(); own && t != nil {
 		c.store.MarkSettled(time.Now(), inflight.TransferIdentity(t.GetId()))
--- a/internal/controller/records/transfers.go
+++ b/internal/controller/records/transfers.go
@@ -28,7 +28,7 @@
 	if rec.GetState() == pb.InflightState_INFLIGHT_STATE_ABANDONED {
 		return errkind.New(errkind.Internal, "transfer %s is being undone", t.GetId())
 	}
-	c.spread(ctx, request)
+	c.replicate(ctx, request)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.store.Copies(request) < transferCopies {
@@ -57,7 +57,7 @@
 func (c *Controller) AbandonTransfer(ctx context.Context, t *pb.Transfer) error {
 	request := inflight.TransferIdentity(t.GetId())
 	c.Abandon("", request)
-	c.spread(ctx, request)
+	c.replicate(ctx, request)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	rec, ok := c.store.Record(time.Now(), request)
@@ -77,7 +77,7 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), settledWait)
+	ctx, cancel := context.WithTimeout(context.Background(), settledTimeout)
 	defer cancel()
 	request := inflight.TransferIdentity(t.GetId())
 	rec := &pb.InflightRecord{
--- a/internal/controller/repair/world_test.go
+++ b/internal/controller/repair/world_test.go
@@ -191,7 +191,7 @@
 		Store: inflight.Config{Self: n.self, Zone: info.Zone}, Peers: n, Log: zerolog.Nop(),
 	})
 	n.grants = grants.New(grants.Config{
-		Self: n.self, Proposer: n, Asker: n, Recorder: n.records, OnSettled: n.records.Settled, Log: zerolog.Nop(),
+		Self: n.self, Proposer: n, Asker: n, Recorder: n.records, OnSettled: n.records.MarkSettled, Log: zerolog.Nop(),
 	})
 	n.records.SetGrants(n.grants)
 	w.nodes[name] = n
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -220,7 +220,7 @@
 	e.grants = grants.New(grants.Config{
 		Self: self, Holder: grant.Config{BatchWait: cfg.Timing.SettleEvery.Std()},
 		Proposer: group{e.d.client}, Asker: peers{e}, Recorder: e.records,
-		PolicyFor: e.policyFor, OnSettled: e.records.Settled, Log: e.d.tel.Log, Seed: int64(self.Incarnation), OnFailure: e.d.tasks.fail,
+		PolicyFor: e.policyFor, OnSettled: e.records.MarkSettled, Log: e.d.tel.Log, Seed: int64(self.Incarnation), OnFailure: e.d.tasks.fail,
 	})
 	e.records.SetGrants(e.grants)
 	e.api = callerapi.New(callerapi.Deps{
--- a/internal/proof/fleet.go
+++ b/internal/proof/fleet.go
@@ -116,7 +116,7 @@
 	n := &node{fleet: f, self: registered.GetRegisterHost().GetHolder()}
 	n.records = records.New(records.Config{Store: inflight.Config{Self: n.self, Zone: zoneOf(name)}, Peers: n, Log: zerolog.Nop()})
 	n.grants = grants.New(grants.Config{
-		Self: n.self, Proposer: n, Asker: n, Recorder: n.records, OnSettled: n.records.Settled, Log: zerolog.Nop(), Seed: f.seed,
+		Self: n.self, Proposer: n, Asker: n, Recorder: n.records, OnSettled: n.records.MarkSettled, Log: zerolog.Nop(), Seed: f.seed,
 	})
 	n.records.SetGrants(n.grants)
 	n.buildChain()
