--- a/internal/controller/records/find.go
+++ b/internal/controller/records/find.go
@@ -13,14 +13,15 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Begin implements filter.Records. The record is put to its copies first; only then are
-// the hosts asked that could know the identity. Done at the same time, two hosts that
-// begin one identity at once could each miss the other's record; this way the one that
-// asks last sees the other's. It costs one round trip between availability zones.
+// Begin implements filter.Records. The record is copied to its hosts first, and only then are
+// the hosts queried that could know the identity. If both were done concurrently, two hosts
+// that begin the same identity at once could each miss the other's record; in this order, the
+// host that queries last sees the other's record. The price is one round trip between
+// availability zones.
 //
-// The store numbers the versions. Were the caller's number counted on, the first record of
-// a request would look like a takeover's to a peer that knows the identity: the peer would
-// take it in place of refusing it, and a retry at another host would run a second time.
+// The store assigns the version numbers. If the caller's number were used, a peer that knows
+// the identity could take the first record of a request for that of a takeover and store it
+// instead of rejecting it, and a retry at another host would run a second time.
 func (c *Controller) Begin(ctx context.Context, rec *pb.InflightRecord, copies int) (*pb.InflightRecord, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginTimeout)
 	defer cancel()
@@ -38,8 +39,8 @@
 	return c.beginNew(ctx, rec, copies)
 }
 
-// beginKnown answers a Begin whose identity this host knows, unless the owner says that
-// the record is void.
+// beginKnown completes a Begin whose identity this host knows. If the owner of the known
+// record no longer has it, the record is void and the request begins as a new one.
 func (c *Controller) beginKnown(ctx context.Context, rec, known *pb.InflightRecord, copies int) (*pb.InflightRecord, bool, error) {
 	if fresh, ok := c.confirmWithOwner(ctx, known); ok {
 		metrics.Add("existing_here", 1)
@@ -56,14 +57,14 @@
 
 func (c *Controller) beginNew(ctx context.Context, rec *pb.InflightRecord, copies int) (*pb.InflightRecord, bool, error) {
 	request, identity := rec.GetRequestId(), rec.GetIdentity()
-	spread := c.replicate(ctx, request)
-	if spread.conflict != "" {
+	replicated := c.replicate(ctx, request)
+	if replicated.conflict != "" {
 		c.Abandon(identity, request)
 		return nil, false, errkind.New(errkind.KeyConflict, "the idempotency key was used with another body")
 	}
 	found := c.queryAll(ctx, identity, c.hostsToQuery(identity, request, copies))
-	if spread.exists != "" {
-		found = append(found, c.query(ctx, spread.exists, identity))
+	if replicated.exists != "" {
+		found = append(found, c.query(ctx, replicated.exists, identity))
 	}
 	for _, other := range found {
 		if existing := c.findWinner(ctx, rec, other); existing != nil {
@@ -76,10 +77,10 @@
 
 // findWinner returns the other host's record if ours has to yield to it.
 //
-// Two hosts that begin the same identity at once may each see the other's record, or only
-// one may see the other's, so neither can go by its own view alone. A host that has not
-// decided says so: the one with the greater request id yields at once, the other waits
-// for its decision. Then exactly one goes on, unless one of them stops answering.
+// If two hosts begin the same identity at once, each may see the other's record, or only one
+// of them may, so neither can decide from its own view alone. A host that has not decided
+// reports that in the record's state: the host with the greater request id yields at once, the
+// other waits for that decision. Exactly one of them proceeds, unless one stops answering.
 func (c *Controller) findWinner(ctx context.Context, ours, found *pb.InflightRecord) *pb.InflightRecord {
 	for {
 		fresh, ok := c.confirmWithOwner(ctx, found)
@@ -98,7 +99,8 @@
 	}
 }
 
-// asRunning hides from the request chain that the owner hasn't decided yet.
+// asRunning returns rec as running if its owner hasn't decided yet; the request chain doesn't
+// know that state.
 func asRunning(rec *pb.InflightRecord) *pb.InflightRecord {
 	if rec.GetState() == pb.InflightState_INFLIGHT_STATE_NONE {
 		rec.State = pb.InflightState_INFLIGHT_STATE_RUNNING
@@ -106,7 +108,7 @@
 	return rec
 }
 
-// yieldTo takes our record back in favour of an existing one.
+// yieldTo abandons our record in favor of an existing one.
 func (c *Controller) yieldTo(ours, existing *pb.InflightRecord) (*pb.InflightRecord, bool, error) {
 	c.Abandon(ours.GetIdentity(), ours.GetRequestId())
 	metrics.Add("existing_at_peer", 1)
@@ -127,8 +129,8 @@
 	}
 }
 
-// Takeover makes this host the owner of a request whose owner died: rec carries the new
-// request id, the reservation here and the backend server's stream that is resumed.
+// Takeover makes this host the owner of a request whose owner died. rec has the new request
+// id, the reservation at this host and the backend server's stream to resume.
 func (c *Controller) Takeover(ctx context.Context, rec *pb.InflightRecord, copies int) error {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginTimeout)
 	defer cancel()
@@ -169,8 +171,8 @@
 	return c.store.Lookup(identity, copies)
 }
 
-// hostsToQuery are the hosts that may know another record of the identity. A host that took ours
-// knew no other, and refuses any that comes later.
+// hostsToQuery returns the hosts that may know another record of the identity. A host that
+// stored ours knew no other record, and rejects any later one.
 func (c *Controller) hostsToQuery(identity, request string, copies int) []inflight.Host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,7 +180,7 @@
 	return slices.DeleteFunc(hosts, func(h inflight.Host) bool { return c.store.HeldBy(request, h.Name) })
 }
 
-// OwnerAlive tells whether the incarnation that owns rec is among the live hosts.
+// OwnerAlive reports whether the incarnation that owns rec is among the live hosts.
 func (c *Controller) OwnerAlive(rec *pb.InflightRecord) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,19 +188,20 @@
 	return ok && host.Incarnation == rec.GetHolder().GetIncarnation()
 }
 
-// confirmWithOwner asks the record's owner, if it lives, for its present state. A running copy
-// that its living owner doesn't know is void: the owner abandoned the request. What else
-// the owner knows of the identity may itself be such a copy and doesn't count.
+// confirmWithOwner returns the current state of a record, as known to its owner if that is
+// alive; ok is false if the record is void. A running copy that its live owner doesn't know is
+// void, because the owner abandoned the request. If the owner returns another record of the
+// identity, that may itself be such a copy and doesn't count.
 func (c *Controller) confirmWithOwner(ctx context.Context, rec *pb.InflightRecord) (*pb.InflightRecord, bool) {
 	if rec == nil {
 		return nil, false
 	}
 	owner := rec.GetHolder().GetHost()
-	runs := rec.GetState() == pb.InflightState_INFLIGHT_STATE_RUNNING || rec.GetState() == pb.InflightState_INFLIGHT_STATE_NONE
-	if runs && c.isOwn(rec) {
+	running := rec.GetState() == pb.InflightState_INFLIGHT_STATE_RUNNING || rec.GetState() == pb.InflightState_INFLIGHT_STATE_NONE
+	if running && c.isOwn(rec) {
 		return c.ownRecord(rec)
 	}
-	if !runs || owner == c.self.GetHost() || !c.OwnerAlive(rec) {
+	if !running || owner == c.self.GetHost() || !c.OwnerAlive(rec) {
 		return rec, true
 	}
 	reply, err := c.findAt(ctx, owner, rec.GetIdentity())
@@ -209,8 +212,8 @@
 	return reply.GetRecord(), same
 }
 
-// ownRecord is what this host knows of a running record of its own, of which a peer may hold
-// an old copy.
+// ownRecord returns the current state of a running record that this host owns, given a copy
+// of it that may be old; false if this host no longer has the record.
 func (c *Controller) ownRecord(rec *pb.InflightRecord) (*pb.InflightRecord, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -218,8 +221,9 @@
 	return here, ok && here.GetRequestId() == rec.GetRequestId()
 }
 
-// queryAll looks an identity up at several hosts, the most telling record first. One answer isn't
-// enough: a host may still know a record that its owner has given up.
+// queryAll looks up an identity at several hosts and returns the records found, the most
+// authoritative first. One answer isn't enough, because a host may still hold a record that
+// its owner has abandoned.
 func (c *Controller) queryAll(ctx context.Context, identity string, hosts []inflight.Host) []*pb.InflightRecord {
 	found := make([]*pb.InflightRecord, len(hosts))
 	var wg sync.WaitGroup
@@ -232,15 +236,15 @@
 	return found
 }
 
-// conclusive tells whether a record here needs no look elsewhere: a running one of a dead
-// owner may have been taken over.
+// conclusive reports whether a record found at this host needs no query at other hosts. A
+// running record of a dead owner does, because the request may have been taken over.
 func (c *Controller) conclusive(rec *pb.InflightRecord) bool {
 	return rec.GetState() == pb.InflightState_INFLIGHT_STATE_DONE || c.OwnerAlive(rec)
 }
 
-// sortByAuthority puts finished records first, then running ones of living owners.
+// sortByAuthority sorts finished records first, then running ones whose owners are alive.
 func (c *Controller) sortByAuthority(found []*pb.InflightRecord) {
-	truth := func(rec *pb.InflightRecord) int {
+	rank := func(rec *pb.InflightRecord) int {
 		switch {
 		case rec.GetState() == pb.InflightState_INFLIGHT_STATE_DONE:
 			return 0
@@ -249,7 +253,7 @@
 		}
 		return 2
 	}
-	slices.SortStableFunc(found, func(a, b *pb.InflightRecord) int { return truth(a) - truth(b) })
+	slices.SortStableFunc(found, func(a, b *pb.InflightRecord) int { return rank(a) - rank(b) })
 }
 
 func (c *Controller) query(ctx context.Context, host, identity string) *pb.InflightRecord {
--- a/internal/controller/records/pacer.go
+++ b/internal/controller/records/pacer.go
@@ -3,16 +3,17 @@
 import "time"
 
 const (
-	// earlyInterval is the time between rounds of updates that don't wait for their turn, on
-	// average; earlyBurst may come at once. Above that rate updates gather for the regular
-	// rounds: sent one by one they cost a saturated host a third of its processor time.
+	// earlyInterval is the average time between early rounds of updates, which are sent
+	// before the next regular round; earlyBurst of them may follow each other at once. Above
+	// that rate updates wait for the regular rounds: sent one by one they cost a saturated
+	// host a third of its processor time.
 	earlyInterval = 10 * time.Millisecond
-	earlyBurst = 20
+	earlyBurst    = 20
 )
 
-// pacer allows early rounds at a bounded rate. Its zero value has the whole burst.
+// pacer limits the rate of early rounds. Its zero value allows a whole burst.
 type pacer struct {
-	// next is when the next round is due if all came at the average rate.
+	// next is when the next round would be due if all rounds came at the average rate.
 	next time.Time
 }
 
--- a/internal/controller/records/put.go
+++ b/internal/controller/records/put.go
@@ -10,20 +10,20 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// putOutcome is what became of records sent to a host.
+// putOutcome is the outcome of sending records to a host.
 type putOutcome int
 
 const (
 	putDone putOutcome = iota
 	putUnanswered
 	putRefused
-	// putExists: the host knows the identity by another request.
+	// putExists means that the host has a record of the identity for another request.
 	putExists
-	// putConflict: the host knows the identity with another body.
+	// putConflict means that the host has a record of the identity with another body.
 	putConflict
 )
 
-// put sends records to a host and notes the outcome in the store.
+// put sends records to a host and marks the outcome in the store.
 func (c *Controller) put(ctx context.Context, host inflight.Host, records []*pb.InflightRecord) putOutcome {
 	c.markSending(host, records)
 	reply, err := c.call(ctx, host.Name, records)
@@ -74,14 +74,16 @@
 	return client.PutRecords(ctx, &pb.PutRecordsRequest{Records: records, From: c.self})
 }
 
-// replicateResult sums up one spread.
+// replicateResult is the result of replicate.
 type replicateResult struct {
-	// exists and conflict name a host that knows the identity otherwise.
+	// exists names a host that has a record of the identity for another request, conflict
+	// one that has it with another body; each is empty if there is none.
 	exists, conflict string
 }
 
-// replicate sends an own record to the hosts that should hold it until it has its copies,
-// no host is left, or ctx ends. Hosts that fail are replaced by the next in rendezvous order.
+// replicate sends a record of this host to the hosts that should hold it, until it has its
+// copies, no host is left, or ctx ends. Hosts that fail are replaced by the next ones in
+// rendezvous order.
 func (c *Controller) replicate(ctx context.Context, requestID string) replicateResult {
 	var result replicateResult
 	tried := make(map[string]bool)
--- a/internal/controller/records/records.go
+++ b/internal/controller/records/records.go
@@ -1,5 +1,6 @@
 // Package records runs an inflight.Store: it implements the request chain's Records
-// port, copies records to peers over gRPC, and answers the peers' calls about records.
+// port, copies in-flight records to peers over gRPC, and answers the peers' calls about
+// records.
 package records
 
 import (
@@ -16,17 +17,17 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// metrics counts records, copies and what went wrong with them in this process.
+// metrics counts the records and copies of this process and their failures.
 var metrics = expvar.NewMap("records")
 
-// Dialer finds the connection to a peer.
+// Dialer returns connections to peers.
 type Dialer interface {
-	// Dial returns a client of the host's Peer service; false if there is no such host.
+	// Dial returns a client of the host's Peer service, or false if there is no such host.
 	Dial(host string) (pb.PeerClient, bool)
 }
 
-// Grants is the holder of tokens beside the records; a dead holder's transfers are
-// fenced together with its records.
+// Grants manages this host's tokens. A dead holder's transfers are fenced together with its
+// records.
 type Grants interface {
 	Fence(dead *pb.Holder) []*pb.Transfer
 	MarkTransferSettled(id string)
@@ -40,15 +41,15 @@
 	sweepInterval       = time.Second
 	settledTimeout      = time.Second
 	maxSyncRecords      = 512
-	// lookupCopies is the greatest number of copies a team may set; a lookup without
-	// knowledge of the team asks the hosts of so many.
+	// lookupCopies is the largest number of copies that a team may set. A lookup that doesn't
+	// know the team queries the hosts that would hold that many copies.
 	lookupCopies = 2
-	// racePollInterval is how long to wait before asking again whether another host that began the
+	// racePollInterval is the time between two queries whether another host that began the
 	// same identity has decided.
 	racePollInterval = 2 * time.Millisecond
 )
 
-// Config of a Controller. Zero durations mean the defaults.
+// Config configures a Controller. Zero durations are replaced by the defaults.
 type Config struct {
 	Store inflight.Config
 	Peers Dialer
@@ -56,13 +57,14 @@
 	// BeginTimeout bounds how long Begin and Find wait for peers, CallWait one call of theirs.
 	BeginTimeout time.Duration
 	CallTimeout  time.Duration
-	// SyncInterval is how often updates are sent to copies.
+	// SyncInterval is how often updates are sent to the hosts that hold copies.
 	SyncInterval time.Duration
 }
 
-// Controller keeps the records of one incarnation. Its methods are safe for concurrent use.
+// Controller manages the in-flight records of one incarnation. Its methods are safe for
+// concurrent use.
 type Controller struct {
-	// syncSoon asks for a round of updates before the next regular one.
+	// syncSoon requests a round of updates before the next regular one.
 	syncSoon chan struct{}
 
 	cfg  Config
@@ -76,7 +78,7 @@
 
 var _ filter.Records = (*Controller)(nil)
 
-// New makes a controller without records; it copies nothing until SetHosts.
+// New returns a Controller without records. It makes no copies until SetHosts is called.
 func New(cfg Config) *Controller {
 	defaults.Set(&cfg.BeginTimeout, defaultBeginTimeout)
 	defaults.Set(&cfg.CallTimeout, defaultCallTimeout)
@@ -84,28 +86,29 @@
 	return &Controller{syncSoon: make(chan struct{}, 1), cfg: cfg, self: cfg.Store.Self, store: inflight.New(cfg.Store)}
 }
 
-// SetGrants names the holder that Gather fences together with the records.
+// SetGrants sets the manager of this host's tokens, whose transfers HandleGather fences
+// together with the records.
 func (c *Controller) SetGrants(g Grants) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.grants = g
 }
 
-// SetHosts replaces the live hosts, this one included: those that take copies.
+// SetHosts replaces the live hosts, this one included. Copies are sent to these hosts.
 func (c *Controller) SetHosts(hosts []inflight.Host) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.store.SetHosts(hosts)
 }
 
-// Size is the number of records kept and their estimated bytes.
+// Size returns the number of stored records and their estimated size in bytes.
 func (c *Controller) Size() (records, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.store.Len(), c.store.Bytes()
 }
 
-// Run sends updates to copies until ctx ends.
+// Run sends updates to the hosts that hold copies until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.cfg.SyncInterval)
 	defer ticker.Stop()
@@ -130,8 +133,8 @@
 	}
 }
 
-// sync sends one round of updates, to all hosts at once. A host that doesn't answer holds
-// up the next round by CallWait x 4 at most.
+// sync sends one round of updates to all hosts concurrently. A host that doesn't answer
+// delays the next round by at most 4 x CallTimeout.
 func (c *Controller) sync(ctx context.Context) {
 	c.mu.Lock()
 	sends := c.store.Plan(time.Now(), maxSyncRecords)
@@ -143,7 +146,8 @@
 	wg.Wait()
 }
 
-// sendBatch puts records to one host, one by one if the host refuses one of them.
+// sendBatch sends records to one host. If the host rejects one of them, they are sent again
+// one by one.
 func (c *Controller) sendBatch(ctx context.Context, send inflight.CopyBatch) {
 	ctx, cancel := context.WithTimeout(ctx, 4*c.cfg.CallTimeout)
 	defer cancel()
@@ -158,7 +162,8 @@
 	}
 }
 
-// MarkSettled marks records whose bills the ledger acknowledged; grants.Config.OnSettled.
+// MarkSettled marks the records whose bills the ledger acknowledged. It is used as
+// grants.Config.OnSettled.
 func (c *Controller) MarkSettled(bills []*pb.Bill) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -168,12 +173,10 @@
 	}
 }
 
-// Update implements filter.Records. Up to a rate of rounds, what a recovery must know is
-// sent to the copies at once: which server runs the request, and how it ended.
-//
-// What goes wrong otherwise: a host is killed right behind an answer, its copies name no
-// server that could be asked for the usage, and its grant stays locked until the request
-// can't run any more.
+// Update implements filter.Records. Within the pacer's rate, it has the update sent to the
+// copies at once, because a recovery needs to know which server runs the request and how it
+// ended. If a host is killed right after an answer and its copies name no server to ask for
+// the usage, its grant stays locked until the request can no longer be running.
 func (c *Controller) Update(rec *pb.InflightRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,7 +186,7 @@
 	}
 	select {
 	case c.syncSoon <- struct{}{}:
-	default: // a round is due already and takes this update along
+	default: // a round is already due and will include this update
 	}
 }
 
--- a/internal/controller/records/records_test.go
+++ b/internal/controller/records/records_test.go
@@ -17,14 +17,14 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// fleet is controllers that reach each other in memory, 1 ms apart one way.
+// fleet is a set of controllers that call each other in memory with a one-way latency of 1 ms.
 type fleet struct {
-	mu     sync.Mutex
-	nodes  map[string]*Controller
-	hosts  []inflight.Host
-	silent map[string]bool // takes calls and never answers
-	loseReplies   map[string]bool // takes calls, its answers are lost
-	wg     sync.WaitGroup
+	mu          sync.Mutex
+	nodes       map[string]*Controller
+	hosts       []inflight.Host
+	silent      map[string]bool // the host receives calls but neither handles nor answers them
+	loseReplies map[string]bool // the host handles calls, but its replies are lost
+	wg          sync.WaitGroup
 }
 
 // link is a pb.PeerClient to one host.
@@ -44,7 +44,8 @@
 	return link{f: p.f, host: host}, ok
 }
 
-// deliver runs handle at the host unless it is silent, and loses its answer if so set.
+// deliver runs handle at the host unless it is silent, and drops the reply if loseReplies is
+// set for it.
 func (l link) deliver(ctx context.Context, handle func(*Controller)) error {
 	time.Sleep(time.Millisecond)
 	l.f.mu.Lock()
@@ -72,8 +73,8 @@
 	return out, err
 }
 
-// withFleet runs f in a bubble with n hosts spread over three availability zones, which
-// send updates every sync.
+// withFleet runs f in a synctest bubble with n hosts spread over three availability zones,
+// whose SyncInterval is sync.
 func withFleet(t *testing.T, n int, sync time.Duration, f func(t *testing.T, fl *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := &fleet{nodes: make(map[string]*Controller), silent: make(map[string]bool), loseReplies: make(map[string]bool)}
@@ -107,7 +108,7 @@
 	fault[host] = on
 }
 
-// kill removes a host for good.
+// kill permanently removes a host.
 func (fl *fleet) kill(name string) {
 	fl.mu.Lock()
 	delete(fl.nodes, name)
@@ -139,11 +140,9 @@
 	}
 }
 
-// TestRetryAnywhereFindsTheRecord
-//
-// Symptom: a caller that retries at another host runs its request again.
-// Sequence: h0 begins; a retry comes to every other host in turn.
-// Cause: owners in different zones choose different hosts, and the retry asks the wrong ones.
+// TestRetryAnywhereFindsTheRecord begins a request at one host and retries it at every other
+// one. Owners in different zones choose different copy holders; if a retry queried the wrong
+// hosts, the request would run again.
 func TestRetryAnywhereFindsTheRecord(t *testing.T) {
 	for _, copies := range []int{1, 2} {
 		withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
@@ -163,11 +162,9 @@
 	}
 }
 
-// TestConcurrentBeginsRunOnce
-//
-// Symptom: one key runs at two hosts, or at none.
-// Sequence: the same request arrives at two hosts at once.
-// Cause: each puts its record to a different peer and then sees, or misses, the other's.
+// TestConcurrentBeginsRunOnce has the same request arrive at two hosts at once. Each copies its
+// record to a different peer and then sees, or misses, the other's; the request must run at
+// exactly one of them.
 func TestConcurrentBeginsRunOnce(t *testing.T) {
 	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		for i := range 60 {
@@ -186,11 +183,9 @@
 	})
 }
 
-// TestRecordSurvivesTwoDeaths
-//
-// Symptom: a request in flight is forgotten after two hosts were lost one after another.
-// Sequence: a copy's host dies; a second later the owner dies; a retry comes.
-// Cause: no new copy made after the first loss.
+// TestRecordSurvivesTwoDeaths has the copy holder of a request die, and a second later its
+// owner. A retry must still find the record, which requires that a new copy is made after the
+// first death.
 func TestRecordSurvivesTwoDeaths(t *testing.T) {
 	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		rec := record(1, "h0")
@@ -211,11 +206,9 @@
 	})
 }
 
-// TestSilentCopyHostReplaced
-//
-// Symptom: a request waits for a silent peer, or runs without a copy though others could take it.
-// Sequence: the first host in rendezvous order takes calls and never answers.
-// Cause: the next in order not tried within the bounded wait.
+// TestSilentCopyHostReplaced has a first host in rendezvous order that never answers. Unless
+// the next host is tried within BeginTimeout, the request waits for the silent peer, or runs
+// without a copy although other hosts could hold one.
 func TestSilentCopyHostReplaced(t *testing.T) {
 	withFleet(t, 7, time.Hour, func(t *testing.T, fl *fleet) {
 		first := fl.nodes["h0"].lookup("acc/key1", 1)
@@ -234,11 +227,9 @@
 	})
 }
 
-// TestAbandonReachesUnacknowledgedCopy
-//
-// Symptom: a request that did not run blocks its key, or is billed when its owner dies.
-// Sequence: the record reached a peer whose answer was lost; the request is abandoned.
-// Cause: a peer that may hold the record not told, because it never acknowledged it.
+// TestAbandonReachesUnacknowledgedCopy abandons a request whose record reached a peer whose
+// reply was lost. Unless that peer is notified although it never acknowledged the record, a
+// request that did not run blocks its key, or is billed when its owner dies.
 func TestAbandonReachesUnacknowledgedCopy(t *testing.T) {
 	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		target, _ := fl.nodes["h0"].firstTarget("acc/key1")
@@ -254,17 +245,15 @@
 			t.Errorf("still known at %v", got)
 		}
 		if _, begun, err := fl.nodes["h1"].Begin(t.Context(), record(1, "h1"), 1); !begun || err != nil {
-			t.Errorf("the key is blocked: %v %v", begun, err)
+			t.Errorf("a new request with the key did not begin: %v %v", begun, err)
 		}
 	})
 }
 
-// TestAbandonReachesPartitionedCopy
-//
-// Symptom: a request that did not run is billed when its owner dies.
-// Sequence: a copy's host is cut off and leaves the list; the request is abandoned; the host
-// comes back as it was, after the window of finished records.
-// Cause: its old version forgotten with its place in the list.
+// TestAbandonReachesPartitionedCopy has a copy holder that is partitioned and leaves the list
+// of live hosts; the request is abandoned, and the host returns in the same incarnation after
+// the retention window of finished records. If the owner forgot which version that host holds,
+// a request that did not run would be billed when its owner dies.
 func TestAbandonReachesPartitionedCopy(t *testing.T) {
 	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		rec := record(1, "h0")
@@ -288,12 +277,12 @@
 		fl.nodes["h0"].SetHosts(fl.hosts)
 		time.Sleep(2 * time.Second)
 		if got := fl.holders(rec.GetIdentity()); len(got) != 0 {
-			t.Errorf("still known as a run at %v", got)
+			t.Errorf("still known as running at %v", got)
 		}
 	})
 }
 
-// firstTarget is the first copy's host of an identity that h0 would begin.
+// firstTarget returns the first host to which this one would copy a new record of the identity.
 func (c *Controller) firstTarget(identity string) (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -306,11 +295,9 @@
 	return targets[0].Name, true
 }
 
-// TestTakeoverIsCopied
-//
-// Symptom: a request taken over is lost with its second host.
-// Sequence: the owner dies; a peer takes over; it dies too; a retry comes.
-// Cause: the new record refused by the hosts that hold the dead owner's.
+// TestTakeoverIsCopied has the owner of a request die and a peer take it over, which dies
+// too. The hosts that hold the first owner's record must not reject the new owner's, or the
+// request is lost with its second owner.
 func TestTakeoverIsCopied(t *testing.T) {
 	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		if _, begun, err := fl.nodes["h0"].Begin(t.Context(), record(1, "h0"), 1); !begun || err != nil {
@@ -337,11 +324,8 @@
 	})
 }
 
-// TestOtherBodyRefused
-//
-// Symptom: a caller gets the answer to another request.
-// Sequence: one key comes with another body, here and at another host.
-// Cause: the body not compared.
+// TestOtherBodyRefused sends the same key with another body to the same and to other hosts.
+// Unless the bodies are compared, a caller gets the answer to another request.
 func TestOtherBodyRefused(t *testing.T) {
 	withFleet(t, 7, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		if _, begun, err := fl.nodes["h0"].Begin(t.Context(), record(1, "h0"), 1); !begun || err != nil {
@@ -357,46 +341,44 @@
 	})
 }
 
-// TestTransferCopied
-//
-// Symptom: the same tokens in two places after a giver or a receiver was lost.
-// Sequence: a transfer with a third host in reach; one whose third host's answers are
-// lost; one undone; then the receiver dies and is gathered.
-// Cause: a transfer without its copy though a third host is there, one undone while a host
-// may hold its copy, or one undone after the receiver's recovery counted it.
+// TestTransferCopied checks a transfer with a reachable third host, one whose third host's
+// replies are lost, one that is undone, and then the recovery of the receiver. The same tokens
+// would exist twice after a sender or receiver died if a transfer had no copy although a third
+// host is reachable, was undone while a host may hold its copy, or was undone after the
+// recovery of the receiver counted it.
 func TestTransferCopied(t *testing.T) {
 	withFleet(t, 3, defaultSyncInterval, func(t *testing.T, fl *fleet) {
-		giver, third := fl.nodes["h0"], fl.nodes["h2"]
+		sender, third := fl.nodes["h0"], fl.nodes["h2"]
 		tr := func(id string) *pb.Transfer {
-			return &pb.Transfer{Id: id, Budget: "x", From: giver.self, To: fl.nodes["h1"].self, Tokens: 5}
+			return &pb.Transfer{Id: id, Budget: "x", From: sender.self, To: fl.nodes["h1"].self, Tokens: 5}
 		}
 		copied := func(id string) bool {
 			return third.HandleFind(&pb.FindRecordRequest{Identity: inflight.TransferIdentity(id)}).GetFound()
 		}
-		if err := giver.CopyTransfer(t.Context(), tr("1")); err != nil || !copied("1") {
+		if err := sender.CopyTransfer(t.Context(), tr("1")); err != nil || !copied("1") {
 			t.Fatalf("%v, copied %v", err, copied("1"))
 		}
 		fl.set(fl.loseReplies, "h2", true)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		for _, id := range []string{"3", "2"} { // "3" is sent; h2 then counts as out of reach
-			if err := giver.CopyTransfer(ctx, tr(id)); err != nil {
-				t.Errorf("refused though giver and receiver are all that answers: %v", err)
+		for _, id := range []string{"3", "2"} { // "3" is sent; h2 then counts as unreachable
+			if err := sender.CopyTransfer(ctx, tr(id)); err != nil {
+				t.Errorf("rejected although no third host is reachable: %v", err)
 			}
 		}
-		if err := giver.AbandonTransfer(ctx, tr("3")); err == nil {
-			t.Error("void though the third host may hold the copy")
+		if err := sender.AbandonTransfer(ctx, tr("3")); err == nil {
+			t.Error("void although the third host may hold the copy")
 		}
 		fl.set(fl.loseReplies, "h2", false)
 		time.Sleep(2 * time.Second)
-		if err := giver.AbandonTransfer(t.Context(), tr("3")); err != nil || copied("3") || !copied("2") {
-			t.Errorf("after the third host knows: %v, copies %v %v", err, copied("2"), copied("3"))
+		if err := sender.AbandonTransfer(t.Context(), tr("3")); err != nil || copied("3") || !copied("2") {
+			t.Errorf("after the third host was notified: %v, copies %v %v", err, copied("2"), copied("3"))
 		}
 		dead := &pb.GatherRequest{Dead: &pb.Holder{Host: "h1", Incarnation: 1}}
-		if own, other := giver.HandleGather(dead).GetRecords(), third.HandleGather(dead).GetRecords(); len(own) != 3 || len(other) < 2 {
-			t.Errorf("gathered %v at the giver, %v at the third host", own, other)
+		if own, other := sender.HandleGather(dead).GetRecords(), third.HandleGather(dead).GetRecords(); len(own) != 3 || len(other) < 2 {
+			t.Errorf("gathered %v at the sender, %v at the third host", own, other)
 		}
-		if err := giver.AbandonTransfer(t.Context(), tr("2")); err == nil {
+		if err := sender.AbandonTransfer(t.Context(), tr("2")); err == nil {
 			t.Error("undone after the recovery counted it")
 		}
 	})
--- a/internal/controller/records/serve.go
+++ b/internal/controller/records/serve.go
@@ -9,8 +9,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// HandlePut stores copies for a peer. Every record is tried; the reply carries the
-// first refusal.
+// HandlePut stores copies for a peer. It tries to store every record; the reply has the first
+// rejection.
 func (c *Controller) HandlePut(req *pb.PutRecordsRequest) *pb.PutRecordsReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -24,13 +24,13 @@
 	return reply
 }
 
-// storeFromPeer stores one record of a peer; c.mu is held. A transfer's receiver tells its giver
-// in the same way that the ledger knows the transfer.
+// storeFromPeer stores one record of a peer; c.mu is held. The receiver of a transfer also
+// reports in this way to the sender that the ledger has recorded the transfer.
 //
-// A record of this host's own that comes back isn't stored. It comes from a guardian that
-// took this host for dead during a cut and may be older than what is known here. Stored as a
-// copy it would stand for a request that was given up: this host would vouch for it, callers
-// would be told for ever that their request runs, and recoveries would wait for its end.
+// A record that this host owns isn't stored. It is sent by a copy holder that took this host
+// for dead during a network partition, and may be older than this host's own record. If it
+// were stored as a copy after the request was abandoned, this host would confirm it as running:
+// callers would be told forever that their request runs, and recoveries would wait for its end.
 func (c *Controller) storeFromPeer(rec *pb.InflightRecord, from *pb.Holder) error {
 	own := c.isOwn(rec)
 	if t := rec.GetTransfer(); own && t != nil {
@@ -50,7 +50,7 @@
 	return rec.GetHolder().GetHost() == c.self.GetHost() && rec.GetHolder().GetIncarnation() == c.self.GetIncarnation()
 }
 
-// HandleFind looks an identity up here.
+// HandleFind looks up an identity in this host's store.
 func (c *Controller) HandleFind(req *pb.FindRecordRequest) *pb.FindRecordReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +58,7 @@
 	return &pb.FindRecordReply{Record: rec, Found: ok}
 }
 
-// HandleGather fences a dead holder's records and transfers and returns them.
+// HandleGather fences the records and transfers of a dead holder and returns them.
 func (c *Controller) HandleGather(req *pb.GatherRequest) *pb.GatherReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/records/transfers.go
+++ b/internal/controller/records/transfers.go
@@ -13,12 +13,13 @@
 // answered.
 const transferCopies = 1
 
-// CopyTransfer implements grants.TransferRecorder: a third host holds the copy, or none
-// can be reached.
+// CopyTransfer implements grants.TransferRecorder. It returns nil if a third host holds the
+// copy, or if none can be reached.
 //
-// Then giver and receiver alone know the transfer, and the loss of one of them is covered
-// by the other. The loss of both isn't: what the receiver began once it reached a third host
-// again is billed, while the tokens that it spent on that are released with the giver's.
+// In the latter case only sender and receiver know the transfer, and if one of them dies, the
+// other still knows it. If both die, requests that the receiver began after it reached a third
+// host again are billed, although the tokens that it spent on them are released with the
+// sender's.
 func (c *Controller) CopyTransfer(ctx context.Context, t *pb.Transfer) error {
 	request := inflight.TransferIdentity(t.GetId())
 	rec, err := c.transferRecord(t)
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// transferRecord returns the own record of a transfer and makes it the first time.
+// transferRecord returns this host's record of a transfer; the first call creates it.
 func (c *Controller) transferRecord(t *pb.Transfer) (*pb.InflightRecord, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,16 +63,17 @@
 	defer c.mu.Unlock()
 	rec, ok := c.store.Record(time.Now(), request)
 	if ok && rec.GetState() != pb.InflightState_INFLIGHT_STATE_ABANDONED {
-		return errkind.New(errkind.Internal, "transfer %s is counted by its receiver's recovery", t.GetId())
+		return errkind.New(errkind.Internal, "transfer %s can't be undone: the recovery of its receiver has counted it", t.GetId())
 	}
 	if !c.store.Complete(request) {
-		return errkind.New(errkind.Internal, "a host that may hold the copy of transfer %s can't be reached", t.GetId())
+		return errkind.New(errkind.Internal, "a host that may hold a copy of transfer %s is unreachable", t.GetId())
 	}
 	return nil
 }
 
-// TransferSettled implements grants.TransferRecorder: it tells the giver, which tells its
-// copies. If it can't be told, giver and copies keep the transfer until their windows end.
+// TransferSettled implements grants.TransferRecorder: it notifies the sender, which updates
+// its copies. If the sender can't be notified, it and the copy holders keep the transfer until
+// their retention windows end.
 func (c *Controller) TransferSettled(t *pb.Transfer) {
 	client, ok := c.cfg.Peers.Dial(t.GetFrom().GetHost())
 	if !ok {
