--- a/internal/controller/grants/grants_test.go
+++ b/internal/controller/grants/grants_test.go
@@ -32,7 +32,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ledgerDown {
-		return nil, errkind.New(errkind.NoQuorum, "the ledger is unreachable")
+		return nil, errkind.New(errkind.NoQuorum, "cut")
 	}
 	r := c.ledger.Apply(cmd)
 	if c.loseReplies > 0 {
--- a/internal/controller/grants/port.go
+++ b/internal/controller/grants/port.go
@@ -31,7 +31,7 @@
 	if m.closed {
 		return nil, errkind.New(errkind.HostLeaving, "this host is shutting down")
 	}
-	if _, waiting := m.waiting[requestID]; waiting {
+	if _, duplicate := m.waiting[requestID]; duplicate {
 		return nil, errkind.New(errkind.Internal, "request %s is already waiting for tokens", requestID)
 	}
 	ch = make(chan error, 1)
@@ -61,7 +61,7 @@
 	if ctx.Err() == context.DeadlineExceeded {
 		return errkind.New(errkind.DeadlineExceeded, "deadline exceeded while waiting for tokens of budget %s", budget).WithRan(errkind.RanNo)
 	}
-	return errkind.New(errkind.CallerGone, "caller gone while waiting for tokens").WithRan(errkind.RanNo)
+	return errkind.New(errkind.CallerGone, "caller disconnected while waiting for tokens").WithRan(errkind.RanNo)
 }
 
 // Settle implements filter.Budget. A bill without a time gets the current time, and one
--- a/internal/controller/records/records.go
+++ b/internal/controller/records/records.go
@@ -54,7 +54,8 @@
 	Store inflight.Config
 	Peers Dialer
 	Log   zerolog.Logger
-	// BeginTimeout bounds how long Begin and Find wait for peers, CallWait one call of theirs.
+	// BeginTimeout bounds the time that Begin and Find wait for peers, CallTimeout that of
+	// one call to a peer.
 	BeginTimeout time.Duration
 	CallTimeout  time.Duration
 	// SyncInterval is how often updates are sent to the hosts that hold copies.
