--- a/internal/controller/members/beat.go
+++ b/internal/controller/members/beat.go
@@ -8,15 +8,15 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// beat is one heartbeat on its way.
-type beat struct {
+// heartbeat is one heartbeat on its way.
+type heartbeat struct {
 	target  membership.Target
 	sentAt  int64
 	request *pb.HeartbeatRequest
 }
 
 // tick advances membership by one interval and makes the heartbeats to send.
-func (c *Controller) tick() []beat {
+func (c *Controller) tick() []heartbeat {
 	servers := c.cfg.Registry.Servers()
 	work := c.cfg.Registry.RecentWork()
 	var limits []*pb.ServerLimit
@@ -34,7 +34,7 @@
 	hosts := c.table.Hosts()
 	c.delta.Keep(hosts, servers)
 	holders := holdersOf(hosts)
-	beats := make([]beat, 0, len(targets))
+	beats := make([]heartbeat, 0, len(targets))
 	for _, target := range targets {
 		request := c.table.Request(target.Host)
 		request.Recent, request.Limits = work, limits
@@ -42,7 +42,7 @@
 		if holder := holders[target.Host]; holder != nil {
 			request.Servers = c.delta.Select(holder, servers)
 		}
-		beats = append(beats, beat{target: target, sentAt: c.table.Now(), request: request})
+		beats = append(beats, heartbeat{target: target, sentAt: c.table.Now(), request: request})
 	}
 	c.publish()
 	return beats
@@ -57,7 +57,7 @@
 }
 
 // send makes the call and takes its outcome.
-func (c *Controller) send(ctx context.Context, b beat) {
+func (c *Controller) send(ctx context.Context, b heartbeat) {
 	callCtx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
 	sent := time.Since(c.start)
@@ -69,13 +69,13 @@
 	c.cfg.Metrics.HeartbeatsSent.Add(1)
 	c.countBytes(b.request)
 	if err != nil {
-		c.unanswered(b, err)
+		c.handleFailure(b, err)
 		return
 	}
-	c.answered(b, reply, sent)
+	c.handleReply(b, reply, sent)
 }
 
-func (c *Controller) unanswered(b beat, err error) {
+func (c *Controller) handleFailure(b heartbeat, err error) {
 	c.cfg.Metrics.HeartbeatsFailed.Add(1)
 	c.cfg.Log.Debug().Str("peer", b.target.Host).Str("address", b.target.Address).Err(err).Msg("heartbeat unanswered")
 	c.mu.Lock()
@@ -84,14 +84,14 @@
 	c.publishChanges()
 }
 
-// answered takes the reply to a heartbeat that left at sent by this host's clock.
-func (c *Controller) answered(b beat, reply *pb.HeartbeatReply, sent time.Duration) {
+// handleReply takes the reply to a heartbeat that left at sent by this host's clock.
+func (c *Controller) handleReply(b heartbeat, reply *pb.HeartbeatReply, sent time.Duration) {
 	c.countBytes(reply)
 	now := time.Since(c.start)
 	c.cfg.Registry.Merge(reply.GetState().GetServers(), now-sent)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.transits.answered(now, b.target.Host, now-sent)
+	c.transitTracker.recordRoundTrip(now, b.target.Host, now-sent)
 	c.table.ReceiveReply(b.sentAt, b.target.Host, reply)
 	c.delta.Has(reply.GetFrom(), b.request.GetServers())
 	c.publishChanges()
--- a/internal/controller/members/freshness_test.go
+++ b/internal/controller/members/freshness_test.go
@@ -13,19 +13,19 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// instances is a host's registry of servers that are known by ids.
-type instances struct {
+// instanceRegistry is a host's registry of servers that are known by ids.
+type instanceRegistry struct {
 	mu  sync.Mutex
 	reg *instance.Registry
 }
 
-func (r *instances) Servers() []*pb.ServerState {
+func (r *instanceRegistry) Servers() []*pb.ServerState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reg.Snapshot(time.Now())
 }
 
-func (r *instances) Merge(states []*pb.ServerState, transit time.Duration) {
+func (r *instanceRegistry) Merge(states []*pb.ServerState, transit time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, st := range states {
@@ -35,10 +35,10 @@
 	}
 }
 
-func (r *instances) RecentWork() []*pb.RecentWork           { return nil }
-func (r *instances) MergeWork(*pb.Holder, []*pb.RecentWork) {}
-func (r *instances) announce(a instance.Announcement)       { r.reg.Announce(time.Now(), a) }
-func (r *instances) fresh(now time.Time, id string) (ok bool) {
+func (r *instanceRegistry) RecentWork() []*pb.RecentWork           { return nil }
+func (r *instanceRegistry) MergeWork(*pb.Holder, []*pb.RecentWork) {}
+func (r *instanceRegistry) announce(a instance.Announcement)       { r.reg.Announce(time.Now(), a) }
+func (r *instanceRegistry) fresh(now time.Time, id string) (ok bool) {
 	i, known := r.reg.Get(id)
 	return known && r.reg.Fresh(now, i)
 }
@@ -49,7 +49,7 @@
 // neighbour each 250 ms carry that on. Most hosts hear it after 2 to 4 s.
 // Cause: what came from a host whose clock can't be compared counted as 2.5 s older than it
 // was, and a server as silent after 5 s.
-func TestAnnouncementsReachALargeFleetWhileTheyCount(t *testing.T) {
+func TestAnnouncementsReachLargeFleetWhileFresh(t *testing.T) {
 	const (
 		hosts, servers = 75, 145
 		interval       = 250 * time.Millisecond
@@ -57,11 +57,11 @@
 	)
 	synctest.Test(t, func(t *testing.T) {
 		n := &network{hosts: make(map[string]*Controller), silent: make(map[string]bool)}
-		regs := make([]*instances, hosts)
+		regs := make([]*instanceRegistry, hosts)
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		for i := range hosts {
-			regs[i] = &instances{reg: instance.New(instance.Config{})}
+			regs[i] = &instanceRegistry{reg: instance.New(instance.Config{})}
 			address := fmt.Sprintf("h%d", i)
 			c := New(Config{
 				Membership: membership.Config{
--- a/internal/controller/members/members.go
+++ b/internal/controller/members/members.go
@@ -74,8 +74,8 @@
 	Load func() Load
 	// Limits has what this host knows of servers' rate limits go with its heartbeats; nil: nothing.
 	Limits Limits
-	// Ticked is called at each tick of the interval, with its time; nil: nothing.
-	Ticked  func(time.Time)
+	// OnTick is called at each tick of the interval, with its time; nil: nothing.
+	OnTick  func(time.Time)
 	Log     zerolog.Logger
 	Metrics *telemetry.Metrics
 }
@@ -105,9 +105,9 @@
 	mu    sync.Mutex
 	table *membership.Table
 	delta *membership.ServerDelta
-	// transits bounds the time that heartbeats were on their way; start is the zero of
+	// transitTracker bounds the time that heartbeats were on their way; start is the zero of
 	// this host's clock in them.
-	transits *transits
+	transitTracker *transitTracker
 	start    time.Time
 	// published is the table's count of changes that peers shows.
 	published uint64
@@ -126,7 +126,7 @@
 		table: membership.New(cfg.Membership, rand.New(rand.NewPCG(cfg.Seed, 0))),
 		delta: membership.NewServerDelta(),
 
-		transits: newTransits(),
+		transitTracker: newTransitTracker(),
 		start:    time.Now(),
 	}
 	c.publish()
@@ -150,15 +150,15 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			c.ticked(now)
+			c.notifyTick(now)
 		case <-c.kick:
 		}
 	}
 }
 
-func (c *Controller) ticked(now time.Time) {
-	if c.cfg.Ticked != nil {
-		c.cfg.Ticked(now)
+func (c *Controller) notifyTick(now time.Time) {
+	if c.cfg.OnTick != nil {
+		c.cfg.OnTick(now)
 	}
 }
 
@@ -194,8 +194,8 @@
 	c.table.SetSeeds(seeds)
 }
 
-// Learn takes the hosts registered with the control group.
-func (c *Controller) Learn(hosts []*pb.HostInfo) {
+// MergeRegistered takes the hosts registered with the control group.
+func (c *Controller) MergeRegistered(hosts []*pb.HostInfo) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.table.Learn(hosts)
@@ -245,7 +245,7 @@
 func (c *Controller) transitOf(m *pb.HeartbeatRequest) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.transits.bound(time.Since(c.start), m.GetFrom(), time.Duration(m.GetSentMs())*time.Millisecond)
+	return c.transitTracker.bound(time.Since(c.start), m.GetFrom(), time.Duration(m.GetSentMs())*time.Millisecond)
 }
 
 // publish renews the view for readers; c.mu is held or c not shared yet.
--- a/internal/controller/members/members_test.go
+++ b/internal/controller/members/members_test.go
@@ -136,14 +136,14 @@
 	return f
 }
 
-func intervals(n int) { time.Sleep(time.Duration(n)*membership.DefaultInterval + time.Millisecond) }
+func sleepIntervals(n int) { time.Sleep(time.Duration(n)*membership.DefaultInterval + time.Millisecond) }
 
 func TestHeartbeatsCarryHostsServersWorkAndRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 4)
-		intervals(6)
+		sleepIntervals(6)
 		f.registries[3].Merge([]*pb.ServerState{{Address: "10.1.0.1:8000", Incarnation: 1, Seq: 9}}, 0)
-		intervals(2)
+		sleepIntervals(2)
 		for i, r := range f.registries {
 			seq, work, before := r.summary("10.1.0.1:8000")
 			if seq != 9 || work != 3 {
@@ -157,7 +157,7 @@
 			if got := len(f.controllers[i].Addresses("renca", time.Minute)); got != 4 {
 				t.Errorf("host %d answers %d addresses", i, got)
 			}
-			intervals(10)
+			sleepIntervals(10)
 			if _, _, after := r.summary(""); after-before > 3 {
 				t.Errorf("host %d got an unchanged server %d times in 10 intervals", i, after-before)
 			}
@@ -168,10 +168,10 @@
 // Symptom: callers are sent to a host for half a second after it began to leave.
 // Sequence: Leave is called between two heartbeats.
 // Cause: the flag waited for the next one.
-func TestLeaveIsToldAtOnce(t *testing.T) {
+func TestLeaveIsSentAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 3)
-		intervals(6)
+		sleepIntervals(6)
 		time.Sleep(10 * time.Millisecond)
 		f.controllers[1].Leave()
 		synctest.Wait()
@@ -188,14 +188,14 @@
 // Symptom: one silent host delays the heartbeats to all others, and they doubt each other.
 // Sequence: three hosts of seven take calls and never answer.
 // Cause: heartbeats waited for one another, or the timeout was over the interval.
-func TestSilentHostIsFoundAndDelaysNobody(t *testing.T) {
+func TestSilentHostsDoNotDelayHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 7)
-		intervals(6)
+		sleepIntervals(6)
 		for _, i := range []int{2, 4, 5} {
 			f.setSilent(testAddress(i))
 		}
-		intervals(membership.DefaultDeadAfter + 2)
+		sleepIntervals(membership.DefaultDeadAfter + 2)
 		for _, i := range []int{0, 1, 3, 6} {
 			for _, p := range f.controllers[i].Peers() {
 				want := pb.HostHealth_HOST_HEALTH_ALIVE
@@ -210,12 +210,12 @@
 	})
 }
 
-func TestBeatErrorsAreCounted(t *testing.T) {
+func TestHeartbeatErrorsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 2)
-		intervals(4)
+		sleepIntervals(4)
 		f.setSilent(testAddress(1))
-		intervals(2)
+		sleepIntervals(2)
 		m := f.controllers[0].cfg.Metrics
 		if m.HeartbeatsFailed.Value() == 0 || m.HeartbeatsSent.Value() <= m.HeartbeatsFailed.Value() || m.HeartbeatBytes.Value() == 0 {
 			t.Errorf("sent %v failed %v bytes %v", m.HeartbeatsSent.Value(), m.HeartbeatsFailed.Value(), m.HeartbeatBytes.Value())
@@ -226,7 +226,7 @@
 // Symptom: a host's process ended by itself, and nobody noticed: it has no disk on which it could
 // have left a word, and its next run was heard of within a second.
 // Cause: the other hosts logged the new run as they log any host.
-func TestNewRunOfAHostThatDidNotLeaveIsTold(t *testing.T) {
+func TestRestartWithoutLeavingIsLogged(t *testing.T) {
 	var out bytes.Buffer
 	c := &Controller{cfg: Config{Log: zerolog.New(&out)}}
 	run := func(incarnation uint64, leaving bool) []PeerInfo {
--- a/internal/controller/members/transit.go
+++ b/internal/controller/members/transit.go
@@ -17,7 +17,7 @@
 	transitSamples = 3
 )
 
-// transits bounds how long the heartbeats of each peer were on their way, without
+// transitTracker bounds how long the heartbeats of each peer were on their way, without
 // clocks that agree.
 //
 // What goes wrong without it: a heartbeat is held up in the network for seconds, and
@@ -27,11 +27,11 @@
 // The difference between this host's clock and the sender's is least for the heartbeat
 // that was fastest, whose way took no longer than the shortest round trip. Whatever a
 // later heartbeat's difference is above that least one, it took longer by so much.
-type transits struct {
-	peers map[string]*transit
+type transitTracker struct {
+	peers map[string]*peerTransit
 }
 
-type transit struct {
+type peerTransit struct {
 	incarnation uint64
 	samples     int
 	offset      windowMin
@@ -40,60 +40,60 @@
 
 // windowMin is the least value of the present and the former window.
 type windowMin struct {
-	begun         time.Duration
-	now, before   time.Duration
-	some, earlier bool
+	start         time.Duration
+	current, previous   time.Duration
+	hasCurrent, hasPrevious bool
 }
 
 func (m *windowMin) add(at, v time.Duration) {
-	if m.some && at-m.begun >= transitWindow {
-		m.before, m.earlier = m.now, at-m.begun < 2*transitWindow
-		m.some = false
+	if m.hasCurrent && at-m.start >= transitWindow {
+		m.previous, m.hasPrevious = m.current, at-m.start < 2*transitWindow
+		m.hasCurrent = false
 	}
-	if !m.some {
-		m.begun, m.now, m.some = at, v, true
+	if !m.hasCurrent {
+		m.start, m.current, m.hasCurrent = at, v, true
 		return
 	}
-	m.now = min(m.now, v)
+	m.current = min(m.current, v)
 }
 
-// least is false without any value.
-func (m *windowMin) least() (time.Duration, bool) {
-	if m.some && m.earlier {
-		return min(m.now, m.before), true
+// minimum is false without any value.
+func (m *windowMin) minimum() (time.Duration, bool) {
+	if m.hasCurrent && m.hasPrevious {
+		return min(m.current, m.previous), true
 	}
-	return m.now, m.some
+	return m.current, m.hasCurrent
 }
 
-func newTransits() *transits { return &transits{peers: map[string]*transit{}} }
+func newTransitTracker() *transitTracker { return &transitTracker{peers: map[string]*peerTransit{}} }
 
-func (t *transits) of(host string) *transit {
+func (t *transitTracker) peer(host string) *peerTransit {
 	p := t.peers[host]
 	if p == nil {
-		p = &transit{}
+		p = &peerTransit{}
 		t.peers[host] = p
 	}
 	return p
 }
 
-// answered notes the round trip of this host's own heartbeat to a peer.
-func (t *transits) answered(at time.Duration, host string, roundTrip time.Duration) {
-	t.of(host).roundTrip.add(at, roundTrip)
+// recordRoundTrip notes the round trip of this host's own heartbeat to a peer.
+func (t *transitTracker) recordRoundTrip(at time.Duration, host string, roundTrip time.Duration) {
+	t.peer(host).roundTrip.add(at, roundTrip)
 }
 
 // bound returns how long a heartbeat was on its way at most, or
 // backend.TransitUnknown. at is this host's monotonic clock, sent the sender's.
-func (t *transits) bound(at time.Duration, from *pb.Holder, sent time.Duration) time.Duration {
-	p := t.of(from.GetHost())
+func (t *transitTracker) bound(at time.Duration, from *pb.Holder, sent time.Duration) time.Duration {
+	p := t.peer(from.GetHost())
 	if p.incarnation != from.GetIncarnation() {
-		*p = transit{incarnation: from.GetIncarnation(), roundTrip: p.roundTrip}
+		*p = peerTransit{incarnation: from.GetIncarnation(), roundTrip: p.roundTrip}
 	}
 	p.samples++
 	p.offset.add(at, at-sent)
-	roundTrip, ok := p.roundTrip.least()
+	roundTrip, ok := p.roundTrip.minimum()
 	if !ok || p.samples < transitSamples {
 		return backend.TransitUnknown
 	}
-	least, _ := p.offset.least()
+	least, _ := p.offset.minimum()
 	return at - sent - least + roundTrip + transitSlack
 }
--- a/internal/controller/members/transit_test.go
+++ b/internal/controller/members/transit_test.go
@@ -13,9 +13,9 @@
 // Sequence: a peer's heartbeat is held up in the network for up to five seconds; the
 // server leaves meanwhile; the heartbeat arrives with the ages of when it was sent.
 // Cause: the time on the way was taken as a few milliseconds, whatever it was.
-func TestHeldUpHeartbeatIsNotTakenForAFastOne(t *testing.T) {
+func TestTransitBoundCoversDelayedHeartbeats(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 0))
-	tr := newTransits()
+	tr := newTransitTracker()
 	from := &pb.Holder{Host: "a", Incarnation: 3}
 	const theirStart = 40 * time.Hour // clocks have nothing in common
 	way := func() time.Duration { return time.Millisecond + time.Duration(rng.IntN(3000))*time.Microsecond }
@@ -27,7 +27,7 @@
 			took = time.Duration(rng.IntN(5000)) * time.Millisecond
 			held++
 		}
-		tr.answered(sent, "a", way()+way())
+		tr.recordRoundTrip(sent, "a", way()+way())
 		// The sender's clock runs slow by 0.005 %.
 		theirs := theirStart + sent - sent/20000
 		bound := tr.bound(sent+took, from, theirs)
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -106,7 +106,7 @@
 			DeadAfter:    ticks(cfg.Timing.DeadAfter.Std(), interval),
 		},
 		Seed: seedOf(cfg.Host), Peers: d.pool, Registry: registry{e.sched}, Limits: e.limits, Load: e.load,
-		Log: d.tel.Log, Metrics: d.tel.Metrics, Ticked: d.watch.Tick,
+		Log: d.tel.Log, Metrics: d.tel.Metrics, OnTick: d.watch.Tick,
 	})
 	e.client = engineclient.New(engineclient.Config{Heard: e.sched.Observe})
 	e.makeSuspects()
@@ -148,7 +148,7 @@
 	}
 	e.self.Store(reg.Holder)
 	e.members.SetIncarnation(reg.Holder.Incarnation)
-	e.members.Learn(reg.Hosts)
+	e.members.MergeRegistered(reg.Hosts)
 	e.makeControllers(reg.Holder)
 	e.d.peers.setPeer(peerservice.New(peerservice.Parts{
 		Records: e.records, Grants: e.grants, Members: e.members, Explain: e,
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -159,7 +159,7 @@
 		readCtx, cancel := context.WithTimeout(ctx, learnTimeout)
 		defer cancel()
 		if hosts, err := (group{e.d.client}).Hosts(readCtx); err == nil {
-			e.members.Learn(hosts)
+			e.members.MergeRegistered(hosts)
 		}
 	})
 }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -216,7 +216,7 @@
 			DeadAfter:    ticks(cfg.Timing.DeadAfter.Std(), interval),
 		},
 		Seed: seedOf(cfg.Host), Peers: d.pool, Registry: g.balancer, Limits: g.limits, Load: g.load,
-		Log: d.tel.Log, Metrics: d.tel.Metrics, Ticked: d.watch.Tick,
+		Log: d.tel.Log, Metrics: d.tel.Metrics, OnTick: d.watch.Tick,
 	})
 	g.suspects = g.newSuspects()
 	g.news = g.newNews()
@@ -240,7 +240,7 @@
 	registered := time.Now()
 	g.self.Store(reg.Holder)
 	g.members.SetIncarnation(reg.Holder.Incarnation)
-	g.members.Learn(reg.Hosts)
+	g.members.MergeRegistered(reg.Hosts)
 	manager := grants.New(grants.Config{
 		Self: reg.Holder, Holder: gatewayHolder(g.d),
 		Proposer: group{g.d.client}, Asker: gatewayPeers{g}, Recorder: noCopies{},
@@ -261,7 +261,7 @@
 		readCtx, cancel := context.WithTimeout(ctx, learnTimeout)
 		defer cancel()
 		if hosts, err := (group{g.d.client}).Hosts(readCtx); err == nil {
-			g.members.Learn(hosts)
+			g.members.MergeRegistered(hosts)
 		}
 	})
 }
