--- a/internal/controller/members/beat.go
+++ b/internal/controller/members/beat.go
@@ -8,14 +8,15 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// heartbeat is one heartbeat on its way.
+// heartbeat is one heartbeat to be sent or in flight. sentAt is the tick of the membership
+// table at which it was made.
 type heartbeat struct {
 	target  membership.Target
 	sentAt  int64
 	request *pb.HeartbeatRequest
 }
 
-// tick advances membership by one interval and makes the heartbeats to send.
+// tick advances the membership table by one interval and returns the heartbeats to send.
 func (c *Controller) tick() []heartbeat {
 	servers := c.cfg.Registry.Servers()
 	work := c.cfg.Registry.RecentWork()
@@ -32,7 +33,7 @@
 	c.table.SetLoad(load.SparePermille, load.Traffic, load.ConfigRevision)
 	targets := c.table.Tick()
 	hosts := c.table.Hosts()
-	c.delta.Keep(hosts, servers)
+	c.delta.Retain(hosts, servers)
 	holders := holdersOf(hosts)
 	beats := make([]heartbeat, 0, len(targets))
 	for _, target := range targets {
@@ -56,7 +57,7 @@
 	return holders
 }
 
-// send makes the call and takes its outcome.
+// send sends a heartbeat and handles the reply or the failure.
 func (c *Controller) send(ctx context.Context, b heartbeat) {
 	callCtx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
@@ -64,7 +65,7 @@
 	b.request.SentMs = sent.Milliseconds()
 	reply, err := c.cfg.Peers.Client(b.target.Address).Heartbeat(callCtx, b.request)
 	if ctx.Err() != nil {
-		return // this process stops; it says nothing of the peer
+		return // this process is stopping, so the outcome says nothing about the peer
 	}
 	c.cfg.Metrics.HeartbeatsSent.Add(1)
 	c.countBytes(b.request)
@@ -80,11 +81,11 @@
 	c.cfg.Log.Debug().Str("peer", b.target.Host).Str("address", b.target.Address).Err(err).Msg("heartbeat unanswered")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Unanswered(b.sentAt, b.target.Host)
+	c.table.MarkUnanswered(b.sentAt, b.target.Host)
 	c.publishChanges()
 }
 
-// handleReply takes the reply to a heartbeat that left at sent by this host's clock.
+// handleReply merges the reply to a heartbeat that was sent at sent by this host's clock.
 func (c *Controller) handleReply(b heartbeat, reply *pb.HeartbeatReply, sent time.Duration) {
 	c.countBytes(reply)
 	now := time.Since(c.start)
@@ -93,6 +94,6 @@
 	defer c.mu.Unlock()
 	c.transitTracker.recordRoundTrip(now, b.target.Host, now-sent)
 	c.table.ReceiveReply(b.sentAt, b.target.Host, reply)
-	c.delta.Has(reply.GetFrom(), b.request.GetServers())
+	c.delta.MarkReceived(reply.GetFrom(), b.request.GetServers())
 	c.publishChanges()
 }
--- a/internal/controller/members/freshness_test.go
+++ b/internal/controller/members/freshness_test.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// instanceRegistry is a host's registry of servers that are known by ids.
+// instanceRegistry is a host's registry of servers, which are identified by their ids.
 type instanceRegistry struct {
 	mu  sync.Mutex
 	reg *instance.Registry
@@ -43,12 +43,11 @@
 	return known && r.reg.Fresh(now, i)
 }
 
-// Symptom: in a fleet that has just started, requests wait at some engines for seconds while
-// others are idle.
-// Sequence: each server announces itself to one of 75 hosts each 1.2 s; heartbeats to one
-// neighbour each 250 ms carry that on. Most hosts hear it after 2 to 4 s.
-// Cause: what came from a host whose clock can't be compared counted as 2.5 s older than it
-// was, and a server as silent after 5 s.
+// TestAnnouncementsReachLargeFleetWhileFresh has each server announce itself to one of 75
+// hosts every 1.2 s. Heartbeats to one neighbor every 250 ms pass the announcements on, and
+// most hosts receive them after 2 to 4 s. When states from a host with an unknown transit time
+// counted as 2.5 s older than they were, and a server as silent after 5 s, requests in a fleet
+// that had just started waited at some engines for seconds while others were idle.
 func TestAnnouncementsReachLargeFleetWhileFresh(t *testing.T) {
 	const (
 		hosts, servers = 75, 145
@@ -68,7 +67,7 @@
 					Self: membership.Self{
 						Host: address, Incarnation: uint64(i + 1), Zone: "z", PeerAddress: address, CallerAddress: "c" + address,
 					},
-					Seeds: []string{"h0", "h1", "h2"}, Interval: interval, Neighbours: 16,
+					Seeds: []string{"h0", "h1", "h2"}, Interval: interval, Neighbors: 16,
 				},
 				Seed: uint64(i), Peers: n, Registry: regs[i],
 			})
@@ -100,7 +99,7 @@
 			}
 		}
 		if share := float64(stale) / (hosts * servers); share > 0.01 {
-			t.Errorf("%.3f of the servers look silent", share)
+			t.Errorf("a share of %.3f of the servers is stale, want at most 0.01", share)
 		}
 		cancel()
 		running.Wait()
--- a/internal/controller/members/members.go
+++ b/internal/controller/members/members.go
@@ -1,7 +1,7 @@
-// Package members runs the membership of hosts: it exchanges heartbeats with peers,
-// carries the backend servers' states and the settings revisions along, and answers
-// which hosts live and which addresses callers should use. What is decided stands in
-// package membership.
+// Package members runs the membership of hosts: it exchanges heartbeats with peers, which
+// also carry the backend servers' states and the settings revisions, and answers which
+// hosts are alive and which addresses callers should use. The decisions are made by package
+// membership.
 package members
 
 import (
@@ -21,66 +21,68 @@
 	"github.com/bluebellsail/bluebellsail/internal/telemetry"
 )
 
-// DefaultTimeout is how long a heartbeat's reply is waited for.
+// DefaultTimeout is how long the Controller waits for the reply to a heartbeat.
 const DefaultTimeout = 250 * time.Millisecond
 
 // Registry is the host's registry of backend servers.
 type Registry interface {
-	// Servers returns the states to pass on.
+	// Servers returns the states to send to other hosts.
 	Servers() []*pb.ServerState
-	// Merge takes states that another host passed on. transit is how long they were on
-	// their way at most, or backend.TransitUnknown.
+	// Merge merges states that another host sent. transit is an upper bound of the time that
+	// they were in transit, or backend.TransitUnknown.
 	Merge(servers []*pb.ServerState, transit time.Duration)
-	// RecentWork returns what this host sent to each server since its last report.
+	// RecentWork returns the work that this host sent to each server since the server's last
+	// report.
 	RecentWork() []*pb.RecentWork
-	// MergeWork replaces what is known of another host's recent work.
+	// MergeWork replaces the known recent work of another host.
 	MergeWork(from *pb.Holder, work []*pb.RecentWork)
 }
 
-// Limits knows the rate limits that servers name.
+// Limits holds the rate limits that servers advertise.
 type Limits interface {
-	// Limits returns some of those in force.
+	// Limits returns some of the limits in force.
 	Limits() []*pb.ServerLimit
-	// Merge takes those that another host knows.
+	// Merge merges limits that another host sent.
 	Merge([]*pb.ServerLimit)
 }
 
-// Peers gives clients of the Peer service; *peerconn.Pool implements it.
+// Peers returns clients of the Peer service; *peerconn.Pool implements it.
 type Peers interface {
 	Client(address string) pb.PeerClient
 }
 
-// Load is what this host tells of itself with each heartbeat.
+// Load is the load of this host that each of its heartbeats reports.
 type Load struct {
-	// SparePermille is its spare room in thousandths.
+	// SparePermille is the host's spare capacity in thousandths.
 	SparePermille uint32
-	// Traffic is what its callers send and get, in KiB a second.
+	// Traffic is the traffic with callers in both directions, in KiB per second.
 	Traffic uint32
 	// ConfigRevision is the settings revision in force here.
 	ConfigRevision uint64
 }
 
-// Config of a Controller.
+// Config configures a Controller.
 type Config struct {
-	// Membership of this host; its Interval is the time between heartbeats.
+	// Membership configures the membership table; its Interval is the time between heartbeats.
 	Membership membership.Config
-	// Seed of the random choices; distinct per process.
+	// Seed seeds the random choices; it must differ between processes.
 	Seed uint64
-	// Timeout of a heartbeat; below the interval. Default DefaultTimeout.
+	// Timeout is the timeout of a heartbeat, which must be shorter than the interval. The
+	// default is DefaultTimeout.
 	Timeout  time.Duration
 	Peers    Peers
 	Registry Registry
-	// Load is asked once per interval; nil: no load is told.
+	// Load is called once per interval. If it is nil, heartbeats report no load.
 	Load func() Load
-	// Limits has what this host knows of servers' rate limits go with its heartbeats; nil: nothing.
+	// Limits provides the rate limits that heartbeats carry. If it is nil, they carry none.
 	Limits Limits
-	// OnTick is called at each tick of the interval, with its time; nil: nothing.
+	// OnTick is called at each tick of the interval, with the time of the tick; may be nil.
 	OnTick  func(time.Time)
 	Log     zerolog.Logger
 	Metrics *telemetry.Metrics
 }
 
-// PeerInfo is what is known of one other host.
+// PeerInfo describes one other host as far as this host knows.
 type PeerInfo struct {
 	Host           string
 	Incarnation    uint64
@@ -91,7 +93,7 @@
 	Leaving        bool
 	ConfigRevision uint64
 	SparePermille  uint32
-	// Control: the host runs a replica of the control group.
+	// Control is true if the host runs a replica of the control group.
 	Control bool
 }
 
@@ -99,21 +101,21 @@
 type Controller struct {
 	cfg  Config
 	kick chan struct{}
-	// peers is the present view, for readers that must not wait.
+	// peers is the current view, for readers that must not block.
 	peers atomic.Pointer[[]PeerInfo]
 
 	mu    sync.Mutex
 	table *membership.Table
 	delta *membership.ServerDelta
-	// transitTracker bounds the time that heartbeats were on their way; start is the zero of
-	// this host's clock in them.
+	// transitTracker bounds the transit times of heartbeats; start is the zero point of this
+	// host's clock in them.
 	transitTracker *transitTracker
-	start    time.Time
-	// published is the table's count of changes that peers shows.
+	start          time.Time
+	// published is the value of table.Changes at which peers was built.
 	published uint64
 }
 
-// New returns a controller that doesn't send yet.
+// New returns a Controller. It sends no heartbeats before Run is called.
 func New(cfg Config) *Controller {
 	defaults.Set(&cfg.Timeout, DefaultTimeout)
 	defaults.Set(&cfg.Membership.Interval, membership.DefaultInterval)
@@ -127,7 +129,7 @@
 		delta: membership.NewServerDelta(),
 
 		transitTracker: newTransitTracker(),
-		start:    time.Now(),
+		start:          time.Now(),
 	}
 	c.publish()
 	return c
@@ -137,11 +139,11 @@
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.cfg.Membership.Interval)
 	defer ticker.Stop()
-	var beats sync.WaitGroup
-	defer beats.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		for _, b := range c.tick() {
-			beats.Go(func() {
+			inFlight.Go(func() {
 				defer panics.Log(c.cfg.Log, "heartbeat")
 				c.send(ctx, b)
 			})
@@ -162,7 +164,7 @@
 	}
 }
 
-// Leave marks this host as leaving and tells its peers at once.
+// Leave marks this host as leaving and notifies its peers at once.
 func (c *Controller) Leave() {
 	c.mu.Lock()
 	c.table.Leave()
@@ -170,17 +172,17 @@
 	c.Kick()
 }
 
-// Kick sends a round of heartbeats now: this host has heard something that its peers
-// must not learn a whole interval later.
+// Kick sends a round of heartbeats now, because this host has received an update that must
+// not wait for the next interval.
 func (c *Controller) Kick() {
 	select {
 	case c.kick <- struct{}{}:
-	default: // a heartbeat is about to go out
+	default: // a round of heartbeats is already due
 	}
 }
 
-// SetIncarnation sets the incarnation that the control group gave this run.
-// Heartbeats before it are answered but tell nothing of this host.
+// SetIncarnation sets the incarnation that the control group assigned to this process.
+// Earlier heartbeats are answered, but do not add this host to the peers' tables.
 func (c *Controller) SetIncarnation(n uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,34 +196,35 @@
 	c.table.SetSeeds(seeds)
 }
 
-// MergeRegistered takes the hosts registered with the control group.
+// MergeRegistered merges the hosts that are registered with the control group.
 func (c *Controller) MergeRegistered(hosts []*pb.HostInfo) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Learn(hosts)
+	c.table.MergeRegistered(hosts)
 	c.publish()
 }
 
-// Peers returns what is known of the other hosts, ordered by name. It must not be changed.
+// Peers returns the other hosts, ordered by name. The slice must not be modified.
 func (c *Controller) Peers() []PeerInfo { return *c.peers.Load() }
 
-// Addresses answers a caller of the given availability zone; see membership.Table.
+// Addresses returns the addresses for a caller in the given availability zone; see
+// membership.Table.
 func (c *Controller) Addresses(zone string, ttl time.Duration) []membership.Address {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.Addresses(time.Now(), zone, ttl)
 }
 
-// Share answers a caller with its share of the fleet; see membership.Table.
+// Share returns the addresses of a caller's share of the fleet; see membership.Table.
 func (c *Controller) Share(zone, caller string, n int, ttl time.Duration) []membership.Address {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.Share(time.Now(), zone, caller, n, ttl)
 }
 
-// HandleHeartbeat takes a peer's heartbeat and returns the reply. The reply carries no
-// backend servers: this host's own heartbeats bring them, and their replies show that
-// they arrived.
+// HandleHeartbeat merges a peer's heartbeat and returns the reply. The reply carries no
+// backend servers: this host's own heartbeats carry them, and the replies to these show that
+// they were received.
 func (c *Controller) HandleHeartbeat(m *pb.HeartbeatRequest) *pb.HeartbeatReply {
 	c.cfg.Registry.Merge(m.GetServers(), c.transitOf(m))
 	if c.cfg.Limits != nil {
@@ -233,7 +236,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.table.ReceiveRequest(m)
-	c.delta.Has(m.GetFrom(), m.GetServers())
+	c.delta.MarkReceived(m.GetFrom(), m.GetServers())
 	state := c.table.Reply(m.GetFrom().GetHost())
 	c.publishChanges()
 	reply := &pb.HeartbeatReply{From: state.GetFrom(), Seq: m.GetSeq(), State: state}
@@ -241,14 +244,14 @@
 	return reply
 }
 
-// transitOf bounds how long a heartbeat was on its way.
+// transitOf returns an upper bound of a heartbeat's transit time.
 func (c *Controller) transitOf(m *pb.HeartbeatRequest) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.transitTracker.bound(time.Since(c.start), m.GetFrom(), time.Duration(m.GetSentMs())*time.Millisecond)
 }
 
-// publish renews the view for readers; c.mu is held or c not shared yet.
+// publish rebuilds the view for readers; c.mu is held or c is not shared yet.
 func (c *Controller) publish() {
 	hosts := c.table.Hosts()
 	peers := make([]PeerInfo, 0, len(hosts))
@@ -273,8 +276,8 @@
 	}
 }
 
-// logChanges writes a line for each host whose health, run or leaving is news. Both
-// lists are ordered by name.
+// logChanges logs each host that is new or whose health, incarnation or leaving flag has
+// changed. Both lists are ordered by name.
 func (c *Controller) logChanges(before, now []PeerInfo) {
 	for _, p := range now {
 		for len(before) > 0 && before[0].Host < p.Host {
@@ -293,13 +296,13 @@
 	}
 }
 
-// restarted tells whether a host came back as another run than the one that was known. One
-// that had not said that it leaves ended against its will.
+// restarted reports whether a host has a later incarnation than the one known before. If it
+// had not marked itself as leaving, its previous incarnation ended unexpectedly.
 func restarted(was, now PeerInfo) bool {
 	return was.Incarnation != 0 && now.Incarnation > was.Incarnation
 }
 
-// healthName is a host's health in a log line; "unknown" for a host not heard of.
+// healthName returns a host's health for the log, "unknown" for a host not known before.
 func healthName(p PeerInfo) string {
 	switch p.Health {
 	case pb.HostHealth_HOST_HEALTH_ALIVE:
@@ -312,8 +315,8 @@
 	return "unknown"
 }
 
-// publishChanges leaves the view as it is, until the next tick, when nothing changed
-// in who lives or leaves.
+// publishChanges publishes the view if the table's count of changes has changed. Other
+// changes, such as those of load, are published at the next tick.
 func (c *Controller) publishChanges() {
 	if c.table.Changes() != c.published {
 		c.publish()
--- a/internal/controller/members/members_test.go
+++ b/internal/controller/members/members_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// summary is the server's newest seq, the number of peers whose work is known and the
-// number of states merged so far.
+// summary returns the newest sequence number of a server, the number of peers whose work is
+// known and the number of states merged so far.
 func (r *fakeRegistry) summary(server string) (seq uint64, work, merged int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,11 +65,11 @@
 	r.work[from.GetHost()] = work
 }
 
-// network connects controllers without sockets. A silent host takes calls and never answers.
+// network connects controllers without sockets.
 type network struct {
 	mu     sync.Mutex
 	hosts  map[string]*Controller
-	silent map[string]bool // by address; a silent host isn't heard either
+	silent map[string]bool // by address; calls from and to a silent host time out
 }
 
 type networkClient struct {
@@ -136,7 +136,9 @@
 	return f
 }
 
-func sleepIntervals(n int) { time.Sleep(time.Duration(n)*membership.DefaultInterval + time.Millisecond) }
+func sleepIntervals(n int) {
+	time.Sleep(time.Duration(n)*membership.DefaultInterval + time.Millisecond)
+}
 
 func TestHeartbeatsCarryHostsServersWorkAndRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -165,9 +167,8 @@
 	})
 }
 
-// Symptom: callers are sent to a host for half a second after it began to leave.
-// Sequence: Leave is called between two heartbeats.
-// Cause: the flag waited for the next one.
+// TestLeaveIsSentAtOnce calls Leave between two heartbeats. If the flag waited for the next
+// one, callers would be sent to the leaving host for another half a second.
 func TestLeaveIsSentAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 3)
@@ -185,9 +186,9 @@
 	})
 }
 
-// Symptom: one silent host delays the heartbeats to all others, and they doubt each other.
-// Sequence: three hosts of seven take calls and never answer.
-// Cause: heartbeats waited for one another, or the timeout was over the interval.
+// TestSilentHostsDoNotDelayHeartbeats has three of seven hosts never answer. If heartbeats
+// waited for one another, or their timeout exceeded the interval, silent hosts would delay the
+// heartbeats to the other hosts, which would then suspect each other.
 func TestSilentHostsDoNotDelayHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleet(t, 7)
@@ -223,9 +224,9 @@
 	})
 }
 
-// Symptom: a host's process ended by itself, and nobody noticed: it has no disk on which it could
-// have left a word, and its next run was heard of within a second.
-// Cause: the other hosts logged the new run as they log any host.
+// TestRestartWithoutLeavingIsLogged guards against unnoticed crashes: a host without a disk
+// can't record why its process ended, and its next incarnation is known within a second. The
+// other hosts must log that incarnation as a restart rather than like any new host.
 func TestRestartWithoutLeavingIsLogged(t *testing.T) {
 	var out bytes.Buffer
 	c := &Controller{cfg: Config{Log: zerolog.New(&out)}}
--- a/internal/controller/members/transit.go
+++ b/internal/controller/members/transit.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// transitWindow is how long the least offset and round trip of a peer are kept, at
-	// least; twice as long at most. Clocks whose rates differ by 0.01 % part by 12 ms in it.
+	// transitWindow is the minimum time for which the smallest offset and round trip of a
+	// peer are kept; the maximum is twice as long, in which clocks whose rates differ by
+	// 0.01 % drift apart by 12 ms.
 	transitWindow = time.Minute
-	// transitSlack covers that.
+	// transitSlack covers that drift.
 	transitSlack = 12 * time.Millisecond
-	// transitSamples is the number of heartbeats heard before a bound is given.
+	// transitSamples is the number of heartbeats that must have been received before a bound
+	// is returned.
 	transitSamples = 3
 )
 
-// transitTracker bounds how long the heartbeats of each peer were on their way, without
-// clocks that agree.
+// transitTracker bounds the transit times of the heartbeats of each peer without
+// synchronized clocks.
 //
-// What goes wrong without it: a heartbeat is held up in the network for seconds, and
-// the ages of backend servers in it are what they were when it left. A server that has
-// gone since then looks fresh, and gets new work after it left.
+// A heartbeat can be delayed in the network for seconds, and the ages of backend servers in
+// it are those of when it was sent. Without the bound, a server that has left in the
+// meantime would look fresh and get new work.
 //
-// The difference between this host's clock and the sender's is least for the heartbeat
-// that was fastest, whose way took no longer than the shortest round trip. Whatever a
-// later heartbeat's difference is above that least one, it took longer by so much.
+// The offset between this host's clock on arrival and the sender's on sending is smallest for
+// the fastest heartbeat, whose transit took no longer than the shortest round trip. A later
+// heartbeat took longer than the fastest one by the amount by which its offset is larger.
 type transitTracker struct {
 	peers map[string]*peerTransit
 }
@@ -38,10 +40,10 @@
 	roundTrip   windowMin
 }
 
-// windowMin is the least value of the present and the former window.
+// windowMin is the minimum of the values in the current and the previous window.
 type windowMin struct {
-	start         time.Duration
-	current, previous   time.Duration
+	start                   time.Duration
+	current, previous       time.Duration
 	hasCurrent, hasPrevious bool
 }
 
@@ -57,7 +59,7 @@
 	m.current = min(m.current, v)
 }
 
-// minimum is false without any value.
+// minimum returns the minimum; false if there is no value.
 func (m *windowMin) minimum() (time.Duration, bool) {
 	if m.hasCurrent && m.hasPrevious {
 		return min(m.current, m.previous), true
@@ -76,13 +78,13 @@
 	return p
 }
 
-// recordRoundTrip notes the round trip of this host's own heartbeat to a peer.
+// recordRoundTrip records the round trip of a heartbeat of this host to a peer.
 func (t *transitTracker) recordRoundTrip(at time.Duration, host string, roundTrip time.Duration) {
 	t.peer(host).roundTrip.add(at, roundTrip)
 }
 
-// bound returns how long a heartbeat was on its way at most, or
-// backend.TransitUnknown. at is this host's monotonic clock, sent the sender's.
+// bound returns an upper bound of a heartbeat's transit time, or backend.TransitUnknown. at is
+// the time of arrival by this host's monotonic clock, sent that of sending by the sender's.
 func (t *transitTracker) bound(at time.Duration, from *pb.Holder, sent time.Duration) time.Duration {
 	p := t.peer(from.GetHost())
 	if p.incarnation != from.GetIncarnation() {
