--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -211,7 +211,7 @@
 				Host: cfg.Host, Zone: cfg.Zone, CallerAddress: cfg.Routed.CallerAddress(), PeerAddress: cfg.PeerAddress(),
 				Control: cfg.Has(procconfig.RoleControl),
 			},
-			Seeds: cfg.SeedPeers(), Interval: interval, Neighbours: gatewayNeighbours, MeshTurns: meshTurns,
+			Seeds: cfg.SeedPeers(), Interval: interval, Neighbors: gatewayNeighbours, MeshPeriod: meshTurns,
 			SuspectAfter: ticks(cfg.Timing.SuspectAfter.Std(), interval),
 			DeadAfter:    ticks(cfg.Timing.DeadAfter.Std(), interval),
 		},
--- a/internal/membership/addresses.go
+++ b/internal/membership/addresses.go
@@ -67,7 +67,7 @@
 		all = append(all, t.selfCandidate(zone))
 	}
 	for _, e := range t.order {
-		if e.caller != "" && !t.dead(e) {
+		if e.callerAddress != "" && !t.dead(e) {
 			all = append(all, t.candidate(e, zone))
 		}
 	}
@@ -102,7 +102,7 @@
 
 func (t *Table) candidate(e *entry, zone string) candidate {
 	c := candidate{
-		address: Address{Host: e.host, Zone: e.zone, Address: e.caller},
+		address: Address{Host: e.host, Zone: e.zone, Address: e.callerAddress},
 		class:   classOf(zone, e.zone),
 		key:     t.draw(e.spare),
 		traffic: e.traffic,
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -45,7 +45,7 @@
 		f.newest = append(f.newest, make([]*pb.ServerState, servers))
 	}
 	for _, h := range f.hosts {
-		h.Learn(registered)
+		h.MergeRegistered(registered)
 	}
 	return f
 }
@@ -54,10 +54,10 @@
 func (f *benchFleet) settle() {
 	for _, h := range f.hosts {
 		for _, e := range h.order {
-			e.unheard = false
-			e.heard = h.now
-			e.newsLeft = 0
-			e.newsFull = false
+			e.unconfirmed = false
+			e.lastAlive = h.now
+			e.updatesLeft = 0
+			e.updateAddresses = false
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	}
 	h, peer := f.hosts[i], f.hosts[j]
 	if !peer.running || f.cut[[2]int{i, j}] {
-		h.Unanswered(h.Now(), target.Host)
+		h.MarkUnanswered(h.Now(), target.Host)
 		return
 	}
 	m := h.Request(target.Host)
@@ -125,8 +125,8 @@
 	f.stateBytes += proto.Size(&pb.HeartbeatRequest{Servers: m.GetServers()})
 	peer.ReceiveRequest(m)
 	f.merge(j, m.GetServers(), servers)
-	f.deltas[j].Has(m.GetFrom(), m.GetServers())
-	f.deltas[i].Has(holder, m.GetServers())
+	f.deltas[j].MarkReceived(m.GetFrom(), m.GetServers())
+	f.deltas[i].MarkReceived(holder, m.GetServers())
 	reply := &pb.HeartbeatReply{From: holder, Seq: m.GetSeq(), State: peer.Reply(m.GetFrom().GetHost())}
 	f.hostBytes += proto.Size(reply)
 	h.ReceiveReply(h.Now(), target.Host, reply)
@@ -198,7 +198,7 @@
 		runtime.ReadMemStats(&before)
 		t := New(Config{Self: Self{Host: "h"}}, rand.New(rand.NewPCG(1, 1)))
 		for i := range hosts {
-			t.Learn([]*pb.HostInfo{{
+			t.MergeRegistered([]*pb.HostInfo{{
 				Host: simName(i), Zone: "imbiribeira", CallerAddress: simAddress(i), PeerAddress: simAddress(i), Incarnation: 1,
 			}})
 		}
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -25,8 +25,8 @@
 // are news too.
 func (t *Table) spread(e *entry, full bool) {
 	t.changes++
-	e.newsLeft = newsPerRound * t.rounds()
-	e.newsFull = e.newsFull || full
+	e.updatesLeft = newsPerRound * t.rounds()
+	e.updateAddresses = e.updateAddresses || full
 }
 
 // Request makes the heartbeat for the host named to (empty: not known). The caller
@@ -59,7 +59,7 @@
 		Zone:           self.Zone,
 		Seq:            t.seq,
 		Hosts:          hosts,
-		ConfigRevision: t.rev,
+		ConfigRevision: t.configRevision,
 		SparePermille:  t.spare,
 		Traffic:        t.traffic,
 		Leaving:        t.leaving,
@@ -74,7 +74,7 @@
 func (t *Table) digest(to string) []*pb.HostState {
 	d := &digestBuilder{table: t, to: to, room: t.cfg.DigestBytes, in: make(map[*entry]bool)}
 	for _, e := range t.news() {
-		if !d.add(e, e.newsFull) {
+		if !d.add(e, e.updateAddresses) {
 			return d.states
 		}
 		t.sentNews(e)
@@ -92,8 +92,8 @@
 func (t *Table) onlyNews(to string) []*pb.HostState {
 	var states []*pb.HostState
 	for _, e := range t.news() {
-		if e.host != to && !e.unheard {
-			states = append(states, t.state(e, e.newsFull))
+		if e.host != to && !e.unconfirmed {
+			states = append(states, t.state(e, e.updateAddresses))
 			t.sentNews(e)
 		}
 	}
@@ -106,8 +106,8 @@
 	full := t.rng.IntN(fullViewEvery) == 0
 	states := make([]*pb.HostState, 0, len(t.order))
 	for _, e := range t.order {
-		if e.host != to && !e.unheard {
-			states = append(states, t.state(e, full || e.newsFull))
+		if e.host != to && !e.unconfirmed {
+			states = append(states, t.state(e, full || e.updateAddresses))
 		}
 	}
 	return states
@@ -116,12 +116,12 @@
 func (t *Table) news() []*entry {
 	var news []*entry
 	for _, e := range t.order {
-		if e.newsLeft > 0 {
+		if e.updatesLeft > 0 {
 			news = append(news, e)
 		}
 	}
 	slices.SortStableFunc(news, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(urgency(a), urgency(b)), cmp.Compare(b.newsLeft, a.newsLeft))
+		return cmp.Or(cmp.Compare(urgency(a), urgency(b)), cmp.Compare(b.updatesLeft, a.updatesLeft))
 	})
 	return news
 }
@@ -136,9 +136,9 @@
 }
 
 func (t *Table) sentNews(e *entry) {
-	e.newsLeft--
-	if e.newsLeft == 0 {
-		e.newsFull = false
+	e.updatesLeft--
+	if e.updatesLeft == 0 {
+		e.updateAddresses = false
 	}
 }
 
@@ -155,7 +155,7 @@
 
 // add appends e's state; false: no room.
 func (d *digestBuilder) add(e *entry, full bool) bool {
-	if d.in[e] || e.unheard || e.host == d.to {
+	if d.in[e] || e.unconfirmed || e.host == d.to {
 		return true
 	}
 	s := d.table.state(e, full)
@@ -180,18 +180,18 @@
 		ConfigRevision: e.revision,
 		SparePermille:  e.spare,
 		Traffic:        e.traffic,
-		HeardMs:        t.age(e.heard),
+		HeardMs:        t.age(e.lastAlive),
 	}
 	if e.doubted {
-		s.HeardMs = t.age(e.unanswered)
+		s.HeardMs = t.age(e.lastUnanswered)
 		if s.Health == pb.HostHealth_HOST_HEALTH_ALIVE {
 			s.Health = pb.HostHealth_HOST_HEALTH_SUSPECT
 		}
 	}
 	if full {
 		s.Zone = e.zone
-		s.CallerAddress = e.caller
-		s.PeerAddress = e.peer
+		s.CallerAddress = e.callerAddress
+		s.PeerAddress = e.peerAddress
 		s.Control = e.control
 	}
 	return s
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -30,7 +30,7 @@
 	DefaultSuspectAfter = 3
 	DefaultDeadAfter    = 10
 	DefaultForgetAfter  = 7200
-	DefaultNeighbours   = 8
+	DefaultNeighbors   = 8
 	DefaultDigestBytes  = 256
 )
 
@@ -48,11 +48,11 @@
 	// ForgetAfter is the number of ticks after which a dead host's entry is dropped
 	// if the control group doesn't list it.
 	ForgetAfter int64
-	// Neighbours is the number of hosts a host watches in a large fleet.
-	Neighbours int
-	// MeshTurns is the number of ticks in which a full mesh has a heartbeat from each host to
+	// Neighbors is the number of hosts a host watches in a large fleet.
+	Neighbors int
+	// MeshPeriod is the number of ticks in which a full mesh has a heartbeat from each host to
 	// each; default 1. A host hears another one by that one's heartbeats and by the replies to its own.
-	MeshTurns int64
+	MeshPeriod int64
 	// DigestBytes bounds the host entries of one message in a large fleet.
 	DigestBytes int
 }
@@ -86,8 +86,8 @@
 	host        string
 	incarnation uint64
 	zone        string
-	caller      string
-	peer        string
+	callerAddress      string
+	peerAddress        string
 	leaving     bool
 	revision    uint64
 	spare       uint32
@@ -98,26 +98,26 @@
 	hash uint64
 	// registered with the control group: kept while it is, however long it is dead.
 	registered bool
-	// unheard: registered, but neither evidence nor word of it has come yet.
-	unheard bool
-	// heard is the latest tick at which the host surely ran.
-	heard int64
+	// unconfirmed: registered, but neither evidence nor word of it has come yet.
+	unconfirmed bool
+	// lastAlive is the latest tick at which the host surely ran.
+	lastAlive int64
 	// doubted tells whether heartbeats stay unanswered: the first at tick doubt, the
 	// last that is known of at tick unanswered. This host knows of it since tick
 	// doubtSince: a doubt takes time to get here, and so does what refutes it.
 	doubted    bool
-	doubt      int64
-	doubtSince int64
-	unanswered int64
+	doubtStart      int64
+	doubtNoticed int64
+	lastUnanswered int64
 	// seq is the highest number of its heartbeats; lastRequest the tick of the last one.
 	seq         uint64
 	lastRequest int64
 	// probe asks for a heartbeat at the next tick.
 	probe bool
-	// newsLeft is in how many more messages the entry goes first; newsFull tells
+	// updatesLeft is in how many more messages the entry goes first; newsFull tells
 	// whether with its addresses.
-	newsLeft int
-	newsFull bool
+	updatesLeft int
+	updateAddresses bool
 }
 
 // Table is one host's view of the fleet. It is not safe for concurrent use.
@@ -130,7 +130,7 @@
 	leaving  bool
 	spare    uint32
 	traffic  uint32
-	rev      uint64
+	configRevision      uint64
 	changes  uint64
 
 	hosts map[string]*entry
@@ -139,9 +139,9 @@
 	// removed holds the incarnations up to which an operator declared hosts dead.
 	removed map[string]uint64
 
-	neighbours []*entry
-	nextBeat   int
-	nextProbe  int
+	neighbors []*entry
+	nextNeighbor   int
+	nextDead  int
 	nextDigest int
 	nextSeed   int
 }
@@ -166,8 +166,8 @@
 	defaults.Set(&cfg.SuspectAfter, DefaultSuspectAfter)
 	defaults.Set(&cfg.DeadAfter, DefaultDeadAfter)
 	defaults.Set(&cfg.ForgetAfter, DefaultForgetAfter)
-	defaults.Set(&cfg.Neighbours, DefaultNeighbours)
-	defaults.Set(&cfg.MeshTurns, 1)
+	defaults.Set(&cfg.Neighbors, DefaultNeighbors)
+	defaults.Set(&cfg.MeshPeriod, 1)
 	defaults.Set(&cfg.DigestBytes, DefaultDigestBytes)
 	return cfg
 }
@@ -182,7 +182,7 @@
 // traffic in KiB a second, and the settings revision in force here.
 func (t *Table) SetLoad(sparePermille, traffic uint32, configRevision uint64) {
 	t.spare, t.traffic = sparePermille, traffic
-	t.rev = configRevision
+	t.configRevision = configRevision
 }
 
 // Leave marks this host as leaving. It can't be taken back within an incarnation.
@@ -208,8 +208,8 @@
 	return Host{
 		Holder:         &pb.Holder{Host: e.host, Incarnation: e.incarnation},
 		Zone:           e.zone,
-		CallerAddress:  e.caller,
-		PeerAddress:    e.peer,
+		CallerAddress:  e.callerAddress,
+		PeerAddress:    e.peerAddress,
 		Health:         t.health(e),
 		Leaving:        e.leaving,
 		ConfigRevision: e.revision,
@@ -218,17 +218,17 @@
 	}
 }
 
-func (t *Table) missed(e *entry) int64 {
+func (t *Table) ticksInDoubt(e *entry) int64 {
 	if !e.doubted {
 		return 0
 	}
-	return t.now - max(e.heard, e.doubtSince)
+	return t.now - max(e.lastAlive, e.doubtNoticed)
 }
 
 func (t *Table) health(e *entry) pb.HostHealth {
-	missed := t.missed(e)
+	missed := t.ticksInDoubt(e)
 	switch {
-	case e.unheard && missed < t.cfg.DeadAfter:
+	case e.unconfirmed && missed < t.cfg.DeadAfter:
 		return pb.HostHealth_HOST_HEALTH_SUSPECT
 	case missed < t.cfg.SuspectAfter:
 		return pb.HostHealth_HOST_HEALTH_ALIVE
@@ -252,4 +252,4 @@
 	return rounds
 }
 
-func (t *Table) fullMesh() bool { return len(t.order) <= t.cfg.Neighbours }
+func (t *Table) fullMesh() bool { return len(t.order) <= t.cfg.Neighbors }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -116,7 +116,7 @@
 	for _, turns := range []int64{1, 2} {
 		f := settled(t, 7)
 		for _, h := range f.hosts {
-			h.cfg.MeshTurns = turns
+			h.cfg.MeshPeriod = turns
 		}
 		f.run(10)
 		before := f.messages
@@ -241,7 +241,7 @@
 func TestLearnedAndRemovedHosts(t *testing.T) {
 	f := settled(t, 3)
 	h := f.hosts[0]
-	h.Learn([]*pb.HostInfo{
+	h.MergeRegistered([]*pb.HostInfo{
 		{Host: "new", Incarnation: 4, Zone: "olinda", CallerAddress: "10.9.0.1:80", PeerAddress: "10.9.0.1:81"},
 		{Host: simName(1), Incarnation: 1, Removed: true},
 	})
@@ -261,7 +261,7 @@
 	}
 	large := New(Config{Self: Self{Host: "h"}}, rand.New(rand.NewPCG(1, 1)))
 	for i := range 20 {
-		large.Learn([]*pb.HostInfo{{Host: simName(i), Incarnation: 1, PeerAddress: simAddress(i)}})
+		large.MergeRegistered([]*pb.HostInfo{{Host: simName(i), Incarnation: 1, PeerAddress: simAddress(i)}})
 	}
 	if got := large.Request("").GetHosts(); len(got) != 0 || large.fullMesh() {
 		t.Errorf("passed on in a large fleet: %v", got)
@@ -281,12 +281,12 @@
 	f := newFleet(3, 1, Config{ForgetAfter: forget})
 	f.run(30)
 	registered := []*pb.HostInfo{{Host: simName(1), Incarnation: 1, PeerAddress: simAddress(1), CallerAddress: simAddress(1)}}
-	f.hosts[0].Learn(registered)
+	f.hosts[0].MergeRegistered(registered)
 	f.hosts[1].running = false
 	f.run(DefaultDeadAfter + 1)
 	for tick := range 3 * forget {
 		f.run(1)
-		f.hosts[0].Learn(registered)
+		f.hosts[0].MergeRegistered(registered)
 		if got := f.health(0, 1); got != dead || slices.Contains(f.names(0), simName(1)) {
 			t.Fatalf("tick %d: %v, named %v", tick, got, f.names(0))
 		}
@@ -502,12 +502,12 @@
 	q := New(Config{Self: Self{Host: "q", Incarnation: 1}}, rand.New(rand.NewPCG(1, 2)))
 	x := New(Config{Self: Self{Host: simName(3), Incarnation: 1}}, rand.New(rand.NewPCG(1, 3)))
 	for _, table := range []*Table{r, q} {
-		table.Learn(registered)
+		table.MergeRegistered(registered)
 		table.ReceiveRequest(x.Request(""))
 	}
 	r.Tick()
 	q.Tick() // x's heartbeat of this tick is still on its way to q
-	r.Unanswered(r.Now(), simName(3))
+	r.MarkUnanswered(r.Now(), simName(3))
 	q.ReceiveRequest(r.Request("q"))
 	if q.hosts[simName(3)].doubted {
 		t.Error("a doubt beat evidence of the same tick")
@@ -515,7 +515,7 @@
 	for range 3 * DefaultDeadAfter {
 		q.Tick()
 		r.Tick()
-		r.Unanswered(r.Now(), simName(3))
+		r.MarkUnanswered(r.Now(), simName(3))
 		q.ReceiveRequest(r.Request("q"))
 	}
 	if got := q.health(q.hosts[simName(3)]); got != dead {
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -20,11 +20,11 @@
 	tickPhase = 1
 )
 
-// Learn takes hosts that the control group has registered. Removed ones are dropped
+// MergeRegistered takes hosts that the control group has registered. Removed ones are dropped
 // for good. The others count as suspect here until a word of them comes, and are
 // not passed on: a registration says nothing of whether a host lives, and a
 // newcomer that doubted everybody would make the whole fleet ask.
-func (t *Table) Learn(hosts []*pb.HostInfo) {
+func (t *Table) MergeRegistered(hosts []*pb.HostInfo) {
 	for _, info := range hosts {
 		if info.GetHost() == t.cfg.Self.Host {
 			continue
@@ -39,12 +39,12 @@
 		}
 		e := t.enter(&pb.Holder{Host: info.GetHost(), Incarnation: info.GetIncarnation()})
 		e.zone = info.GetZone()
-		e.caller = info.GetCallerAddress()
-		e.peer = info.GetPeerAddress()
+		e.callerAddress = info.GetCallerAddress()
+		e.peerAddress = info.GetPeerAddress()
 		e.control = info.GetControl()
 		e.registered = true
-		e.unheard = true
-		e.newsLeft = 0
+		e.unconfirmed = true
+		e.updatesLeft = 0
 	}
 }
 
@@ -62,7 +62,7 @@
 	isIt := func(x *entry) bool { return x == e }
 	t.changes++
 	t.order = slices.DeleteFunc(t.order, isIt)
-	t.neighbours = slices.DeleteFunc(t.neighbours, isIt)
+	t.neighbors = slices.DeleteFunc(t.neighbors, isIt)
 }
 
 // enter makes an entry for a new host, or resets that of a former incarnation.
@@ -79,7 +79,7 @@
 	}
 	*e = entry{
 		host: e.host, hash: xxhash.Sum64String(e.host), incarnation: h.GetIncarnation(),
-		zone: e.zone, caller: e.caller, peer: e.peer, control: e.control, heard: notHeard,
+		zone: e.zone, callerAddress: e.callerAddress, peerAddress: e.peerAddress, control: e.control, lastAlive: notHeard,
 	}
 	t.spread(e, true)
 	return e
@@ -129,7 +129,7 @@
 func (t *Table) ReceiveReply(sentAt int64, to string, reply *pb.HeartbeatReply) {
 	m := reply.GetState()
 	if m.GetFrom().GetHost() != to || m.GetFrom().GetIncarnation() == 0 {
-		t.Unanswered(sentAt, to)
+		t.MarkUnanswered(sentAt, to)
 	}
 	e := t.sender(m)
 	if e == nil {
@@ -142,10 +142,10 @@
 	}
 }
 
-// Unanswered takes that the heartbeat to a host, sent at tick sentAt, got no reply in time.
-func (t *Table) Unanswered(sentAt int64, host string) {
+// MarkUnanswered takes that the heartbeat to a host, sent at tick sentAt, got no reply in time.
+func (t *Table) MarkUnanswered(sentAt int64, host string) {
 	e := t.hosts[host]
-	if e == nil || e.heard > sentAt {
+	if e == nil || e.lastAlive > sentAt {
 		return
 	}
 	t.startDoubt(e, sentAt)
@@ -177,8 +177,8 @@
 func (t *Table) takeHeader(e *entry, m *pb.HeartbeatRequest) {
 	e.seq = max(e.seq, m.GetSeq())
 	e.zone = m.GetZone()
-	e.caller = m.GetCallerAddress()
-	e.peer = m.GetPeerAddress()
+	e.callerAddress = m.GetCallerAddress()
+	e.peerAddress = m.GetPeerAddress()
 	e.control = m.GetControl()
 	e.spare = m.GetSparePermille()
 	t.takeTraffic(e, m.GetTraffic())
@@ -222,8 +222,8 @@
 	}
 	if s.GetPeerAddress() != "" {
 		e.zone = s.GetZone()
-		e.caller = s.GetCallerAddress()
-		e.peer = s.GetPeerAddress()
+		e.callerAddress = s.GetCallerAddress()
+		e.peerAddress = s.GetPeerAddress()
 		e.control = s.GetControl()
 	}
 	e.revision = max(e.revision, s.GetConfigRevision())
@@ -243,7 +243,7 @@
 		return
 	}
 	heard := sentAt - t.ticks(s.GetHeardMs()) - tickPhase
-	if heard > e.heard {
+	if heard > e.lastAlive {
 		e.spare = s.GetSparePermille()
 		t.takeTraffic(e, s.GetTraffic())
 	}
@@ -254,11 +254,11 @@
 // host has later evidence it spreads that instead; if it watches the host, it asks.
 func (t *Table) takeDoubt(e *entry, s *pb.HostState) {
 	unanswered := t.now - t.ticks(s.GetHeardMs()) - tickPhase
-	if e.heard >= unanswered {
+	if e.lastAlive >= unanswered {
 		t.spread(e, false)
 		return
 	}
-	if !t.dead(e) && slices.Contains(t.neighbours, e) {
+	if !t.dead(e) && slices.Contains(t.neighbors, e) {
 		e.probe = true
 	}
 	t.startDoubt(e, unanswered)
@@ -268,14 +268,14 @@
 // doubt counts for how long it lasts, the last one is told to others: only a host
 // that still gets no reply keeps a doubt going.
 func (t *Table) startDoubt(e *entry, at int64) {
-	e.unanswered = max(e.unanswered, at)
+	e.lastUnanswered = max(e.lastUnanswered, at)
 	if e.doubted {
 		return
 	}
 	e.doubted = true
-	e.doubt = at
-	e.doubtSince = t.now
-	if !e.unheard {
+	e.doubtStart = at
+	e.doubtNoticed = t.now
+	if !e.unconfirmed {
 		t.spread(e, false)
 	}
 }
@@ -283,8 +283,8 @@
 // hear takes evidence that e ran at tick at; it ends a doubt that began before.
 func (t *Table) hear(e *entry, at int64) {
 	t.known(e)
-	e.heard = max(e.heard, at)
-	if !e.doubted || e.heard <= e.doubt {
+	e.lastAlive = max(e.lastAlive, at)
+	if !e.doubted || e.lastAlive <= e.doubtStart {
 		return
 	}
 	e.doubted = false
@@ -293,10 +293,10 @@
 
 // known takes that there is word of a host that was only registered so far.
 func (t *Table) known(e *entry) {
-	if !e.unheard {
+	if !e.unconfirmed {
 		return
 	}
-	e.unheard = false
+	e.unconfirmed = false
 	t.spread(e, true)
 }
 
--- a/internal/membership/serverdelta.go
+++ b/internal/membership/serverdelta.go
@@ -113,9 +113,9 @@
 	return s.GetSeq() - min(seq, s.GetSeq())
 }
 
-// Has takes that the peer has these states: it answered the heartbeat that carried
+// MarkReceived takes that the peer has these states: it answered the heartbeat that carried
 // them, or sent them itself.
-func (d *ServerDelta) Has(peer *pb.Holder, states []*pb.ServerState) {
+func (d *ServerDelta) MarkReceived(peer *pb.Holder, states []*pb.ServerState) {
 	k := d.knowledge(peer)
 	for _, s := range states {
 		if v := versionOf(s); k.servers[serverKey(s)].before(v) {
@@ -124,8 +124,8 @@
 	}
 }
 
-// Keep forgets all peers and servers but these.
-func (d *ServerDelta) Keep(peers []Host, servers []*pb.ServerState) {
+// Retain forgets all peers and servers but these.
+func (d *ServerDelta) Retain(peers []Host, servers []*pb.ServerState) {
 	hosts := make(map[string]bool, len(peers))
 	for _, p := range peers {
 		hosts[p.Holder.GetHost()] = true
--- a/internal/membership/serverdelta_test.go
+++ b/internal/membership/serverdelta_test.go
@@ -29,7 +29,7 @@
 	if got := d.Select(peer, states); len(got) != 3 {
 		t.Errorf("after a lost heartbeat: %d of 3", len(got))
 	}
-	d.Has(peer, states)
+	d.MarkReceived(peer, states)
 	if got := d.Select(peer, states); len(got) != 0 {
 		t.Errorf("sent again although received: %d", len(got))
 	}
@@ -41,11 +41,11 @@
 		t.Errorf("after the peer's restart: %d of 3", len(got))
 	}
 	peer.Incarnation = 2
-	d.Has(peer, states)
+	d.MarkReceived(peer, states)
 	sent := 0
 	for range resendEvery {
 		again := d.Select(peer, states)
-		d.Has(peer, again)
+		d.MarkReceived(peer, again)
 		sent += len(again)
 	}
 	if sent != 3 {
@@ -59,7 +59,7 @@
 func TestServerDeltaIsBoundedAndSendsLeavingFirst(t *testing.T) {
 	d := NewServerDelta()
 	peer := &pb.Holder{Host: "h1", Incarnation: 1}
-	d.Has(peer, serverStates(180, 1))
+	d.MarkReceived(peer, serverStates(180, 1))
 	states := serverStates(181, 2)
 	states[179].Leaving = true
 	got := d.Select(peer, states)
@@ -71,7 +71,7 @@
 	if got := d.Select(peer, gone); got[0] != gone[178] {
 		t.Errorf("first %v, not the server that is gone", got[0])
 	}
-	d.Keep(nil, nil)
+	d.Retain(nil, nil)
 	if len(d.peers) != 0 {
 		t.Error("knowledge of a peer that is gone was kept")
 	}
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -101,7 +101,7 @@
 		}
 		reply := f.exchange(i, j, h.Request(target.Host))
 		if reply == nil {
-			h.Unanswered(h.Now(), target.Host)
+			h.MarkUnanswered(h.Now(), target.Host)
 			continue
 		}
 		h.ReceiveReply(h.Now(), target.Host, reply)
--- a/internal/membership/targets.go
+++ b/internal/membership/targets.go
@@ -3,9 +3,9 @@
 import "slices"
 
 const (
-	// ringNeighbours are watched by position in the order of hashed names, so that
+	// ringNeighbors are watched by position in the order of hashed names, so that
 	// every host is surely watched; the other neighbours are chosen at random.
-	ringNeighbours = 2
+	ringNeighbors = 2
 	// doubtedPerTick bounds the extra heartbeats to doubted neighbours per tick, so
 	// that the loss of an availability zone doesn't multiply the cost.
 	doubtedPerTick = 2
@@ -26,7 +26,7 @@
 func (t *Table) Tick() []Target {
 	t.now++
 	t.forget()
-	t.chooseNeighbours()
+	t.chooseNeighbors()
 	targets := new(targetSet)
 	t.addBeats(targets)
 	t.addDoubted(targets)
@@ -43,47 +43,47 @@
 // its next registration heard of would bring it back as merely suspect.
 func (t *Table) forget() {
 	for i := len(t.order) - 1; i >= 0; i-- {
-		if e := t.order[i]; !e.registered && t.missed(e) > t.cfg.ForgetAfter {
+		if e := t.order[i]; !e.registered && t.ticksInDoubt(e) > t.cfg.ForgetAfter {
 			t.drop(e)
 		}
 	}
 }
 
-// chooseNeighbours keeps the set of watched hosts at its size. In a full mesh it
+// chooseNeighbors keeps the set of watched hosts at its size. In a full mesh it
 // is everybody.
-func (t *Table) chooseNeighbours() {
+func (t *Table) chooseNeighbors() {
 	if t.fullMesh() {
-		t.neighbours = append(t.neighbours[:0], t.order...)
+		t.neighbors = append(t.neighbors[:0], t.order...)
 		return
 	}
-	t.neighbours = slices.DeleteFunc(t.neighbours, t.unfit)
-	if t.now%rotateEvery == 0 && len(t.neighbours) > 0 {
-		at := t.rng.IntN(len(t.neighbours))
-		t.neighbours = slices.Delete(t.neighbours, at, at+1)
+	t.neighbors = slices.DeleteFunc(t.neighbors, t.unfit)
+	if t.now%rotateEvery == 0 && len(t.neighbors) > 0 {
+		at := t.rng.IntN(len(t.neighbors))
+		t.neighbors = slices.Delete(t.neighbors, at, at+1)
 	}
 	for _, e := range t.successors() {
-		if !slices.Contains(t.neighbours, e) {
-			t.neighbours = append(t.neighbours, e)
+		if !slices.Contains(t.neighbors, e) {
+			t.neighbors = append(t.neighbors, e)
 		}
 	}
-	t.fillNeighbours()
-	if extra := len(t.neighbours) - t.cfg.Neighbours; extra > 0 {
-		t.neighbours = slices.Delete(t.neighbours, 0, extra)
+	t.fillNeighbors()
+	if extra := len(t.neighbors) - t.cfg.Neighbors; extra > 0 {
+		t.neighbors = slices.Delete(t.neighbors, 0, extra)
 	}
 }
 
 func (t *Table) unfit(e *entry) bool { return e.leaving || t.dead(e) }
 
-func (t *Table) fillNeighbours() {
+func (t *Table) fillNeighbors() {
 	const triesPerPlace = 8 // enough to find a fit one unless most of the fleet is gone
-	tries := triesPerPlace * t.cfg.Neighbours
-	for len(t.neighbours) < t.cfg.Neighbours && tries > 0 {
+	tries := triesPerPlace * t.cfg.Neighbors
+	for len(t.neighbors) < t.cfg.Neighbors && tries > 0 {
 		tries--
 		e := t.order[t.rng.IntN(len(t.order))]
-		if t.unfit(e) || slices.Contains(t.neighbours, e) {
+		if t.unfit(e) || slices.Contains(t.neighbors, e) {
 			continue
 		}
-		t.neighbours = append(t.neighbours, e)
+		t.neighbors = append(t.neighbors, e)
 	}
 }
 
@@ -97,13 +97,13 @@
 		}
 		distance := e.hash - t.selfHash // wraps round the ring
 		at, _ := slices.BinarySearch(distances, distance)
-		if at >= ringNeighbours {
+		if at >= ringNeighbors {
 			continue
 		}
 		nearest = slices.Insert(nearest, at, e)
 		distances = slices.Insert(distances, at, distance)
-		nearest = nearest[:min(len(nearest), ringNeighbours)]
-		distances = distances[:min(len(distances), ringNeighbours)]
+		nearest = nearest[:min(len(nearest), ringNeighbors)]
+		distances = distances[:min(len(distances), ringNeighbors)]
 	}
 	return nearest
 }
@@ -112,24 +112,24 @@
 // A host that leaves tells all at once.
 func (t *Table) addBeats(targets *targetSet) {
 	if t.fullMesh() {
-		for i, e := range t.neighbours {
-			if due := (t.now+int64(i))%t.cfg.MeshTurns == 0; (due || t.leaving) && !t.dead(e) {
+		for i, e := range t.neighbors {
+			if due := (t.now+int64(i))%t.cfg.MeshPeriod == 0; (due || t.leaving) && !t.dead(e) {
 				targets.add(e)
 			}
 		}
 		return
 	}
-	if len(t.neighbours) == 0 {
+	if len(t.neighbors) == 0 {
 		return
 	}
-	t.nextBeat = (t.nextBeat + 1) % len(t.neighbours)
-	targets.add(t.neighbours[t.nextBeat])
+	t.nextNeighbor = (t.nextNeighbor + 1) % len(t.neighbors)
+	targets.add(t.neighbors[t.nextNeighbor])
 }
 
 // addDoubted asks doubted neighbours again each tick.
 func (t *Table) addDoubted(targets *targetSet) {
 	added := 0
-	for _, e := range t.neighbours {
+	for _, e := range t.neighbors {
 		if !e.doubted || t.dead(e) || added == doubtedPerTick {
 			continue
 		}
@@ -154,8 +154,8 @@
 // network partition find each other again.
 func (t *Table) addDead(targets *targetSet) {
 	for range t.order {
-		t.nextProbe = (t.nextProbe + 1) % len(t.order)
-		if e := t.order[t.nextProbe]; t.dead(e) {
+		t.nextDead = (t.nextDead + 1) % len(t.order)
+		if e := t.order[t.nextDead]; t.dead(e) {
 			targets.add(e)
 			return
 		}
@@ -176,16 +176,16 @@
 }
 
 func (t *Table) knowsAddress(address string) bool {
-	return slices.ContainsFunc(t.order, func(e *entry) bool { return e.peer == address })
+	return slices.ContainsFunc(t.order, func(e *entry) bool { return e.peerAddress == address })
 }
 
 type targetSet struct{ list []Target }
 
 func (s *targetSet) add(e *entry) {
-	if e.peer == "" || slices.ContainsFunc(s.list, func(x Target) bool { return x.Host == e.host }) {
+	if e.peerAddress == "" || slices.ContainsFunc(s.list, func(x Target) bool { return x.Host == e.host }) {
 		return
 	}
-	s.list = append(s.list, Target{Host: e.host, Address: e.peer})
+	s.list = append(s.list, Target{Host: e.host, Address: e.peerAddress})
 }
 
 func (s *targetSet) addSeed(address string) {
