--- a/internal/controller/grants/grants_test.go
+++ b/internal/controller/grants/grants_test.go
@@ -15,28 +15,28 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// cluster is a fake ledger and some managers that reach each other in memory.
+// cluster is a fake ledger and several managers that call each other in memory.
 type cluster struct {
-	mu       sync.Mutex
-	ledger   *fakeledger.Ledger
-	cut      bool // the ledger can't be reached
-	loseNext int  // answers of the ledger to lose
-	noCopies bool
-	voidFail bool
-	managers map[string]*Manager
-	copied   map[string]bool
-	settled  int
+	mu           sync.Mutex
+	ledger       *fakeledger.Ledger
+	ledgerDown   bool // the ledger can't be reached
+	loseReplies  int  // answers of the ledger to lose
+	copyFails    bool
+	abandonFails bool
+	managers     map[string]*Manager
+	copied       map[string]bool
+	settled      int
 }
 
 func (c *cluster) Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut {
+	if c.ledgerDown {
 		return nil, errkind.New(errkind.NoQuorum, "cut")
 	}
 	r := c.ledger.Apply(cmd)
-	if c.loseNext > 0 {
-		c.loseNext--
+	if c.loseReplies > 0 {
+		c.loseReplies--
 		return nil, context.DeadlineExceeded
 	}
 	return r, nil
@@ -65,7 +65,7 @@
 func (n node) CopyTransfer(_ context.Context, t *pb.Transfer) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.noCopies {
+	if n.copyFails {
 		return errkind.New(errkind.Internal, "no third host")
 	}
 	n.copied[t.GetId()] = true
@@ -75,8 +75,8 @@
 func (n node) AbandonTransfer(context.Context, *pb.Transfer) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.voidFail {
-		return errkind.New(errkind.Internal, "a copy's host is out of reach")
+	if n.abandonFails {
+		return errkind.New(errkind.Internal, "a host that may hold a copy is unreachable")
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 	n.settled++
 }
 
-// withCluster runs f in a bubble with managers a, b, c; all have ended afterwards.
+// withCluster runs f in a synctest bubble with managers a, b, c and stops them afterwards.
 func withCluster(t *testing.T, funds uint64, f func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{ledger: fakeledger.New(), managers: make(map[string]*Manager), copied: make(map[string]bool)}
@@ -135,11 +135,9 @@
 	f()
 }
 
-// TestConcurrentRequestsBilledOnce
-//
-// Symptom: bills missing or doubled after answers of the ledger were lost.
-// Sequence: 200 requests at 3 hosts; every few answers are lost; drain.
-// Cause: a resend under a new number.
+// TestConcurrentRequestsBilledOnce checks that bills are neither lost nor duplicated if
+// answers of the ledger are lost, as they would be if a message were resent under a new
+// sequence number.
 func TestConcurrentRequestsBilledOnce(t *testing.T) {
 	withCluster(t, 100_000, func(t *testing.T, c *cluster) {
 		var wg sync.WaitGroup
@@ -148,7 +146,7 @@
 				m := c.managers[string("abc"[i%3])]
 				id := fmt.Sprintf("r%d", i)
 				if i%20 == 0 {
-					c.set(func() { c.loseNext = 1 })
+					c.set(func() { c.loseReplies = 1 })
 				}
 				time.Sleep(time.Duration(i) * 7 * time.Millisecond)
 				if err := m.Reserve(t.Context(), "x", id, 100); err != nil {
@@ -167,18 +165,16 @@
 	})
 }
 
-// TestCutServedByTransfers
-//
-// Symptom: a host refuses in a cut though a peer beside it holds tokens.
-// Sequence: a holds tokens; the ledger is cut off; b needs some of them.
-// Cause: the peers not asked, or the transfer not taken in.
-func TestCutServedByTransfers(t *testing.T) {
+// TestTransfersServeWhileLedgerUnreachable checks that a host gets tokens from a peer while
+// the ledger is unreachable. A host that doesn't ask its peers, or doesn't add the transfer to
+// its tokens, rejects requests although a peer holds tokens for them.
+func TestTransfersServeWhileLedgerUnreachable(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		if err := c.managers["a"].Reserve(t.Context(), "x", "r1", 1000); err != nil {
 			t.Fatal(err)
 		}
 		c.managers["a"].Release("r1")
-		c.set(func() { c.cut = true })
+		c.set(func() { c.ledgerDown = true })
 		if err := c.managers["b"].Reserve(t.Context(), "x", "r2", 400); err != nil {
 			t.Fatal(err)
 		}
@@ -187,7 +183,7 @@
 			t.Fatalf("got %v, want budget_unreachable", err)
 		}
 		c.managers["b"].Settle(&pb.Bill{Identity: "r2", RequestId: "r2", Tokens: 400})
-		c.set(func() { c.cut = false; c.ledger.Fund("x", 5) })
+		c.set(func() { c.ledgerDown = false; c.ledger.Fund("x", 5) })
 		c.drain(t)
 		if b := c.ledger.Budgets["x"]; b.Billed != 400 || b.Free() != 605 || c.settled == 0 {
 			t.Errorf("billed %d, free %d, transfers settled %d", b.Billed, b.Free(), c.settled)
@@ -195,54 +191,50 @@
 	})
 }
 
-// TestUncopiedTransferMovesNothing
-//
-// Symptom: tokens freed twice after giver and receiver were lost.
-// Sequence: no third host can take the copy of a transfer, and the void can't be told at once.
-// Cause: the transfer answered without its copy, or its tokens spent by the giver too soon.
-func TestUncopiedTransferMovesNothing(t *testing.T) {
+// TestUncopiedTransferIsUndone has a transfer that no third host can copy, and that can't be
+// made void at once. If it were answered without its copy, or the sender spent its tokens too
+// early, the tokens would be released twice after sender and receiver died.
+func TestUncopiedTransferIsUndone(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		if err := c.managers["a"].Reserve(t.Context(), "x", "r1", 1000); err != nil {
 			t.Fatal(err)
 		}
 		c.managers["a"].Release("r1")
-		c.set(func() { c.cut, c.noCopies, c.voidFail = true, true, true })
+		c.set(func() { c.ledgerDown, c.copyFails, c.abandonFails = true, true, true })
 		err := c.managers["b"].Reserve(t.Context(), "x", "r2", 400)
 		if !errkind.Is(err, errkind.BudgetUnreachable) {
 			t.Fatalf("got %v, want budget_unreachable", err)
 		}
 		if l := c.managers["a"].Levels()[0]; l.Free != 800 {
-			t.Errorf("giver has %d free while the void isn't known, want 800: b asks each peer for 200", l.Free)
+			t.Errorf("sender has %d free before all hosts know that the transfer is void, want 800: b asks each peer for 200", l.Free)
 		}
-		c.set(func() { c.voidFail = false })
+		c.set(func() { c.abandonFails = false })
 		time.Sleep(3 * time.Second)
 		if l := c.managers["a"].Levels()[0]; l.Free != 1000 {
-			t.Errorf("giver has %d free after the void is known, want 1000", l.Free)
+			t.Errorf("sender has %d free after all hosts know that the transfer is void, want 1000", l.Free)
 		}
-		c.set(func() { c.cut = false })
+		c.set(func() { c.ledgerDown = false })
 		c.drain(t)
 	})
 }
 
-// TestStuckTransferOfLostAsker
-//
-// Symptom: tokens stay deducted at the giver for as long as it lives.
-// Sequence: a transfer can be neither copied nor undone at once; its asker dies.
-// Cause: only the asker's return made the giver try again.
-func TestStuckTransferOfLostAsker(t *testing.T) {
+// TestPendingTransferToDeadReceiverIsUndone has a transfer that can be neither copied nor
+// undone at once and whose receiver dies. If the sender only retried when the receiver asked
+// again, the tokens would stay deducted for as long as the sender runs.
+func TestPendingTransferToDeadReceiverIsUndone(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		m := c.managers["a"]
 		if err := m.Reserve(t.Context(), "x", "r1", 1000); err != nil {
 			t.Fatal(err)
 		}
 		m.Release("r1")
-		c.set(func() { c.noCopies, c.voidFail = true, true })
+		c.set(func() { c.copyFails, c.abandonFails = true, true })
 		lost := &pb.Holder{Host: "z", Incarnation: 1}
 		m.HandleAskTokens(&pb.AskTokensRequest{From: lost, Budget: "x", Tokens: 300, Id: "z/1/1"})
 		if l := m.Levels()[0]; l.Free != 700 {
 			t.Fatalf("got %+v, want 300 deducted", l)
 		}
-		c.set(func() { c.voidFail = false })
+		c.set(func() { c.abandonFails = false })
 		time.Sleep(3 * time.Second)
 		if l := m.Levels()[0]; l.Free != 1000 {
 			t.Errorf("got %+v, want 1000 free", l)
@@ -251,14 +243,12 @@
 	})
 }
 
-// TestReserveEndsWithContext
-//
-// Symptom: a caller that gave up leaves its tokens set aside.
-// Sequence: Reserve waits for a ledger that answers late; its context ends first.
-// Cause: the waiter, or a decision that crossed the end of the context, kept.
-func TestReserveEndsWithContext(t *testing.T) {
+// TestReserveReturnsWhenContextEnds has a Reserve whose context ends before the ledger
+// answers. Its tokens must not stay reserved, neither by the waiter nor by a decision that
+// comes as the context ends.
+func TestReserveReturnsWhenContextEnds(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
-		c.set(func() { c.loseNext = 1 })
+		c.set(func() { c.loseReplies = 1 })
 		for name := range c.managers {
 			if name != "a" {
 				delete(c.managers, name)
@@ -275,12 +265,9 @@
 	})
 }
 
-// TestDecisionCrossesEndOfContext
-//
-// Symptom: tokens set aside for ever.
-// Sequence: the tokens are granted and the context ends before Reserve looks.
-// Cause: the crossing reservation not released.
-func TestDecisionCrossesEndOfContext(t *testing.T) {
+// TestGrantDuringCancelIsReleased has tokens that are granted just before the context of
+// their Reserve ends. Unless the reservation is released they stay reserved forever.
+func TestGrantDuringCancelIsReleased(t *testing.T) {
 	withCluster(t, 1000, func(t *testing.T, c *cluster) {
 		m := c.managers["a"]
 		ch, err := m.enqueue("x", "r1", 10)
@@ -293,8 +280,8 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		if err := m.giveUp(ctx, "x", "r1", ch); err == nil {
-			t.Error("giving up reports no error")
+		if err := m.cancelReserve(ctx, "x", "r1", ch); err == nil {
+			t.Error("cancelReserve returned no error")
 		}
 		if l := m.Levels()[0]; l.Reserved != 0 {
 			t.Errorf("got %+v, want nothing reserved", l)
@@ -303,11 +290,9 @@
 	})
 }
 
-// TestUnknownBudget
-//
-// Symptom: a caller of a budget that doesn't exist waits or is told to come back.
-// Sequence: the ledger refuses the acquire; the budget is created later.
-// Cause: a definite refusal treated as an unanswered message.
+// TestUnknownBudget checks that a request for a budget that doesn't exist gets a definite
+// refusal. If the ledger's rejection of the acquire were treated as a missing answer, the
+// caller would wait or be asked to retry.
 func TestUnknownBudget(t *testing.T) {
 	withCluster(t, 10, func(t *testing.T, c *cluster) {
 		err := c.managers["a"].Reserve(t.Context(), "y", "r1", 10)
--- a/internal/controller/members/beat.go
+++ b/internal/controller/members/beat.go
@@ -8,15 +8,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// beat is one heartbeat on its way.
-type beat struct {
+// heartbeat is one heartbeat to be sent or in flight. sentAt is the tick of the membership
+// table at which it was made.
+type heartbeat struct {
 	target  membership.Target
 	sentAt  int64
 	request *pb.HeartbeatRequest
 }
 
-// tick advances membership by one interval and makes the heartbeats to send.
-func (c *Controller) tick() []beat {
+// tick advances the membership table by one interval and returns the heartbeats to send.
+func (c *Controller) tick() []heartbeat {
 	servers := c.cfg.Registry.Servers()
 	work := c.cfg.Registry.RecentWork()
 	var limits []*pb.ServerLimit
@@ -32,9 +33,9 @@
 	c.table.SetLoad(load.SparePermille, load.Traffic, load.ConfigRevision)
 	targets := c.table.Tick()
 	hosts := c.table.Hosts()
-	c.delta.Keep(hosts, servers)
+	c.delta.Retain(hosts, servers)
 	holders := holdersOf(hosts)
-	beats := make([]beat, 0, len(targets))
+	beats := make([]heartbeat, 0, len(targets))
 	for _, target := range targets {
 		request := c.table.Request(target.Host)
 		request.Recent, request.Limits = work, limits
@@ -42,7 +43,7 @@
 		if holder := holders[target.Host]; holder != nil {
 			request.Servers = c.delta.Select(holder, servers)
 		}
-		beats = append(beats, beat{target: target, sentAt: c.table.Now(), request: request})
+		beats = append(beats, heartbeat{target: target, sentAt: c.table.Now(), request: request})
 	}
 	c.publish()
 	return beats
@@ -56,43 +57,43 @@
 	return holders
 }
 
-// send makes the call and takes its outcome.
-func (c *Controller) send(ctx context.Context, b beat) {
+// send sends a heartbeat and handles the reply or the failure.
+func (c *Controller) send(ctx context.Context, b heartbeat) {
 	callCtx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
 	sent := time.Since(c.start)
 	b.request.SentMs = sent.Milliseconds()
 	reply, err := c.cfg.Peers.Client(b.target.Address).Heartbeat(callCtx, b.request)
 	if ctx.Err() != nil {
-		return // this process stops; it says nothing of the peer
+		return // this process is stopping, so the outcome says nothing about the peer
 	}
 	c.cfg.Metrics.HeartbeatsSent.Add(1)
 	c.countBytes(b.request)
 	if err != nil {
-		c.unanswered(b, err)
+		c.handleFailure(b, err)
 		return
 	}
-	c.answered(b, reply, sent)
+	c.handleReply(b, reply, sent)
 }
 
-func (c *Controller) unanswered(b beat, err error) {
+func (c *Controller) handleFailure(b heartbeat, err error) {
 	c.cfg.Metrics.HeartbeatsFailed.Add(1)
 	c.cfg.Log.Debug().Str("peer", b.target.Host).Str("address", b.target.Address).Err(err).Msg("heartbeat unanswered")
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.table.Unanswered(b.sentAt, b.target.Host)
+	c.table.MarkUnanswered(b.sentAt, b.target.Host)
 	c.publishChanges()
 }
 
-// answered takes the reply to a heartbeat that left at sent by this host's clock.
-func (c *Controller) answered(b beat, reply *pb.HeartbeatReply, sent time.Duration) {
+// handleReply merges the reply to a heartbeat that was sent at sent by this host's clock.
+func (c *Controller) handleReply(b heartbeat, reply *pb.HeartbeatReply, sent time.Duration) {
 	c.countBytes(reply)
 	now := time.Since(c.start)
 	c.cfg.Registry.Merge(reply.GetState().GetServers(), now-sent)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.transits.answered(now, b.target.Host, now-sent)
+	c.transitTracker.recordRoundTrip(now, b.target.Host, now-sent)
 	c.table.ReceiveReply(b.sentAt, b.target.Host, reply)
-	c.delta.Has(reply.GetFrom(), b.request.GetServers())
+	c.delta.MarkReceived(reply.GetFrom(), b.request.GetServers())
 	c.publishChanges()
 }
--- a/internal/controller/members/freshness_test.go
+++ b/internal/controller/members/freshness_test.go
@@ -13,19 +13,19 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// instances is a host's registry of servers that are known by ids.
-type instances struct {
+// instanceRegistry is a host's registry of servers, which are identified by their ids.
+type instanceRegistry struct {
 	mu  sync.Mutex
 	reg *instance.Registry
 }
 
-func (r *instances) Servers() []*pb.ServerState {
+func (r *instanceRegistry) Servers() []*pb.ServerState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reg.Snapshot(time.Now())
 }
 
-func (r *instances) Merge(states []*pb.ServerState, transit time.Duration) {
+func (r *instanceRegistry) Merge(states []*pb.ServerState, transit time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, st := range states {
@@ -35,21 +35,20 @@
 	}
 }
 
-func (r *instances) RecentWork() []*pb.RecentWork           { return nil }
-func (r *instances) MergeWork(*pb.Holder, []*pb.RecentWork) {}
-func (r *instances) announce(a instance.Announcement)       { r.reg.Announce(time.Now(), a) }
-func (r *instances) fresh(now time.Time, id string) (ok bool) {
+func (r *instanceRegistry) RecentWork() []*pb.RecentWork           { return nil }
+func (r *instanceRegistry) MergeWork(*pb.Holder, []*pb.RecentWork) {}
+func (r *instanceRegistry) announce(a instance.Announcement)       { r.reg.Announce(time.Now(), a) }
+func (r *instanceRegistry) fresh(now time.Time, id string) (ok bool) {
 	i, known := r.reg.Get(id)
 	return known && r.reg.Fresh(now, i)
 }
 
-// Symptom: in a fleet that has just started, requests wait at some engines for seconds while
-// others are idle.
-// Sequence: each server announces itself to one of 75 hosts each 1.2 s; heartbeats to one
-// neighbour each 250 ms carry that on. Most hosts hear it after 2 to 4 s.
-// Cause: what came from a host whose clock can't be compared counted as 2.5 s older than it
-// was, and a server as silent after 5 s.
-func TestAnnouncementsReachALargeFleetWhileTheyCount(t *testing.T) {
+// TestAnnouncementsReachLargeFleetWhileFresh has each server announce itself to one of 75
+// hosts every 1.2 s. Heartbeats to one neighbor every 250 ms pass the announcements on, and
+// most hosts receive them after 2 to 4 s. When states from a host with an unknown transit time
+// counted as 2.5 s older than they were, and a server as silent after 5 s, requests in a fleet
+// that had just started waited at some engines for seconds while others were idle.
+func TestAnnouncementsReachLargeFleetWhileFresh(t *testing.T) {
 	const (
 		hosts, servers = 75, 145
 		interval       = 250 * time.Millisecond
@@ -57,18 +56,18 @@
 	)
 	synctest.Test(t, func(t *testing.T) {
 		n := &network{hosts: make(map[string]*Controller), silent: make(map[string]bool)}
-		regs := make([]*instances, hosts)
+		regs := make([]*instanceRegistry, hosts)
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		for i := range hosts {
-			regs[i] = &instances{reg: instance.New(instance.Config{})}
+			regs[i] = &instanceRegistry{reg: instance.New(instance.Config{})}
 			address := fmt.Sprintf("h%d", i)
 			c := New(Config{
 				Membership: membership.Config{
 					Self: membership.Self{
 						Host: address, Incarnation: uint64(i + 1), Zone: "z", PeerAddress: address, CallerAddress: "c" + address,
 					},
-					Seeds: []string{"h0", "h1", "h2"}, Interval: interval, Neighbours: 16,
+					Seeds: []string{"h0", "h1", "h2"}, Interval: interval, Neighbors: 16,
 				},
 				Seed: uint64(i), Peers: n, Registry: regs[i],
 			})
@@ -100,7 +99,7 @@
 			}
 		}
 		if share := float64(stale) / (hosts * servers); share > 0.01 {
-			t.Errorf("%.3f of the servers look silent", share)
+			t.Errorf("a share of %.3f of the servers is stale, want at most 0.01", share)
 		}
 		cancel()
 		running.Wait()
--- a/internal/controller/records/find.go
+++ b/internal/controller/records/find.go
@@ -13,16 +13,17 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Begin implements filter.Records. The record is put to its copies first; only then are
-// the hosts asked that could know the identity. Done at the same time, two hosts that
-// begin one identity at once could each miss the other's record; this way the one that
-// asks last sees the other's. It costs one round trip between availability zones.
+// Begin implements filter.Records. The record is copied to its hosts first, and only then are
+// the hosts queried that could know the identity. If both were done concurrently, two hosts
+// that begin the same identity at once could each miss the other's record; in this order, the
+// host that queries last sees the other's record. The price is one round trip between
+// availability zones.
 //
-// The store numbers the versions. Were the caller's number counted on, the first record of
-// a request would look like a takeover's to a peer that knows the identity: the peer would
-// take it in place of refusing it, and a retry at another host would run a second time.
+// The store assigns the version numbers. If the caller's number were used, a peer that knows
+// the identity could take the first record of a request for that of a takeover and store it
+// instead of rejecting it, and a retry at another host would run a second time.
 func (c *Controller) Begin(ctx context.Context, rec *pb.InflightRecord, copies int) (*pb.InflightRecord, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginWait)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginTimeout)
 	defer cancel()
 	rec = proto.CloneOf(rec)
 	rec.Version = 0
@@ -38,12 +39,12 @@
 	return c.beginNew(ctx, rec, copies)
 }
 
-// beginKnown answers a Begin whose identity this host knows, unless the owner says that
-// the record is void.
+// beginKnown completes a Begin whose identity this host knows. If the owner of the known
+// record no longer has it, the record is void and the request begins as a new one.
 func (c *Controller) beginKnown(ctx context.Context, rec, known *pb.InflightRecord, copies int) (*pb.InflightRecord, bool, error) {
-	if fresh, ok := c.freshest(ctx, known); ok {
+	if fresh, ok := c.confirmWithOwner(ctx, known); ok {
 		metrics.Add("existing_here", 1)
-		return running(fresh), false, nil
+		return asRunning(fresh), false, nil
 	}
 	c.mu.Lock()
 	err := c.store.Adopt(time.Now(), rec, copies)
@@ -56,58 +57,59 @@
 
 func (c *Controller) beginNew(ctx context.Context, rec *pb.InflightRecord, copies int) (*pb.InflightRecord, bool, error) {
 	request, identity := rec.GetRequestId(), rec.GetIdentity()
-	spread := c.spread(ctx, request)
-	if spread.conflict != "" {
+	replicated := c.replicate(ctx, request)
+	if replicated.conflict != "" {
 		c.Abandon(identity, request)
 		return nil, false, errkind.New(errkind.KeyConflict, "the idempotency key was used with another body")
 	}
-	found := c.ask(ctx, identity, c.others(identity, request, copies))
-	if spread.exists != "" {
-		found = append(found, c.askOne(ctx, spread.exists, identity))
+	found := c.queryAll(ctx, identity, c.hostsToQuery(identity, request, copies))
+	if replicated.exists != "" {
+		found = append(found, c.query(ctx, replicated.exists, identity))
 	}
 	for _, other := range found {
-		if existing := c.standing(ctx, rec, other); existing != nil {
-			return c.yield(rec, existing)
+		if existing := c.findWinner(ctx, rec, other); existing != nil {
+			return c.yieldTo(rec, existing)
 		}
 	}
-	c.noteBegun(request, copies)
+	c.confirmBegin(request, copies)
 	return nil, true, nil
 }
 
-// standing returns the other host's record if ours has to yield to it.
+// findWinner returns the other host's record if ours has to yield to it.
 //
-// Two hosts that begin the same identity at once may each see the other's record, or only
-// one may see the other's, so neither can go by its own view alone. A host that has not
-// decided says so: the one with the greater request id yields at once, the other waits
-// for its decision. Then exactly one goes on, unless one of them stops answering.
-func (c *Controller) standing(ctx context.Context, ours, found *pb.InflightRecord) *pb.InflightRecord {
+// If two hosts begin the same identity at once, each may see the other's record, or only one
+// of them may, so neither can decide from its own view alone. A host that has not decided
+// reports that in the record's state: the host with the greater request id yields at once, the
+// other waits for that decision. Exactly one of them proceeds, unless one stops answering.
+func (c *Controller) findWinner(ctx context.Context, ours, found *pb.InflightRecord) *pb.InflightRecord {
 	for {
-		fresh, ok := c.freshest(ctx, found)
+		fresh, ok := c.confirmWithOwner(ctx, found)
 		if !ok || fresh.GetRequestId() == ours.GetRequestId() {
 			return nil
 		}
 		decided := fresh.GetState() != pb.InflightState_INFLIGHT_STATE_NONE
 		if decided || ours.GetRequestId() > fresh.GetRequestId() {
-			return running(fresh)
+			return asRunning(fresh)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(raceWait):
+		case <-time.After(racePollInterval):
 		}
 	}
 }
 
-// running hides from the request chain that the owner hasn't decided yet.
-func running(rec *pb.InflightRecord) *pb.InflightRecord {
+// asRunning returns rec as running if its owner hasn't decided yet; the request chain doesn't
+// know that state.
+func asRunning(rec *pb.InflightRecord) *pb.InflightRecord {
 	if rec.GetState() == pb.InflightState_INFLIGHT_STATE_NONE {
 		rec.State = pb.InflightState_INFLIGHT_STATE_RUNNING
 	}
 	return rec
 }
 
-// yield takes our record back in favour of an existing one.
-func (c *Controller) yield(ours, existing *pb.InflightRecord) (*pb.InflightRecord, bool, error) {
+// yieldTo abandons our record in favor of an existing one.
+func (c *Controller) yieldTo(ours, existing *pb.InflightRecord) (*pb.InflightRecord, bool, error) {
 	c.Abandon(ours.GetIdentity(), ours.GetRequestId())
 	metrics.Add("existing_at_peer", 1)
 	if existing.GetBodyHash() != ours.GetBodyHash() {
@@ -116,7 +118,7 @@
 	return existing, false, nil
 }
 
-func (c *Controller) noteBegun(request string, copies int) {
+func (c *Controller) confirmBegin(request string, copies int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.store.ConfirmBegin(request)
@@ -127,10 +129,10 @@
 	}
 }
 
-// Takeover makes this host the owner of a request whose owner died: rec carries the new
-// request id, the reservation here and the backend server's stream that is resumed.
+// Takeover makes this host the owner of a request whose owner died. rec has the new request
+// id, the reservation at this host and the backend server's stream to resume.
 func (c *Controller) Takeover(ctx context.Context, rec *pb.InflightRecord, copies int) error {
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginWait)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginTimeout)
 	defer cancel()
 	c.mu.Lock()
 	err := c.store.Adopt(time.Now(), rec, copies)
@@ -138,26 +140,26 @@
 	if err != nil {
 		return err
 	}
-	c.spread(ctx, rec.GetRequestId())
-	c.noteBegun(rec.GetRequestId(), copies)
+	c.replicate(ctx, rec.GetRequestId())
+	c.confirmBegin(rec.GetRequestId(), copies)
 	return nil
 }
 
 // Find implements filter.Records.
 func (c *Controller) Find(ctx context.Context, identity string) (*pb.InflightRecord, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginWait)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.BeginTimeout)
 	defer cancel()
 	c.mu.Lock()
 	here, _ := c.store.Find(time.Now(), identity)
 	c.mu.Unlock()
 	found := []*pb.InflightRecord{here}
 	if here == nil || !c.conclusive(here) {
-		found = append(c.ask(ctx, identity, c.lookup(identity, lookupCopies)), here)
-		c.sortByTruth(found)
+		found = append(c.queryAll(ctx, identity, c.lookup(identity, lookupCopies)), here)
+		c.sortByAuthority(found)
 	}
 	for _, rec := range found {
-		if fresh, ok := c.freshest(ctx, rec); ok {
-			return running(fresh), true, nil
+		if fresh, ok := c.confirmWithOwner(ctx, rec); ok {
+			return asRunning(fresh), true, nil
 		}
 	}
 	return nil, false, nil
@@ -169,16 +171,16 @@
 	return c.store.Lookup(identity, copies)
 }
 
-// others are the hosts that may know another record of the identity. A host that took ours
-// knew no other, and refuses any that comes later.
-func (c *Controller) others(identity, request string, copies int) []inflight.Host {
+// hostsToQuery returns the hosts that may know another record of the identity. A host that
+// stored ours knew no other record, and rejects any later one.
+func (c *Controller) hostsToQuery(identity, request string, copies int) []inflight.Host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hosts := c.store.Lookup(identity, copies)
 	return slices.DeleteFunc(hosts, func(h inflight.Host) bool { return c.store.HeldBy(request, h.Name) })
 }
 
-// OwnerAlive tells whether the incarnation that owns rec is among the live hosts.
+// OwnerAlive reports whether the incarnation that owns rec is among the live hosts.
 func (c *Controller) OwnerAlive(rec *pb.InflightRecord) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,19 +188,20 @@
 	return ok && host.Incarnation == rec.GetHolder().GetIncarnation()
 }
 
-// freshest asks the record's owner, if it lives, for its present state. A running copy
-// that its living owner doesn't know is void: the owner abandoned the request. What else
-// the owner knows of the identity may itself be such a copy and doesn't count.
-func (c *Controller) freshest(ctx context.Context, rec *pb.InflightRecord) (*pb.InflightRecord, bool) {
+// confirmWithOwner returns the current state of a record, as known to its owner if that is
+// alive; ok is false if the record is void. A running copy that its live owner doesn't know is
+// void, because the owner abandoned the request. If the owner returns another record of the
+// identity, that may itself be such a copy and doesn't count.
+func (c *Controller) confirmWithOwner(ctx context.Context, rec *pb.InflightRecord) (*pb.InflightRecord, bool) {
 	if rec == nil {
 		return nil, false
 	}
 	owner := rec.GetHolder().GetHost()
-	runs := rec.GetState() == pb.InflightState_INFLIGHT_STATE_RUNNING || rec.GetState() == pb.InflightState_INFLIGHT_STATE_NONE
-	if runs && c.isOwn(rec) {
+	running := rec.GetState() == pb.InflightState_INFLIGHT_STATE_RUNNING || rec.GetState() == pb.InflightState_INFLIGHT_STATE_NONE
+	if running && c.isOwn(rec) {
 		return c.ownRecord(rec)
 	}
-	if !runs || owner == c.self.GetHost() || !c.OwnerAlive(rec) {
+	if !running || owner == c.self.GetHost() || !c.OwnerAlive(rec) {
 		return rec, true
 	}
 	reply, err := c.findAt(ctx, owner, rec.GetIdentity())
@@ -209,8 +212,8 @@
 	return reply.GetRecord(), same
 }
 
-// ownRecord is what this host knows of a running record of its own, of which a peer may hold
-// an old copy.
+// ownRecord returns the current state of a running record that this host owns, given a copy
+// of it that may be old; false if this host no longer has the record.
 func (c *Controller) ownRecord(rec *pb.InflightRecord) (*pb.InflightRecord, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -218,29 +221,30 @@
 	return here, ok && here.GetRequestId() == rec.GetRequestId()
 }
 
-// ask looks an identity up at several hosts, the most telling record first. One answer isn't
-// enough: a host may still know a record that its owner has given up.
-func (c *Controller) ask(ctx context.Context, identity string, hosts []inflight.Host) []*pb.InflightRecord {
+// queryAll looks up an identity at several hosts and returns the records found, the most
+// authoritative first. One answer isn't enough, because a host may still hold a record that
+// its owner has abandoned.
+func (c *Controller) queryAll(ctx context.Context, identity string, hosts []inflight.Host) []*pb.InflightRecord {
 	found := make([]*pb.InflightRecord, len(hosts))
 	var wg sync.WaitGroup
 	for i, host := range hosts {
-		wg.Go(func() { found[i] = c.askOne(ctx, host.Name, identity) })
+		wg.Go(func() { found[i] = c.query(ctx, host.Name, identity) })
 	}
 	wg.Wait()
 	found = slices.DeleteFunc(found, func(rec *pb.InflightRecord) bool { return rec == nil })
-	c.sortByTruth(found)
+	c.sortByAuthority(found)
 	return found
 }
 
-// conclusive tells whether a record here needs no look elsewhere: a running one of a dead
-// owner may have been taken over.
+// conclusive reports whether a record found at this host needs no query at other hosts. A
+// running record of a dead owner does, because the request may have been taken over.
 func (c *Controller) conclusive(rec *pb.InflightRecord) bool {
 	return rec.GetState() == pb.InflightState_INFLIGHT_STATE_DONE || c.OwnerAlive(rec)
 }
 
-// sortByTruth puts finished records first, then running ones of living owners.
-func (c *Controller) sortByTruth(found []*pb.InflightRecord) {
-	truth := func(rec *pb.InflightRecord) int {
+// sortByAuthority sorts finished records first, then running ones whose owners are alive.
+func (c *Controller) sortByAuthority(found []*pb.InflightRecord) {
+	rank := func(rec *pb.InflightRecord) int {
 		switch {
 		case rec.GetState() == pb.InflightState_INFLIGHT_STATE_DONE:
 			return 0
@@ -249,10 +253,10 @@
 		}
 		return 2
 	}
-	slices.SortStableFunc(found, func(a, b *pb.InflightRecord) int { return truth(a) - truth(b) })
+	slices.SortStableFunc(found, func(a, b *pb.InflightRecord) int { return rank(a) - rank(b) })
 }
 
-func (c *Controller) askOne(ctx context.Context, host, identity string) *pb.InflightRecord {
+func (c *Controller) query(ctx context.Context, host, identity string) *pb.InflightRecord {
 	reply, err := c.findAt(ctx, host, identity)
 	if err != nil || !reply.GetFound() {
 		return nil
@@ -265,7 +269,7 @@
 	if !ok {
 		return nil, errkind.New(errkind.NotFound, "no connection to %s", host)
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.CallWait)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.CallTimeout)
 	defer cancel()
 	return client.FindRecord(ctx, &pb.FindRecordRequest{Identity: identity})
 }
--- a/internal/controller/records/put.go
+++ b/internal/controller/records/put.go
@@ -10,22 +10,22 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// putOutcome is what became of records sent to a host.
+// putOutcome is the outcome of sending records to a host.
 type putOutcome int
 
 const (
 	putDone putOutcome = iota
 	putUnanswered
 	putRefused
-	// putExists: the host knows the identity by another request.
+	// putExists means that the host has a record of the identity for another request.
 	putExists
-	// putConflict: the host knows the identity with another body.
+	// putConflict means that the host has a record of the identity with another body.
 	putConflict
 )
 
-// put sends records to a host and notes the outcome in the store.
+// put sends records to a host and marks the outcome in the store.
 func (c *Controller) put(ctx context.Context, host inflight.Host, records []*pb.InflightRecord) putOutcome {
-	c.noteSending(host, records)
+	c.markSending(host, records)
 	reply, err := c.call(ctx, host.Name, records)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +39,7 @@
 		if len(records) == 1 {
 			c.store.MarkDeclined(records[0].GetRequestId(), host.Name)
 		}
-		return refusedOutcome(e)
+		return refusalOutcome(e)
 	}
 	metrics.Add("puts", 1)
 	for _, rec := range records {
@@ -48,7 +48,7 @@
 	return putDone
 }
 
-func refusedOutcome(e *pb.Error) putOutcome {
+func refusalOutcome(e *pb.Error) putOutcome {
 	switch errkind.Kind(e.GetKind()) {
 	case errkind.AlreadyExists:
 		return putExists
@@ -58,7 +58,7 @@
 	return putRefused
 }
 
-func (c *Controller) noteSending(host inflight.Host, records []*pb.InflightRecord) {
+func (c *Controller) markSending(host inflight.Host, records []*pb.InflightRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, rec := range records {
@@ -74,16 +74,18 @@
 	return client.PutRecords(ctx, &pb.PutRecordsRequest{Records: records, From: c.self})
 }
 
-// spreadResult sums up one spread.
-type spreadResult struct {
-	// exists and conflict name a host that knows the identity otherwise.
+// replicateResult is the result of replicate.
+type replicateResult struct {
+	// exists names a host that has a record of the identity for another request, conflict
+	// one that has it with another body; each is empty if there is none.
 	exists, conflict string
 }
 
-// spread sends an own record to the hosts that should hold it until it has its copies,
-// no host is left, or ctx ends. Hosts that fail are replaced by the next in rendezvous order.
-func (c *Controller) spread(ctx context.Context, requestID string) spreadResult {
-	var result spreadResult
+// replicate sends a record of this host to the hosts that should hold it, until it has its
+// copies, no host is left, or ctx ends. Hosts that fail are replaced by the next ones in
+// rendezvous order.
+func (c *Controller) replicate(ctx context.Context, requestID string) replicateResult {
+	var result replicateResult
 	tried := make(map[string]bool)
 	for ctx.Err() == nil {
 		targets, rec := c.targets(requestID, tried)
@@ -95,14 +97,14 @@
 		for i, host := range targets {
 			tried[host.Name] = true
 			wg.Go(func() {
-				callCtx, cancel := context.WithTimeout(ctx, c.cfg.CallWait)
+				callCtx, cancel := context.WithTimeout(ctx, c.cfg.CallTimeout)
 				defer cancel()
 				outcomes[i] = c.put(callCtx, host, []*pb.InflightRecord{rec})
 			})
 		}
 		wg.Wait()
 		for i, outcome := range outcomes {
-			result.note(targets[i].Name, outcome)
+			result.add(targets[i].Name, outcome)
 		}
 		if result.exists != "" || result.conflict != "" {
 			return result
@@ -111,7 +113,7 @@
 	return result
 }
 
-func (r *spreadResult) note(host string, outcome putOutcome) {
+func (r *replicateResult) add(host string, outcome putOutcome) {
 	switch outcome {
 	case putExists:
 		r.exists = host
--- a/internal/controller/records/records.go
+++ b/internal/controller/records/records.go
@@ -1,5 +1,6 @@
 // Package records runs an inflight.Store: it implements the request chain's Records
-// port, copies records to peers over gRPC, and answers the peers' calls about records.
+// port, copies in-flight records to peers over gRPC, and answers the peers' calls about
+// records.
 package records
 
 import (
@@ -16,54 +17,56 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// metrics counts records, copies and what went wrong with them in this process.
+// metrics counts the records and copies of this process and their failures.
 var metrics = expvar.NewMap("records")
 
-// Dialer finds the connection to a peer.
+// Dialer returns connections to peers.
 type Dialer interface {
-	// Dial returns a client of the host's Peer service; false if there is no such host.
+	// Dial returns a client of the host's Peer service, or false if there is no such host.
 	Dial(host string) (pb.PeerClient, bool)
 }
 
-// Grants is the holder of tokens beside the records; a dead holder's transfers are
-// fenced together with its records.
+// Grants manages this host's tokens. A dead holder's transfers are fenced together with its
+// records.
 type Grants interface {
 	Fence(dead *pb.Holder) []*pb.Transfer
-	GiveSettled(id string)
+	MarkTransferSettled(id string)
 }
 
 // Defaults of Config, and bounds.
 const (
-	defaultBeginWait = 60 * time.Millisecond
-	defaultCallWait  = 25 * time.Millisecond
-	defaultSyncEvery = 25 * time.Millisecond
-	sweepEvery       = time.Second
-	settledWait      = time.Second
-	syncRecords      = 512
-	// lookupCopies is the greatest number of copies a team may set; a lookup without
-	// knowledge of the team asks the hosts of so many.
+	defaultBeginTimeout = 60 * time.Millisecond
+	defaultCallTimeout  = 25 * time.Millisecond
+	defaultSyncInterval = 25 * time.Millisecond
+	sweepInterval       = time.Second
+	settledTimeout      = time.Second
+	maxSyncRecords      = 512
+	// lookupCopies is the largest number of copies that a team may set. A lookup that doesn't
+	// know the team queries the hosts that would hold that many copies.
 	lookupCopies = 2
-	// raceWait is how long to wait before asking again whether another host that began the
+	// racePollInterval is the time between two queries whether another host that began the
 	// same identity has decided.
-	raceWait = 2 * time.Millisecond
+	racePollInterval = 2 * time.Millisecond
 )
 
-// Config of a Controller. Zero durations mean the defaults.
+// Config configures a Controller. Zero durations are replaced by the defaults.
 type Config struct {
 	Store inflight.Config
 	Peers Dialer
 	Log   zerolog.Logger
-	// BeginWait bounds how long Begin and Find wait for peers, CallWait one call of theirs.
-	BeginWait time.Duration
-	CallWait  time.Duration
-	// SyncEvery is how often updates are sent to copies.
-	SyncEvery time.Duration
+	// BeginTimeout bounds the time that Begin and Find wait for peers, CallTimeout that of
+	// one call to a peer.
+	BeginTimeout time.Duration
+	CallTimeout  time.Duration
+	// SyncInterval is how often updates are sent to the hosts that hold copies.
+	SyncInterval time.Duration
 }
 
-// Controller keeps the records of one incarnation. Its methods are safe for concurrent use.
+// Controller manages the in-flight records of one incarnation. Its methods are safe for
+// concurrent use.
 type Controller struct {
-	// soon asks for a round of updates before the next regular one.
-	soon chan struct{}
+	// syncSoon requests a round of updates before the next regular one.
+	syncSoon chan struct{}
 
 	cfg  Config
 	self *pb.Holder
@@ -76,40 +79,41 @@
 
 var _ filter.Records = (*Controller)(nil)
 
-// New makes a controller without records; it copies nothing until SetHosts.
+// New returns a Controller without records. It makes no copies until SetHosts is called.
 func New(cfg Config) *Controller {
-	defaults.Set(&cfg.BeginWait, defaultBeginWait)
-	defaults.Set(&cfg.CallWait, defaultCallWait)
-	defaults.Set(&cfg.SyncEvery, defaultSyncEvery)
-	return &Controller{soon: make(chan struct{}, 1), cfg: cfg, self: cfg.Store.Self, store: inflight.New(cfg.Store)}
+	defaults.Set(&cfg.BeginTimeout, defaultBeginTimeout)
+	defaults.Set(&cfg.CallTimeout, defaultCallTimeout)
+	defaults.Set(&cfg.SyncInterval, defaultSyncInterval)
+	return &Controller{syncSoon: make(chan struct{}, 1), cfg: cfg, self: cfg.Store.Self, store: inflight.New(cfg.Store)}
 }
 
-// SetGrants names the holder that Gather fences together with the records.
+// SetGrants sets the manager of this host's tokens, whose transfers HandleGather fences
+// together with the records.
 func (c *Controller) SetGrants(g Grants) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.grants = g
 }
 
-// SetHosts replaces the live hosts, this one included: those that take copies.
+// SetHosts replaces the live hosts, this one included. Copies are sent to these hosts.
 func (c *Controller) SetHosts(hosts []inflight.Host) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.store.SetHosts(hosts)
 }
 
-// Size is the number of records kept and their estimated bytes.
+// Size returns the number of stored records and their estimated size in bytes.
 func (c *Controller) Size() (records, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.store.Len(), c.store.Bytes()
 }
 
-// Run sends updates to copies until ctx ends.
+// Run sends updates to the hosts that hold copies until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
-	ticker := time.NewTicker(c.cfg.SyncEvery)
+	ticker := time.NewTicker(c.cfg.SyncInterval)
 	defer ticker.Stop()
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	var early pacer
 	for {
@@ -118,7 +122,7 @@
 			return
 		case <-ticker.C:
 			c.sync(ctx)
-		case <-c.soon:
+		case <-c.syncSoon:
 			if early.allow(time.Now()) {
 				c.sync(ctx)
 			}
@@ -130,11 +134,11 @@
 	}
 }
 
-// sync sends one round of updates, to all hosts at once. A host that doesn't answer holds
-// up the next round by CallWait x 4 at most.
+// sync sends one round of updates to all hosts concurrently. A host that doesn't answer
+// delays the next round by at most 4 x CallTimeout.
 func (c *Controller) sync(ctx context.Context) {
 	c.mu.Lock()
-	sends := c.store.Plan(time.Now(), syncRecords)
+	sends := c.store.Plan(time.Now(), maxSyncRecords)
 	c.mu.Unlock()
 	var wg sync.WaitGroup
 	for _, send := range sends {
@@ -143,9 +147,10 @@
 	wg.Wait()
 }
 
-// sendBatch puts records to one host, one by one if the host refuses one of them.
+// sendBatch sends records to one host. If the host rejects one of them, they are sent again
+// one by one.
 func (c *Controller) sendBatch(ctx context.Context, send inflight.CopyBatch) {
-	ctx, cancel := context.WithTimeout(ctx, 4*c.cfg.CallWait)
+	ctx, cancel := context.WithTimeout(ctx, 4*c.cfg.CallTimeout)
 	defer cancel()
 	if len(send.Records) > 1 {
 		outcome := c.put(ctx, send.Host, send.Records)
@@ -158,8 +163,9 @@
 	}
 }
 
-// Settled marks records whose bills the ledger acknowledged; grants.Config.OnSettled.
-func (c *Controller) Settled(bills []*pb.Bill) {
+// MarkSettled marks the records whose bills the ledger acknowledged. It is used as
+// grants.Config.OnSettled.
+func (c *Controller) MarkSettled(bills []*pb.Bill) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -168,12 +174,10 @@
 	}
 }
 
-// Update implements filter.Records. Up to a rate of rounds, what a recovery must know is
-// sent to the copies at once: which server runs the request, and how it ended.
-//
-// What goes wrong otherwise: a host is killed right behind an answer, its copies name no
-// server that could be asked for the usage, and its grant stays locked until the request
-// can't run any more.
+// Update implements filter.Records. Within the pacer's rate, it has the update sent to the
+// copies at once, because a recovery needs to know which server runs the request and how it
+// ended. If a host is killed right after an answer and its copies name no server to ask for
+// the usage, its grant stays locked until the request can no longer be running.
 func (c *Controller) Update(rec *pb.InflightRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,8 +186,8 @@
 		return
 	}
 	select {
-	case c.soon <- struct{}{}:
-	default: // a round is due already and takes this update along
+	case c.syncSoon <- struct{}{}:
+	default: // a round is already due and will include this update
 	}
 }
 
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -107,7 +107,7 @@
 			DeadAfter:    ticks(cfg.Timing.DeadAfter.Std(), interval),
 		},
 		Seed: seedOf(cfg.Host), Peers: d.pool, Registry: registry{e.sched}, Limits: e.limits, Load: e.load,
-		Log: d.tel.Log, Metrics: d.tel.Metrics, Ticked: d.watch.Tick,
+		Log: d.tel.Log, Metrics: d.tel.Metrics, OnTick: d.watch.Tick,
 	})
 	e.client = engineclient.New(engineclient.Config{Observe: e.sched.Observe})
 	e.makeQuarantine()
@@ -151,7 +151,7 @@
 	}
 	e.self.Store(reg.Holder)
 	e.members.SetIncarnation(reg.Holder.Incarnation)
-	e.members.Learn(reg.Hosts)
+	e.members.MergeRegistered(reg.Hosts)
 	e.makeControllers(reg.Holder)
 	e.d.peers.setPeer(peerservice.New(peerservice.Parts{
 		Records: e.records, Grants: e.grants, Members: e.members, Explain: e,
@@ -224,7 +224,7 @@
 	e.grants = grants.New(grants.Config{
 		Self: self, Holder: grant.Config{BatchWait: cfg.Timing.SettleEvery.Std()},
 		Proposer: group{e.d.client}, Asker: peers{e}, Recorder: e.records,
-		PolicyFor: e.policyFor, OnSettled: e.records.Settled, Log: e.d.tel.Log, Seed: int64(self.Incarnation), Failed: e.d.tasks.fail,
+		PolicyFor: e.policyFor, OnSettled: e.records.MarkSettled, Log: e.d.tel.Log, Seed: int64(self.Incarnation), OnFailure: e.d.tasks.fail,
 	})
 	e.records.SetGrants(e.grants)
 	e.api = callerapi.New(callerapi.Deps{
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -213,12 +213,12 @@
 				Host: cfg.Host, Zone: cfg.Zone, CallerAddress: cfg.Routed.CallerAddress(), PeerAddress: cfg.PeerAddress(),
 				Control: cfg.Has(procconfig.RoleControl),
 			},
-			Seeds: cfg.SeedPeers(), Interval: interval, Neighbours: gatewayNeighbors, MeshTurns: meshTurns,
+			Seeds: cfg.SeedPeers(), Interval: interval, Neighbors: gatewayNeighbors, MeshPeriod: meshTurns,
 			SuspectAfter: ticks(cfg.Timing.SuspectAfter.Std(), interval),
 			DeadAfter:    ticks(cfg.Timing.DeadAfter.Std(), interval),
 		},
 		Seed: seedOf(cfg.Host), Peers: d.pool, Registry: g.balancer, Limits: g.limits, Load: g.load,
-		Log: d.tel.Log, Metrics: d.tel.Metrics, Ticked: d.watch.Tick,
+		Log: d.tel.Log, Metrics: d.tel.Metrics, OnTick: d.watch.Tick,
 	})
 	g.suspects = g.newQuarantine()
 	g.news = g.newBroadcaster()
@@ -242,14 +242,14 @@
 	registered := time.Now()
 	g.self.Store(reg.Holder)
 	g.members.SetIncarnation(reg.Holder.Incarnation)
-	g.members.Learn(reg.Hosts)
+	g.members.MergeRegistered(reg.Hosts)
 	manager := grants.New(grants.Config{
 		Self: reg.Holder, Holder: gatewayHolder(g.d),
 		Proposer: group{g.d.client}, Asker: gatewayPeers{g}, Recorder: noTransferRecorder{},
 		PolicyFor: g.policyFor,
-		Log:       g.d.tel.Log, Seed: int64(reg.Holder.Incarnation), Failed: g.d.tasks.fail,
+		Log:       g.d.tel.Log, Seed: int64(reg.Holder.Incarnation), OnFailure: g.d.tasks.fail,
 	})
-	manager.Contact(registered)
+	manager.RecordContact(registered)
 	g.grants.Store(manager)
 	close(g.registered)
 	g.d.tasks.runUntilPanic("grants", manager.Run)
@@ -263,7 +263,7 @@
 		readCtx, cancel := context.WithTimeout(ctx, learnTimeout)
 		defer cancel()
 		if hosts, err := (group{g.d.client}).Hosts(readCtx); err == nil {
-			g.members.Learn(hosts)
+			g.members.MergeRegistered(hosts)
 		}
 	})
 }
