--- a/internal/admincli/script_test.go
+++ b/internal/admincli/script_test.go
@@ -86,9 +86,9 @@
 	server *httptest.Server
 	api    http.Handler
 
-	mu    sync.Mutex
-	fault string
-	remaining  int
+	mu        sync.Mutex
+	fault     string
+	remaining int
 }
 
 func newHost(group adminapi.Group, name string) *host {
--- a/internal/httpserver/closing.go
+++ b/internal/httpserver/closing.go
@@ -152,7 +152,7 @@
 	all, withRequest expvar.Map
 	// notAccepted counts connections that could not be accepted.
 	notAccepted expvar.Int
-	vars    expvar.Map
+	vars        expvar.Map
 }
 
 func newCloseCounters() *closeCounters {
--- a/internal/httpserver/ends_test.go
+++ b/internal/httpserver/ends_test.go
@@ -110,7 +110,7 @@
 		s := New(Config{Address: "127.0.0.1:0", Handler: text("ran")})
 		testutil.NoError(t, s.Start())
 		s.writes.ongoing.Add(1) // accepted connections wait
-		s.barrier.mu.Lock()      // and the poller can't let them pass
+		s.barrier.mu.Lock()     // and the poller can't let them pass
 		c := dial(t, s)
 		await(t, "the connection is accepted", func() bool { return s.engine.Online() == 1 })
 		ended := make(chan struct{})
--- a/internal/httpserver/guard.go
+++ b/internal/httpserver/guard.go
@@ -41,7 +41,7 @@
 	// timedPhase is the phase that the running timer bounds, of the request begun as number timedOf.
 	timedPhase   framing.Phase
 	timedRequest uint64
-	started time.Time
+	started      time.Time
 }
 
 // UnderlayerConn is part of nbhttp.ParserCloser.
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -21,8 +21,8 @@
 	// conn is the caller's; nil in a test without one.
 	conn *trackedConn
 	// handlerReturned: the handler has returned.
-	handlerReturned  atomic.Bool
-	begun bool
+	handlerReturned atomic.Bool
+	begun           bool
 	// mayChunk: the request's HTTP version allows a chunked answer.
 	mayChunk bool
 	// buffered bounds what waits in nbhttp's buffer.
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -122,13 +122,13 @@
 	address  string
 	inFlight atomic.Int64
 	// heldBytes is what is held of requests, in bytes.
-	heldBytes   atomic.Int64
-	draining atomic.Bool
+	heldBytes atomic.Int64
+	draining  atomic.Bool
 	// closeAfterAnswer: answers tell callers to close their connections.
 	closeAfterAnswer atomic.Bool
-	conns   connSet
-	closes    *closeCounters
-	idle    idleWatch
+	conns            connSet
+	closes           *closeCounters
+	idle             idleWatch
 	// stopping is closed when the server no longer accepts.
 	stopping chan struct{}
 	stopOnce sync.Once
--- a/internal/load/addresses.go
+++ b/internal/load/addresses.go
@@ -33,7 +33,7 @@
 type addressCache struct {
 	mu      sync.Mutex
 	list    []string
-	expires   time.Time
+	expires time.Time
 	failed  map[string]time.Time
 	updates int
 }
@@ -104,7 +104,7 @@
 	client *http.Client
 	seeds  []string
 	zone   string
-	cache   *addressCache
+	cache  *addressCache
 	mu     sync.Mutex // serializes fetches
 }
 
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -14,7 +14,7 @@
 	// firstBackoff is the delay after the first refusal that asks for a retry with the same
 	// key but does not say when. It doubles with each attempt, up to longestPause.
 	firstBackoff = 100 * time.Millisecond
-	maxBackoff  = 2 * time.Second
+	maxBackoff   = 2 * time.Second
 )
 
 // lateGrace is how long a caller still waits for a final answer after the deadline, so that
@@ -91,12 +91,12 @@
 
 // caller sends requests and retries them.
 type caller struct {
-	sender   *sender
-	addresses     *addressCache
-	fetcher    *addressFetcher // nil if requests go to the backend server direct
-	direct   string
-	timeout  time.Duration
-	attempts int
+	sender    *sender
+	addresses *addressCache
+	fetcher   *addressFetcher // nil if requests go to the backend server direct
+	direct    string
+	timeout   time.Duration
+	attempts  int
 }
 
 // call sends r until it has a final answer. started is the scheduled time of the first attempt.
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -60,11 +60,11 @@
 func newCaller(o *Options, client *http.Client) *caller {
 	book := newAddressCache()
 	c := &caller{
-		sender:   &sender{client: client, patience: o.Patience},
-		addresses:     book,
-		direct:   o.Direct,
-		timeout:  o.Timeout,
-		attempts: o.Attempts,
+		sender:    &sender{client: client, patience: o.Patience},
+		addresses: book,
+		direct:    o.Direct,
+		timeout:   o.Timeout,
+		attempts:  o.Attempts,
 	}
 	if o.Direct == "" {
 		c.fetcher = &addressFetcher{client: client, seeds: o.Hosts, zone: o.Zone, cache: book}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -30,7 +30,7 @@
 	DefaultSuspectAfter = 3
 	DefaultDeadAfter    = 10
 	DefaultForgetAfter  = 7200
-	DefaultNeighbors   = 8
+	DefaultNeighbors    = 8
 	DefaultDigestBytes  = 256
 )
 
@@ -83,16 +83,16 @@
 
 // entry is a Host with what the decisions need. Ticks are this Table's own.
 type entry struct {
-	host        string
-	incarnation uint64
-	zone        string
-	callerAddress      string
-	peerAddress        string
-	leaving     bool
-	revision    uint64
-	spare       uint32
-	traffic     uint32
-	control     bool
+	host          string
+	incarnation   uint64
+	zone          string
+	callerAddress string
+	peerAddress   string
+	leaving       bool
+	revision      uint64
+	spare         uint32
+	traffic       uint32
+	control       bool
 
 	// hash of the name, for the order in which hosts watch each other.
 	hash uint64
@@ -105,9 +105,9 @@
 	// doubted tells whether heartbeats stay unanswered: the first at tick doubt, the
 	// last that is known of at tick unanswered. This host knows of it since tick
 	// doubtSince: a doubt takes time to get here, and so does what refutes it.
-	doubted    bool
-	doubtStart      int64
-	doubtNoticed int64
+	doubted        bool
+	doubtStart     int64
+	doubtNoticed   int64
 	lastUnanswered int64
 	// seq is the highest number of its heartbeats; lastRequest the tick of the last one.
 	seq         uint64
@@ -116,22 +116,22 @@
 	probe bool
 	// updatesLeft is in how many more messages the entry goes first; newsFull tells
 	// whether with its addresses.
-	updatesLeft int
+	updatesLeft     int
 	updateAddresses bool
 }
 
 // Table is one host's view of the fleet. It is not safe for concurrent use.
 type Table struct {
-	cfg      Config
-	selfHash uint64
-	rng      *rand.Rand
-	now      int64
-	seq      uint64
-	leaving  bool
-	spare    uint32
-	traffic  uint32
-	configRevision      uint64
-	changes  uint64
+	cfg            Config
+	selfHash       uint64
+	rng            *rand.Rand
+	now            int64
+	seq            uint64
+	leaving        bool
+	spare          uint32
+	traffic        uint32
+	configRevision uint64
+	changes        uint64
 
 	hosts map[string]*entry
 	// order holds the entries in a stable order for rotation and choice.
@@ -139,11 +139,11 @@
 	// removed holds the incarnations up to which an operator declared hosts dead.
 	removed map[string]uint64
 
-	neighbors []*entry
-	nextNeighbor   int
-	nextDead  int
-	nextDigest int
-	nextSeed   int
+	neighbors    []*entry
+	nextNeighbor int
+	nextDead     int
+	nextDigest   int
+	nextSeed     int
 }
 
 // firstTick leaves room below it for ages known from others.
