--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestIdleEndIsCountedWithoutALine(t *testing.T) {
+func TestIdleCloseIsCountedNotLogged(t *testing.T) {
 	logged := catchLog(t)
 	s := start(t, Config{IdleTimeout: 20 * time.Millisecond, Handler: text("ran")})
 	c := dial(t, s)
