--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestAbortAfterTheHandlerHitsNobody(t *testing.T) {
+func TestAbortAfterHandlerReturnedIsIgnored(t *testing.T) {
 	// Symptom: a connection is closed in the middle of an answer that nobody broke off.
 	// Sequence: code that outlives its handler aborts its answer; the next request runs already.
 	// Cause: nbhttp takes a response back when its handler returns and gives it to another request.
