--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestRequestBehindABrokenAnswerIsNotBegun(t *testing.T) {
+func TestRequestAfterAbortedAnswerIsNotHandled(t *testing.T) {
 	// Symptom: a server runs a request whose caller can't get an answer to it.
 	// Sequence: two requests arrive together; the answer to the first is broken off.
 	// Cause: the second one waits in the connection's list of jobs, which outlives the connection.
