--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestRequestOfACallerThatLeavesAtOnceIsBegun(t *testing.T) {
+func TestRequestOfClosedCallerIsHandled(t *testing.T) {
 	// Symptom: word of a server that leaves is lost.
 	// Sequence: it sends the word, closes the connection without waiting for the answer, and ends.
 	// Cause: a request is dropped because its connection is closed.
