--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -50,9 +50,9 @@
 	return err
 }
 
-// BenchmarkKeptConnection measures a small request and answer on a kept connection, the
+// BenchmarkReusedConnection measures a small request and answer on a kept connection, the
 // caller's work included.
-func BenchmarkKeptConnection(b *testing.B) {
+func BenchmarkReusedConnection(b *testing.B) {
 	s := benchServer(b, text("ran"))
 	body := strings.Repeat("x", 1000)
 	request := fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
