--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -109,13 +109,13 @@
 // New returns an API.
 func New(d Deps) *API {
 	a := &API{deps: d, claims: &claim.Filter{Claims: d.Claims, Records: d.Records}}
-	gone := &callergone.Filter{
+	callerGone := &callergone.Filter{
 		Closed: d.CallerClosed, ID: func(ctx context.Context) string { return filter.CallFrom(ctx).ID },
 	}
-	who := &identify.Filter{Settings: d.Settings}
+	identifyCaller := &identify.Filter{Settings: d.Settings}
 	filters := []filter.Filter{
-		gone,
-		who,
+		callerGone,
+		identifyCaller,
 		&limit.Filter{},
 		&deadline.Filter{},
 		&parse.Filter{Settings: d.Settings},
@@ -130,7 +130,7 @@
 		a.claims,
 		&route.Filter{Scheduler: d.Scheduler, Retries: d.Retries, Records: d.Records, Clock: d.Clock},
 	)...)
-	a.models = filter.Chain(filter.HandlerFunc(a.listModels), who)
+	a.models = filter.Chain(filter.HandlerFunc(a.listModels), identifyCaller)
 	return a
 }
 
--- a/internal/callerapi/oracle_test.go
+++ b/internal/callerapi/oracle_test.go
@@ -76,17 +76,17 @@
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		h := drawHistory(rt)
-		var faults []string
-		synctest.Test(t, func(t *testing.T) { faults = runHistory(t, h) })
-		if len(faults) > 0 {
-			rt.Fatalf("%s", strings.Join(faults, "\n"))
+		var violations []string
+		synctest.Test(t, func(t *testing.T) { violations = runHistory(t, h) })
+		if len(violations) > 0 {
+			rt.Fatalf("%s", strings.Join(violations, "\n"))
 		}
 	})
 }
 
 // runHistory runs a history and returns the violations found with the knowledge of all
 // engines.
-func runHistory(t *testing.T, h history) (faults []string) {
+func runHistory(t *testing.T, h history) (violations []string) {
 	f := newFleet()
 	for _, s := range h.Engines {
 		f.engine(s.Resumes, s.Fault, s.At).stuck = s.Stuck
@@ -99,16 +99,16 @@
 		time.AfterFunc(time.Duration(h.KillAtMs)*time.Millisecond, func() { f.mu.Lock(); f.dead["a"] = true; f.mu.Unlock() })
 	}
 	var mu sync.Mutex
-	object := func(format string, args ...any) {
+	report := func(format string, args ...any) {
 		mu.Lock()
 		defer mu.Unlock()
-		faults = append(faults, fmt.Sprintf(format, args...))
+		violations = append(violations, fmt.Sprintf(format, args...))
 	}
 	var wg sync.WaitGroup
 	for i, a := range h.Arrivals {
 		wg.Go(func() {
 			time.Sleep(time.Duration(a.StartMs) * time.Millisecond)
-			checkArrival(f, hosts[a.Host], i, a, object)
+			checkArrival(f, hosts[a.Host], i, a, report)
 		})
 	}
 	wg.Wait()
@@ -119,21 +119,21 @@
 			e.count(func() { runs += strings.Count(strings.Join(e.bodies, " "), fmt.Sprintf("key%d.", key)) })
 		}
 		if isNotIdempotent(key) && runs > 1 {
-			object("key %d is not idempotent and ran %d times", key, runs)
+			report("key %d is not idempotent and ran %d times", key, runs)
 		}
 	}
 	f.end(t)
-	return faults
+	return violations
 }
 
 // checkArrival sends one request and checks its answer.
-func checkArrival(f *fakeFleet, host *fakeHost, i int, a arrival, object func(string, ...any)) {
+func checkArrival(f *fakeFleet, host *fakeHost, i int, a arrival, report func(string, ...any)) {
 	path, body := requestOf(a.Key)
 	began := time.Now()
 	w := host.do(path, body, filter.HeaderIdempotencyKey, fmt.Sprint(a.Key), filter.HeaderNotIdempotent, fmt.Sprint(isNotIdempotent(a.Key)),
 		filter.HeaderTimeout, fmt.Sprint(a.DeadlineMs))
 	if took := time.Since(began); took > time.Duration(a.DeadlineMs)*time.Millisecond {
-		object("arrival %d was answered after %v", i, took)
+		report("arrival %d was answered after %v", i, took)
 	}
 	got := w.Body.String()
 	refused := strings.Contains(got, `{"error":{"kind"`)
@@ -147,11 +147,11 @@
 	f.mu.Unlock()
 	switch {
 	case whole == refused && w.Code < 400:
-		object("arrival %d got neither a complete answer nor a refusal, or both: %q", i, got)
+		report("arrival %d got neither a complete answer nor a refusal, or both: %q", i, got)
 	case whole && !billed:
-		object("arrival %d got its answer without a bill", i)
+		report("arrival %d got its answer without a bill", i)
 	case refused && strings.Contains(got, `"ran":"`+string(errkind.RanNo)+`"`) && ranAnywhere(f, w.Header().Get(filter.HeaderRequestID)):
-		object("arrival %d ran but was answered with ran \"no\": %s", i, got)
+		report("arrival %d ran but was answered with ran \"no\": %s", i, got)
 	}
 }
 
--- a/internal/engineclient/manykept_test.go
+++ b/internal/engineclient/manykept_test.go
@@ -14,8 +14,8 @@
 
 // Guards against rejecting a request for a healthy server that has closed all its idle
 // connections. This host, short of processor time, has not noticed any of the closes when the
-// next request comes. The request used to fail after eight ended connections, without an
-// attempt on a new one.
+// next request comes. With at most eight attempts on ended connections, the request failed
+// without an attempt on a new one.
 func TestRequestAfterAllIdleConnectionsClosed(t *testing.T) {
 	const kept = 40
 	l := testutil.Listen(t)
--- a/internal/httpserver/accept.go
+++ b/internal/httpserver/accept.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// acceptBackoff is how long no connection is accepted after one could not be, for want of
-// descriptors as a rule: some close within it.
+// acceptBackoff is how long the server waits after it failed to accept a connection. The usual
+// reason is a shortage of descriptors, some of which become free in that time.
 //
-// What goes wrong without it: nbhttp tries again at once, and the host spends its processor on
-// the attempts, and its log on a line for each, while it has requests to serve.
+// Without the pause, nbhttp retries at once: the host spends its CPU on the attempts and its
+// log on a line for each while it has requests to serve.
 const acceptBackoff = 50 * time.Millisecond
 
 // onAcceptError runs on the accepting goroutine.
--- a/internal/httpserver/accept_test.go
+++ b/internal/httpserver/accept_test.go
@@ -10,7 +10,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// fullListener fails the first calls for want of descriptors.
+// fullListener fails the first calls because no descriptor is free.
 type fullListener struct {
 	net.Listener
 	left atomic.Int64
@@ -25,9 +25,8 @@
 }
 
 func TestAcceptContinuesAfterDescriptorShortage(t *testing.T) {
-	// Symptom: a host with all descriptors in use burns its processor and answers nobody.
-	// Sequence: connections wait to be accepted, and no descriptor is free for them.
-	// Cause: accepting is tried again at once.
+	// Guards against a host with no free descriptors that spends its CPU on accepting and
+	// answers nobody: connections wait to be accepted, and accept is retried at once.
 	const failures = 3
 	s := New(Config{Address: "127.0.0.1:0", Handler: text("ran")})
 	s.engine.Listen = func(network, address string) (net.Listener, error) {
--- a/internal/httpserver/barrier.go
+++ b/internal/httpserver/barrier.go
@@ -12,15 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// writeTracker tells of the closes that nbio does by itself on a handler's goroutine: that
-// of a connection on which a write has failed. All other closes are left to the poller, see
-// trackedConn.
+// writeTracker tracks the only closes that nbio performs by itself on a handler's goroutine:
+// after a failed write. All other closes are left to the poller, see trackedConn.
 type writeTracker struct {
-	// ongoing are the writes that may end in a close, failed those that have.
+	// ongoing counts the writes that may end in a close, failed those that did.
 	ongoing, failed atomic.Int64
 }
 
-// write has nbio write.
+// write runs f, which writes through nbio.
 func (w *writeTracker) write(f func() (int, error)) (int, error) {
 	w.ongoing.Add(1)
 	defer w.ongoing.Add(-1)
@@ -31,35 +30,36 @@
 	return n, err
 }
 
-// pollBarrier tells when the poller has handled every event that it had fetched before.
+// pollBarrier waits until the poller has handled every event that it had fetched before.
 //
-// What goes wrong without it: the poller fetches events in batches, up to 1,024, and finds
-// each one's connection by its descriptor number. A connection that nbio closes on another
-// goroutine frees its number with its event still waiting in the batch. A connection accepted
-// in that moment gets the number; the event closes it, right after its first request was read
-// and handed to a handler. One notices requests that were sent on to backend servers and ended
-// as if their callers had left, at a host that had stood still for a moment. A connection that
-// waits here before it is known to the poller can't be found by an older event.
+// The poller fetches events in batches of up to 1,024 and finds the connection of each event
+// by its descriptor number. When nbio closes a connection on another goroutine, its number
+// becomes free while its event still waits in the batch. A connection accepted at that moment
+// gets the number, and the stale event closes it right after its first request was read and
+// handed to a handler. Such requests were sent on to backend servers and ended as if their
+// callers had left, on a host that had paused for a moment. A connection that waits at the
+// barrier before it is registered with the poller can't be found by an older event.
 //
-// It costs two wake-ups of the poller, only after a close by nbio. With two for each accepted
-// connection a host used a tenth more processor time.
+// The barrier costs two wake-ups of the poller, and only after a close by nbio. With two
+// wake-ups for each accepted connection a host used a tenth more processor time.
 type pollBarrier struct {
-	// wake is the other end of a connection that the poller reads.
+	// wake is the peer of a socket that the poller reads.
 	wake net.Conn
 	// stopped is closed when the poller may have ended.
 	stopped chan struct{}
 	once    sync.Once
 	writes  *writeTracker
-	// seenFailed is how many writes had failed when somebody passed last.
+	// seenFailed is the number of failed writes covered by the last completed wait.
 	seenFailed atomic.Int64
 
 	mu sync.Mutex
-	// waiting wait for a byte that is written after they came; passing wait for one that the
-	// poller itself wrote after that, thus in a later batch.
+	// waiting holds those that wait for a wake-up byte written after they arrived; passing
+	// holds those that wait for a second byte, which the poller itself wrote after the first
+	// and which is therefore in a later batch.
 	waiting, passing []chan struct{}
 }
 
-// newPollBarrier makes the barrier of an engine with one poller, which must run.
+// newPollBarrier returns the barrier of an engine with one poller, which must be running.
 func newPollBarrier(engine *nbio.Engine, writes *writeTracker) (*pollBarrier, error) {
 	wake, read, err := socketPair()
 	if err != nil {
@@ -69,29 +69,29 @@
 	conn, err := nbio.NBConn(read)
 	if err != nil {
 		_ = wake.Close()
-		return nil, errors.Wrap(err, "hand a socket to the poller")
+		return nil, errors.Wrap(err, "pass a socket to the poller")
 	}
-	conn.SetSession(b) // by which Server.read knows it
+	conn.SetSession(b) // Server.read recognizes the socket by it
 	if _, err := engine.AddConn(conn); err != nil {
 		_ = wake.Close()
-		return nil, errors.Wrap(err, "have the poller read a socket")
+		return nil, errors.Wrap(err, "register a socket with the poller")
 	}
 	return b, nil
 }
 
-// socketPair is two connected sockets that belong to this process alone.
+// socketPair returns two connected sockets.
 func socketPair() (a, b net.Conn, err error) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "make a pair of sockets")
+		return nil, nil, errors.Wrap(err, "create a socket pair")
 	}
 	var conns [2]net.Conn
 	for i, fd := range fds {
 		f := os.NewFile(uintptr(fd), "poll barrier")
 		conn, connErr := net.FileConn(f)
-		_ = f.Close() // FileConn has a descriptor of its own
+		_ = f.Close() // FileConn duplicates the descriptor
 		if connErr != nil && err == nil {
-			err = errors.Wrap(connErr, "use a pair of sockets")
+			err = errors.Wrap(connErr, "use a socket pair")
 		}
 		conns[i] = conn
 	}
@@ -106,10 +106,11 @@
 	return nil, nil, err
 }
 
-// await returns once the poller has handled all events that it had fetched before the call, if
-// nbio has closed a connection since it last had, or may be doing so; or when the server stops.
+// await returns when the poller has handled all events that it had fetched before the call, or
+// when the server stops. It returns at once if nbio has closed no connection since the last
+// wait and is not about to.
 func (b *pollBarrier) await() {
-	// In this order: a write that is no longer under way has been counted if it failed.
+	// The order matters: a failed write that is no longer ongoing has already been counted.
 	idle := b.writes.ongoing.Load() == 0
 	failed := b.writes.failed.Load()
 	if idle && failed == b.seenFailed.Load() {
@@ -120,7 +121,7 @@
 	}
 }
 
-// wait returns after two rounds of the poller; false when the server stops.
+// wait returns after two rounds of the poller; false if the server stops.
 func (b *pollBarrier) wait() bool {
 	passed := make(chan struct{})
 	b.mu.Lock()
@@ -137,8 +138,8 @@
 	}
 }
 
-// read takes what kick wrote. It runs on the poller, once in a batch at most: a batch has one
-// event for each connection.
+// read consumes the bytes that wakePoller wrote. It runs on the poller, at most once per
+// batch, since a batch has one event per connection.
 func (b *pollBarrier) read(c *nbio.Conn, buffer []byte) {
 	n, err := c.Read(buffer)
 	if n > 0 {
@@ -148,15 +149,15 @@
 	if err == nil || errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR) {
 		return
 	}
-	// Nobody may wait for a poller that can't be asked any more.
+	// The poller can no longer be woken, so nobody may wait for it.
 	log.Error().Str("event", "poll-barrier-failed").Err(err).Send()
 	b.stop()
 	_ = c.CloseWithError(err)
 }
 
-// nextRound begins a further round. Those that arrived may have done so in the middle of this
-// batch. Those that were passing came before the end of an earlier one, whose events are all
-// handled by now.
+// nextRound begins another round. Those in waiting may have arrived in the middle of this
+// batch. Those in passing arrived before the end of an earlier batch, whose events have all
+// been handled.
 func (b *pollBarrier) nextRound() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -169,15 +170,15 @@
 	}
 }
 
-// wakePoller has the poller fetch a further batch; b.mu is held. At most two bytes are unread, so
-// the write does not block.
+// wakePoller makes the poller fetch another batch. The caller holds b.mu. At most two bytes
+// are unread, so the write does not block.
 func (b *pollBarrier) wakePoller() {
 	if _, err := b.wake.Write([]byte{0}); err != nil && !b.isStopped() {
 		log.Error().Str("event", "poll-barrier-failed").Err(err).Send()
 	}
 }
 
-// stop lets everybody pass.
+// stop releases all that wait.
 func (b *pollBarrier) stop() {
 	b.once.Do(func() {
 		close(b.stopped)
--- a/internal/httpserver/barrier_test.go
+++ b/internal/httpserver/barrier_test.go
@@ -16,20 +16,20 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// eventDelay is longer than it takes loopback to make bytes or a close readable, and the
-// server to register a connection that it has accepted. Without the wait the test would
-// not bring the fault about; it asserts nothing on time.
+// eventDelay is longer than it takes the loopback interface to make bytes or a close readable,
+// and the server to register an accepted connection. Without the wait the test would not
+// reproduce the fault; it asserts nothing about time.
 const eventDelay = 20 * time.Millisecond
 
-// poller lets a test hold the goroutine that reads connections: it asks for the limits in
-// force with each piece of a request that it has read.
+// poller lets a test block the goroutine that reads connections, which calls limits for each
+// piece of a request that it has read.
 type poller struct {
 	mu   sync.Mutex
 	next chan struct{}
 	held chan struct{}
 }
 
-// hold stops the poller at the next bytes that it reads, until the channel is closed.
+// hold blocks the poller at the next bytes that it reads, until the channel is closed.
 func (p *poller) hold() chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,18 +49,17 @@
 	return Limits{}
 }
 
-// descriptor is the number of the server's end of w's connection.
+// descriptor returns the descriptor number of the server's end of w's connection.
 func descriptor(w http.ResponseWriter) int { return connOf(w).Hash() }
 
-// Symptom: requests are handed to the handler and sent on, and their connections are closed
-// with no answer, several within a moment; nobody closed them. The host had stood still for
-// some ten milliseconds before, and callers had left meanwhile.
-// Sequence: the poller fetches a batch of events, among them one that a caller has closed its
-// connection. Before it comes to that one, a write of that caller's answer fails and nbio closes
-// the connection, which frees its descriptor number. A new connection is accepted and gets the
-// number; its request is there already. The poller comes to the old event, finds the new
-// connection under the number, reads its request, and closes it as the event says.
-// Cause: events name a connection by a number that may be another connection's by then.
+// Guards against the event of a closed connection that closes another one. The poller fetches
+// a batch of events, among them that a caller has closed its connection. Before it reaches
+// that event, a write of that caller's answer fails and nbio closes the connection, which
+// frees its descriptor number. A new connection is accepted and gets the number; its request
+// has already arrived. The poller reaches the old event, finds the new connection under the
+// number, reads its request and closes it as the event says. Several requests were handed to
+// handlers and sent on within a moment and then closed without an answer, on a host that had
+// paused for some ten milliseconds while callers left.
 func TestEventOfAClosedConnectionDoesNotCloseTheNextOne(t *testing.T) {
 	p := &poller{held: make(chan struct{})}
 	numbers := make(chan int, 1)
@@ -70,11 +69,11 @@
 		switch r.URL.Path {
 		case "/open":
 			numbers <- descriptor(w)
-			<-end // no answer, after which the server would ask for the limits too
+			<-end // no answer, after which the server would call limits too
 		case "/left":
 			numbers <- descriptor(w)
 			<-leave
-			// As nbio does when a write fails; what this package closes, the poller closes.
+			// As nbio does when a write fails; closes by this package are left to the poller.
 			_, _ = s.writes.write(func() (int, error) { return 0, errors.Join(connOf(w).Conn.Close(), net.ErrClosed) })
 			close(left)
 		case "/next":
@@ -86,8 +85,8 @@
 	first, second, gone, number := connections(t, s, numbers)
 	fillNumbersBelow(t, number)
 
-	// Held at the first connection's bytes, the poller fetches the events of the other two
-	// together afterwards, and is held at the second one's.
+	// Blocked at the first connection's bytes, the poller then fetches the events of the other
+	// two together, and is blocked at those of the second.
 	releaseFirst := p.hold()
 	send(t, first, "G")
 	<-p.held
@@ -101,7 +100,7 @@
 
 	close(leave)
 	<-left
-	// Accepting takes a number for a moment and so does the caller's end: the next free one,
+	// Accepting needs a number for a moment and so does the caller's end. The next free one,
 	// which the server's end keeps, is that of the closed connection.
 	for _, f := range spare {
 		testutil.NoError(t, f.Close())
@@ -113,7 +112,7 @@
 	close(releaseSecond)
 	res, err := http.ReadResponse(bufio.NewReader(next), nil)
 	if err != nil {
-		t.Fatalf("the request was taken and has no answer: %v", err)
+		t.Fatalf("the request was accepted but got no answer: %v", err)
 	}
 	testutil.NoError(t, res.Body.Close())
 }
@@ -130,7 +129,7 @@
 }
 
 // connections opens three connections whose events one poller handles, each with a request
-// that stays open. number is the last one's descriptor at the server.
+// that stays open. number is the last one's descriptor number at the server.
 func connections(t *testing.T, s *Server, numbers <-chan int) (first, second, gone net.Conn, number int) {
 	t.Helper()
 	gone = dial(t, s)
@@ -159,14 +158,14 @@
 	return out
 }
 
-// fillNumbersBelow leaves no descriptor number below the given one free.
+// fillNumbersBelow uses up all free descriptor numbers below the given one.
 func fillNumbersBelow(t *testing.T, number int) {
 	t.Helper()
 	for openFiles(t, 1)[0].Fd() < uintptr(number) {
 	}
 }
 
-// awaitNumber returns once a socket has the descriptor number.
+// awaitNumber waits until a socket has the descriptor number.
 func awaitNumber(t *testing.T, number int) {
 	t.Helper()
 	await(t, "a socket has the number", func() bool {
--- a/internal/httpserver/bench_test.go
+++ b/internal/httpserver/bench_test.go
@@ -15,15 +15,15 @@
 
 func benchServer(b *testing.B, h http.HandlerFunc) *Server {
 	b.Helper()
-	catchLog(b) // lines of the log would stand among the figures
+	catchLog(b) // keeps log lines out of the benchmark's output
 	s := New(Config{Address: "127.0.0.1:0", Handler: h})
 	testutil.NoError(b, s.Start())
 	b.Cleanup(s.stop)
 	return s
 }
 
-// processorTime is what this process has used, in nanoseconds. Beside other load it says more
-// than elapsed time.
+// processorTime returns the processor time that this process has used, in nanoseconds. Under
+// other load it is more meaningful than elapsed time.
 func processorTime(b *testing.B) int64 {
 	b.Helper()
 	var u syscall.Rusage
@@ -31,13 +31,13 @@
 	return u.Utime.Nano() + u.Stime.Nano()
 }
 
-// reportProcessor adds the processor time for each operation since before.
+// reportProcessor reports the processor time per operation since before.
 func reportProcessor(b *testing.B, before int64) {
 	b.Helper()
 	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
-// exchange sends a request on a kept connection and reads its answer.
+// exchange sends a request on a connection and reads the answer.
 func exchange(c net.Conn, r *bufio.Reader, request string) error {
 	if _, err := io.WriteString(c, request); err != nil {
 		return err
@@ -50,8 +50,8 @@
 	return err
 }
 
-// BenchmarkReusedConnection measures a small request and answer on a kept connection, the
-// caller's work included.
+// BenchmarkReusedConnection measures a small request and answer on a reused connection,
+// including the caller's work.
 func BenchmarkReusedConnection(b *testing.B) {
 	s := benchServer(b, text("ran"))
 	body := strings.Repeat("x", 1000)
@@ -75,7 +75,7 @@
 	reportProcessor(b, before)
 }
 
-// BenchmarkStreamedAnswer measures an answer of 100 events, each flushed by itself.
+// BenchmarkStreamedAnswer measures an answer of 100 events, each flushed separately.
 func BenchmarkStreamedAnswer(b *testing.B) {
 	const events = 100
 	s := benchServer(b, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/httpserver/bodies_test.go
+++ b/internal/httpserver/bodies_test.go
@@ -19,12 +19,12 @@
 	t.Helper()
 	_, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", path, size)
 	testutil.NoError(t, err)
-	_, _ = c.Write(bytes.Repeat([]byte("x"), size)) // a refusal may come before all is sent
+	_, _ = c.Write(bytes.Repeat([]byte("x"), size)) // a refusal may arrive before all is sent
 }
 
-// Symptom: a host is ended by the system at its memory limit, with all its requests.
-// Sequence: some tens of callers send bodies of some megabytes at once, each of which is allowed.
-// Cause: nothing bounds what all of them together hold.
+// Guards against a host that the system kills at its memory limit, with all its requests. Some
+// tens of callers send bodies of several megabytes at once, each of them allowed; all of them
+// together must be bounded.
 func TestBodiesInFlightAreBounded(t *testing.T) {
 	const bound, large, small = 1 << 20, 700 << 10, 1 << 10
 	reading, release := make(chan struct{}, 8), make(chan struct{})
@@ -49,27 +49,28 @@
 	testutil.NoError(t, json.NewDecoder(res.Body).Decode(&body))
 	status, e := res.StatusCode, body.Error
 	if res.Header.Get("Retry-After") == "" {
-		t.Error("the refusal names no time to come back")
+		t.Error("the refusal has no Retry-After header")
 	}
 	if status != http.StatusTooManyRequests || e.Kind != errkind.Overloaded || e.Ran != errkind.RanNo || e.RetryAfterMs == 0 {
-		t.Errorf("a body without room is answered %d %+v", status, e)
+		t.Errorf("a body without room got %d %+v", status, e)
 	}
 	if held := s.heldBytes.Load(); held >= 2*large {
-		t.Errorf("%d bytes count as held, with those that were refused", held)
+		t.Errorf("%d bytes count as held, including those of rejected requests", held)
 	}
-	wantAnswer(t, dial(t, s), small) // small ones are not what fills the memory
+	wantAnswer(t, dial(t, s), small) // small requests are admitted beyond the bound
 
 	close(release)
 	if got := answer(t, holder); got != fmt.Sprint(large) {
 		t.Errorf("the first request got %s", got)
 	}
-	await(t, "the first body is given back", func() bool { return s.heldBytes.Load() == 0 })
+	await(t, "the bytes of the first body are released", func() bool { return s.heldBytes.Load() == 0 })
 	wantAnswer(t, dial(t, s), large)
-	await(t, "the next body is given back", func() bool { return s.heldBytes.Load() == 0 })
+	await(t, "the bytes of the next body are released", func() bool { return s.heldBytes.Load() == 0 })
 	wantAnswer(t, holder, large)
 }
 
-// Sequence: callers leave in the middle of a body, and while it waits at a handler.
+// Guards against bytes that stay counted after callers have disconnected in the middle of a
+// body, or while the request waits in a handler.
 func TestBytesOfClosedConnectionsAreReleased(t *testing.T) {
 	const size = 300 << 10
 	reading, release := make(chan struct{}, 1), make(chan struct{})
@@ -84,16 +85,16 @@
 	half := dial(t, s)
 	_, err := fmt.Fprintf(half, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size/2))
 	testutil.NoError(t, err)
-	await(t, "both are held", func() bool { return s.heldBytes.Load() > 2*size })
+	await(t, "both bodies are counted", func() bool { return s.heldBytes.Load() > 2*size })
 	_, _ = half.Close(), atHandler.Close()
-	await(t, "half a body is given back", func() bool { return s.heldBytes.Load() < 2*size })
+	await(t, "the bytes of half a body are released", func() bool { return s.heldBytes.Load() < 2*size })
 	close(release)
-	await(t, "the other is, once its handler has returned", func() bool { return s.heldBytes.Load() == 0 })
+	await(t, "the bytes of the other are released after its handler has returned", func() bool { return s.heldBytes.Load() == 0 })
 }
 
-// Symptom: of forty large requests that come together none is served, and all are refused.
-// Sequence: each sends a part of its body; together they fill what there is.
-// Cause: what has come was counted, not what was going to come.
+// Guards against rejecting all of forty large requests that arrive together although some of
+// them fit. Each sends part of its body, and the parts together fill the room; a body must be
+// counted by its announced length.
 func TestBodiesAdmittedAtHeadAreServed(t *testing.T) {
 	const size, fit, callers = 256 << 10, 4, 16
 	s := start(t, Config{MaxBodiesBytes: fit*size + smallRequest, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -126,7 +127,7 @@
 	t.Helper()
 	post(t, c, "/", size)
 	if got := answer(t, c); got != fmt.Sprint(size) {
-		t.Errorf("a body of %d bytes is answered %q", size, got)
+		t.Errorf("a body of %d bytes got answer %q", size, got)
 	}
 }
 
--- a/internal/httpserver/closing.go
+++ b/internal/httpserver/closing.go
@@ -12,47 +12,48 @@
 	"github.com/rs/zerolog/log"
 )
 
-// Cause says why a connection ended.
+// Cause is the reason why a connection ended.
 type Cause string
 
-// The causes. The caller's own doing are CauseCaller and CauseReset; for CauseSlowSender,
-// CauseUnreadable and CauseStalled the server closes for what the caller does.
+// Causes. CauseCaller and CauseReset are the caller's actions; with CauseSlowSender,
+// CauseUnreadable and CauseWriteStalled the server closes the connection because of the
+// caller's behavior.
 const (
 	// CauseCaller: the caller closed the connection.
 	CauseCaller Cause = "caller"
-	// CauseUnexplained: the poller was told that the caller's side has ended, and had not read
-	// that end. An event of another connection does that, see pollBarrier; so does a caller who
-	// closed behind more bytes than were read in one turn.
+	// CauseUnexplained: the poller received an event that the caller's side has ended, but had
+	// not read the end. The event of another connection can cause this, see pollBarrier, and
+	// so can a caller that closes after more bytes than were read in one turn.
 	CauseUnexplained Cause = "unexplained"
-	// CauseReset: the caller's side reset the connection or did not acknowledge any more.
+	// CauseReset: the caller's side reset the connection or stopped acknowledging data.
 	CauseReset Cause = "reset"
 	// CauseIdle: no request began within the idle timeout.
 	CauseIdle Cause = "idle"
-	// CauseWriteStalled: the caller took nothing of an answer within the idle timeout.
+	// CauseWriteStalled: the caller accepted nothing of an answer within the idle timeout.
 	CauseWriteStalled Cause = "write-stalled"
-	// CauseWriteOverflow: more of an answer waits for the caller than MaxQueuedBytes.
+	// CauseWriteOverflow: more than MaxQueuedBytes of an answer wait for the caller.
 	CauseWriteOverflow Cause = "write-overflow"
-	// CauseAborted: Abort broke an answer off.
+	// CauseAborted: Abort ended an answer.
 	CauseAborted Cause = "aborted"
-	// CauseSlowSender: a request did not arrive whole in time.
+	// CauseSlowSender: a request was not received completely in time.
 	CauseSlowSender Cause = "slow-sender"
-	// CauseUnreadable: what the caller sent can't be read as a request.
+	// CauseUnreadable: the bytes received are not a valid request.
 	CauseUnreadable Cause = "unreadable"
 	// CauseNoRoom: there was no room for the request's body, see Config.MaxBodiesBytes.
 	CauseNoRoom Cause = "no-room"
 	// CauseStopped: the server stopped.
 	CauseStopped Cause = "stopped"
-	// CauseLibrary: nbhttp closed the connection for a reason of its own.
+	// CauseLibrary: nbhttp closed the connection for its own reasons.
 	CauseLibrary Cause = "library"
 )
 
-// ByCaller tells whether the connection ended by the caller's doing.
+// ByCaller reports whether the caller ended the connection.
 func (c Cause) ByCaller() bool { return c == CauseCaller || c == CauseReset }
 
-// closeError is what nbio is told when the server itself closes a connection.
+// closeError is the error passed to nbio when the server itself closes a connection.
 type closeError struct {
 	cause Cause
-	// err is what led to it, if that was an error.
+	// err is the underlying error; may be nil.
 	err error
 }
 
@@ -64,13 +65,13 @@
 	return string(e.cause)
 }
 
-// causeOf reads the cause from the error with which nbio closed a connection. ended: the end of
-// the caller's side was read.
+// causeOf determines the cause from the error with which nbio closed a connection. ended
+// reports whether the end of the caller's side was read.
 func (s *Server) causeOf(err error, ended bool) Cause {
-	var own *closeError
+	var reason *closeError
 	switch {
-	case errors.As(err, &own):
-		return own.cause
+	case errors.As(err, &reason):
+		return reason.cause
 	case err == nil && s.draining.Load():
 		return CauseStopped
 	case errors.Is(err, io.EOF) && ended:
@@ -83,36 +84,35 @@
 	return CauseLibrary
 }
 
-// closeWithCause gives the connection up for a reason of the server's own: it shuts the socket down in
-// both directions, which the poller sees as an event of this connection, and closes it. See
+// closeWithCause closes the connection for a reason of the server. It shuts the socket down in
+// both directions; the poller gets this as an event of the connection and closes it. See
 // trackedConn for why it isn't closed here.
 func (c *trackedConn) closeWithCause(cause Cause, err error) {
-	own := &closeError{cause, err}
-	c.Lock() // as long as it is held, nbio doesn't close the socket
-	first := !c.isClosed() && c.closeReason.CompareAndSwap(nil, own)
+	reason := &closeError{cause, err}
+	c.Lock() // while it is held, nbio doesn't close the socket
+	first := !c.isClosed() && c.closeReason.CompareAndSwap(nil, reason)
 	if first {
 		_ = c.onSocket(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_RDWR) })
 	}
 	c.Unlock()
 	if first {
-		c.reportEnd(own)
+		c.reportEnd(reason)
 		return
 	}
 	c.reportIfClosed()
 }
 
-// reportIfClosed reports the end of the connection if it is closed and nbio has said why.
+// reportIfClosed reports the end of the connection if it is closed and nbio has recorded the
+// error.
 func (c *trackedConn) reportIfClosed() {
 	if closed, err := c.IsClosed(); closed && err != nil {
 		c.reportEnd(err)
 	}
 }
 
-// reportEnd counts the end of the connection, and logs it if a request was open or the
-// kernel had not taken the whole answer.
-//
-// What goes wrong without the line: a caller sees its connection closed with no answer, and
-// nothing tells whether it left by itself, or which of the server's own reasons closed it.
+// reportEnd counts the end of the connection, and logs it if a request was open or the kernel
+// had not accepted the whole answer. Without the log line, a connection that was closed
+// without an answer could not be traced to the caller or to one of the server's own reasons.
 func (c *trackedConn) reportEnd(err error) {
 	c.ended.Do(func() {
 		cause, open := c.server.causeOf(err, c.endRead.Load()), !c.isDrained()
@@ -138,52 +138,52 @@
 		AnErr("error", err).Send()
 }
 
-// NameRequest gives the request that w answers the id under which its own line stands in the
-// log: the line of a connection that ends under it then has it, too.
+// NameRequest sets the ID under which the request that w answers is logged, so that a log line
+// about the connection's end during the request carries the same ID.
 func NameRequest(w http.ResponseWriter, id string) {
 	if c := connOf(w); c != nil {
 		c.requestID.Store(&id)
 	}
 }
 
-// closeCounters counts the closeCounters of a server's connections by cause.
+// closeCounters counts the ends of a server's connections by cause.
 type closeCounters struct {
-	// all connections, and those among them on which a request was open.
+	// all counts all connections, withRequest those on which a request was open.
 	all, withRequest expvar.Map
 	// notAccepted counts connections that could not be accepted.
 	notAccepted expvar.Int
-	vars    expvar.Map
+	vars        expvar.Map
 }
 
 func newCloseCounters() *closeCounters {
-	e := &closeCounters{}
-	e.vars.Set("closed", &e.all)
-	e.vars.Set("closed_with_request", &e.withRequest)
-	e.vars.Set("not_accepted", &e.notAccepted)
-	return e
+	c := &closeCounters{}
+	c.vars.Set("closed", &c.all)
+	c.vars.Set("closed_with_request", &c.withRequest)
+	c.vars.Set("not_accepted", &c.notAccepted)
+	return c
 }
 
-func (e *closeCounters) add(cause Cause, busy bool) {
-	e.all.Add(string(cause), 1)
-	if busy {
-		e.withRequest.Add(string(cause), 1)
+func (c *closeCounters) add(cause Cause, withRequest bool) {
+	c.all.Add(string(cause), 1)
+	if withRequest {
+		c.withRequest.Add(string(cause), 1)
 	}
 }
 
-// Vars are the server's counters: the ends of its connections by Cause, of all under
-// "closed" and of those with a request open under "closed_with_request"; and under
-// "not_accepted" the connections that could not be accepted.
+// Vars returns the server's counters: the ends of its connections by Cause, of all under
+// "closed" and of those with an open request under "closed_with_request", and the connections
+// that could not be accepted under "not_accepted".
 func (s *Server) Vars() expvar.Var { return &s.closes.vars }
 
-// CloseCause says why the caller's connection is closed; false while it is open, and for a
+// CloseCause returns why the caller's connection is closed; false while it is open, and for a
 // ResponseWriter that is not nbhttp's.
 func CloseCause(w http.ResponseWriter) (Cause, bool) {
 	c := connOf(w)
 	if c == nil {
 		return "", false
 	}
-	if own := c.closeReason.Load(); own != nil {
-		return own.cause, true
+	if reason := c.closeReason.Load(); reason != nil {
+		return reason.cause, true
 	}
 	closed, err := c.IsClosed()
 	if !closed {
@@ -191,7 +191,7 @@
 	}
 	c.reportIfClosed()
 	if err == nil && !c.server.draining.Load() {
-		return CauseCaller, true // nbio notes the error just after it marks the connection
+		return CauseCaller, true // nbio sets the error just after it marks the connection as closed
 	}
 	return c.server.causeOf(err, c.endRead.Load()), true
 }
--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -17,7 +17,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// lines collects what is logged while a test runs.
+// lines collects the log lines of a test.
 type lines struct{ testutil.Lines }
 
 func (l *lines) closed() []string {
@@ -38,8 +38,8 @@
 	return l
 }
 
-// counted waits until the server has counted an end by the cause and returns the counters.
-func counted(t *testing.T, s *Server, cause Cause) (all, busy map[Cause]int) {
+// counted waits until the server has counted a close with the cause and returns the counters.
+func counted(t *testing.T, s *Server, cause Cause) (all, withRequest map[Cause]int) {
 	t.Helper()
 	var vars struct {
 		Closed  map[Cause]int `json:"closed"`
@@ -51,7 +51,7 @@
 			return vars.Closed, vars.Request
 		}
 		if time.Now().After(end) {
-			t.Fatalf("no end by %s counted: %s", cause, s.Vars())
+			t.Fatalf("no close with cause %s was counted: %s", cause, s.Vars())
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -60,11 +60,9 @@
 const plainRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
 func TestCloseDuringRequestIsLoggedWithCause(t *testing.T) {
-	// Symptom: a caller says that its connection was closed with no answer, and the host's log
-	// says that the caller left.
-	// Sequence: a connection ends under a request: the caller closes it or resets it, or the
-	// host breaks the answer off.
-	// Cause: all that a handler learns is that the connection is closed.
+	// Guards against a log that blames the caller for every close. A connection ends during a
+	// request because the caller closes or resets it, or because the host aborts the answer;
+	// the log line and the counters must show which.
 	for name, test := range map[string]struct {
 		end      func(net.Conn, http.ResponseWriter)
 		want     Cause
@@ -95,10 +93,10 @@
 			}
 			test.end(c, w)
 			if got := <-seen; got != test.want || got.ByCaller() != test.byCaller {
-				t.Errorf("handler saw %q, want %q", got, test.want)
+				t.Errorf("the handler got cause %q, want %q", got, test.want)
 			}
-			if _, busy := counted(t, s, test.want); busy[test.want] != 1 {
-				t.Errorf("counted %v", busy)
+			if _, withRequest := counted(t, s, test.want); withRequest[test.want] != 1 {
+				t.Errorf("counted %v", withRequest)
 			}
 			got := logged.closed()
 			if len(got) != 1 {
@@ -110,7 +108,7 @@
 				}
 			}
 			if strings.Contains(got[0], `"sent":0`) {
-				t.Errorf("part of the answer was sent: %s", got[0])
+				t.Errorf("logged that nothing was sent although part of the answer was: %s", got[0])
 			}
 		})
 	}
@@ -124,8 +122,8 @@
 	if _, err := io.ReadAll(c); err != nil {
 		t.Fatal(err)
 	}
-	if all, busy := counted(t, s, CauseIdle); all[CauseIdle] != 1 || len(busy) != 0 {
-		t.Errorf("counted %v, of them with a request %v", all, busy)
+	if all, withRequest := counted(t, s, CauseIdle); all[CauseIdle] != 1 || len(withRequest) != 0 {
+		t.Errorf("counted %v, of these with a request %v", all, withRequest)
 	}
 	if got := logged.closed(); len(got) != 0 {
 		t.Errorf("lines: %q", got)
@@ -133,9 +131,9 @@
 }
 
 func TestAbortAfterHandlerReturnedIsIgnored(t *testing.T) {
-	// Symptom: a connection is closed in the middle of an answer that nobody broke off.
-	// Sequence: code that outlives its handler aborts its answer; the next request runs already.
-	// Cause: nbhttp takes a response back when its handler returns and gives it to another request.
+	// Guards against closing a connection in the middle of an answer that nobody aborted. Code
+	// that outlives its handler calls Abort while the next request runs; nbhttp takes a
+	// response back when its handler returns and reuses it for another request.
 	left := make(chan http.ResponseWriter, 1)
 	s := start(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if len(left) == 0 {
@@ -158,9 +156,9 @@
 }
 
 func TestRequestAfterAbortedAnswerIsNotHandled(t *testing.T) {
-	// Symptom: a server runs a request whose caller can't get an answer to it.
-	// Sequence: two requests arrive together; the answer to the first is broken off.
-	// Cause: the second one waits in the connection's list of jobs, which outlives the connection.
+	// Guards against running a request that can no longer be answered. Two requests arrive
+	// together and the answer to the first is aborted; the second waits in the connection's
+	// job list, which outlives the connection.
 	var begun atomic.Int64
 	s := start(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		begun.Add(1)
@@ -173,23 +171,23 @@
 	_, _ = io.ReadAll(c)
 	await(t, "the connection is given up", s.conns.empty)
 	if n := begun.Load(); n != 1 {
-		t.Fatalf("%d requests were begun", n)
+		t.Fatalf("%d requests were handled, want 1", n)
 	}
 }
 
 func TestRequestOfClosedCallerIsHandled(t *testing.T) {
-	// Symptom: word of a server that leaves is lost.
-	// Sequence: it sends the word, closes the connection without waiting for the answer, and ends.
-	// Cause: a request is dropped because its connection is closed.
+	// Guards against dropping a request because its connection is closed: a backend server
+	// that shuts down sends a message, closes the connection without waiting for the answer
+	// and exits.
 	begun := make(chan struct{})
-	h := startHeld(t, Config{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { close(begun) })})
+	h := startGated(t, Config{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) { close(begun) })})
 	h.handlers.shut()
 	c := dial(t, h.Server)
 	_, _ = io.WriteString(c, plainRequest)
 	await(t, "the request is read", func() bool { return h.busy() == 1 })
 	_ = c.Close()
 	conn := h.only(t)
-	await(t, "the end is noticed", conn.isClosed)
+	await(t, "the close is noticed", conn.isClosed)
 	h.handlers.open()
 	select {
 	case <-begun:
@@ -199,9 +197,8 @@
 }
 
 func TestCallerThatDoesNotReadIsClosed(t *testing.T) {
-	// Symptom: a host's memory grows with the answers that a few callers don't take.
-	// Sequence: a caller asks for long answers and reads none of them.
-	// Cause: what the kernel has no room for is kept without a bound.
+	// Guards against memory that grows with the answers of callers that request long answers
+	// and do not read them: the bytes that the kernel does not accept must be bounded.
 	const queue = 1 << 20
 	seen := make(chan Cause, 1)
 	s := start(t, Config{MaxQueuedBytes: queue, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -214,19 +211,18 @@
 	c := dial(t, s)
 	_, _ = io.WriteString(c, plainRequest)
 	if got := <-seen; got != CauseWriteOverflow {
-		t.Errorf("closed because of %q", got)
+		t.Errorf("closed with cause %q", got)
 	}
-	if _, busy := counted(t, s, CauseWriteOverflow); busy[CauseWriteOverflow] != 1 {
-		t.Errorf("counted %v", busy)
+	if _, withRequest := counted(t, s, CauseWriteOverflow); withRequest[CauseWriteOverflow] != 1 {
+		t.Errorf("counted %v", withRequest)
 	}
 	await(t, "the connection is given up", s.conns.empty)
 }
 
 func TestStalledReaderIsNotIdleWhileItReads(t *testing.T) {
-	// Symptom: a large answer to a slow reader breaks off one idle timeout after it was made.
-	// Sequence: the handler has returned, and the caller takes the rest of the answer bit by
-	// bit for longer than the idle timeout. Another caller takes nothing at all.
-	// Cause: a connection counts as idle from the end of the handler on.
+	// Guards against truncating a large answer to a slow reader one idle timeout after the
+	// handler has returned. One caller reads the rest slowly for longer than the idle timeout
+	// and must get all of it; another reads nothing and must be closed.
 	const size, idle = 12 << 20, 4 * shortIdle
 	s := start(t, Config{IdleTimeout: idle, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, size))
@@ -244,9 +240,9 @@
 	}
 	rest, _ := io.CopyN(io.Discard, slow, size-n)
 	if n+rest < size {
-		t.Errorf("the answer broke off at %d of %d bytes", n+rest, size)
+		t.Errorf("the answer was truncated at %d of %d bytes", n+rest, size)
 	}
-	if _, busy := counted(t, s, CauseWriteStalled); busy[CauseWriteStalled] != 1 {
-		t.Errorf("counted %v", busy)
+	if _, withRequest := counted(t, s, CauseWriteStalled); withRequest[CauseWriteStalled] != 1 {
+		t.Errorf("counted %v", withRequest)
 	}
 }
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -14,51 +14,54 @@
 	"github.com/pkg/errors"
 )
 
-// trackedConn is a caller's connection. It writes by itself what the kernel takes at once,
+// trackedConn is a caller's connection. It writes directly what the kernel accepts at once,
 // counts what has to wait, and leaves the closing to the poller.
 //
-// What goes wrong if a handler's goroutine closes: nbio fetches events in batches and finds the
-// connection of an event by the number of its socket. A batch that is under way may hold the end
-// of the connection that is closed here; its number goes to the next one accepted, whose request
-// is then read, handed on, and its connection closed as if the caller had left. Only the poller,
-// while it is at the event of a connection, knows that the batch has no other of it.
+// A handler's goroutine must not close the connection. nbio fetches events in batches and
+// finds the connection of an event by its descriptor number. The current batch may still hold
+// the end of a connection that a handler closes; its number is reused for the next connection
+// accepted, whose request is then read and handed on, and whose connection is closed as if the
+// caller had left. Only the poller, while it handles an event of a connection, knows that the
+// batch holds no other event of it.
 type trackedConn struct {
 	*nbio.Conn
 	server *Server
 	opened time.Time
-	// unsent counts the bytes that were given to nbio and not yet to the kernel. Closing the
-	// connection drops them: Drain waits for zero.
+	// unsent counts the bytes that were passed to nbio but not yet to the kernel. Closing the
+	// connection drops them, so Drain waits for zero.
 	unsent atomic.Int64
-	// openRequests is the number of requests read and not yet answered in full.
+	// openRequests is the number of requests read and not yet answered completely.
 	openRequests atomic.Int64
-	// requestID is the id of the one whose handler runs, if that has named it.
+	// requestID is the ID of the request whose handler runs, once set by NameRequest.
 	requestID atomic.Pointer[string]
-	// requests counts those that came on the connection.
+	// requests counts the requests received on the connection.
 	requests atomic.Int64
-	// written is the number of bytes that the kernel took, writtenBefore what it was when the
-	// first of the requests that are open was read.
+	// written is the number of bytes accepted by the kernel, writtenBefore its value when the
+	// first of the open requests was read.
 	written, writtenBefore atomic.Int64
-	// lastActive is when something last moved on the connection, in nanoseconds after opened.
+	// lastActive is the time of the last activity on the connection, in nanoseconds after
+	// opened.
 	lastActive atomic.Int64
-	// writtenAtSweep is what taken was at the idle watch's last look.
+	// writtenAtSweep is the value of written at the last sweep of the idle watch.
 	writtenAtSweep int64
-	// closeReason is why the server closes the connection; nil as long as it does not. From then on
-	// no request is begun and nothing is written.
+	// closeReason is why the server closes the connection; nil while it does not. Once it is
+	// set, no request is started and nothing is written.
 	closeReason atomic.Pointer[closeError]
 	// endRead: the poller has read the end of the caller's side.
 	endRead atomic.Bool
-	// ended: the end was counted.
+	// ended guards reportEnd, so that the end is counted once.
 	ended sync.Once
-	// received is what has come of the request that is being read, in bytes, and counted what is
-	// counted of it; guard.mu guards both.
+	// received is the number of bytes received of the request being read, counted the number
+	// of them, or of the bytes expected, that are included in Server.heldBytes. guard.mu
+	// guards both.
 	received, counted int64
 }
 
-// SetReadDeadline does nothing: see libraryKeepalive.
+// SetReadDeadline does nothing, see libraryKeepalive.
 func (c *trackedConn) SetReadDeadline(time.Time) error { return nil }
 
-// Write gives the kernel what it takes and has nbio keep the rest. It fails if the connection
-// is closed or its queue full. Calls for one connection come one after the other.
+// Write passes to the kernel what it accepts and lets nbio queue the rest. It fails if the
+// connection is closed or its queue is full. Writes to one connection are sequential.
 func (c *trackedConn) Write(b []byte) (int, error) {
 	if c.unsent.Load()+int64(len(b)) > int64(c.server.cfg.MaxQueuedBytes) {
 		c.closeWithCause(CauseWriteOverflow, nbio.ErrOverflow)
@@ -78,7 +81,7 @@
 	return len(b), nil
 }
 
-// writeNow gives the kernel what it takes of b, nothing if bytes wait already.
+// writeNow passes to the kernel what it accepts of b, nothing if bytes are already queued.
 func (c *trackedConn) writeNow(b []byte) (int, error) {
 	c.Lock()
 	defer c.Unlock()
@@ -102,19 +105,19 @@
 	return max(n, 0), err
 }
 
-// Close is what nbhttp calls.
+// Close is called by nbhttp.
 func (c *trackedConn) Close() error {
 	c.closeWithCause(CauseLibrary, nil)
 	return nil
 }
 
-// handovers counts connections handed from the accepting goroutine to the
-// poller, which loads it before it touches a connection. nbio orders the two through
-// epoll, which neither the memory model nor the race detector knows of.
+// handovers counts connections passed from the accepting goroutine to the poller, which loads
+// the counter before it uses a connection. nbio orders the two through epoll, which neither
+// the memory model nor the race detector knows.
 var handovers atomic.Int64
 
-// isClosed tells whether the connection is closed, or will be as soon as the poller
-// comes to it.
+// isClosed reports whether the connection is closed or will be as soon as the poller handles
+// it.
 func (c *trackedConn) isClosed() bool {
 	if c.closeReason.Load() != nil {
 		return true
@@ -123,12 +126,12 @@
 	return closed
 }
 
-// isDrained tells whether every request is answered and every answer with the kernel.
+// isDrained reports whether every request is answered and every answer passed to the kernel.
 func (c *trackedConn) isDrained() bool {
 	return c.openRequests.Load() == 0 && c.unsent.Load() <= 0
 }
 
-// onWritten is nbio's report of bytes that the kernel took.
+// onWritten is called by nbio with the number of bytes that the kernel accepted.
 func onWritten(c *nbio.Conn, _ []byte, n int) {
 	if t := trackedOf(c); t != nil {
 		t.written.Add(int64(n))
@@ -143,7 +146,7 @@
 	return nil
 }
 
-// connSet holds the open connections.
+// connSet is the set of open connections.
 type connSet struct {
 	mu sync.Mutex
 	m  map[*nbio.Conn]*trackedConn
@@ -180,7 +183,7 @@
 	return len(s.m) == 0
 }
 
-// isDrained tells whether no connection has a request or an answer under way.
+// isDrained reports whether no connection has an open request or an unfinished answer.
 func (s *connSet) isDrained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,10 +206,10 @@
 	}
 }
 
-// connOf finds the connection below w; nil if w is not of this package.
+// connOf returns the connection of w; nil if w is not from this package.
 //
-// It asks the response of this package and not nbhttp's, which goes back to a pool when the
-// handler returns: whoever holds w for longer would find another caller's connection there.
+// It uses this package's response and not nbhttp's, which returns to a pool when the handler
+// returns: code that keeps w for longer would find another caller's connection there.
 func connOf(w http.ResponseWriter) *trackedConn {
 	if res := responseOf(w); res != nil {
 		return res.conn
@@ -214,7 +217,7 @@
 	return nil
 }
 
-// responseOf finds the response of this package below w; nil if there is none.
+// responseOf returns this package's response wrapped by w; nil if there is none.
 func responseOf(w http.ResponseWriter) *response {
 	for {
 		switch v := w.(type) {
@@ -228,7 +231,8 @@
 	}
 }
 
-// underlyingConn finds the connection of a response that its handler is just given.
+// underlyingConn returns the connection of a response that nbhttp has just passed to the
+// handler.
 func underlyingConn(w http.ResponseWriter) *trackedConn {
 	res, ok := w.(*nbhttp.Response)
 	if !ok || res.Parser == nil {
@@ -248,17 +252,17 @@
 	return nil
 }
 
-// ConnClosed tells whether the caller's connection is closed. nbhttp neither
-// cancels the request's context nor fails a write then, so a handler that streams
-// has to poll this. It is false for a ResponseWriter that is not nbhttp's.
+// ConnClosed reports whether the caller's connection is closed. nbhttp neither cancels the
+// request's context nor fails a write in that case, so a handler that streams has to poll
+// this. It is false for a ResponseWriter that is not nbhttp's.
 func ConnClosed(w http.ResponseWriter) bool {
 	_, closed := CloseCause(w)
 	return closed
 }
 
-// Abort closes the caller's connection: the part of an answer that it has stays without
-// its proper end, which is the only way to tell it that the rest won't come. It does
-// nothing once the handler has returned, when another request may be open there.
+// Abort closes the caller's connection. The answer sent so far then lacks its proper end,
+// which is the only way to show the caller that the rest won't follow. Abort does nothing once
+// the handler has returned, since another request may then be open on the connection.
 func Abort(w http.ResponseWriter) {
 	if res := responseOf(w); res != nil {
 		res.abort()
--- a/internal/httpserver/descriptors.go
+++ b/internal/httpserver/descriptors.go
@@ -6,17 +6,16 @@
 	"github.com/lesismal/nbio"
 )
 
-// maxDescriptors bounds the numbers of the descriptors that a server's connections may have.
-// The system gives the lowest free ones, so it bounds the connections of the process too: they
-// would need more memory than a host has long before.
+// maxDescriptors bounds the descriptor numbers of a server's connections. The system assigns
+// the lowest free number, so this also bounds the connections of the process; that many would
+// need more memory than a host has.
 const maxDescriptors = 1 << 16
 
-// limitDescriptors has nbio keep a table for so many descriptors per server.
+// limitDescriptors limits nbio's table of connections to maxDescriptors entries per server.
 //
-// What goes wrong without it: nbio's table has eight bytes for each descriptor that the system
-// lets the process open, two million at most. On a machine that sets no bound, the six servers
-// of a process have 100 MB of such tables. They are hardly ever touched, but the Go runtime
-// counts them as live: with a memory limit below that it collects without end, and each
-// collection reads all of them. One would notice a host whose processor is busy while it
-// has no requests.
+// nbio's table has eight bytes for each descriptor that the system lets the process open, two
+// million at most. On a machine without a limit, the six servers of a process have 100 MB of
+// such tables. They are hardly ever used, but the Go runtime counts them as live: with a
+// memory limit below that, it runs garbage collections continuously, each of which scans all
+// of them, and the host's processor is busy without any requests.
 var limitDescriptors = sync.OnceFunc(func() { nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, maxDescriptors) })
--- a/internal/httpserver/descriptors_test.go
+++ b/internal/httpserver/descriptors_test.go
@@ -8,23 +8,23 @@
 	"github.com/lesismal/nbio"
 )
 
-// Symptom: a process with a memory limit is busy though it has no requests.
-// Sequence: it starts on a machine where a process may have millions of descriptors open.
-// Cause: each server keeps a table of as many entries, which the runtime counts as live.
+// Guards against a process with a memory limit that is busy without any requests, on a machine
+// where a process may open millions of descriptors: each server has a table with as many
+// entries, which the runtime counts as live.
 func TestDescriptorTablesAreBounded(t *testing.T) {
 	const servers, most = 6, 16 << 20 // bytes; without the bound it is 96 MiB
 	limitDescriptors()
 	if nbio.MaxOpenFiles > maxDescriptors {
 		t.Fatalf("tables for %d descriptors", nbio.MaxOpenFiles)
 	}
-	nbio.MaxOpenFiles = maxDescriptors // as on a machine without a bound of its own
+	nbio.MaxOpenFiles = maxDescriptors // as on a machine without a limit
 	before := heap()
 	kept := make([]*Server, 0, servers)
 	for range servers {
 		kept = append(kept, start(t, Config{Handler: http.NotFoundHandler()}))
 	}
 	if grown := heap() - before; grown > most {
-		t.Errorf("%d servers take %d bytes", len(kept), grown)
+		t.Errorf("%d servers use %d bytes", len(kept), grown)
 	}
 }
 
--- a/internal/httpserver/ends_test.go
+++ b/internal/httpserver/ends_test.go
@@ -16,13 +16,13 @@
 )
 
 func TestClosedConnectionsAreReleased(t *testing.T) {
-	// Symptom: the memory of a host grows by a kilobyte or more with each caller who leaves
-	// while part of its answer still waits.
-	// Sequence: the answer is longer than the kernel takes; the caller leaves; the rest fails.
-	// Cause: the library's timer of the connection was set for years, and goes on after that.
+	// Guards against memory that grows by a kilobyte or more with each caller that leaves
+	// while part of its answer is queued. The answer is longer than the kernel accepts, the
+	// caller leaves and the remaining writes fail; the library's timer of the connection, if
+	// set for years, would keep the connection in memory.
 	const size, callers = 12 << 20, 20
 	answer := strings.Repeat("x", size)
-	h := startHeld(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	h := startGated(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", strconv.Itoa(size))
 		_, _ = io.WriteString(w, answer)
 	})})
@@ -32,14 +32,14 @@
 		_, _ = io.WriteString(c, plainRequest)
 		_, _ = io.ReadFull(c, make([]byte, 50))
 		conn := h.serverSide(t, c)
-		// As the idle watch does within a second; nobody waits for it here.
+		// As the idle watch does within a second; the test does not wait for it.
 		_ = conn.Conn.SetReadDeadline(time.Time{})
 		ended = append(ended, weak.Make(conn))
 		_ = c.Close()
-		await(t, "the connection is gone", h.conns.empty)
+		await(t, "the connection is removed", h.conns.empty)
 	}
-	// The library's lists of work that is done hold some few until they are used again.
-	await(t, "nothing holds them", func() bool {
+	// The library's lists of finished work reference a few connections until they are reused.
+	await(t, "nothing references the connections", func() bool {
 		runtime.GC()
 		kept := 0
 		for _, p := range ended {
@@ -50,15 +50,15 @@
 		return kept <= callers/4
 	})
 	if libraryKeepalive > time.Minute {
-		t.Errorf("one that ends before the idle watch has looked is held for %v", libraryKeepalive)
+		t.Errorf("a connection that ends before the first sweep of the idle watch stays in memory for %v", libraryKeepalive)
 	}
 }
 
 func TestIdleWatchClearsLibraryDeadline(t *testing.T) {
-	// Symptom: a stream ends in its middle, at a round time after its connection was accepted.
-	// Sequence: the library sets a deadline when it accepts a connection.
-	// Cause: its timer closes the connection, whatever has begun since.
-	h := startHeld(t, Config{IdleTimeout: shortIdle, Handler: text("ran")})
+	// Guards against a stream that is truncated at a fixed time after its connection was
+	// accepted: the library sets a deadline at accept, whose timer closes the connection
+	// regardless of later activity.
+	h := startGated(t, Config{IdleTimeout: shortIdle, Handler: text("ran")})
 	c := dial(t, h.Server)
 	conn := h.serverSide(t, c)
 	closed := make(chan struct{})
@@ -68,7 +68,7 @@
 	}()
 	_ = conn.Conn.SetReadDeadline(time.Now().Add(2 * shortIdle))
 	h.idle.sweep()
-	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\n") // a request has begun: it is not idle
+	_, _ = io.WriteString(c, "GET / HTTP/1.1\r\n") // a request has begun, so the connection is not idle
 	time.Sleep(4 * shortIdle)
 	select {
 	case <-closed:
@@ -78,11 +78,11 @@
 }
 
 func TestUnreadEndIsUnexplained(t *testing.T) {
-	// Symptom: the log says that callers left who had not.
-	// Sequence: an event of another connection has the poller close one with a request open.
-	// Cause: its error is the one of a caller who closes.
+	// Guards against a log that says that callers left although they did not: when the event
+	// of another connection makes the poller close one with an open request, the error is the
+	// same as for a caller that closes.
 	seen, begun := make(chan Cause, 1), make(chan struct{})
-	h := startHeld(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	h := startGated(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(begun)
 		for !ConnClosed(w) {
 			time.Sleep(time.Millisecond)
@@ -93,24 +93,24 @@
 	c := dial(t, h.Server)
 	_, _ = io.WriteString(c, plainRequest)
 	<-begun
-	_ = h.serverSide(t, c).Conn.CloseWithError(io.EOF) // as the poller does at the event
+	_ = h.serverSide(t, c).Conn.CloseWithError(io.EOF) // as the poller does for the event
 	if got := <-seen; got != CauseUnexplained {
 		t.Errorf("the cause is %q", got)
 	}
 	if CauseUnexplained.ByCaller() {
-		t.Error("it counts as the caller's doing")
+		t.Error("CauseUnexplained counts as caused by the caller")
 	}
 }
 
 func TestStopClosesConnectionsAtBarrier(t *testing.T) {
-	// Symptom: a server does not stop, and a caller waits on a connection that nobody reads.
-	// Sequence: a connection is accepted and waits for the poller; the server stops.
-	// Cause: it was registered after all that were known had been closed.
+	// Guards against a server that does not stop and a caller that waits on a connection that
+	// nobody reads: a connection waits at the barrier when the server stops, and is registered
+	// after all known connections were closed.
 	for range 10 {
 		s := New(Config{Address: "127.0.0.1:0", Handler: text("ran")})
 		testutil.NoError(t, s.Start())
-		s.writes.ongoing.Add(1) // accepted connections wait
-		s.barrier.mu.Lock()      // and the poller can't let them pass
+		s.writes.ongoing.Add(1) // makes accepted connections wait
+		s.barrier.mu.Lock()     // keeps the poller from releasing them
 		c := dial(t, s)
 		await(t, "the connection is accepted", func() bool { return s.engine.Online() == 1 })
 		ended := make(chan struct{})
@@ -134,11 +134,10 @@
 }
 
 func TestIdleWatchSurvivesPanic(t *testing.T) {
-	// Symptom: the process ends with all its requests.
-	// Sequence: what the idle watch asks for the limits panics.
-	// Cause: it runs on a timer's goroutine, whose panics nobody recovered.
+	// Guards against a panic in the idle watch that ends the process with all its requests:
+	// Limits panics on the goroutine of a timer.
 	var broken, asked atomic.Bool
-	h := startHeld(t, Config{IdleTimeout: shortIdle, Handler: text("ran"), Limits: func() Limits {
+	h := startGated(t, Config{IdleTimeout: shortIdle, Handler: text("ran"), Limits: func() Limits {
 		if broken.Load() {
 			asked.Store(true)
 			panic("no limits")
@@ -150,5 +149,5 @@
 	broken.Store(true)
 	await(t, "the watch has panicked", asked.Load)
 	broken.Store(false)
-	await(t, "the idle connection is closed all the same", h.conns.empty)
+	await(t, "the idle connection is closed nevertheless", h.conns.empty)
 }
--- a/internal/httpserver/errors.go
+++ b/internal/httpserver/errors.go
@@ -14,23 +14,24 @@
 	Error ErrorFields `json:"error"`
 }
 
-// ErrorFields says what went wrong, whether the request ran and when to come back.
+// ErrorFields describes an error: its kind, whether the request ran and whether and when to
+// retry.
 type ErrorFields struct {
 	Kind    errkind.Kind  `json:"kind"`
 	Message string        `json:"message"`
 	Ran     errkind.Ran   `json:"ran"`
 	Retry   errkind.Retry `json:"retry"`
-	// RetryAfterMs is when to come back, in milliseconds; 0: not said.
+	// RetryAfterMs is the time after which to retry, in milliseconds; 0: unspecified.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
-	// RequestID is what `bluebellsail explain` takes.
+	// RequestID is the argument of `bluebellsail explain`.
 	RequestID string `json:"request_id,omitempty"`
-	// Path of the fault in a settings tree.
+	// Path is the location of the error in a settings tree.
 	Path string `json:"path,omitempty"`
-	// PresentVersion of the subtree, with a version conflict.
+	// PresentVersion is the subtree's present version, in a version conflict.
 	PresentVersion uint64 `json:"present_version,omitempty"`
 }
 
-// ErrorBody is the JSON body for err.
+// ErrorBody returns the JSON body for err.
 func ErrorBody(requestID string, err error) []byte {
 	e := errkind.From(err)
 	b, jsonErr := json.Marshal(ErrorAnswer{Error: ErrorFields{
@@ -49,8 +50,8 @@
 	return b
 }
 
-// WriteError answers err. It is the one place from which refusals leave, apart from
-// streams already begun, which end with ErrorBody as their last event.
+// WriteError answers with err. All refusals are written here, except in streams that have
+// begun, which end with ErrorBody as their last event.
 func WriteError(w http.ResponseWriter, requestID string, err error) {
 	e := errkind.From(err)
 	h := w.Header()
@@ -63,7 +64,7 @@
 	_, _ = w.Write(ErrorBody(requestID, err))
 }
 
-// wholeSeconds rounds up: a caller that comes back early is refused again.
+// wholeSeconds rounds up, since a caller that retries too early is rejected again.
 func wholeSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
--- a/internal/httpserver/framing/framing.go
+++ b/internal/httpserver/framing/framing.go
@@ -1,14 +1,13 @@
-// Package framing checks that the bytes of a connection are HTTP/1 requests which every
-// reader reads alike, before the server's parser sees them. It is pure: bytes in,
-// verdicts out.
+// Package framing checks, before the server's parser sees them, that the bytes of a connection
+// are HTTP/1 requests which every reader interprets the same way. It performs no I/O.
 //
-// What goes wrong without it: the parser of nbhttp takes what RFC 9112 forbids. Of two
-// Content-Length headers it uses the first, beside Transfer-Encoding it ignores the
-// length, it reads the chunk size "0x5" as 0, takes a line break within a chunk
-// extension for part of it, a folded line for a header of its own, and a method in small
-// letters for one in capitals. Whoever reads the same bytes by the book, such as a proxy
-// before us, sees other requests in them: a caller can hide one in the body of another
-// and have it run under a key that is not its own.
+// nbhttp's parser accepts what RFC 9112 forbids. Of two Content-Length headers it uses the
+// first, next to Transfer-Encoding it ignores the length, it reads the chunk size "0x5" as 0,
+// takes a line break within a chunk extension as part of it, a folded line as a separate
+// header, and a method in lower case as one in upper case. A strict reader of the same bytes,
+// such as a proxy in front of this server, sees other requests in them. A caller could thus
+// hide a request in the body of another (request smuggling) and have it run under a key that
+// is not its own.
 package framing
 
 import (
@@ -28,20 +27,20 @@
 	Body int64
 }
 
-// Phase is how far the request that is being read has come.
+// Phase is how much of the present request has been received.
 type Phase int
 
-// The phases.
+// Phases.
 const (
-	// Idle: no byte of a request has come.
+	// Idle: no byte of a request has been received.
 	Idle Phase = iota
-	// Head: the request line or headers are being read.
+	// Head: the request line or headers are being received.
 	Head
-	// Body: the head is whole, the body is not.
+	// Body: the head is complete, the body is not.
 	Body
 )
 
-// state says what the next bytes belong to.
+// state is what the next bytes belong to.
 type state int
 
 const (
@@ -55,7 +54,7 @@
 )
 
 const (
-	// maxChunkLine bounds a chunk's size line with its extensions, in bytes.
+	// maxChunkLine bounds a chunk's size line including extensions, in bytes.
 	maxChunkLine = 256
 	// maxChunkDigits bounds a chunk's size to 32 bits.
 	maxChunkDigits = 8
@@ -63,20 +62,20 @@
 	maxLengthDigits = 18
 )
 
-// Checker follows one connection. It is not safe for concurrent use.
+// Checker checks the bytes of one connection. It is not safe for concurrent use.
 type Checker struct {
 	state state
-	// line is what has come of a line whose end has not.
+	// line is the received part of an incomplete line.
 	line []byte
 	head head
 	// remaining is how many bytes of the plain body or of the chunk are missing.
 	remaining int64
-	// size is what has come of a chunked body.
+	// size is the total size of the chunks so far.
 	size  int64
 	begun uint64
 }
 
-// head is what a request's headers have said.
+// head is the state collected from a request's headers.
 type head struct {
 	bytes   int64
 	version string
@@ -86,7 +85,7 @@
 	length  int64
 }
 
-// Phase tells how far the present request has come.
+// Phase returns the phase of the present request.
 func (c *Checker) Phase() Phase {
 	switch {
 	case c.state == requestLine && len(c.line) == 0:
@@ -97,8 +96,8 @@
 	return Body
 }
 
-// Missing is how many bytes of the request that is being read are still to come, as far as
-// its headers have said.
+// Missing returns how many bytes of the present request are still to come, as far as its
+// headers show.
 func (c *Checker) Missing() int64 {
 	if c.state != plainBody {
 		return 0
@@ -106,11 +105,11 @@
 	return c.remaining
 }
 
-// Begun counts the requests of which a byte has come.
+// Begun returns the number of requests of which at least one byte was received.
 func (c *Checker) Begun() uint64 { return c.begun }
 
-// Check takes the next bytes of the connection. It returns how many of them may go on to
-// the parser: all, or with an error those before the line that has the fault. After an
+// Check processes the next bytes of the connection. It returns how many of them may be passed
+// to the parser: all of them, or, with an error, those before the offending line. After an
 // error the connection can't be read any further.
 func (c *Checker) Check(data []byte, l Limits) (int, *errkind.Error) {
 	for pos := 0; pos < len(data); {
@@ -123,7 +122,7 @@
 	return len(data), nil
 }
 
-// step consumes some of data.
+// step consumes part of data and returns how many bytes.
 func (c *Checker) step(data []byte, l Limits) (int, *errkind.Error) {
 	if c.Phase() == Idle {
 		c.begun++
@@ -136,7 +135,7 @@
 	return c.readLine(data, l)
 }
 
-// skip passes over body bytes.
+// skip consumes body bytes.
 func (c *Checker) skip(data []byte) int {
 	n := min(int64(len(data)), c.remaining)
 	c.remaining -= n
@@ -151,7 +150,7 @@
 	return int(n)
 }
 
-// readLine takes a line, or the part of one that is there.
+// readLine consumes a line, or the part of one that has arrived.
 func (c *Checker) readLine(data []byte, l Limits) (int, *errkind.Error) {
 	end := bytes.IndexByte(data, '\n')
 	part := data
@@ -175,12 +174,12 @@
 	}
 	text := line[:len(line)-2]
 	if !isPlainText(text) {
-		return 0, badRequest("a line holds control characters")
+		return 0, badRequest("a line contains control characters")
 	}
 	return len(part), c.endLine(text, l)
 }
 
-// checkLength refuses a line that makes its part of the request too long.
+// checkLength rejects a line that exceeds the limit of its part of the request.
 func (c *Checker) checkLength(length int64, l Limits) *errkind.Error {
 	switch c.state {
 	case requestLine, headerLine:
@@ -195,7 +194,7 @@
 	return nil
 }
 
-// isPlainText tells whether a line is free of control characters, tabs aside.
+// isPlainText reports whether a line contains no control characters other than tabs.
 func isPlainText(line []byte) bool {
 	for _, b := range line {
 		if b < ' ' && b != '\t' || b == 0x7f {
@@ -219,12 +218,12 @@
 		c.state = requestLine
 	}
 	if len(line) > 0 {
-		return badRequest("a chunk is followed by something else than its end")
+		return badRequest("unexpected data at the end of a chunk")
 	}
 	return nil
 }
 
-// methods are those that the server takes; a name in other letters is another method.
+// methods are the methods that the server accepts. Methods are case-sensitive.
 var methods = map[string]bool{
 	"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true, "OPTIONS": true,
 }
@@ -238,18 +237,18 @@
 	method, target, version := fields[0], fields[1], fields[2]
 	switch {
 	case !methods[method]:
-		return badRequest("the method %q is not known", method)
+		return badRequest("the method %q is not supported", method)
 	case !isPlainTarget(target):
-		return badRequest("the request's target is not a plain path")
+		return badRequest("the request target is not a valid path")
 	case version != "HTTP/1.1" && version != "HTTP/1.0":
-		return badRequest("the version %q is not known", version)
+		return badRequest("the HTTP version %q is not supported", version)
 	}
 	c.head.version = version
 	c.state = headerLine
 	return nil
 }
 
-// isPlainTarget tells whether a target is a path in visible ASCII with whole escapes.
+// isPlainTarget reports whether a target is a path in visible ASCII with valid escapes.
 func isPlainTarget(target string) bool {
 	if !strings.HasPrefix(target, "/") {
 		return false
@@ -270,20 +269,20 @@
 	}
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || !isToken(line[:colon]) {
-		return badRequest("a header has no proper name")
+		return badRequest("a header name is invalid")
 	}
 	value := strings.Trim(string(line[colon+1:]), " \t")
 	switch strings.ToLower(string(line[:colon])) {
 	case "host":
 		c.head.hosts++
 	case "trailer":
-		return badRequest("trailers are not taken")
+		return badRequest("trailers are not supported")
 	case "content-length":
 		return c.parseLength(value)
 	case "transfer-encoding":
 		c.head.codings++
 		if !strings.EqualFold(value, "chunked") {
-			return badRequest("the transfer coding %q is not known", value)
+			return badRequest("the transfer coding %q is not supported", value)
 		}
 	}
 	return nil
@@ -302,7 +301,7 @@
 	return nil
 }
 
-// isToken tells whether name is made of the characters of a header's name.
+// isToken reports whether name consists of the characters allowed in a header name.
 func isToken(name []byte) bool {
 	for _, b := range name {
 		letter := b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z' || b >= '0' && b <= '9'
@@ -313,16 +312,16 @@
 	return true
 }
 
-// endHead decides how the body is framed.
+// endHead determines how the body is framed.
 func (c *Checker) endHead(l Limits) *errkind.Error {
 	h := &c.head
 	switch {
 	case h.hosts > 1 || h.hosts == 0 && h.version == "HTTP/1.1":
 		return badRequest("the request has %d Host headers", h.hosts)
 	case h.lengths > 1:
-		return badRequest("the request has %d lengths", h.lengths)
+		return badRequest("the request has %d Content-Length headers", h.lengths)
 	case h.codings > 1 || h.codings == 1 && h.lengths > 0:
-		return badRequest("the request's length is given in more than one way")
+		return badRequest("the request has several transfer codings, or a Content-Length next to one")
 	case h.codings == 1 && h.version != "HTTP/1.1":
 		return badRequest("HTTP/1.0 has no transfer codings")
 	case h.length > l.Body:
@@ -340,11 +339,11 @@
 func (c *Checker) endChunkSize(line []byte, l Limits) *errkind.Error {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	if len(digits) == 0 || len(digits) > maxChunkDigits {
-		return badRequest("a chunk has no proper size")
+		return badRequest("a chunk size is invalid")
 	}
 	n, err := strconv.ParseUint(string(digits), 16, 32)
 	if err != nil {
-		return badRequest("a chunk has no proper size")
+		return badRequest("a chunk size is invalid")
 	}
 	if n == 0 {
 		c.state = lastChunkEnd
--- a/internal/httpserver/framing/framing_test.go
+++ b/internal/httpserver/framing/framing_test.go
@@ -13,7 +13,7 @@
 
 var roomy = Limits{Header: 4 << 10, Body: 1 << 10}
 
-// check feeds text in pieces of the given size.
+// check passes text to a Checker in pieces of the given size.
 func check(text string, piece int) (int, *errkind.Error) {
 	var c Checker
 	done := 0
@@ -44,17 +44,16 @@
 	} {
 		for _, piece := range []int{1, 2, 3, 7, 1 << 10} {
 			if n, err := check(text, piece); err != nil {
-				t.Errorf("%s, in pieces of %d: refused at byte %d: %v", name, piece, n, err)
+				t.Errorf("%s, in pieces of %d: rejected at byte %d: %v", name, piece, n, err)
 			}
 		}
 	}
 }
 
 func TestAmbiguousRequestsAreRejected(t *testing.T) {
-	// Symptom: a request runs that no caller sent by itself, under another's key.
-	// Sequence: its bytes stand in what one reader takes for the body of a request and
-	// another for a request of its own.
-	// Cause: framing that RFC 9112 forbids and many parsers take.
+	// Guards against request smuggling: bytes that one reader takes for the body of a request
+	// and another for a separate request, which then runs under another caller's key. RFC 9112
+	// forbids such framing, but many parsers accept it.
 	post := "POST / HTTP/1.1\r\nHost: h\r\n"
 	for name, text := range map[string]string{
 		"two lengths":              post + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n",
@@ -136,7 +135,7 @@
 		_, err := check(c.text, 100)
 		switch {
 		case c.want == "" && err != nil:
-			t.Errorf("%s: refused: %v", name, err)
+			t.Errorf("%s: rejected: %v", name, err)
 		case c.want != "" && (err == nil || err.Kind != c.want):
 			t.Errorf("%s: got %v, want %s", name, err, c.want)
 		}
@@ -150,7 +149,7 @@
 		t.Fatalf("passed %d of %d bytes, %v", n, len(get), err)
 	}
 	if strings.HasSuffix(text[len(get):n], "\r\n\r\n") {
-		t.Fatal("the faulty request passed whole")
+		t.Fatal("the invalid request passed completely")
 	}
 }
 
@@ -178,7 +177,8 @@
 	want(Idle, 2)
 }
 
-// FuzzSameAsNetHTTP: what the checker passes is to net/http the same number of requests.
+// FuzzSameAsNetHTTP checks that net/http reads the same number of requests from the bytes that
+// the checker accepts.
 func FuzzSameAsNetHTTP(f *testing.F) {
 	for _, s := range []string{
 		get, get + get,
--- a/internal/httpserver/guard.go
+++ b/internal/httpserver/guard.go
@@ -15,39 +15,41 @@
 	"github.com/bluebellsail/bluebellsail/internal/panics"
 )
 
-// guard stands between a connection and nbhttp's parser: it hands over what package
-// framing finds sound, answers what it doesn't, and bounds the time that a sender takes.
-// It runs on the connection's poller, except where noted.
+// guard sits between a connection and nbhttp's parser. It passes on what package framing
+// accepts, answers with a refusal to anything else, and bounds the time that a sender may
+// take. It runs on the connection's poller, except where noted.
 type guard struct {
 	server *Server
 	conn   *trackedConn
 	parser *nbhttp.Parser
 
-	// mu is held while bytes are read and requests begin. What ends the connection for want of
-	// a request holds it, too: the idle watch, the timer of slow senders, nbio's close.
+	// mu is held while bytes are read and requests begin. Whatever ends the connection because
+	// no complete request has arrived also holds it: the idle watch, the slow-sender timer and
+	// nbio's close.
 	mu     sync.Mutex
 	frames framing.Checker
-	// rejected: a refusal was sent in place of an answer; the rest is read and dropped. Closing
-	// at once would reset the connection under the bytes still arriving and the caller would
-	// lose the refusal.
+	// rejected: a refusal was sent instead of an answer; further bytes are read and dropped.
+	// Closing at once would reset the connection while bytes still arrive, and the caller
+	// would not receive the refusal.
 	rejected bool
-	// rejectCause is why.
+	// rejectCause is the cause if rejected is set.
 	rejectCause Cause
 
 	slowTimer *time.Timer
-	// timerSeq counts the spans that were timed, so that a late timer of one leaves the next
-	// alone.
+	// timerSeq is incremented whenever the timer is stopped, so that a timer that fires late
+	// does not affect the next request.
 	timerSeq int64
-	// timedPhase is the phase that the running timer bounds, of the request begun as number timedOf.
+	// timedPhase is the phase that the running timer bounds, timedRequest the number of the
+	// request.
 	timedPhase   framing.Phase
 	timedRequest uint64
-	started time.Time
+	started      time.Time
 }
 
-// UnderlayerConn is part of nbhttp.ParserCloser.
+// UnderlayerConn implements nbhttp.ParserCloser.
 func (g *guard) UnderlayerConn() net.Conn { return g.parser.UnderlayerConn() }
 
-// Parse checks data and hands the sound part of it to the parser. Server.read holds mu.
+// Parse checks data and passes the valid part of it to the parser. Server.read holds mu.
 func (g *guard) Parse(data []byte) error {
 	if g.rejected || g.conn.closeReason.Load() != nil {
 		return nil
@@ -55,7 +57,7 @@
 	limits := g.server.limits()
 	n, fault := g.frames.Check(data, framing.Limits{Header: limits.HeaderBytes, Body: limits.BodyBytes})
 	if !g.countBytes(int64(n)) {
-		g.reject(errkind.New(errkind.Overloaded, "this host holds as many bodies of requests as it can").After(overloadedRetry), CauseNoRoom)
+		g.reject(errkind.New(errkind.Overloaded, "this host has no room for the bodies number further requests").After(overloadedRetry), CauseNoRoom)
 		return nil
 	}
 	if n > 0 {
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// CloseAndClean is called when the connection has closed.
+// CloseAndClean is called after the connection has closed.
 func (g *guard) CloseAndClean(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,11 +84,12 @@
 	g.conn.counted = 0
 }
 
-// countBytes counts bytes of a request that are about to be held; false: there is no room for them.
-// They count until the request is answered or the connection closed.
+// countBytes counts n bytes of a request that are about to be buffered; false: there is no
+// room for them. They count until the request is answered or the connection closed.
 //
-// A body whose length is known counts whole from its head on. What goes wrong otherwise: forty
-// bodies that begin together all find room, all fill what there is, and all are refused half-way.
+// A body of known length counts as a whole once the request's head has been read. Otherwise
+// forty bodies that begin together would all be admitted, would together fill the available
+// room, and would all be rejected half-way.
 func (g *guard) countBytes(n int64) bool {
 	before := g.conn.received
 	g.conn.received += n
@@ -99,13 +102,14 @@
 	if g.hasRoom(total) {
 		return true
 	}
-	// What came before is with the parser until the connection closes.
+	// What was received before stays in the parser until the connection closes.
 	g.server.heldBytes.Add(before - g.conn.counted)
 	g.conn.counted = before
 	return false
 }
 
-// hasRoom tells whether the request that is being read may be held when so much is held in all.
+// hasRoom reports whether the request being read may be buffered when total bytes are held by
+// all requests.
 func (g *guard) hasRoom(total int64) bool {
 	bound := g.server.cfg.MaxBodiesBytes
 	if bound <= 0 || total <= bound {
@@ -114,8 +118,8 @@
 	return g.conn.counted <= smallRequest && total <= bound+bound/smallShare
 }
 
-// reject answers a request that can't be read, after the answers before it, and drops
-// what comes after it. The idle watch closes the connection later.
+// reject answers an invalid request, after the answers before it, and drops further bytes. The
+// idle watch closes the connection later.
 func (g *guard) reject(e *errkind.Error, cause Cause) {
 	g.stopTimer()
 	g.rejected, g.rejectCause = true, cause
@@ -138,18 +142,19 @@
 	})
 }
 
-// updateTimer has the head of a request that has begun arrive within HeaderTimeout and all
-// of it within ReadTimeout. A request that arrives in one piece needs no timer.
+// updateTimer bounds the time in which a request that has begun must be received: its head
+// within HeaderTimeout and all of it within ReadTimeout. A request that arrives in one piece
+// needs no timer.
 func (g *guard) updateTimer(l Limits) {
-	phase, of := g.frames.Phase(), g.frames.Begun()
-	if phase == g.timedPhase && (phase == framing.Idle || of == g.timedRequest) {
+	phase, number := g.frames.Phase(), g.frames.Begun()
+	if phase == g.timedPhase && (phase == framing.Idle || number == g.timedRequest) {
 		return
 	}
 	g.stopTimer()
-	if of != g.timedRequest {
+	if number != g.timedRequest {
 		g.started = time.Now()
 	}
-	g.timedPhase, g.timedRequest = phase, of
+	g.timedPhase, g.timedRequest = phase, number
 	limit := g.server.cfg.ReadTimeout
 	switch phase {
 	case framing.Idle:
@@ -172,15 +177,15 @@
 }
 
 // rejectSlow runs on a timer's goroutine when part of a request has not arrived in time. It
-// closes the connection after the refusal; if part of an answer still waits for the caller
-// then, the idle watch does it later.
+// closes the connection after the refusal; if part of an answer is still queued for the
+// caller, the idle watch does so later.
 func (g *guard) rejectSlow(n int64, limit time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.timerSeq != n {
 		return
 	}
-	g.reject(errkind.New(errkind.RequestTimeout, "the request did not arrive whole within %v", limit), CauseSlowSender)
+	g.reject(errkind.New(errkind.RequestTimeout, "the request was not received completely within %v", limit), CauseSlowSender)
 	g.parser.Execute(func() {
 		if g.conn.unsent.Load() <= 0 {
 			g.conn.closeWithCause(CauseSlowSender, nil)
--- a/internal/httpserver/idle.go
+++ b/internal/httpserver/idle.go
@@ -11,41 +11,43 @@
 	"github.com/bluebellsail/bluebellsail/internal/panics"
 )
 
-// Times of the watch for idle connections.
+// Times of the idle watch.
 const (
-	// sweepShare of the idle timeout, one in so many, lies between two looks at the connections;
-	// a connection is closed that much late at most.
+	// sweepShare is the fraction of the idle timeout, one in so many, between two sweeps. A
+	// connection is closed at most that much late.
 	sweepShare = 8
-	// minSweep bounds the work under a short timeout. A look at 1000 connections takes some 50 µs.
+	// minSweep bounds the work under a short timeout. A sweep of 1000 connections takes about
+	// 50 µs.
 	minSweep = 5 * time.Millisecond
-	// maxSweep is how late a timeout that settings lowered takes effect at most.
+	// maxSweep bounds the delay until a timeout lowered in the settings takes effect.
 	maxSweep = time.Second
-	// libraryKeepalive is the deadline that nbhttp sets to a connection at accept; the idle watch
-	// takes it off at its next look, within maxSweep.
+	// libraryKeepalive is the deadline that nbhttp sets on a connection at accept; the idle
+	// watch clears it at its next sweep, within maxSweep.
 	//
-	// What goes wrong with one in force: nbio closes from a timer, whatever has happened since it
-	// was set. A request that arrives as it runs out is passed on, and its caller gets a closed
-	// connection in place of an answer. Which connection is idle is decided by guard.closeIfIdle,
-	// where its bytes are taken in. With one of years: nbio does not stop the timer when a write
-	// fails, and the ended connection, 1.2 KB and more, stays in memory for as long.
+	// While it is set, nbio closes the connection from a timer regardless of later activity: a
+	// request that arrives as it expires is passed on, and its caller gets a closed connection
+	// instead of an answer. Whether a connection is idle is instead decided by
+	// guard.closeIfIdle, where its bytes are read. The deadline must not be years either: nbio
+	// does not stop the timer when a write fails, so that the ended connection, 1.2 KB and
+	// more, would stay in memory for as long.
 	libraryKeepalive = time.Minute
 )
 
-// idleWatch closes idle connections. One timer serves them all and runs while there are any:
-// one for each connection would be set anew with each request.
+// idleWatch closes idle connections. One timer serves all connections and runs while there are
+// any; a timer per connection would have to be reset with each request.
 type idleWatch struct {
 	server *Server
-	// conns is used by look alone, of which one runs at a time.
+	// conns is used only by sweep, of which one runs at a time.
 	conns []*trackedConn
 
 	mu sync.Mutex
 	// timer is nil before the first connection.
 	timer *time.Timer
-	// running: the timer is set, or a look is under way.
+	// running: the timer is set, or a sweep is in progress.
 	running bool
 }
 
-// start begins to watch; it is called after a connection was added.
+// start starts the watch; it is called after a connection was added.
 func (w *idleWatch) start() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -64,7 +66,7 @@
 	return min(max(w.server.limits().IdleTimeout/sweepShare, minSweep), maxSweep)
 }
 
-// sweep closes what is idle, and sets the timer again unless no connection is left.
+// sweep closes idle connections and sets the timer again unless no connection is left.
 func (w *idleWatch) sweep() {
 	defer panics.Log(w.server.log, "watching for idle connections")
 	interval := maxSweep
@@ -81,8 +83,8 @@
 	interval = w.interval()
 }
 
-// reschedule sets the timer unless no connection is left. A connection that was added meanwhile has
-// found the watch running.
+// reschedule sets the timer unless no connection is left. If a connection was added in the
+// meantime, start has found the watch running.
 func (w *idleWatch) reschedule(interval time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -92,10 +94,10 @@
 	}
 }
 
-// closeIfIdle closes the connection if nothing has moved on it for as long as limit.
+// closeIfIdle closes the connection if there was no activity on it for limit.
 //
-// It holds the lock under which bytes are read and requests begin: a request is seen here, or
-// it comes after the close, and then it is not read. It may run on any goroutine.
+// It holds the lock under which bytes are read and requests begin: a request is either seen
+// here, or it comes after the close and is not read. It may run on any goroutine.
 func (g *guard) closeIfIdle(limit time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -108,7 +110,7 @@
 		g.conn.markActive()
 	case g.conn.idleTime() < limit:
 	case !g.rejected && g.conn.hasUnread():
-		// A host short of processor is late to read, which is not its caller's fault.
+		// A host short of processor time reads late, which must not count against the caller.
 	case !g.conn.isDrained():
 		g.conn.closeWithCause(CauseWriteStalled, nil)
 	default:
@@ -116,29 +118,29 @@
 	}
 }
 
-// reading tells whether a part of a request has come, whose rest the timer of slow senders
-// bounds.
+// reading reports whether part of a request has been received; the slow-sender timer bounds
+// the rest.
 func (g *guard) reading() bool { return !g.rejected && g.frames.Phase() != framing.Idle }
 
-// markActive notes that something moves on the connection now.
+// markActive records activity on the connection.
 func (c *trackedConn) markActive() { c.lastActive.Store(int64(time.Since(c.opened))) }
 
-// idleTime is the time since something moved on the connection.
+// idleTime returns the time since the last activity on the connection.
 func (c *trackedConn) idleTime() time.Duration {
 	return time.Since(c.opened) - time.Duration(c.lastActive.Load())
 }
 
-// wroteSinceSweep tells whether the kernel has taken more of an answer since the last look. It is
-// called by the idle watch alone.
+// wroteSinceSweep reports whether the kernel has accepted more of an answer since the last
+// sweep. It is called only by the idle watch.
 func (c *trackedConn) wroteSinceSweep() bool {
 	before := c.writtenAtSweep
 	c.writtenAtSweep = c.written.Load()
 	return c.writtenAtSweep != before
 }
 
-// hasUnread tells whether the kernel holds bytes that the caller has sent.
+// hasUnread reports whether the kernel holds unread bytes from the caller.
 func (c *trackedConn) hasUnread() bool {
-	c.Lock() // nbio closes the socket, whose number may then be another one's, under this lock
+	c.Lock() // nbio closes the socket under this lock; its number may belong to another connection afterwards
 	defer c.Unlock()
 	if c.isClosed() {
 		return false
@@ -151,8 +153,8 @@
 	return unread
 }
 
-// onSocket calls f with the number of the connection's socket. The caller holds the
-// connection's lock and has seen that it is open.
+// onSocket calls f with the connection's descriptor. The caller holds the connection's lock
+// and has checked that it is open.
 func (c *trackedConn) onSocket(f func(fd int)) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -161,7 +163,7 @@
 	return raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// guardOf finds the guard of a connection; nil if it has none.
+// guardOf returns the guard of a connection; nil if it has none.
 func guardOf(c *nbio.Conn) *guard {
 	g, _ := c.Session().(*guard)
 	return g
--- a/internal/httpserver/idle_test.go
+++ b/internal/httpserver/idle_test.go
@@ -17,14 +17,15 @@
 )
 
 const (
-	// shortIdle is the idle timeout of these tests. A request that is sent later than it after
-	// the last answer crosses the close and proves nothing; the attempt is repeated.
+	// shortIdle is the idle timeout of these tests. A request that is sent more than shortIdle
+	// after the last answer may cross the close and proves nothing; the attempt is then
+	// repeated.
 	shortIdle = 200 * time.Millisecond
-	// attempts bounds those repetitions.
+	// attempts bounds the repetitions.
 	attempts = 20
 )
 
-// gate holds back whoever passes it while it is shut.
+// gate blocks goroutines that pass it while it is shut.
 type gate struct{ mu sync.RWMutex }
 
 func (g *gate) pass() {
@@ -35,18 +36,18 @@
 func (g *gate) shut() { g.mu.Lock() }
 func (g *gate) open() { g.mu.Unlock() }
 
-// heldServer is a server of which a test can hold back the start of handlers, and the
-// reading of what has arrived.
-type heldServer struct {
+// gatedServer is a server in which a test can block the start of handlers and the reading of
+// received bytes.
+type gatedServer struct {
 	*Server
 	handlers, reading gate
-	// reads counts what was read.
+	// reads counts the pieces that were read.
 	reads atomic.Int64
 }
 
-func startHeld(t *testing.T, cfg Config) *heldServer {
+func startGated(t *testing.T, cfg Config) *gatedServer {
 	t.Helper()
-	h := &heldServer{}
+	h := &gatedServer{}
 	limits := cfg.Limits
 	cfg.Limits = func() Limits {
 		h.reads.Add(1)
@@ -70,8 +71,8 @@
 	return h
 }
 
-// busy is the number of requests that were read and are not answered.
-func (h *heldServer) busy() int {
+// busy returns the number of requests that were read and not yet answered.
+func (h *gatedServer) busy() int {
 	h.conns.mu.Lock()
 	defer h.conns.mu.Unlock()
 	n := 0
@@ -85,12 +86,12 @@
 	t.Helper()
 	for end := time.Now().Add(patience); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// get sends a request and tells whether it was answered by the handler.
+// get sends a request and reports whether the handler answered it.
 func get(c net.Conn, r *bufio.Reader) bool {
 	if _, err := io.WriteString(c, plainRequest); err != nil {
 		return false
@@ -108,12 +109,11 @@
 }
 
 func TestIdleTimeoutSparesArrivedRequest(t *testing.T) {
-	// Symptom: a request on a kept connection is passed on to a server, and 3 ms later its
-	// caller's connection is closed with no answer.
-	// Sequence: a request arrives before the connection's idle timeout is over. The host is
-	// short of processor: the bytes are not read yet, or they are and the handler has not begun.
-	// The idle timeout passes.
-	// Cause: a timer of its own closes idle connections, and is taken off only by the handler.
+	// Guards against closing an idle connection on which a request has arrived. The request
+	// arrives before the idle timeout, but the host is short of processor time: the bytes are
+	// not read yet, or they are and the handler has not started when the timeout passes. A
+	// separate timer for idle connections, stopped only by the handler, closed the caller's
+	// connection 3 ms after the request had been sent on to a server.
 	idle := func() Limits { return Limits{IdleTimeout: shortIdle} }
 	for name, test := range map[string]struct {
 		cfg  Config
@@ -126,7 +126,7 @@
 	} {
 		test.cfg.Handler = text("ran")
 		t.Run(name+"/handler has not begun", func(t *testing.T) {
-			h := startHeld(t, test.cfg)
+			h := startGated(t, test.cfg)
 			for range attempts {
 				if spared, counts := h.lateHandler(t, test.kept); counts {
 					if !spared {
@@ -138,7 +138,7 @@
 			t.Fatal("no request was read in time")
 		})
 		t.Run(name+"/bytes are not read", func(t *testing.T) {
-			h := startHeld(t, test.cfg)
+			h := startGated(t, test.cfg)
 			for range attempts {
 				if spared, counts := h.lateReading(t, test.kept); counts {
 					if !spared {
@@ -152,9 +152,9 @@
 	}
 }
 
-// lateHandler has a request read in time and handled later than the idle timeout. The
-// attempt counts if the request was read.
-func (h *heldServer) lateHandler(t *testing.T, kept bool) (spared, counts bool) {
+// lateHandler has a request read in time and handled after the idle timeout. counts reports
+// whether the request was read in time.
+func (h *gatedServer) lateHandler(t *testing.T, kept bool) (spared, counts bool) {
 	c := dial(t, h.Server)
 	r := bufio.NewReader(c)
 	if kept && !get(c, r) {
@@ -171,9 +171,9 @@
 	return answered(r), counts
 }
 
-// lateReading has a request arrive in time and read later than the idle timeout. The
-// attempt counts if the request was sent in time.
-func (h *heldServer) lateReading(t *testing.T, kept bool) (spared, counts bool) {
+// lateReading has a request arrive in time and read after the idle timeout. counts reports
+// whether the request was sent in time.
+func (h *gatedServer) lateReading(t *testing.T, kept bool) (spared, counts bool) {
 	c, other := dial(t, h.Server), dial(t, h.Server)
 	begun := time.Now()
 	r := bufio.NewReader(c)
@@ -183,7 +183,7 @@
 	h.reading.shut()
 	before := h.reads.Load()
 	_, _ = io.WriteString(other, plainRequest)
-	await(t, "the reading goroutine is held", func() bool { return h.reads.Load() > before })
+	await(t, "the reading goroutine is blocked", func() bool { return h.reads.Load() > before })
 	_, _ = io.WriteString(c, plainRequest)
 	counts = time.Since(begun) < shortIdle
 	time.Sleep(2 * shortIdle)
@@ -192,10 +192,10 @@
 }
 
 func TestRefusalDoesNotTruncatePreviousAnswer(t *testing.T) {
-	// Symptom: a stream breaks off ReadTimeout after something unreadable came behind its request.
-	// Sequence: a request is handled for longer than the read timeout; bytes that are no request
-	// follow on its connection.
-	// Cause: the refusal of the latter sets a deadline for the connection, and nothing takes it off.
+	// Guards against truncating an answer because of invalid bytes that follow its request.
+	// The request is handled for longer than the read timeout; the refusal of the invalid
+	// bytes must not set a deadline that closes the connection before the first answer is
+	// complete.
 	const readTimeout = 50 * time.Millisecond
 	begun, release := make(chan struct{}), make(chan struct{})
 	s := start(t, Config{ReadTimeout: readTimeout, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -211,21 +211,20 @@
 	time.Sleep(4 * readTimeout)
 	close(release)
 	if !answered(r) {
-		t.Fatal("the request before the unreadable one got no answer")
+		t.Fatal("the request before the invalid one got no answer")
 	}
 	if status, _ := readKind(t, r); status != http.StatusBadRequest {
-		t.Fatalf("got %d for the unreadable one", status)
+		t.Fatalf("got status %d for the invalid request", status)
 	}
 	if _, err := r.ReadByte(); err == nil {
-		t.Fatal("something follows the refusal")
+		t.Fatal("further bytes follow the refusal")
 	}
 }
 
 func TestSlowSenderIsRejectedOrServed(t *testing.T) {
-	// Symptom: a caller gets two answers to one request, or a request that was refused as too
-	// slow runs.
-	// Sequence: the time for a request ends at the moment at which its last bytes are read.
-	// Cause: the timer looks whether the request is still being read, and refuses it later.
+	// Guards against two answers to one request, or a request that runs after it was rejected
+	// as too slow: the time for a request ends just when its last bytes are read. The timer
+	// must decide and reject under one lock.
 	var ran atomic.Int64
 	s := start(t, Config{ReadTimeout: 100 * time.Millisecond, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		ran.Add(1)
@@ -258,11 +257,11 @@
 	rest, _ := io.ReadAll(r)
 	refused := res.StatusCode == http.StatusRequestTimeout
 	if strings.Contains(string(rest), "HTTP/1.1") || refused == (ran.Load() > 0) {
-		t.Fatalf("status %d, ran %d times, then came %q", res.StatusCode, ran.Load(), rest)
+		t.Fatalf("status %d, ran %d times, then received %q", res.StatusCode, ran.Load(), rest)
 	}
 }
 
-// only is the server's one connection.
+// only returns the server's only connection.
 func (s *Server) only(t *testing.T) *trackedConn {
 	t.Helper()
 	s.conns.mu.Lock()
@@ -274,7 +273,7 @@
 	return nil
 }
 
-// inParser gives f the parser of a connection that is not being read.
+// inParser calls f with the parser of a connection while it is not being read.
 func inParser(c *trackedConn, f func(p *nbhttp.Parser)) {
 	g := c.Session().(*guard)
 	g.mu.Lock()
--- a/internal/httpserver/liblog.go
+++ b/internal/httpserver/liblog.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog/log"
 )
 
-// libraryLog hands nbio's lines to zerolog; nbio by itself writes to standard output.
+// libraryLog passes nbio's log lines to zerolog; by default nbio writes to standard output.
 type libraryLog struct{}
 
 // Debug drops the line.
--- a/internal/httpserver/processor.go
+++ b/internal/httpserver/processor.go
@@ -6,8 +6,8 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// processor watches a connection's requests as they are parsed. It runs on the
-// connection's poller.
+// processor observes a connection's requests as they are parsed. It runs on the connection's
+// poller.
 type processor struct {
 	nbhttp.Processor
 	conn *trackedConn
@@ -17,8 +17,8 @@
 	return &processor{Processor: nbhttp.NewServerProcessor(), conn: conn}
 }
 
-// OnHeader answers "Expect: 100-continue", which nbhttp doesn't know: some clients
-// wait a second for it before they send a large body.
+// OnHeader answers "Expect: 100-continue", which nbhttp doesn't support: some clients wait a
+// second for it before they send a large body.
 func (p *processor) OnHeader(parser *nbhttp.Parser, key, value string) {
 	if key == "Expect" && strings.EqualFold(value, "100-continue") {
 		parser.Execute(func() { _, _ = parser.Conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) })
@@ -26,7 +26,7 @@
 	p.Processor.OnHeader(parser, key, value)
 }
 
-// OnComplete hands the request to the server's handler.
+// OnComplete passes the request to the server's handler.
 func (p *processor) OnComplete(parser *nbhttp.Parser) {
 	held := p.conn.counted
 	p.conn.received, p.conn.counted = 0, 0
@@ -34,15 +34,15 @@
 		p.conn.writtenBefore.Store(p.conn.written.Load())
 	}
 	p.Processor.OnComplete(parser)
-	// Jobs of one connection run in order: this one runs after the answer is written, also
-	// if the connection has closed meanwhile.
+	// Jobs of a connection run in order, so this one runs after the answer is written, even if
+	// the connection has closed by then.
 	p.conn.MustExecute(func() {
 		p.conn.server.heldBytes.Add(-held)
 		p.answered()
 	})
 }
 
-// answered runs once an answer is written.
+// answered is called after an answer is written.
 func (p *processor) answered() {
 	p.conn.reportIfClosed()
 	p.conn.requestID.Store(nil)
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -5,31 +5,31 @@
 	"sync/atomic"
 )
 
-// Bounds of what nbhttp is given of a chunked answer.
+// Bounds of what is passed to nbhttp of a chunked answer.
 const (
-	// maxBuffered is the most that may wait in nbhttp's buffer, in bytes. It leaves room for
-	// the header within the 64 KiB from which nbhttp sends by itself.
+	// maxBuffered bounds the bytes in nbhttp's buffer. It leaves room for the header within
+	// the 64 KiB at which nbhttp sends by itself.
 	maxBuffered = 48 << 10
-	// chunkFraming is the most that nbhttp adds to a chunk, in bytes.
+	// chunkFraming is the maximum that nbhttp adds to a chunk, in bytes.
 	chunkFraming = 16
 )
 
-// response notes whether the answer has begun and keeps status codes within those
+// response records whether the answer has begun and restricts status codes to those that
 // nbhttp can send.
 type response struct {
 	http.ResponseWriter
-	// conn is the caller's; nil in a test without one.
+	// conn is the caller's connection; nil in tests without one.
 	conn *trackedConn
 	// handlerReturned: the handler has returned.
-	handlerReturned  atomic.Bool
-	begun bool
+	handlerReturned atomic.Bool
+	begun           bool
 	// mayChunk: the request's HTTP version allows a chunked answer.
 	mayChunk bool
-	// buffered bounds what waits in nbhttp's buffer.
+	// buffered is an upper bound of the bytes in nbhttp's buffer.
 	buffered int
 }
 
-// Unwrap gives the ResponseWriter below, as http.ResponseController expects.
+// Unwrap returns the wrapped ResponseWriter, as http.ResponseController expects.
 func (r *response) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
 // abort closes the caller's connection while the handler runs.
@@ -39,9 +39,9 @@
 	}
 }
 
-// WriteHeader sends status. nbhttp answers 200 to a status that net/http has no
-// text for, which would turn a refusal into a success: such a status becomes the
-// x00 of its class, as RFC 9110 section 15 has clients read it.
+// WriteHeader sends status. nbhttp sends 200 for a status that net/http has no text for, which
+// would turn a refusal into a success. Such a status is replaced by the x00 of its class,
+// which is how RFC 9110 section 15 has clients interpret it.
 func (r *response) WriteHeader(status int) {
 	if http.StatusText(status) == "" {
 		status = status / 100 * 100
@@ -53,13 +53,12 @@
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write sends part of the body. A chunked one is given to nbhttp in pieces, and what
-// waits in its buffer is flushed before 64 KiB are reached.
+// Write sends part of the body. A chunked body is passed to nbhttp in pieces, and nbhttp's
+// buffer is flushed before it reaches 64 KiB.
 //
-// What goes wrong without it: from 64 KiB on, nbhttp 1.6.8 gives its buffer back to a
-// pool that all connections share, goes on using it and gives it back again. Two
-// owners then write into one buffer, seen as an answer that stops in its middle or
-// holds bytes of another caller's.
+// From 64 KiB on, nbhttp 1.6.8 returns its buffer to a pool shared by all connections,
+// continues to use it and returns it again. Two owners then write into one buffer: an answer
+// stops in the middle or contains bytes of another caller's answer.
 func (r *response) Write(b []byte) (int, error) {
 	r.begun = true
 	if !r.mayChunk || r.Header().Get("Content-Length") != "" {
@@ -81,7 +80,7 @@
 	return written, nil
 }
 
-// Flush sends what is buffered.
+// Flush sends the buffered bytes.
 func (r *response) Flush() {
 	r.begun = true
 	r.buffered = 0
--- a/internal/httpserver/reuse_test.go
+++ b/internal/httpserver/reuse_test.go
@@ -10,13 +10,13 @@
 	"github.com/lesismal/nbio"
 )
 
-// stop holds the reading goroutine back when it has read something of one connection.
-type stop struct{ reached, release chan struct{} }
+// readStop blocks the reading goroutine when it has read bytes of one connection.
+type readStop struct{ reached, release chan struct{} }
 
-// stopAt arms a stop at the server's side of c.
-func (h *heldServer) stopAt(t *testing.T, c net.Conn) *stop {
+// stopAt installs a readStop on the server's end of c.
+func (h *gatedServer) stopAt(t *testing.T, c net.Conn) *readStop {
 	t.Helper()
-	s := &stop{make(chan struct{}), make(chan struct{})}
+	s := &readStop{make(chan struct{}), make(chan struct{})}
 	conn := h.serverSide(t, c)
 	read := conn.DataHandler()
 	conn.OnData(func(nc *nbio.Conn, data []byte) {
@@ -27,8 +27,8 @@
 	return s
 }
 
-// serverSide is the server's end of a caller's connection.
-func (h *heldServer) serverSide(t *testing.T, c net.Conn) *trackedConn {
+// serverSide returns the server's end of a caller's connection.
+func (h *gatedServer) serverSide(t *testing.T, c net.Conn) *trackedConn {
 	t.Helper()
 	var found *trackedConn
 	await(t, "the connection is accepted", func() bool {
@@ -45,14 +45,13 @@
 }
 
 func TestLateEventClosesNoOtherConnection(t *testing.T) {
-	// Symptom: a request on a new connection is passed on, and its caller finds the connection
-	// closed at once, as if it had left.
-	// Sequence: the reading goroutine fetches a batch of events, among them that a caller closed
-	// its connection. Before it comes to that event a handler closes the same connection, a new
-	// one is accepted, and its socket gets the number of the old one.
-	// Cause: nbio finds the connection of an event by the number of its socket.
+	// Guards against a stale event that closes a new connection, as if its caller had left.
+	// The reading goroutine fetches a batch of events, among them that a caller closed its
+	// connection. Before it reaches that event, a handler closes the same connection and a new
+	// one is accepted under the same descriptor number, by which nbio finds the connection of
+	// an event.
 	for name, end := range map[string]func(w http.ResponseWriter){
-		"answer is broken off": Abort,
+		"answer is aborted": Abort,
 		"write fails": func(w http.ResponseWriter) {
 			for !ConnClosed(w) {
 				_, _ = io.WriteString(w, "more")
@@ -63,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			const callers = 8
 			begun, leave := make(chan struct{}), make(chan struct{})
-			h := startHeld(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			h := startGated(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path == "/leave" {
 					begun <- struct{}{}
 					<-leave
@@ -81,7 +80,8 @@
 				_, _ = io.WriteString(c, "GET /leave HTTP/1.1\r\nHost: h\r\n\r\n")
 				<-begun
 			}
-			// The batch: what comes while the reading goroutine is at the first connection.
+			// The batch holds what arrives while the reading goroutine is at the first
+			// connection.
 			atFirst, atSecond := h.stopAt(t, first), h.stopAt(t, second)
 			_, _ = io.WriteString(first, plainRequest)
 			<-atFirst.reached
@@ -92,7 +92,7 @@
 			}
 			close(atFirst.release)
 			<-atSecond.reached
-			// Now it is at the second one, and the ends of the others are to come.
+			// Now it is at the second connection, and the ends of the others come next.
 			close(leave)
 			for _, c := range ended {
 				await(t, "the handlers have closed", c.isClosed)
@@ -107,7 +107,7 @@
 			close(atSecond.release)
 			for i, c := range fresh {
 				if !answered(bufio.NewReader(c)) {
-					t.Errorf("new connection %d was closed with no answer", i)
+					t.Errorf("new connection %d was closed without an answer", i)
 				}
 			}
 		})
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,7 +1,6 @@
-// Package httpserver runs an http.Handler on nbio's nbhttp. It adds what callers
-// of a router need and nbhttp leaves open: bounded bodies and slow senders that
-// get a plain answer, a drain that cuts nothing in flight, and a way to see that
-// a caller has gone.
+// Package httpserver runs an http.Handler on nbio's nbhttp. It adds what a router needs and
+// nbhttp lacks: bounds on bodies and slow senders that answer with a refusal, a drain that
+// truncates no answer, and a way to detect that a caller has disconnected.
 package httpserver
 
 import (
@@ -34,17 +33,17 @@
 	DefaultMaxQueuedBytes = 16 << 20
 	drainPoll             = 5 * time.Millisecond
 	overloadedRetry       = time.Second
-	// readsPerEvent bounds how often one connection is read before others have their turn.
+	// readsPerEvent bounds how often one connection is read before others get their turn.
 	readsPerEvent = 3
-	// smallRequest is up to which size, in bytes, a request counts as small for
-	// MaxBodiesBytes, smallShare the part of it, one in so many, that small ones have beyond it.
+	// smallRequest is the size, in bytes, up to which a request counts as small for
+	// MaxBodiesBytes. Small requests may exceed MaxBodiesBytes by one part in smallShare.
 	smallRequest = 64 << 10
 	smallShare   = 4
-	// DefaultMaxHeaderBytes is what most servers take.
+	// DefaultMaxHeaderBytes is what most servers accept.
 	DefaultMaxHeaderBytes = 64 << 10
 )
 
-// Limits of what callers may send, and how long they may take.
+// Limits of what callers may send and how long they may take.
 type Limits struct {
 	// HeaderBytes bounds the request line and the headers, BodyBytes the body.
 	HeaderBytes, BodyBytes int64
@@ -57,50 +56,51 @@
 
 // Config of a Server. Zero fields take the defaults above.
 type Config struct {
-	// Name stands in log lines.
+	// Name is the server's name in log lines.
 	Name string
-	// Address to listen on, an IP number and port; port 0 picks a free one.
+	// Address to listen on, an IP address and port; port 0 picks a free one.
 	Address string
-	// TLS makes the server speak TLS. The type is that of nbio's own TLS stack.
+	// TLS enables TLS. The type is that of nbio's own TLS stack.
 	TLS     *tls.Config
 	Handler http.Handler
-	// MaxHeaderBytes bounds the request line and headers; longer ones are refused with
+	// MaxHeaderBytes bounds the request line and headers; longer ones are rejected with
 	// HeadersTooLarge.
 	MaxHeaderBytes int64
-	// MaxBodyBytes bounds a request body; a longer one is refused with BodyTooLarge.
+	// MaxBodyBytes bounds a request body; a longer one is rejected with BodyTooLarge.
 	MaxBodyBytes int64
-	// MaxBodiesBytes bounds what is held of all requests at once, from their first byte until
-	// they are answered; 0: without a bound. Beyond it a request is refused as Overloaded
-	// before its handler runs; small ones have a quarter more.
+	// MaxBodiesBytes bounds the bytes held of all requests together, from the first byte of
+	// each until it is answered; 0: no bound. Beyond it a request is rejected as Overloaded
+	// before its handler runs; small requests may use a quarter more.
 	//
-	// What goes wrong without it: each caller may send a body of megabytes, and some tens of
-	// them at once take the process over its memory limit. The system ends it, and all
-	// requests that it serves.
+	// Each caller may send a body of several megabytes. Without the bound, some tens of them
+	// at once could exceed the process's memory limit; the system would then kill the process
+	// and end all its requests.
 	MaxBodiesBytes int64
-	// ReadTimeout bounds the time from the first byte of a request to its last; a slower
-	// one is refused with RequestTimeout.
+	// ReadTimeout bounds the time from the first byte of a request to its last; a slower one
+	// is rejected with RequestTimeout.
 	ReadTimeout time.Duration
 	// IdleTimeout closes a connection on which no request begins.
 	IdleTimeout time.Duration
-	// Streams bounds the handlers that run at once; each holds a goroutine. Further
-	// requests are refused as Overloaded rather than queued: a queue here would hold
-	// them past their deadlines unseen.
+	// Streams bounds the number of handlers that run at once; each uses a goroutine. Further
+	// requests are rejected as Overloaded rather than queued, because a queue here could hold
+	// them past their deadlines unnoticed.
 	Streams int
-	// NeverShed names requests that Streams doesn't refuse, such as announcements and
-	// health checks, which an overloaded host still has to answer. Nil: none.
+	// NeverShed reports whether a request is exempt from Streams, such as announcements and
+	// health checks, which an overloaded host still has to answer. Nil: none is.
 	NeverShed func(r *http.Request) bool
-	// MaxQueuedBytes bounds what is kept for a caller who does not read; then its
+	// MaxQueuedBytes bounds the bytes queued for a caller that does not read; beyond it the
 	// connection is closed.
 	MaxQueuedBytes int
-	// RequestsPerConnection is after how many requests on one connection its caller is told
-	// to close it, so that it chooses anew where to connect; 0: never.
+	// RequestsPerConnection is the number of requests on one connection after which its caller
+	// is asked to close it and choose again where to connect; 0: no limit.
 	//
-	// What goes wrong without a bound: callers choose an address at random for each
-	// connection and keep it. Where few callers send most requests, one host gets ten times
-	// as many as another for as long as they live.
+	// Callers choose an address at random for each connection and keep it. Without a limit,
+	// where few callers send most requests, one host may get ten times as many as another for
+	// as long as those connections last.
 	RequestsPerConnection int64
-	// Limits gives limits that may change while the server runs. A field that is zero, or
-	// greater than what this Config says, counts as what this Config says. Nil: as all zero.
+	// Limits returns limits that may change while the server runs. A field that is zero, or
+	// greater than the corresponding field of this Config, is replaced by the latter. Nil: no
+	// further limits.
 	Limits func() Limits
 }
 
@@ -121,27 +121,27 @@
 	engine   *nbhttp.Engine
 	address  string
 	inFlight atomic.Int64
-	// heldBytes is what is held of requests, in bytes.
-	heldBytes   atomic.Int64
-	draining atomic.Bool
-	// closeAfterAnswer: answers tell callers to close their connections.
+	// heldBytes is the number of request bytes in memory that count toward MaxBodiesBytes.
+	heldBytes atomic.Int64
+	draining  atomic.Bool
+	// closeAfterAnswer: answers ask callers to close their connections.
 	closeAfterAnswer atomic.Bool
-	conns   connSet
-	closes    *closeCounters
-	idle    idleWatch
-	// stopping is closed when the server no longer accepts.
+	conns            connSet
+	closes           *closeCounters
+	idle             idleWatch
+	// stopping is closed when the server no longer accepts connections.
 	stopping chan struct{}
 	stopOnce sync.Once
 	// barrier is set when started is closed.
 	barrier *pollBarrier
 	started chan struct{}
 	writes  writeTracker
-	// cancelRequests ends the contexts of all requests.
+	// cancelRequests cancels the contexts of all requests.
 	cancelRequests context.CancelCauseFunc
 	log            zerolog.Logger
 }
 
-// New makes a server; Start makes it listen.
+// New returns a server; Start makes it listen.
 func New(cfg Config) *Server {
 	s := &Server{
 		cfg: cfg.withDefaults(), log: log.Logger, closes: newCloseCounters(), started: make(chan struct{}), stopping: make(chan struct{}),
@@ -159,8 +159,8 @@
 		ReadLimit:          int(s.cfg.MaxBodyBytes + s.cfg.MaxHeaderBytes),
 		MaxWriteBufferSize: s.cfg.MaxQueuedBytes,
 		SupportServerOnly:  true,
-		// The barrier is of one poller. It only reads and parses; handlers have goroutines of
-		// their own.
+		// The barrier supports one poller. It only reads and parses; handlers have their own
+		// goroutines.
 		NPoller: 1,
 	}
 	if s.cfg.TLS != nil {
@@ -181,7 +181,7 @@
 	return s
 }
 
-// limits are those in force now.
+// limits returns the limits now in force.
 func (s *Server) limits() Limits {
 	out := Limits{
 		HeaderBytes: s.cfg.MaxHeaderBytes, BodyBytes: s.cfg.MaxBodyBytes, HeaderTimeout: s.cfg.ReadTimeout,
@@ -205,14 +205,14 @@
 	}
 }
 
-// Start listens and serves in the background. It returns once the poller runs.
+// Start listens and serves in the background. It returns when the poller runs.
 //
-// What goes wrong otherwise with a server that is stopped as soon as it was started, as when
-// the next address of a process is taken: a poller that begins after it was told to stop takes
-// that back. It uses up a processor, whoever waits for it waits for ever, and the process
+// A server may be stopped right after it was started, for example when the next address of a
+// process is in use. A poller that begins after it was told to stop would reset that mark: it
+// would use up a processor, and whoever waits for it would wait forever, so that the process
 // neither serves nor ends.
 func (s *Server) Start() error {
-	// nbhttp stops its engine if it can't listen, and then waits for loops that have not begun.
+	// If nbhttp can't listen, it stops its engine and waits for loops that have not begun.
 	listener, err := s.engine.Listen("tcp", s.cfg.Address)
 	if err != nil {
 		return errors.Wrapf(err, "listen on %s", s.cfg.Address)
@@ -223,7 +223,7 @@
 	}
 	barrier, err := newPollBarrier(s.engine.Engine, &s.writes)
 	if err != nil {
-		close(s.stopping) // whoever was accepted meanwhile waits for started
+		close(s.stopping) // connections accepted in the meantime wait for started
 		_ = listener.Close()
 		return err
 	}
@@ -239,25 +239,26 @@
 	return nil
 }
 
-// Address is the address listened on, with the port that was picked.
+// Address returns the address listened on, with the port that was picked.
 func (s *Server) Address() string { return s.address }
 
-// InFlight is the number of requests whose handler has not returned.
+// InFlight returns the number of requests whose handler has not returned.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// serve wraps the handler: it counts the request and turns a panic into an answer.
+// serve wraps the handler: it counts the request, enforces Streams and turns a panic into an
+// answer.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	running := s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	conn := underlyingConn(w)
 	if conn != nil && conn.closeReason.Load() != nil {
-		return // it came with a request whose answer was broken off, and can get none
+		return // the answer to an earlier request was aborted, so this one can't be answered
 	}
 	res := &response{ResponseWriter: w, conn: conn, mayChunk: r.ProtoAtLeast(1, 1)}
 	defer res.handlerReturned.Store(true)
-	// nbhttp closes the connection right after an answer to "Connection: close", also
-	// when part of the answer still waits in its queue; the caller would see a cut
-	// answer. The caller is told to close instead, which it does after the last byte.
+	// nbhttp closes the connection right after an answer to "Connection: close", even if part
+	// of the answer is still queued; the caller would get a truncated answer. Instead the
+	// caller is asked to close the connection, which it does after the last byte.
 	if s.isLastRequest(res.conn) || r.Close || s.closeAfterAnswer.Load() || s.draining.Load() {
 		r.Close = false
 		w.Header().Set("Connection", "close")
@@ -274,7 +275,8 @@
 	s.cfg.Handler.ServeHTTP(res, r)
 }
 
-// isLastRequest counts a request on its connection and tells whether it is the last one there.
+// isLastRequest counts a request on its connection and reports whether it is the last one
+// allowed there.
 func (s *Server) isLastRequest(c *trackedConn) bool {
 	if c == nil {
 		return false
@@ -287,8 +289,8 @@
 	return s.cfg.NeverShed != nil && s.cfg.NeverShed(r)
 }
 
-// recoverPanic answers a panicking handler's request. Without it nbhttp swallows
-// the panic and the caller waits for an answer that never comes.
+// recoverPanic answers the request of a handler that panicked. Without it nbhttp swallows the
+// panic and the caller waits for an answer that never comes.
 func (s *Server) recoverPanic(w *response) {
 	p := recover()
 	if p == nil {
@@ -296,21 +298,23 @@
 	}
 	log.Error().Str("event", "handler-panicked").Str("server", s.cfg.Name).Interface("panic", p).Str("stack", string(debug.Stack())).Send()
 	if !w.begun {
-		WriteError(w, "", errkind.New(errkind.Internal, "a fault of the server"))
+		WriteError(w, "", errkind.New(errkind.Internal, "internal error: the handler of the request panicked"))
 		return
 	}
-	// The caller has part of an answer: only a broken connection tells it so.
+	// The caller has received part of an answer; only a closed connection shows that the rest
+	// won't follow.
 	w.abort()
 }
 
-// CloseAfterAnswers tells every caller with its next answer to close its connection, so
-// that it asks anew where to connect.
+// CloseAfterAnswers asks every caller with its next answer to close its connection, so that it
+// chooses again where to connect.
 func (s *Server) CloseAfterAnswers() { s.closeAfterAnswer.Store(true) }
 
-// Drain stops taking work and waits until every handler has returned and every
-// answer is handed to the kernel, then closes. Requests that arrive meanwhile are
-// refused with HostLeaving. When ctx ends first, the contexts of the requests that are left
-// end, and ctx's error is returned; what has no answer within lastAnswers is cut.
+// Drain stops accepting requests, waits until every handler has returned and every answer is
+// passed to the kernel, then closes. Requests that arrive in the meantime are rejected with
+// HostLeaving. If ctx ends first, the contexts of the remaining requests are canceled, their
+// connections are closed if they have no answer within finalAnswerTimeout, and ctx's error is
+// returned.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	err := s.awaitDrained(ctx)
@@ -319,21 +323,21 @@
 		return nil
 	}
 	s.endRequests()
-	// Stop waits for handlers; those left see their connections closed and end.
+	// Stop waits for handlers; the remaining ones find their connections closed and return.
 	go s.stop()
 	return err
 }
 
-// finalAnswerTimeout is how long handlers have to answer once their requests' contexts have ended. An
-// answer takes a millisecond; a host short of processor time pauses for up to 80 ms.
+// finalAnswerTimeout is how long handlers have to answer once their requests' contexts are
+// canceled. An answer takes a millisecond; a host short of processor time pauses for up to 80
+// ms.
 const finalAnswerTimeout = 200 * time.Millisecond
 
-// endRequests ends the contexts of all requests and waits for their answers.
-//
-// What goes wrong if the connections are closed at once: callers whose requests wait for a
-// silent server get a closed connection in place of an answer that says what is known of the run.
+// endRequests cancels the contexts of all requests and waits for their answers. If the
+// connections were closed at once, callers whose requests wait for a silent server would get a
+// closed connection instead of an answer with what is known about the run.
 func (s *Server) endRequests() {
-	s.cancelRequests(errkind.New(errkind.HostLeaving, "this host shuts down before the answer came"))
+	s.cancelRequests(errkind.New(errkind.HostLeaving, "this host shut down before the answer arrived"))
 	ctx, cancel := context.WithTimeout(context.Background(), finalAnswerTimeout)
 	defer cancel()
 	if err := s.awaitDrained(ctx); err != nil {
@@ -341,7 +345,7 @@
 	}
 }
 
-// stopTimeout bounds the wait for the end of nbio's loops. Nothing is served any more by then.
+// stopTimeout bounds the wait for the end of nbio's loops. Nothing is served by then.
 const stopTimeout = time.Second
 
 // stop closes the listener and all connections.
@@ -358,8 +362,9 @@
 	}
 }
 
-// stopEngine ends nbio. A connection that was accepted but not yet registered when nbio closed
-// all that it knew is closed here: nbio waits for its end, and its caller for an answer.
+// stopEngine stops nbio. A connection that was accepted but not yet registered when nbio
+// closed all known connections is closed here: nbio waits for its end, and its caller for an
+// answer.
 func (s *Server) stopEngine() {
 	close(s.stopping)
 	if s.barrier != nil {
@@ -410,7 +415,7 @@
 		return
 	}
 	if !s.admit() {
-		_ = c.Close() // nbio may not know it any more when it closes all others
+		_ = c.Close() // not registered with nbio, which may already have closed all others
 		return
 	}
 	tracked := &trackedConn{Conn: c, server: s, opened: time.Now()}
@@ -423,11 +428,11 @@
 	p.Processor = newProcessor(tracked)
 	c.SetSession(&guard{server: s, conn: tracked, parser: p})
 	handovers.Add(1)
-	s.conns.add(tracked) // last: the idle watch looks at it from here on
+	s.conns.add(tracked) // must be last: the idle watch sees the connection from here on
 	s.idle.start()
 }
 
-// admit waits until an accepted connection may be registered; false: the server stops.
+// admit waits until an accepted connection may be registered; false if the server stops.
 func (s *Server) admit() bool {
 	select {
 	case <-s.started:
@@ -442,12 +447,12 @@
 	}
 }
 
-// read takes in what has arrived on a connection. It runs on the connection's reading
+// read reads and processes what has arrived on a connection. It runs on the poller's
 // goroutine.
 //
-// What goes wrong if nbio reads by itself: it holds the bytes of a request for a moment that
-// no lock covers, in which the connection has nothing unread and no request open; to close it
-// as idle then would lose the request.
+// nbio must not read by itself, because it would hold the bytes of a request for a moment that
+// no lock covers, in which the connection has nothing unread and no request open. Closing it
+// as idle at that moment would lose the request.
 func (s *Server) read(c *nbio.Conn) {
 	handovers.Load()
 	if b, ok := c.Session().(*pollBarrier); ok {
@@ -469,7 +474,7 @@
 		}
 		switch {
 		case n == 0 && err == nil:
-			g.conn.endRead.Store(true) // the event tells it, too, and nbio closes then
+			g.conn.endRead.Store(true) // the event reports it as well, and nbio then closes the connection
 			return
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -56,7 +56,7 @@
 	defer func() { _ = res.Body.Close() }()
 	var a ErrorAnswer
 	if err := json.NewDecoder(res.Body).Decode(&a); err != nil {
-		t.Fatalf("answer is no refusal: %v", err)
+		t.Fatalf("the answer is not a refusal: %v", err)
 	}
 	return res.StatusCode, a.Error
 }
@@ -66,9 +66,9 @@
 }
 
 func TestBodyOverLimitIsRejectedWithAnswer(t *testing.T) {
-	// Symptom: a caller with too long a prompt sees a reset connection and doesn't know whether it ran.
-	// Sequence: the body is declared, or sent in chunks, past the limit.
-	// Cause: nbhttp closes the connection without an answer.
+	// Guards against a caller that sees a reset connection, and does not learn whether its
+	// request ran, because the body is over the limit. The body is declared too long or sent
+	// as too many chunks; nbhttp by itself closes the connection without an answer.
 	s := start(t, Config{MaxBodyBytes: 1000, Handler: text("ran")})
 	long := strings.Repeat("x", 3<<20)
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", 1<<15, long[:1<<15])
@@ -88,9 +88,8 @@
 }
 
 func TestSlowSenderIsRejectedAndClosed(t *testing.T) {
-	// Symptom: connections pile up on the host until it can't accept.
-	// Sequence: a caller sends half a request and then nothing, or goes without a close.
-	// Cause: nothing bounds the reading of a request.
+	// Guards against connections that accumulate until the host can't accept more: a caller
+	// sends half a request and nothing more, or disappears without a close.
 	s := start(t, Config{ReadTimeout: 50 * time.Millisecond, Handler: text("ran")})
 	for _, half := range []string{"POST / HT", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\n12345"} {
 		c := dial(t, s)
@@ -101,15 +100,14 @@
 			t.Fatalf("got %d %+v", status, e)
 		}
 		if _, err := r.ReadByte(); err != io.EOF {
-			t.Fatalf("connection left open: %v", err)
+			t.Fatalf("the connection is still open: %v", err)
 		}
 	}
 }
 
 func TestRequestsPerConnection(t *testing.T) {
-	// Symptom: one host of 70 serves a seventh of all requests.
-	// Sequence: a caller that sends many requests has chosen an address, and keeps it.
-	// Cause: nothing makes it choose again.
+	// Guards against one host of 70 that serves a seventh of all requests: a caller with many
+	// requests chooses an address once and keeps its connection.
 	s := start(t, Config{RequestsPerConnection: 3, Handler: text("ran")})
 	for range 2 {
 		c := dial(t, s)
@@ -122,16 +120,15 @@
 			}
 			_, _ = io.Copy(io.Discard, res.Body)
 			if res.StatusCode != http.StatusOK || res.Close != (n == 3) {
-				t.Errorf("request %d: status %d, to be closed: %v", n, res.StatusCode, res.Close)
+				t.Errorf("request %d: status %d, Connection: close %v", n, res.StatusCode, res.Close)
 			}
 		}
 	}
 }
 
 func TestLimitsMayChangeWhileServing(t *testing.T) {
-	// Symptom: after an operator lowered the limits, hosts still take what is over them.
-	// Sequence: a connection is open, the limits change, further requests come on it.
-	// Cause: limits are read once, when the server starts.
+	// Guards against limits that are read only when the server starts: after an operator has
+	// lowered them, requests over the new limits on an open connection must be rejected.
 	var limits atomic.Pointer[Limits]
 	limits.Store(&Limits{})
 	s := start(t, Config{MaxBodyBytes: 1000, Limits: func() Limits { return *limits.Load() }, Handler: text("ran")})
@@ -162,10 +159,9 @@
 }
 
 func TestHeaderTimeout(t *testing.T) {
-	// Symptom: connections pile up though an operator bounds the time for headers.
-	// Sequence: a caller sends its headers one byte now and then; another one sends them at
-	// once and takes its time for the body.
-	// Cause: only the time for the whole request is bounded.
+	// Guards against connections that accumulate although an operator bounds the time for
+	// headers. One caller sends its headers slowly; another sends them at once and takes
+	// longer for the body, which is allowed.
 	s := start(t, Config{
 		Handler: text("ran"), Limits: func() Limits { return Limits{HeaderTimeout: 100 * time.Millisecond} },
 	})
@@ -193,15 +189,14 @@
 	testutil.NoError(t, err)
 	_, _ = io.Copy(io.Discard, res.Body)
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Fatalf("an idle connection stays open: %v", err)
+		t.Fatalf("the idle connection is still open: %v", err)
 	}
 }
 
 func TestUnreadableRequestsAreAnswered(t *testing.T) {
-	// Symptom: a request hidden in the body of another one runs.
-	// Sequence: a request gives its length in two ways; the bytes that only one of them takes
-	// for its body are a request themselves. A sound request comes before it.
-	// Cause: nbhttp uses one of the lengths and says nothing.
+	// Guards against request smuggling: a request gives its length in two ways, and the bytes
+	// that only one of them counts as its body are a request themselves. nbhttp uses one of
+	// the lengths without an error. A valid request comes first and must be answered.
 	var ran atomic.Int64
 	s := start(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ran.Add(1)
@@ -235,9 +230,9 @@
 }
 
 func TestHandlerOutlivesIdleTimeout(t *testing.T) {
-	// Symptom: long streams break after exactly the idle timeout.
-	// Sequence: a request is handled for longer than the idle and the read timeout.
-	// Cause: nbhttp's read deadline stays set while the handler runs.
+	// Guards against long streams that end at exactly the idle timeout: a request is handled
+	// for longer than the idle and the read timeout, and nbhttp's read deadline stays set
+	// while the handler runs.
 	s := start(t, Config{IdleTimeout: 50 * time.Millisecond, ReadTimeout: 50 * time.Millisecond,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(200 * time.Millisecond)
@@ -264,9 +259,9 @@
 }
 
 func TestConnClosedAfterCallerCloses(t *testing.T) {
-	// Symptom: engines go on generating for callers who have hung up.
-	// Sequence: the caller closes its connection in the middle of a stream.
-	// Cause: nbhttp cancels no context and fails no write.
+	// Guards against engines that continue to generate for callers that have disconnected: the
+	// caller closes its connection during a stream, and nbhttp neither cancels a context nor
+	// fails a write.
 	gone := make(chan struct{})
 	s := start(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		for !ConnClosed(w) {
@@ -285,7 +280,7 @@
 	select {
 	case <-gone:
 	case <-time.After(patience):
-		t.Fatal("handler never saw the caller go")
+		t.Fatal("the handler did not notice that the caller closed the connection")
 	}
 	if ConnClosed(httptest.NewRecorder()) {
 		t.Fatal("a recorder has no connection to be closed")
@@ -303,9 +298,9 @@
 }
 
 func TestLargeChunkedAnswersDoNotMix(t *testing.T) {
-	// Symptom: an answer stops in its middle or holds bytes of another caller's.
-	// Sequence: answers without a length, part of them written already, get writes of 64 KiB and more.
-	// Cause: nbhttp gives its buffer back to the shared pool twice and goes on using it.
+	// Guards against answers that stop in the middle or contain bytes of another caller's.
+	// Answers without a length, partly written already, get writes of 64 KiB and more, for
+	// which nbhttp returns its buffer to the shared pool twice and continues to use it.
 	const size = 200 << 10
 	s := start(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.URL.Path[1:])
@@ -323,7 +318,7 @@
 			defer func() { _ = res.Body.Close() }()
 			b, err := io.ReadAll(res.Body)
 			if err != nil || string(b) != strings.Repeat(mark, size+1) {
-				t.Errorf("answer of %q has %d of %d bytes, %d of them its own: %v", mark, len(b), size+1, strings.Count(string(b), mark), err)
+				t.Errorf("the answer to %q has %d of %d bytes, %d of them its own: %v", mark, len(b), size+1, strings.Count(string(b), mark), err)
 			}
 		})
 	}
@@ -331,9 +326,9 @@
 }
 
 func TestDrainCompletesAnswers(t *testing.T) {
-	// Symptom: callers get the first part of an answer when a host is restarted.
-	// Sequence: a stream is under way and a large answer waits for a slow reader when the host drains.
-	// Cause: nbhttp's shutdown closes connections without regard to handlers or queued bytes.
+	// Guards against truncated answers when a host is restarted: a stream is in progress and a
+	// large answer waits for a slow reader when the host drains. nbhttp's own shutdown closes
+	// connections regardless of handlers and queued bytes.
 	const size = 12 << 20
 	begun, finish := make(chan struct{}), make(chan struct{})
 	s := start(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -362,21 +357,21 @@
 	late := dial(t, s)
 	_, _ = io.WriteString(late, "GET /late HTTP/1.1\r\nHost: h\r\n\r\n")
 	if status, e := readKind(t, bufio.NewReader(late)); e.Kind != errkind.HostLeaving {
-		t.Fatalf("new work while draining got %d %+v", status, e)
+		t.Fatalf("a new request while draining got %d %+v", status, e)
 	}
 	close(finish)
 	res, err := http.ReadResponse(bufio.NewReader(stream), nil)
 	testutil.NoError(t, err)
 	if b, err := io.ReadAll(res.Body); string(b) != "first last" {
-		t.Fatalf("stream was cut: %q %v", b, err)
+		t.Fatalf("the stream was truncated: %q %v", b, err)
 	}
 	select {
 	case <-drained:
-		t.Fatal("drained while an answer waited for its reader")
+		t.Fatal("Drain returned while an answer waited for its reader")
 	case <-time.After(20 * drainPoll):
 	}
 	if n, _ := io.Copy(io.Discard, large); n < size {
-		t.Fatalf("large answer cut at %d of %d bytes", n, size)
+		t.Fatalf("the large answer was truncated at %d of %d bytes", n, size)
 	}
 	testutil.NoError(t, <-drained)
 }
@@ -435,24 +430,23 @@
 	select {
 	case <-gone:
 	case <-time.After(patience):
-		t.Fatal("handler never saw the TLS caller go")
+		t.Fatal("the handler did not notice that the TLS caller closed the connection")
 	}
 }
 
-// Symptom: a process whose start fails, as another one has one of its addresses, uses up a
-// processor and does not end.
-// Sequence: it opens a server, fails at the next one and stops the first at once.
-// Cause: an event loop of nbio that begins after it was told to stop takes that back, and
-// Stop waits for it.
+// Guards against a process that uses up a processor and does not end because its start fails:
+// it opens a server, fails at the next one, whose address another process has, and stops the
+// first at once. An event loop of nbio that begins after it was told to stop resets that mark,
+// and Stop waits for it.
 func TestStopRightAfterStart(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // nothing that Start begins runs before Drain
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // no goroutine started by Start runs before Drain
 	s := New(Config{Address: "127.0.0.1:0", Handler: http.NotFoundHandler()})
 	testutil.NoError(t, s.Start())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		_ = s.Drain(t.Context())
-		s.stopOnce.Do(func() {}) // Drain waits for a limited time only, this until all has ended
+		s.stopOnce.Do(func() {}) // Drain waits for a limited time only; this waits until everything has ended
 	}()
 	select {
 	case <-ended:
@@ -462,10 +456,9 @@
 }
 
 func TestRequestsAreAnsweredWhenDrainTimesOut(t *testing.T) {
-	// Symptom: a caller of a host that leaves gets a closed connection and no answer.
-	// Sequence: its request waits for a backend server that is silent; the time of the drain
-	// ends.
-	// Cause: the connections were closed though the handlers could have answered.
+	// Guards against closing connections whose handlers could still answer: a request waits
+	// for a silent backend server when the time of the drain ends, and its caller must get a
+	// refusal instead of a closed connection.
 	begun := make(chan struct{})
 	s := start(t, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		close(begun)
@@ -478,7 +471,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if s.Drain(ctx) == nil {
-		t.Error("the drain was not whole")
+		t.Error("Drain succeeded although a request was open")
 	}
 	if status, e := readKind(t, bufio.NewReader(c)); status != http.StatusServiceUnavailable || e.Kind != errkind.HostLeaving {
 		t.Errorf("got %d %+v", status, e)
--- a/internal/httpserver/start_test.go
+++ b/internal/httpserver/start_test.go
@@ -9,10 +9,9 @@
 )
 
 func TestRepeatedStopRightAfterStart(t *testing.T) {
-	// Symptom: a process whose start failed, or a test on a busy machine, never ends and uses
-	// a whole processor.
-	// Sequence: the server is stopped before its reading goroutines had their first turn.
-	// Cause: they take off the mark that tells them to end when they begin.
+	// Guards against a process that never ends and uses a whole processor, after a failed
+	// start or in a test on a busy machine. The server is stopped before its reading
+	// goroutines have run; when they begin, they reset the mark that tells them to end.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 20 {
 		s := New(Config{Address: "127.0.0.1:0", Handler: text("ran")})
@@ -20,21 +19,21 @@
 		ended := make(chan struct{})
 		go func() {
 			s.stop()
-			s.stopOnce.Do(func() {}) // stop waits for a limited time only, this until all has ended
+			s.stopOnce.Do(func() {}) // stop waits for a limited time only; this waits until everything has ended
 			close(ended)
 		}()
 		select {
 		case <-ended:
 		case <-time.After(patience):
-			t.Fatal("the server does not end")
+			t.Fatal("the server does not stop")
 		}
 	}
 }
 
 func TestAddressInUseIsAnError(t *testing.T) {
-	// Symptom: a process whose address is taken logs nothing, serves nothing and never ends.
-	// Sequence: another socket has the address when the server starts.
-	// Cause: the library stops what it has begun and waits for loops that have not begun.
+	// Guards against a process that logs nothing, serves nothing and never ends because its
+	// address is in use: when it can't listen, the library stops what it has started and waits
+	// for loops that have not begun.
 	taken := testutil.Listen(t)
 	for range 20 {
 		s := New(Config{Address: taken.Addr().String(), Handler: text("ran")})
@@ -43,10 +42,10 @@
 		select {
 		case err := <-failed:
 			if err == nil {
-				t.Fatal("the server listens on an address that is taken")
+				t.Fatal("the server listens on an address that is in use")
 			}
 		case <-time.After(patience):
-			t.Fatal("the start does not end")
+			t.Fatal("Start does not return")
 		}
 	}
 }
