--- a/internal/sse/counter.go
+++ b/internal/sse/counter.go
@@ -14,7 +14,7 @@
 	lastID string
 	id     string
 	line   []byte
-	filled bool // the event under way has a line
+	hasLine bool // the event under way has a line
 	offset int64
 	end    int64
 }
@@ -24,18 +24,18 @@
 	for len(b) > 0 {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
-			c.keep(b)
+			c.appendToLine(b)
 			c.offset += int64(len(b))
 			return
 		}
-		c.keep(b[:i])
+		c.appendToLine(b[:i])
 		c.offset += int64(i + 1)
 		c.endLine()
 		b = b[i+1:]
 	}
 }
 
-func (c *Counter) keep(b []byte) {
+func (c *Counter) appendToLine(b []byte) {
 	if room := maxLine - len(c.line); room > 0 {
 		c.line = append(c.line, b[:min(len(b), room)]...)
 	}
@@ -48,17 +48,17 @@
 		c.endEvent()
 		return
 	}
-	c.filled = true
+	c.hasLine = true
 	if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 		c.id = string(bytes.TrimPrefix(value, []byte(" ")))
 	}
 }
 
 func (c *Counter) endEvent() {
-	if !c.filled {
+	if !c.hasLine {
 		return
 	}
-	c.filled = false
+	c.hasLine = false
 	c.events++
 	c.lastID = c.id
 	c.end = c.offset
@@ -70,5 +70,5 @@
 // LastID is the id of the last whole event; empty before one had an id.
 func (c *Counter) LastID() string { return c.lastID }
 
-// Torn is how many bytes of an event that is not whole have passed by.
-func (c *Counter) Torn() int64 { return c.offset - c.end }
+// IncompleteBytes is how many bytes of an event that is not whole have passed by.
+func (c *Counter) IncompleteBytes() int64 { return c.offset - c.end }
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -14,8 +14,8 @@
 	if c.Events() != 3 || c.LastID() != "2" {
 		t.Errorf("%d events, last id %q; want 3 and 2: a comment counts, empty lines don't", c.Events(), c.LastID())
 	}
-	if c.Torn() != int64(len("id:3\ndat")) {
-		t.Errorf("%d bytes of a torn event", c.Torn())
+	if c.IncompleteBytes() != int64(len("id:3\ndat")) {
+		t.Errorf("%d bytes of a torn event", c.IncompleteBytes())
 	}
 	c.Write([]byte("a: c\n\n"))
 	if c.Events() != 4 || c.LastID() != "3" {
@@ -51,8 +51,8 @@
 		if got != stream.String() || string(s.Rest()) != tail {
 			t.Fatalf("got %q", got)
 		}
-		if c.Events() != n || c.Torn() != 0 {
-			t.Fatalf("%d events of %d, %d bytes torn", c.Events(), n, c.Torn())
+		if c.Events() != n || c.IncompleteBytes() != 0 {
+			t.Fatalf("%d events of %d, %d bytes torn", c.Events(), n, c.IncompleteBytes())
 		}
 	})
 }
