--- a/internal/relay/forward/stream.go
+++ b/internal/relay/forward/stream.go
@@ -26,7 +26,7 @@
 		if n > 0 {
 			lease.FirstByte()
 			t.x.PromptConsumed = true
-			t.writeEvents(res, whole.Take(buf[:n]))
+			t.writeEvents(res, whole.Split(buf[:n]))
 		}
 		switch {
 		case readErr == io.EOF:
--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -8,25 +8,25 @@
 
 // Splitter cuts a stream where events end. Its zero value is ready for a stream's
 // beginning.
-type Splitter struct{ held []byte }
+type Splitter struct{ buffered []byte }
 
-// Take takes the next bytes of the stream and returns the whole events that are there.
+// Split takes the next bytes of the stream and returns the whole events that are there.
 // What it returns is valid until the next call.
-func (s *Splitter) Take(b []byte) []byte {
-	s.held = append(s.held, b...)
-	end := lastEnd(s.held)
-	if end == 0 && len(s.held) > maxHeld {
-		end = len(s.held)
+func (s *Splitter) Split(b []byte) []byte {
+	s.buffered = append(s.buffered, b...)
+	end := lastEnd(s.buffered)
+	if end == 0 && len(s.buffered) > maxHeld {
+		end = len(s.buffered)
 	}
-	whole := s.held[:end:end]
-	s.held = append([]byte(nil), s.held[end:]...)
+	whole := s.buffered[:end:end]
+	s.buffered = append([]byte(nil), s.buffered[end:]...)
 	return whole
 }
 
 // Rest is what is held of an event that is not whole.
 func (s *Splitter) Rest() []byte {
-	rest := s.held
-	s.held = nil
+	rest := s.buffered
+	s.buffered = nil
 	return rest
 }
 
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -40,7 +40,7 @@
 		got := ""
 		for len(left) > 0 {
 			cut := rapid.IntRange(1, len(left)).Draw(t, "cut")
-			whole := string(s.Take(left[:cut]))
+			whole := string(s.Split(left[:cut]))
 			if whole != "" && !strings.HasSuffix(whole, newline+newline) {
 				t.Fatalf("%q is not whole", whole)
 			}
