--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -2,9 +2,9 @@
 
 import "bytes"
 
-// maxHeld bounds the bytes of one event that are held until it is whole. A longer event
+// maxBuffered bounds the bytes of one event that are held until it is whole. A longer event
 // is passed on in parts.
-const maxHeld = 1 << 20
+const maxBuffered = 1 << 20
 
 // Splitter cuts a stream where events end. Its zero value is ready for a stream's
 // beginning.
@@ -15,7 +15,7 @@
 func (s *Splitter) Split(b []byte) []byte {
 	s.buffered = append(s.buffered, b...)
 	end := lastEnd(s.buffered)
-	if end == 0 && len(s.buffered) > maxHeld {
+	if end == 0 && len(s.buffered) > maxBuffered {
 		end = len(s.buffered)
 	}
 	whole := s.buffered[:end:end]
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -25,7 +25,7 @@
 
 // However a stream is cut on its way, what the Splitter returns are whole events, nothing
 // is lost, and the Counter counts the same.
-func TestCutsDontMatter(t *testing.T) {
+func TestAnyChunking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream strings.Builder
 		n := rapid.IntRange(0, 6).Draw(t, "events")
