--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -111,7 +111,7 @@
 	d.tls = certs
 	d.pool = peerconn.New(peerconn.Config{
 		Fleet: peerconn.Fleet(cfg.Fleet), Credentials: certs.peerCredentials(), Stats: d.tel.ClientStats(), Log: d.tel.Log,
-		OnSilent: func(string) { d.tel.Metrics.SilentConnections.Add(1) }, Dial: d.dialer(),
+		OnReplaced: func(string) { d.tel.Metrics.SilentConnections.Add(1) }, Dial: d.dialer(),
 	})
 	if err := d.openReplica(); err != nil {
 		d.close()
--- a/internal/peerconn/link.go
+++ b/internal/peerconn/link.go
@@ -21,36 +21,36 @@
 	conn     *grpc.ClientConn
 	timeouts int // calls in a row that got no answer in time on conn
 	trying   bool
-	shut     bool
+	closed     bool
 }
 
 var _ grpc.ClientConnInterface = (*link)(nil)
 
 // Invoke makes a unary call on the present connection and notes how it ended.
 func (l *link) Invoke(ctx context.Context, method string, args, reply any, opts ...grpc.CallOption) error {
-	conn, err := l.get()
+	conn, err := l.connection()
 	if err != nil {
 		return err
 	}
 	err = conn.Invoke(ctx, method, args, reply, opts...)
-	l.note(conn, err)
+	l.recordResult(conn, err)
 	return err
 }
 
 // NewStream opens a stream on the present connection. A stream ends with an error
 // when its connection is replaced.
 func (l *link) NewStream(ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption) (grpc.ClientStream, error) {
-	conn, err := l.get()
+	conn, err := l.connection()
 	if err != nil {
 		return nil, err
 	}
 	return conn.NewStream(ctx, desc, method, opts...)
 }
 
-func (l *link) get() (*grpc.ClientConn, error) {
+func (l *link) connection() (*grpc.ClientConn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.shut {
+	if l.closed {
 		return nil, status.Error(codes.Canceled, "connections are closed")
 	}
 	if l.conn != nil {
@@ -64,9 +64,9 @@
 	return conn, nil
 }
 
-// note counts timed-out calls of the present connection. Any answer, also a refusal,
+// recordResult counts timed-out calls of the present connection. Any answer, also a refusal,
 // shows that it is not silent. A call that was cancelled shows nothing.
-func (l *link) note(conn *grpc.ClientConn, err error) {
+func (l *link) recordResult(conn *grpc.ClientConn, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if conn != l.conn {
@@ -84,26 +84,26 @@
 		return
 	}
 	l.trying = true
-	l.pool.start(l.tryFresh)
+	l.pool.start(l.tryNewConnection)
 }
 
-// tryFresh opens a second connection to find out whether the peer or the old
+// tryNewConnection opens a second connection to find out whether the peer or the old
 // connection is at fault. Ready means that the peer's server sent its HTTP/2 settings.
-func (l *link) tryFresh() {
+func (l *link) tryNewConnection() {
 	fresh, err := l.pool.dial(l.address)
 	if err != nil {
-		l.endTry()
+		l.endAttempt()
 		return
 	}
 	if !waitReady(fresh, l.pool.cfg.TryTimeout, l.pool.done) {
 		_ = fresh.Close()
-		l.endTry()
+		l.endAttempt()
 		return
 	}
 	l.replace(fresh)
 }
 
-func (l *link) endTry() {
+func (l *link) endAttempt() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.trying = false
@@ -115,7 +115,7 @@
 	l.trying = false
 	l.timeouts = 0
 	old := l.conn
-	if l.shut {
+	if l.closed {
 		l.mu.Unlock()
 		_ = fresh.Close()
 		return
@@ -123,8 +123,8 @@
 	l.conn = fresh
 	l.mu.Unlock()
 	l.pool.cfg.Log.Warn().Str("peer", l.address).Msg("silent connection replaced")
-	if l.pool.cfg.OnSilent != nil {
-		l.pool.cfg.OnSilent(l.address)
+	if l.pool.cfg.OnReplaced != nil {
+		l.pool.cfg.OnReplaced(l.address)
 	}
 	l.closeLater(old)
 }
@@ -144,7 +144,7 @@
 func (l *link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shut = true
+	l.closed = true
 	if l.conn != nil {
 		_ = l.conn.Close()
 	}
--- a/internal/peerconn/peerconn.go
+++ b/internal/peerconn/peerconn.go
@@ -80,8 +80,8 @@
 	Grace time.Duration
 	// Dial opens the TCP connection; nil: the net package's.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// OnSilent is called for each connection that was replaced; nil: nothing.
-	OnSilent func(address string)
+	// OnReplaced is called for each connection that was replaced; nil: nothing.
+	OnReplaced func(address string)
 }
 
 // Pool holds the connections. It is safe for concurrent use.
@@ -146,7 +146,7 @@
 	defer p.mu.Unlock()
 	l := p.links[address]
 	if l == nil {
-		l = &link{pool: p, address: address, shut: p.closed}
+		l = &link{pool: p, address: address, closed: p.closed}
 		p.links[address] = l
 	}
 	return l
