--- a/internal/daemon/certificates.go
+++ b/internal/daemon/certificates.go
@@ -85,5 +85,5 @@
 	if d.cfg.Listen.Source != "" {
 		from.LocalAddr = &net.TCPAddr{IP: net.ParseIP(d.cfg.Listen.Source)}
 	}
-	return peerconn.Again(from.DialContext)
+	return peerconn.DialWithRetries(from.DialContext)
 }
--- a/internal/peerconn/dial.go
+++ b/internal/peerconn/dial.go
@@ -15,12 +15,12 @@
 // the rest of the time.
 var dialTries = []time.Duration{250 * time.Millisecond, 250 * time.Millisecond}
 
-// Again makes a dialer for gRPC that does not wait for the kernel to repeat a lost packet.
+// DialWithRetries makes a dialer for gRPC that does not wait for the kernel to repeat a lost packet.
 //
 // What goes wrong otherwise: the first packet of a connection is lost in a partition, and the
 // kernel sends it again after one, three and seven seconds. The partition ends in between, and
 // the host finds its way back seconds after everybody else.
-func Again(dial Dial) func(ctx context.Context, address string) (net.Conn, error) {
+func DialWithRetries(dial Dial) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		for _, length := range dialTries {
 			tryCtx, cancel := context.WithTimeout(ctx, length)
--- a/internal/peerconn/dial_test.go
+++ b/internal/peerconn/dial_test.go
@@ -18,7 +18,7 @@
 func TestLostFirstPacketIsSentAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mended := time.Now().Add(300 * time.Millisecond)
-		dial := Again(func(ctx context.Context, _, _ string) (net.Conn, error) {
+		dial := DialWithRetries(func(ctx context.Context, _, _ string) (net.Conn, error) {
 			if time.Now().Before(mended) {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -39,7 +39,7 @@
 
 func TestRefusedConnectionIsNotDialledAgain(t *testing.T) {
 	tries := 0
-	dial := Again(func(context.Context, string, string) (net.Conn, error) {
+	dial := DialWithRetries(func(context.Context, string, string) (net.Conn, error) {
 		tries++
 		return nil, errors.New("connection refused")
 	})
@@ -50,7 +50,7 @@
 
 func TestDialEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dial := Again(func(ctx context.Context, _, _ string) (net.Conn, error) {
+		dial := DialWithRetries(func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
