--- a/internal/peerconn/bench_test.go
+++ b/internal/peerconn/bench_test.go
@@ -15,41 +15,41 @@
 
 // Benchmarks print figures for docs/CAPACITY.md; they assert nothing.
 
-// countedListener counts the bytes that pass, TCP's own headers left out.
-type countedListener struct {
+// countingListener counts the bytes that pass, TCP's own headers left out.
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return countedConn{c, &l.bytes}, err
+	return countingConn{c, &l.bytes}, err
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func benchServer(b *testing.B) (*countedListener, string) {
+func benchServer(b *testing.B) (*countingListener, string) {
 	b.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	listener := &countedListener{Listener: inner}
+	listener := &countingListener{Listener: inner}
 	server := grpc.NewServer(ServerOptions(nil, nil)...)
 	pb.RegisterPeerServer(server, fakePeer{})
 	go func() { _ = server.Serve(listener) }()
--- a/internal/peerconn/dial.go
+++ b/internal/peerconn/dial.go
@@ -11,9 +11,9 @@
 // Dial opens a TCP connection, as net.Dialer does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialTries are how long the first attempts to open a connection may take; the last one has
+// attemptTimeouts are how long the first attempts to open a connection may take; the last one has
 // the rest of the time.
-var dialTries = []time.Duration{250 * time.Millisecond, 250 * time.Millisecond}
+var attemptTimeouts = []time.Duration{250 * time.Millisecond, 250 * time.Millisecond}
 
 // DialWithRetries makes a dialer for gRPC that does not wait for the kernel to repeat a lost packet.
 //
@@ -22,7 +22,7 @@
 // the host finds its way back seconds after everybody else.
 func DialWithRetries(dial Dial) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		for _, length := range dialTries {
+		for _, length := range attemptTimeouts {
 			tryCtx, cancel := context.WithTimeout(ctx, length)
 			conn, err := dial(tryCtx, "tcp", address)
 			timedOut := tryCtx.Err() != nil
--- a/internal/peerconn/dial_test.go
+++ b/internal/peerconn/dial_test.go
@@ -15,7 +15,7 @@
 // Symptom: a host reaches the control group four seconds after a partition has ended.
 // Sequence: its first packet to a control host is lost in the partition, which ends 300 ms later.
 // Cause: the kernel repeats such a packet after one, three and seven seconds.
-func TestLostFirstPacketIsSentAgainSoon(t *testing.T) {
+func TestDialRetriesSoonAfterLostPacket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mended := time.Now().Add(300 * time.Millisecond)
 		dial := DialWithRetries(func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/internal/peerconn/peerconn.go
+++ b/internal/peerconn/peerconn.go
@@ -36,16 +36,16 @@
 
 // Times of connections.
 const (
-	clientPingEvery = 10 * time.Second // gRPC's lower bound for clients
-	serverPingEvery = 2 * time.Second
+	clientPingInterval = 10 * time.Second // gRPC's lower bound for clients
+	serverPingInterval = 2 * time.Second
 	pingTimeout     = time.Second
 	// reconnectMax bounds gRPC's pause between attempts. Its default of two minutes
 	// would keep hosts apart that long after a cut is mended.
 	reconnectMin = 100 * time.Millisecond
 	reconnectMax = time.Second
 	dialTimeout  = time.Second
-	// idleAfter closes connections to hosts that are no longer talked to.
-	idleAfter = 2 * time.Minute
+	// idleTimeout closes connections to hosts that are no longer talked to.
+	idleTimeout = 2 * time.Minute
 )
 
 // Defaults of Config.
@@ -176,7 +176,7 @@
 		grpc.WithTransportCredentials(creds),
 		KeepaliveOption(),
 		ReconnectOption(),
-		grpc.WithIdleTimeout(idleAfter),
+		grpc.WithIdleTimeout(idleTimeout),
 		grpc.WithReadBufferSize(bufferBytes),
 		grpc.WithWriteBufferSize(bufferBytes),
 		grpc.WithDisableServiceConfig(),
@@ -210,7 +210,7 @@
 // gone silent for good is given up even when no call waits on it.
 func KeepaliveOption() grpc.DialOption {
 	return grpc.WithKeepaliveParams(keepalive.ClientParameters{
-		Time: clientPingEvery, Timeout: pingTimeout, PermitWithoutStream: true,
+		Time: clientPingInterval, Timeout: pingTimeout, PermitWithoutStream: true,
 	})
 }
 
@@ -219,9 +219,9 @@
 func ServerOptions(creds credentials.TransportCredentials, handler stats.Handler) []grpc.ServerOption {
 	options := []grpc.ServerOption{
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
-			MinTime: clientPingEvery / 2, PermitWithoutStream: true,
+			MinTime: clientPingInterval / 2, PermitWithoutStream: true,
 		}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverPingEvery, Timeout: pingTimeout}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverPingInterval, Timeout: pingTimeout}),
 		grpc.ReadBufferSize(bufferBytes),
 		grpc.WriteBufferSize(bufferBytes),
 		grpc.MaxRecvMsgSize(maxMessageBytes),
--- a/internal/peerconn/peerconn_test.go
+++ b/internal/peerconn/peerconn_test.go
@@ -37,26 +37,26 @@
 	return listener.Addr().String()
 }
 
-// middle forwards connections; mute makes those it has silent, and new ones too if all.
-type middle struct {
+// proxy forwards connections; mute makes those it has silent, and new ones too if all.
+type proxy struct {
 	listener net.Listener
 	target   string
 	mu       sync.Mutex
-	muteFrom int // connections numbered below are silent
+	silentBelow int // connections numbered below are silent
 	count    int
 	conns    []net.Conn
 }
 
-func newMiddle(t *testing.T, target string) *middle {
+func newProxy(t *testing.T, target string) *proxy {
 	t.Helper()
 	listener := testutil.Listen(t)
-	m := &middle{listener: listener, target: target}
+	m := &proxy{listener: listener, target: target}
 	go m.accept()
 	t.Cleanup(m.close)
 	return m
 }
 
-func (m *middle) accept() {
+func (m *proxy) accept() {
 	for {
 		in, err := m.listener.Accept()
 		if err != nil {
@@ -77,7 +77,7 @@
 }
 
 // copy swallows what comes over a silent connection: its ends see acknowledgements only.
-func (m *middle) copy(number int, to io.Writer, from io.Reader) {
+func (m *proxy) copy(number int, to io.Writer, from io.Reader) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
@@ -85,7 +85,7 @@
 			return
 		}
 		m.mu.Lock()
-		silent := number < m.muteFrom
+		silent := number < m.silentBelow
 		m.mu.Unlock()
 		if !silent {
 			_, _ = to.Write(buf[:n])
@@ -93,16 +93,16 @@
 	}
 }
 
-func (m *middle) mute(all bool) {
+func (m *proxy) silence(all bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.muteFrom = m.count
+	m.silentBelow = m.count
 	if all {
-		m.muteFrom = 1 << 30
+		m.silentBelow = 1 << 30
 	}
 }
 
-func (m *middle) close() {
+func (m *proxy) close() {
 	_ = m.listener.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,13 +126,13 @@
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
 	silent := make(chan string, 8)
 	address := serve(t)
-	m := newMiddle(t, address)
+	m := newProxy(t, address)
 	defer m.close()
 	pool := New(Config{OnReplaced: func(a string) { silent <- a }, Grace: time.Millisecond})
 	defer func() { _ = pool.Close() }()
 	client := pool.Client(m.listener.Addr().String())
 	testutil.NoError(t, call(client))
-	m.mute(false)
+	m.silence(false)
 	for i := range DefaultSilentAfter {
 		if err := call(client); status.Code(err) != codes.DeadlineExceeded {
 			t.Fatalf("call %d over the silent connection: %v", i, err)
@@ -153,13 +153,13 @@
 // Cause: a fresh connection that works no better was taken for the old one's repair.
 func TestConnectionStaysWhileThePeerIsOutOfReach(t *testing.T) {
 	address := serve(t)
-	m := newMiddle(t, address)
+	m := newProxy(t, address)
 	replaced := make(chan string, 8)
 	pool := New(Config{OnReplaced: func(a string) { replaced <- a }, TryTimeout: callTimeout})
 	defer func() { _ = pool.Close() }()
 	client := pool.Client(m.listener.Addr().String())
 	testutil.NoError(t, call(client))
-	m.mute(true)
+	m.silence(true)
 	for range 2 * DefaultSilentAfter {
 		_ = call(client)
 	}
@@ -178,7 +178,7 @@
 	}
 	m.mu.Lock()
 	tried := m.count > 1
-	m.muteFrom = 0
+	m.silentBelow = 0
 	m.mu.Unlock()
 	if !tried {
 		t.Error("no fresh connection was tried")
--- a/internal/peerconn/recover_test.go
+++ b/internal/peerconn/recover_test.go
@@ -14,23 +14,23 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// faultyPeer panics over a heartbeat and over a watch.
-type faultyPeer struct {
+// panickingPeer panics over a heartbeat and over a watch.
+type panickingPeer struct {
 	pb.UnimplementedPeerServer
 	pb.UnimplementedControlServer
 }
 
-func (faultyPeer) Heartbeat(context.Context, *pb.HeartbeatRequest) (*pb.HeartbeatReply, error) {
+func (panickingPeer) Heartbeat(context.Context, *pb.HeartbeatRequest) (*pb.HeartbeatReply, error) {
 	var none *pb.HeartbeatReply
 	none.Seq++
 	return none, nil
 }
 
-func (faultyPeer) Tell(context.Context, *pb.TellRequest) (*pb.TellReply, error) {
+func (panickingPeer) Tell(context.Context, *pb.TellRequest) (*pb.TellReply, error) {
 	return &pb.TellReply{}, nil
 }
 
-func (faultyPeer) Watch(*pb.WatchRequest, grpc.ServerStreamingServer[pb.WatchEvent]) error {
+func (panickingPeer) Watch(*pb.WatchRequest, grpc.ServerStreamingServer[pb.WatchEvent]) error {
 	panic("over a watch")
 }
 
@@ -41,8 +41,8 @@
 	var out testutil.Lines
 	listener := testutil.Listen(t)
 	server := grpc.NewServer(append(ServerOptions(nil, nil), RecoverOptions(zerolog.New(&out))...)...)
-	pb.RegisterPeerServer(server, faultyPeer{})
-	pb.RegisterControlServer(server, faultyPeer{})
+	pb.RegisterPeerServer(server, panickingPeer{})
+	pb.RegisterControlServer(server, panickingPeer{})
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Stop)
 	pool := New(Config{})
