--- a/internal/peerconn/dial_test.go
+++ b/internal/peerconn/dial_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestRefusedConnectionIsNotDialledAgain(t *testing.T) {
+func TestRefusedConnectionIsNotRetried(t *testing.T) {
 	tries := 0
 	dial := DialWithRetries(func(context.Context, string, string) (net.Conn, error) {
 		tries++
