--- a/internal/peerconn/fleet_test.go
+++ b/internal/peerconn/fleet_test.go
@@ -26,7 +26,7 @@
 // Symptom: a host's status names hosts that are not of its fleet.
 // Sequence: a process starts on an address at which another fleet had a host.
 // Cause: heartbeats were taken from whoever sent them.
-func TestOtherFleetsAreRefused(t *testing.T) {
+func TestOtherFleetsAreRejected(t *testing.T) {
 	l := testutil.Listen(t)
 	server := grpc.NewServer(append(ServerOptions(nil, nil), Fleet("recife").ServerOptions()...)...)
 	pb.RegisterPeerServer(server, anyPeer{})
