--- a/internal/peerconn/peerconn_test.go
+++ b/internal/peerconn/peerconn_test.go
@@ -151,7 +151,7 @@
 // Symptom: connections are opened over and over to a host that is out of reach.
 // Sequence: everything to the host is lost; calls time out; then the cut is mended.
 // Cause: a fresh connection that works no better was taken for the old one's repair.
-func TestConnectionStaysWhileThePeerIsOutOfReach(t *testing.T) {
+func TestConnectionIsKeptWhilePeerIsUnreachable(t *testing.T) {
 	address := serve(t)
 	m := newProxy(t, address)
 	replaced := make(chan string, 8)
