--- a/internal/peerconn/peerconn_test.go
+++ b/internal/peerconn/peerconn_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestClosedPoolRefusesCalls(t *testing.T) {
+func TestClosedPoolRejectsCalls(t *testing.T) {
 	pool := New(Config{})
 	client := pool.Client(serve(t))
 	testutil.NoError(t, call(client))
