--- a/internal/peerconn/reconnect_test.go
+++ b/internal/peerconn/reconnect_test.go
@@ -18,7 +18,7 @@
 // Symptom: hosts stay apart for minutes after a network partition is mended.
 // Sequence: a host is out of reach for an hour while heartbeats go on; it is back.
 // Cause: gRPC's pause between attempts had grown to two minutes.
-func TestReconnectsSoonAfterALongCut(t *testing.T) {
+func TestReconnectsSoonAfterLongPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var listener atomic.Pointer[bufconn.Listener] // nil: cut
 		pool := New(Config{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
