--- a/internal/peerconn/recover_test.go
+++ b/internal/peerconn/recover_test.go
@@ -37,7 +37,7 @@
 // Symptom: all requests of a host end at one moment without an answer.
 // Sequence: a peer sends a message that a handler does not expect.
 // Cause: gRPC lets the panic of a handler end the process.
-func TestPanicOfAHandlerIsTheCallsError(t *testing.T) {
+func TestHandlerPanicBecomesCallError(t *testing.T) {
 	var out testutil.Lines
 	listener := testutil.Listen(t)
 	server := grpc.NewServer(append(ServerOptions(nil, nil), RecoverOptions(zerolog.New(&out))...)...)
