--- a/internal/peerservice/peerservice.go
+++ b/internal/peerservice/peerservice.go
@@ -42,8 +42,8 @@
 	HandleTake(*pb.TakePermitsRequest) *pb.TakePermitsReply
 }
 
-// News takes what does not wait for heartbeats.
-type News interface {
+// Updates takes what does not wait for heartbeats.
+type Updates interface {
 	Handle(*pb.TellRequest) *pb.TellReply
 }
 
--- a/internal/peerservice/shared.go
+++ b/internal/peerservice/shared.go
@@ -11,7 +11,7 @@
 type Shared struct {
 	pb.UnimplementedPeerServer
 	Suspects Suspects
-	News     News
+	News     Updates
 	Limits   Limits
 }
 
