--- a/internal/peerservice/shared.go
+++ b/internal/peerservice/shared.go
@@ -11,7 +11,7 @@
 type Shared struct {
 	pb.UnimplementedPeerServer
 	Suspects Suspects
-	News     Updates
+	Updates     Updates
 	Limits   Limits
 }
 
@@ -37,5 +37,5 @@
 
 // Tell takes news that does not wait for heartbeats.
 func (s Shared) Tell(_ context.Context, r *pb.TellRequest) (*pb.TellReply, error) {
-	return s.News.Handle(r), nil
+	return s.Updates.Handle(r), nil
 }
