--- a/internal/peerservice/peerservice.go
+++ b/internal/peerservice/peerservice.go
@@ -37,8 +37,8 @@
 	HandleEnd(*pb.EndSuspectRequest) *pb.EndSuspectReply
 }
 
-// Limits issues permits for servers that limit their rate.
-type Limits interface {
+// Permits issues permits for servers that limit their rate.
+type Permits interface {
 	HandleTake(*pb.TakePermitsRequest) *pb.TakePermitsReply
 }
 
--- a/internal/peerservice/shared.go
+++ b/internal/peerservice/shared.go
@@ -12,7 +12,7 @@
 	pb.UnimplementedPeerServer
 	Suspects Suspects
 	Updates     Updates
-	Limits   Limits
+	Limits   Permits
 }
 
 // FetchSuspects gives what this host knows of requests that crash servers.
