--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -152,7 +152,7 @@
 	e.makeControllers(reg.Holder)
 	e.d.peers.setPeer(peerservice.New(peerservice.Parts{
 		Records: e.records, Grants: e.grants, Members: e.members, Explain: e,
-		Shared: peerservice.Shared{Suspects: e.suspects, Updates: e.news, Limits: e.limits},
+		Shared: peerservice.Shared{Suspects: e.suspects, Updates: e.news, Permits: e.limits},
 	}))
 	t := e.d.tasks
 	t.run("heartbeats", e.members.Run)
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -155,7 +155,7 @@
 	if err := d.peers.start(d.tasks); err != nil {
 		return err
 	}
-	d.peers.setPeer(gatewayPeer{g: g, Shared: peerservice.Shared{Suspects: g.suspects, Updates: g.news, Limits: g.limits}})
+	d.peers.setPeer(gatewayPeer{g: g, Shared: peerservice.Shared{Suspects: g.suspects, Updates: g.news, Permits: g.limits}})
 	if d.replica != nil {
 		d.tasks.run("keep in group", d.keepInGroup)
 		d.tasks.run("keep voters", d.keepVoters)
--- a/internal/peerservice/shared.go
+++ b/internal/peerservice/shared.go
@@ -12,7 +12,7 @@
 	pb.UnimplementedPeerServer
 	Suspects Suspects
 	Updates     Updates
-	Limits   Permits
+	Permits   Permits
 }
 
 // FetchSuspects gives what this host knows of requests that crash servers.
@@ -32,7 +32,7 @@
 
 // TakePermits issues permits for a server that limits its rate.
 func (s Shared) TakePermits(_ context.Context, r *pb.TakePermitsRequest) (*pb.TakePermitsReply, error) {
-	return s.Limits.HandleTake(r), nil
+	return s.Permits.HandleTake(r), nil
 }
 
 // Tell takes news that does not wait for heartbeats.
