--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -150,7 +150,7 @@
 	e.members.SetIncarnation(reg.Holder.Incarnation)
 	e.members.Learn(reg.Hosts)
 	e.makeControllers(reg.Holder)
-	e.d.peers.setPeer(peerservice.New(peerservice.Parts{
+	e.d.peers.setPeer(peerservice.New(peerservice.Controllers{
 		Records: e.records, Grants: e.grants, Members: e.members, Explain: e,
 		Shared: peerservice.Shared{Suspects: e.suspects, Updates: e.news, Permits: e.limits},
 	}))
--- a/internal/peerservice/peerservice.go
+++ b/internal/peerservice/peerservice.go
@@ -47,8 +47,8 @@
 	Handle(*pb.TellRequest) *pb.TellReply
 }
 
-// Parts are the controllers that the messages go to. All are needed.
-type Parts struct {
+// Controllers are the controllers that the messages go to. All are needed.
+type Controllers struct {
 	Records Records
 	Grants  Grants
 	Members Members
@@ -59,11 +59,11 @@
 // Service implements pb.PeerServer.
 type Service struct {
 	Shared
-	parts Parts
+	parts Controllers
 }
 
 // New makes the service.
-func New(p Parts) *Service { return &Service{Shared: p.Shared, parts: p} }
+func New(p Controllers) *Service { return &Service{Shared: p.Shared, parts: p} }
 
 // Explain tells what this host decided for a request.
 func (s *Service) Explain(_ context.Context, r *pb.ExplainRequest) (*pb.ExplainReply, error) {
