--- a/internal/httpserver/guard.go
+++ b/internal/httpserver/guard.go
@@ -57,7 +57,7 @@
 	limits := g.server.limits()
 	n, fault := g.frames.Check(data, framing.Limits{Header: limits.HeaderBytes, Body: limits.BodyBytes})
 	if !g.countBytes(int64(n)) {
-		g.reject(errkind.New(errkind.Overloaded, "this host has no room for the bodies number further requests").After(overloadedRetry), CauseNoRoom)
+		g.reject(errkind.New(errkind.Overloaded, "this host has no room for the bodies of further requests").After(overloadedRetry), CauseNoRoom)
 		return nil
 	}
 	if n > 0 {
--- a/internal/peerconn/bench_test.go
+++ b/internal/peerconn/bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Benchmarks print figures for docs/CAPACITY.md; they assert nothing.
+// Benchmarks print figures for docs/CAPACITY.md and assert nothing.
 
-// countingListener counts the bytes that pass, TCP's own headers left out.
+// countingListener counts the bytes transferred, without TCP headers.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -57,8 +57,8 @@
 	return listener, inner.Addr().String()
 }
 
-// BenchmarkHeartbeatCall gives the time of a heartbeat over loopback and the bytes
-// that gRPC adds to request and reply together.
+// BenchmarkHeartbeatCall measures the time of a heartbeat over loopback and the bytes that
+// gRPC adds to the request and reply together.
 func BenchmarkHeartbeatCall(b *testing.B) {
 	listener, address := benchServer(b)
 	pool := New(Config{})
@@ -81,7 +81,8 @@
 	b.ReportMetric(added, "grpcB/call")
 }
 
-// BenchmarkConnectionMemory gives the heap and stack of one connection, both ends together.
+// BenchmarkConnectionMemory measures the heap and stack used by both ends of one connection
+// together.
 func BenchmarkConnectionMemory(b *testing.B) {
 	const connections = 50
 	_, address := benchServer(b)
--- a/internal/peerconn/dial.go
+++ b/internal/peerconn/dial.go
@@ -8,18 +8,19 @@
 	"github.com/pkg/errors"
 )
 
-// Dial opens a TCP connection, as net.Dialer does.
+// Dial opens a TCP connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// attemptTimeouts are how long the first attempts to open a connection may take; the last one has
-// the rest of the time.
+// attemptTimeouts are the timeouts of the first attempts to connect; the last attempt has the
+// rest of the time.
 var attemptTimeouts = []time.Duration{250 * time.Millisecond, 250 * time.Millisecond}
 
-// DialWithRetries makes a dialer for gRPC that does not wait for the kernel to repeat a lost packet.
+// DialWithRetries returns a dialer for gRPC that does not wait for the kernel to retransmit a
+// lost packet.
 //
-// What goes wrong otherwise: the first packet of a connection is lost in a partition, and the
-// kernel sends it again after one, three and seven seconds. The partition ends in between, and
-// the host finds its way back seconds after everybody else.
+// If the first packet of a connection is lost in a partition, the kernel retransmits it after
+// one, three and seven seconds. When the partition ends in between, the host would reconnect
+// seconds after all others.
 func DialWithRetries(dial Dial) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		for _, length := range attemptTimeouts {
--- a/internal/peerconn/dial_test.go
+++ b/internal/peerconn/dial_test.go
@@ -12,9 +12,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// Symptom: a host reaches the control group four seconds after a partition has ended.
-// Sequence: its first packet to a control host is lost in the partition, which ends 300 ms later.
-// Cause: the kernel repeats such a packet after one, three and seven seconds.
+// Guards against a host that reaches the control group only four seconds after a partition has
+// ended. Its first packet to a control host is lost in the partition, which ends 300 ms later,
+// and the kernel retransmits such a packet after one, three and seven seconds.
 func TestDialRetriesSoonAfterLostPacket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mended := time.Now().Add(300 * time.Millisecond)
--- a/internal/peerconn/fleet.go
+++ b/internal/peerconn/fleet.go
@@ -9,18 +9,18 @@
 	"google.golang.org/grpc/status"
 )
 
-// fleetKey is the metadata that names the caller's fleet.
+// fleetKey is the metadata key of the caller's fleet.
 const fleetKey = "bluebellsail-fleet"
 
-// Fleet is the name that all processes of one fleet share. Its options make clients
-// tell it and servers refuse callers of another one.
+// Fleet is the name shared by all processes of one fleet. Its options make clients send it and
+// servers reject callers of another fleet.
 //
-// What goes wrong without it: a process is started on an address that another fleet
-// used a moment ago. That fleet's hosts go on sending heartbeats there, and both
-// fleets take the other's hosts and backend servers for their own.
+// A process may be started on an address that another fleet used a moment ago. That fleet's
+// hosts continue to send heartbeats there, and without the check both fleets would take the
+// other's hosts and backend servers for their own.
 type Fleet string
 
-// DialOptions tell the fleet with every call.
+// DialOptions returns options that send the fleet with every call.
 func (f Fleet) DialOptions() []grpc.DialOption {
 	named := func(ctx context.Context) context.Context {
 		return metadata.AppendToOutgoingContext(ctx, fleetKey, string(f))
@@ -35,7 +35,7 @@
 	}
 }
 
-// ServerOptions refuse calls from processes of another fleet.
+// ServerOptions returns options that reject calls from processes of another fleet.
 func (f Fleet) ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{
 		grpc.ChainUnaryInterceptor(func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
@@ -56,7 +56,7 @@
 func (f Fleet) check(ctx context.Context) error {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if told := md.Get(fleetKey); len(told) != 1 || told[0] != string(f) {
-		return status.Errorf(codes.PermissionDenied, "this is a process of fleet %s, the caller's is %q", f, told)
+		return status.Errorf(codes.PermissionDenied, "this process belongs to fleet %s, the caller to %q", f, told)
 	}
 	return nil
 }
--- a/internal/peerconn/fleet_test.go
+++ b/internal/peerconn/fleet_test.go
@@ -23,9 +23,8 @@
 }
 func (anyPeer) Watch(*pb.WatchRequest, grpc.ServerStreamingServer[pb.WatchEvent]) error { return nil }
 
-// Symptom: a host's status names hosts that are not of its fleet.
-// Sequence: a process starts on an address at which another fleet had a host.
-// Cause: heartbeats were taken from whoever sent them.
+// Guards against a status that lists hosts of another fleet: a process starts on an address at
+// which another fleet had a host, and must not accept that fleet's heartbeats.
 func TestOtherFleetsAreRejected(t *testing.T) {
 	l := testutil.Listen(t)
 	server := grpc.NewServer(append(ServerOptions(nil, nil), Fleet("recife").ServerOptions()...)...)
--- a/internal/peerconn/link.go
+++ b/internal/peerconn/link.go
@@ -11,22 +11,22 @@
 	"google.golang.org/grpc/status"
 )
 
-// link is the way to one address: the present connection and what speaks for its
-// being silent. It implements grpc.ClientConnInterface.
+// link is the connection to one address, with the count of timeouts that indicates a silent
+// connection. It implements grpc.ClientConnInterface.
 type link struct {
 	pool    *Pool
 	address string
 
 	mu       sync.Mutex
 	conn     *grpc.ClientConn
-	timeouts int // calls in a row that got no answer in time on conn
+	timeouts int // consecutive calls on conn that timed out
 	trying   bool
-	closed     bool
+	closed   bool
 }
 
 var _ grpc.ClientConnInterface = (*link)(nil)
 
-// Invoke makes a unary call on the present connection and notes how it ended.
+// Invoke makes a unary call on the present connection and records the result.
 func (l *link) Invoke(ctx context.Context, method string, args, reply any, opts ...grpc.CallOption) error {
 	conn, err := l.connection()
 	if err != nil {
@@ -37,8 +37,8 @@
 	return err
 }
 
-// NewStream opens a stream on the present connection. A stream ends with an error
-// when its connection is replaced.
+// NewStream opens a stream on the present connection. The stream ends with an error when the
+// connection is replaced.
 func (l *link) NewStream(ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 	conn, err := l.connection()
 	if err != nil {
@@ -51,7 +51,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
-		return nil, status.Error(codes.Canceled, "connections are closed")
+		return nil, status.Error(codes.Canceled, "the connection to the peer is closed")
 	}
 	if l.conn != nil {
 		return l.conn, nil
@@ -64,8 +64,9 @@
 	return conn, nil
 }
 
-// recordResult counts timed-out calls of the present connection. Any answer, also a refusal,
-// shows that it is not silent. A call that was cancelled shows nothing.
+// recordResult counts timed-out calls on the present connection. Any answer of the peer,
+// including an error status, shows that the connection is not silent. A canceled call shows
+// nothing.
 func (l *link) recordResult(conn *grpc.ClientConn, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +89,8 @@
 }
 
 // tryNewConnection opens a second connection to find out whether the peer or the old
-// connection is at fault. Ready means that the peer's server sent its HTTP/2 settings.
+// connection is at fault. The connection is ready when the peer's server has sent its HTTP/2
+// settings.
 func (l *link) tryNewConnection() {
 	fresh, err := l.pool.dial(l.address)
 	if err != nil {
@@ -129,8 +131,8 @@
 	l.closeLater(old)
 }
 
-// closeLater gives calls that are merely slow the time to end. Streams on the old
-// connection end with it: on a silent connection they would wait for ever.
+// closeLater gives slow calls the time to end. Streams on the old connection end with it,
+// since on a silent connection they would wait forever.
 func (l *link) closeLater(old *grpc.ClientConn) {
 	grace := time.NewTimer(l.pool.cfg.Grace)
 	defer grace.Stop()
--- a/internal/peerconn/peerconn.go
+++ b/internal/peerconn/peerconn.go
@@ -1,18 +1,17 @@
-// Package peerconn holds one gRPC connection to each other process of the fleet
-// and replaces a connection that has gone silent.
+// Package peerconn keeps one gRPC connection to each other process of the fleet and replaces a
+// connection that no longer delivers anything.
 //
-// What goes wrong: something between two hosts loses track of a connection. Its
-// packets vanish, or are acknowledged and go nowhere, while a new connection to the
-// same address works. One notices calls that all time out although the peer is well
-// in everybody else's eyes. Three things prevent a long outage:
+// A device between two hosts may lose track of a connection. Its packets then disappear, or
+// are acknowledged and not delivered, while a new connection to the same address works: all
+// calls time out although other hosts reach the peer. Three mechanisms prevent a long outage:
 //
-//   - TCP gives up on data that nobody acknowledges (gRPC sets TCP_USER_TIMEOUT to
-//     the keepalive timeout), which finds vanishing packets within pingTimeout.
-//   - Keepalive pings find a silent connection that has no traffic of its own.
-//     Clients may not ping more often than every 10 s, servers every 1 s.
-//   - When several calls in a row time out, a fresh connection is tried beside the old
-//     one. If it becomes ready, it takes the old one's place; if not, the peer itself
-//     is out of reach, and the old one stays.
+//   - TCP closes a connection whose data nobody acknowledges (gRPC sets TCP_USER_TIMEOUT
+//     to the keepalive timeout), which detects lost packets within pingTimeout.
+//   - Keepalive pings detect a silent connection without traffic. Clients may not ping
+//     more often than every 10 s, servers every 1 s.
+//   - After several consecutive calls time out, a new connection is tried next to the old
+//     one. If it becomes ready, it replaces the old one; if not, the peer itself is
+//     unreachable, and the old one stays.
 package peerconn
 
 import (
@@ -38,13 +37,13 @@
 const (
 	clientPingInterval = 10 * time.Second // gRPC's lower bound for clients
 	serverPingInterval = 2 * time.Second
-	pingTimeout     = time.Second
-	// reconnectMax bounds gRPC's pause between attempts. Its default of two minutes
-	// would keep hosts apart that long after a cut is mended.
+	pingTimeout        = time.Second
+	// reconnectMax bounds gRPC's pause between attempts. Its default of two minutes would keep
+	// hosts apart that long after a partition has ended.
 	reconnectMin = 100 * time.Millisecond
 	reconnectMax = time.Second
 	dialTimeout  = time.Second
-	// idleTimeout closes connections to hosts that are no longer talked to.
+	// idleTimeout is the time after which an unused connection is closed.
 	idleTimeout = 2 * time.Minute
 )
 
@@ -55,36 +54,36 @@
 	DefaultGrace       = time.Second
 )
 
-// Buffers are small: a host holds connections to many peers whose messages are
-// mostly under a kilobyte.
+// Buffers are small, since a host has connections to many peers whose messages are mostly
+// under a kilobyte.
 const (
 	bufferBytes     = 8 << 10
 	maxMessageBytes = 64 << 20 // snapshots and gathered records
 )
 
-// Config of a Pool. Zero fields get the defaults.
+// Config configures a Pool. Zero fields take the defaults above.
 type Config struct {
-	// Fleet is told with every call; empty: nothing is told.
+	// Fleet is sent with every call; empty: nothing is sent.
 	Fleet Fleet
 	// Credentials for mutual authentication; nil: plain TCP.
 	Credentials credentials.TransportCredentials
-	// Stats makes spans of calls; nil: none.
+	// Stats creates spans of calls; nil: none.
 	Stats stats.Handler
 	Log   zerolog.Logger
-	// SilentAfter is the number of timed-out calls in a row after which a fresh
-	// connection is tried.
+	// SilentAfter is the number of consecutive timed-out calls after which a new connection is
+	// tried.
 	SilentAfter int
-	// TryTimeout bounds the try of a fresh connection.
+	// TryTimeout bounds the attempt to open a new connection.
 	TryTimeout time.Duration
-	// Grace is how long calls on a replaced connection may still end.
+	// Grace is how long calls on a replaced connection may continue.
 	Grace time.Duration
-	// Dial opens the TCP connection; nil: the net package's.
+	// Dial opens the TCP connection; nil: as net.Dialer does.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// OnReplaced is called for each connection that was replaced; nil: nothing.
+	// OnReplaced is called for each connection that was replaced; nil: no call.
 	OnReplaced func(address string)
 }
 
-// Pool holds the connections. It is safe for concurrent use.
+// Pool is a set of connections. It is safe for concurrent use.
 type Pool struct {
 	cfg  Config
 	done chan struct{}
@@ -103,15 +102,15 @@
 	return &Pool{cfg: cfg, done: make(chan struct{}), links: make(map[string]*link)}
 }
 
-// Client returns a client of the Peer service at address. It connects with the
-// first call and stays valid when the connection is replaced.
+// Client returns a client of the Peer service at address. It connects at the first call and
+// stays valid when the connection is replaced.
 func (p *Pool) Client(address string) pb.PeerClient { return pb.NewPeerClient(p.link(address)) }
 
 // Control returns a client of the Control service at address.
 func (p *Pool) Control(address string) pb.ControlClient { return pb.NewControlClient(p.link(address)) }
 
-// Forget closes the connection to an address that is not used any more. Clients of
-// it made before are closed with it; Client makes new ones.
+// Forget closes the connection to an address that is no longer used. Existing clients of it
+// are closed too; Client creates new ones.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	l := p.links[address]
@@ -152,7 +151,7 @@
 	return l
 }
 
-// start runs f unless the pool is closed; Close waits for it.
+// start runs f in the background unless the pool is closed; Close waits for it.
 func (p *Pool) start(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,11 +193,11 @@
 	return options
 }
 
-// ReconnectOption bounds the pause between attempts to connect, and each attempt.
+// ReconnectOption bounds each attempt to connect and the pause between attempts.
 //
-// What goes wrong otherwise: gRPC's pause grows to two minutes while a cut lasts, and
-// the two ends stay apart that long after it is mended. One would notice hosts at old
-// settings, or a replica without its leader, long after everybody else is back.
+// gRPC's default pause grows to two minutes during a partition, and the two ends would stay
+// apart that long after it has ended: hosts with outdated settings, or a replica without its
+// leader, long after all others have recovered.
 func ReconnectOption() grpc.DialOption {
 	return grpc.WithConnectParams(grpc.ConnectParams{
 		Backoff:           backoff.Config{BaseDelay: reconnectMin, Multiplier: 1.6, Jitter: 0.2, MaxDelay: reconnectMax},
@@ -206,16 +205,16 @@
 	})
 }
 
-// KeepaliveOption makes a client ping its server, so that a connection which has
-// gone silent for good is given up even when no call waits on it.
+// KeepaliveOption makes a client ping its server, so that a connection that no longer delivers
+// anything is closed even when no call waits on it.
 func KeepaliveOption() grpc.DialOption {
 	return grpc.WithKeepaliveParams(keepalive.ClientParameters{
 		Time: clientPingInterval, Timeout: pingTimeout, PermitWithoutStream: true,
 	})
 }
 
-// ServerOptions are what a gRPC server needs to go with this package's clients: it
-// allows their pings and pings silent clients itself. Nil creds mean plain TCP.
+// ServerOptions returns the options that a gRPC server needs for this package's clients: it
+// permits their pings and pings silent clients itself. Nil creds mean plain TCP.
 func ServerOptions(creds credentials.TransportCredentials, handler stats.Handler) []grpc.ServerOption {
 	options := []grpc.ServerOption{
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
--- a/internal/peerconn/peerconn_test.go
+++ b/internal/peerconn/peerconn_test.go
@@ -37,14 +37,15 @@
 	return listener.Addr().String()
 }
 
-// proxy forwards connections; mute makes those it has silent, and new ones too if all.
+// proxy forwards connections. Its method silence makes the present connections silent, and all
+// later ones too if all is set.
 type proxy struct {
-	listener net.Listener
-	target   string
-	mu       sync.Mutex
-	silentBelow int // connections numbered below are silent
-	count    int
-	conns    []net.Conn
+	listener    net.Listener
+	target      string
+	mu          sync.Mutex
+	silentBelow int // connections with lower numbers are silent
+	count       int
+	conns       []net.Conn
 }
 
 func newProxy(t *testing.T, target string) *proxy {
@@ -76,7 +77,8 @@
 	}
 }
 
-// copy swallows what comes over a silent connection: its ends see acknowledgements only.
+// copy discards what arrives on a silent connection, so that its ends receive only
+// acknowledgments.
 func (m *proxy) copy(number int, to io.Writer, from io.Reader) {
 	buf := make([]byte, 4096)
 	for {
@@ -118,9 +120,9 @@
 	return err
 }
 
-// Symptom: one host finds another dead although everybody else reaches it.
-// Sequence: the connection between them goes silent; new ones work.
-// Cause: the silent connection was kept, since TCP saw its data acknowledged.
+// Guards against a host that takes another for dead although all others reach it. The
+// connection between them goes silent while new ones work; TCP keeps the silent one, since its
+// data is acknowledged.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
@@ -141,16 +143,16 @@
 	select {
 	case <-silent:
 	case <-time.After(5 * time.Second):
-		t.Fatal("not replaced")
+		t.Fatal("the silent connection was not replaced")
 	}
 	if err := call(client); err != nil {
 		t.Errorf("after the replacement: %v", err)
 	}
 }
 
-// Symptom: connections are opened over and over to a host that is out of reach.
-// Sequence: everything to the host is lost; calls time out; then the cut is mended.
-// Cause: a fresh connection that works no better was taken for the old one's repair.
+// Guards against opening connections over and over to an unreachable host. All packets to the
+// host are lost and calls time out. A new connection that gets no answer either must not
+// replace the old one.
 func TestConnectionIsKeptWhilePeerIsUnreachable(t *testing.T) {
 	address := serve(t)
 	m := newProxy(t, address)
@@ -181,7 +183,7 @@
 	m.silentBelow = 0
 	m.mu.Unlock()
 	if !tried {
-		t.Error("no fresh connection was tried")
+		t.Error("no new connection was tried")
 	}
 }
 
--- a/internal/peerconn/recover.go
+++ b/internal/peerconn/recover.go
@@ -11,9 +11,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/panics"
 )
 
-// RecoverOptions make a server answer a call whose handler panics with an error; gRPC would
-// let the process end. The caller learns nothing of whether the call took effect, as with a
-// lost answer.
+// RecoverOptions make a server answer a call whose handler panics with an error; by default
+// the panic ends the process. As with a lost answer, the caller does not learn whether the
+// call took effect.
 func RecoverOptions(log zerolog.Logger) []grpc.ServerOption {
 	return []grpc.ServerOption{
 		grpc.ChainUnaryInterceptor(func(ctx context.Context, req any, info *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (reply any, err error) {
@@ -27,12 +27,12 @@
 	}
 }
 
-// recoverCall turns the panic of a call's handler into the call's error.
+// recoverCall converts a panic of a call's handler into the call's error.
 func recoverCall(log zerolog.Logger, method string, err *error) {
 	p := recover()
 	if p == nil {
 		return
 	}
 	panics.Report(log, method, p)
-	*err = status.Error(codes.Internal, "a fault of the server")
+	*err = status.Error(codes.Internal, "internal error: the handler of the call panicked")
 }
--- a/internal/peerconn/recover_test.go
+++ b/internal/peerconn/recover_test.go
@@ -14,7 +14,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// panickingPeer panics over a heartbeat and over a watch.
+// panickingPeer panics in Heartbeat and Watch.
 type panickingPeer struct {
 	pb.UnimplementedPeerServer
 	pb.UnimplementedControlServer
@@ -31,12 +31,12 @@
 }
 
 func (panickingPeer) Watch(*pb.WatchRequest, grpc.ServerStreamingServer[pb.WatchEvent]) error {
-	panic("over a watch")
+	panic("panic in Watch")
 }
 
-// Symptom: all requests of a host end at one moment without an answer.
-// Sequence: a peer sends a message that a handler does not expect.
-// Cause: gRPC lets the panic of a handler end the process.
+// Guards against a peer's message that ends the process: a handler panics on a message that it
+// does not expect, and gRPC does not recover panics of handlers, so that all requests of the
+// host would end without an answer.
 func TestHandlerPanicBecomesCallError(t *testing.T) {
 	var out testutil.Lines
 	listener := testutil.Listen(t)
@@ -62,7 +62,7 @@
 	}
 	for _, method := range []string{"/Heartbeat", "/Watch"} {
 		if !strings.Contains(out.String(), method) {
-			t.Errorf("no line on %s: %s", method, out.String())
+			t.Errorf("no log line for %s: %s", method, out.String())
 		}
 	}
 }
--- a/internal/peerservice/shared.go
+++ b/internal/peerservice/shared.go
@@ -6,36 +6,38 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Shared answers what hosts of every kind are asked; their services embed it. What neither
-// implements is answered as such.
+// Shared implements the calls that hosts of every kind answer; their services embed it. Calls
+// implemented neither here nor by the embedding service are answered with the code
+// Unimplemented.
 type Shared struct {
 	pb.UnimplementedPeerServer
 	Suspects Suspects
-	Updates     Updates
-	Permits   Permits
+	Updates  Updates
+	Permits  Permits
 }
 
-// FetchSuspects gives what this host knows of requests that crash servers.
+// FetchSuspects returns what this host knows about requests that crash servers.
 func (s Shared) FetchSuspects(_ context.Context, r *pb.FetchSuspectsRequest) (*pb.FetchSuspectsReply, error) {
 	return s.Suspects.HandleFetch(r), nil
 }
 
-// AdmitSuspect decides on a run of another host's request.
+// AdmitSuspect decides whether another host may run a request that is suspected of crashing
+// servers.
 func (s Shared) AdmitSuspect(_ context.Context, r *pb.AdmitSuspectRequest) (*pb.AdmitSuspectReply, error) {
 	return s.Suspects.HandleAdmit(r), nil
 }
 
-// EndSuspect takes that such a run has ended.
+// EndSuspect records that another host's run of a suspect request has ended.
 func (s Shared) EndSuspect(_ context.Context, r *pb.EndSuspectRequest) (*pb.EndSuspectReply, error) {
 	return s.Suspects.HandleEnd(r), nil
 }
 
-// TakePermits issues permits for a server that limits its rate.
+// TakePermits issues permits for a rate-limited server.
 func (s Shared) TakePermits(_ context.Context, r *pb.TakePermitsRequest) (*pb.TakePermitsReply, error) {
 	return s.Permits.HandleTake(r), nil
 }
 
-// Tell takes news that does not wait for heartbeats.
+// Tell handles an update that is sent without waiting for the next heartbeat.
 func (s Shared) Tell(_ context.Context, r *pb.TellRequest) (*pb.TellReply, error) {
 	return s.Updates.Handle(r), nil
 }
--- a/internal/sse/counter.go
+++ b/internal/sse/counter.go
@@ -1,25 +1,24 @@
-// Package sse follows a stream of server-sent events as it passes by, without changing
-// or holding it.
+// Package sse parses a stream of server-sent events that is passed on unchanged.
 package sse
 
 import "bytes"
 
-// maxLine bounds how much of one line is kept, in bytes; ids are short.
+// maxLine bounds how many bytes of a line are kept; IDs are short.
 const maxLine = 256
 
-// Counter counts the events of a stream and remembers the id of the last whole one.
-// Its zero value is ready for a stream's beginning.
+// Counter counts the events of a stream and remembers the ID of the last complete one. Its
+// zero value is ready for the beginning of a stream.
 type Counter struct {
-	events int
-	lastID string
-	id     string
-	line   []byte
-	hasLine bool // the event under way has a line
-	offset int64
-	end    int64
+	events  int
+	lastID  string
+	id      string
+	line    []byte
+	hasLine bool // the current event has a line
+	offset  int64
+	end     int64
 }
 
-// Write takes the next bytes of the stream.
+// Write processes the next bytes of the stream.
 func (c *Counter) Write(b []byte) {
 	for len(b) > 0 {
 		i := bytes.IndexByte(b, '\n')
@@ -64,11 +63,11 @@
 	c.end = c.offset
 }
 
-// Events is the number of whole events.
+// Events returns the number of complete events.
 func (c *Counter) Events() int { return c.events }
 
-// LastID is the id of the last whole event; empty before one had an id.
+// LastID returns the ID of the last complete event; empty if no event has had one.
 func (c *Counter) LastID() string { return c.lastID }
 
-// IncompleteBytes is how many bytes of an event that is not whole have passed by.
+// IncompleteBytes returns how many bytes of an incomplete event have been processed.
 func (c *Counter) IncompleteBytes() int64 { return c.offset - c.end }
--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -2,16 +2,16 @@
 
 import "bytes"
 
-// maxBuffered bounds the bytes of one event that are held until it is whole. A longer event
-// is passed on in parts.
+// maxBuffered bounds the bytes of one event that are buffered until it is complete. A longer
+// event is passed on in parts.
 const maxBuffered = 1 << 20
 
-// Splitter cuts a stream where events end. Its zero value is ready for a stream's
-// beginning.
+// Splitter splits a stream at the ends of events. Its zero value is ready for the beginning of
+// a stream.
 type Splitter struct{ buffered []byte }
 
-// Split takes the next bytes of the stream and returns the whole events that are there.
-// What it returns is valid until the next call.
+// Split appends the next bytes of the stream and returns the events that are now complete. The
+// result is valid until the next call.
 func (s *Splitter) Split(b []byte) []byte {
 	s.buffered = append(s.buffered, b...)
 	end := lastEnd(s.buffered)
@@ -23,14 +23,14 @@
 	return whole
 }
 
-// Rest is what is held of an event that is not whole.
+// Rest returns and removes the buffered bytes of an incomplete event.
 func (s *Splitter) Rest() []byte {
 	rest := s.buffered
 	s.buffered = nil
 	return rest
 }
 
-// lastEnd is where the last whole event ends; 0: there is none.
+// lastEnd returns the position after the last complete event; 0: there is none.
 func lastEnd(b []byte) int {
 	return max(lastAfter(b, "\n\n"), lastAfter(b, "\n\r\n"))
 }
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -15,7 +15,7 @@
 		t.Errorf("%d events, last id %q; want 3 and 2: a comment counts, empty lines don't", c.Events(), c.LastID())
 	}
 	if c.IncompleteBytes() != int64(len("id:3\ndat")) {
-		t.Errorf("%d bytes of a torn event", c.IncompleteBytes())
+		t.Errorf("%d bytes of an incomplete event", c.IncompleteBytes())
 	}
 	c.Write([]byte("a: c\n\n"))
 	if c.Events() != 4 || c.LastID() != "3" {
@@ -23,8 +23,8 @@
 	}
 }
 
-// However a stream is cut on its way, what the Splitter returns are whole events, nothing
-// is lost, and the Counter counts the same.
+// However a stream is divided into chunks, the Splitter returns complete events, nothing is
+// lost, and the Counter counts the same.
 func TestAnyChunking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream strings.Builder
@@ -42,7 +42,7 @@
 			cut := rapid.IntRange(1, len(left)).Draw(t, "cut")
 			whole := string(s.Split(left[:cut]))
 			if whole != "" && !strings.HasSuffix(whole, newline+newline) {
-				t.Fatalf("%q is not whole", whole)
+				t.Fatalf("%q is not a sequence of complete events", whole)
 			}
 			got += whole
 			c.Write([]byte(whole))
@@ -52,7 +52,7 @@
 			t.Fatalf("got %q", got)
 		}
 		if c.Events() != n || c.IncompleteBytes() != 0 {
-			t.Fatalf("%d events of %d, %d bytes torn", c.Events(), n, c.IncompleteBytes())
+			t.Fatalf("%d events of %d, %d bytes incomplete", c.Events(), n, c.IncompleteBytes())
 		}
 	})
 }
