--- a/internal/relay/forward/forward_test.go
+++ b/internal/relay/forward/forward_test.go
@@ -558,12 +558,12 @@
 // Each way in which an answer can fail has its own cause in the log.
 func TestCausesOfAnswers(t *testing.T) {
 	for want, step := range map[engineclient.Cause]func(context.Context, *engineclient.Forward) (*http.Response, error){
-		engineclient.CauseShed:          answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1")),
-		engineclient.CauseOtherInstance: answers(answer(http.StatusMisdirectedRequest, "", hID, "")),
-		engineclient.CauseOtherRequest:  answers(answer(200, "", hID, "r0")),
-		engineclient.CauseSwitchedProtocols:      answers(answer(http.StatusSwitchingProtocols, "")),
-		engineclient.CauseBodyTruncated:       answers(stream("id: 1\nda", errReset)),
-		engineclient.CauseStreamTruncated:     answers(stream(event(1), errReset)),
+		engineclient.CauseShed:              answers(answer(http.StatusServiceUnavailable, "", hNotRun, "1")),
+		engineclient.CauseOtherInstance:     answers(answer(http.StatusMisdirectedRequest, "", hID, "")),
+		engineclient.CauseOtherRequest:      answers(answer(200, "", hID, "r0")),
+		engineclient.CauseSwitchedProtocols: answers(answer(http.StatusSwitchingProtocols, "")),
+		engineclient.CauseBodyTruncated:     answers(stream("id: 1\nda", errReset)),
+		engineclient.CauseStreamTruncated:   answers(stream(event(1), errReset)),
 		engineclient.CauseReset: func(context.Context, *engineclient.Forward) (*http.Response, error) {
 			return nil, &engineclient.Error{Ran: errkind.RanUnknown, Cause: engineclient.CauseReset, Message: strings.Repeat("é", 1<<10)}
 		},
