--- a/internal/callerapi/servers.go
+++ b/internal/callerapi/servers.go
@@ -30,8 +30,8 @@
 	hashBits                = 64
 )
 
-// announceResponse tells a backend server to which hosts and how often to announce itself.
-type announceResponse struct {
+// announceAnswer tells a backend server to which hosts and how often to announce itself.
+type announceAnswer struct {
 	// Hosts are the addresses of hosts that accept announcements.
 	Hosts      []string `json:"hosts"`
 	IntervalMs int64    `json:"interval_ms"`
@@ -70,7 +70,7 @@
 	if interval <= 0 {
 		interval = defaultAnnounceInterval
 	}
-	answer := announceResponse{Hosts: []string{}, IntervalMs: interval.Milliseconds()}
+	answer := announceAnswer{Hosts: []string{}, IntervalMs: interval.Milliseconds()}
 	for _, h := range a.deps.Addresses.Addresses(zone) {
 		answer.Hosts = append(answer.Hosts, h.Address)
 	}
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,6 +1,6 @@
 // Package httpserver runs an http.Handler on nbio's nbhttp. It adds what a router needs and
-// nbhttp lacks: bounds on bodies and slow senders that answer with a refusal, a drain that
-// truncates no answer, and a way to detect that a caller has disconnected.
+// nbhttp lacks: limits for bodies and slow senders, beyond which callers get a refusal; a
+// drain that truncates no answer; and a way to detect that a caller has disconnected.
 package httpserver
 
 import (
@@ -36,7 +36,7 @@
 	// readsPerEvent bounds how often one connection is read before others get their turn.
 	readsPerEvent = 3
 	// smallRequest is the size, in bytes, up to which a request counts as small for
-	// MaxBodiesBytes. Small requests may exceed MaxBodiesBytes by one part in smallShare.
+	// MaxBodiesBytes. For small requests that bound is higher by 1/smallShare of it.
 	smallRequest = 64 << 10
 	smallShare   = 4
 	// DefaultMaxHeaderBytes is what most servers accept.
