--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -153,9 +153,9 @@
 	e.members.SetIncarnation(reg.Holder.Incarnation)
 	e.members.MergeRegistered(reg.Hosts)
 	e.makeControllers(reg.Holder)
-	e.d.peers.setPeer(peerservice.New(peerservice.Parts{
+	e.d.peers.setPeer(peerservice.New(peerservice.Controllers{
 		Records: e.records, Grants: e.grants, Members: e.members, Explain: e,
-		Shared: peerservice.Shared{Suspects: e.suspects, News: e.news, Limits: e.limits},
+		Shared: peerservice.Shared{Suspects: e.suspects, Updates: e.news, Permits: e.limits},
 	}))
 	t := e.d.tasks
 	t.run("heartbeats", e.members.Run)
--- a/internal/peerconn/dial_test.go
+++ b/internal/peerconn/dial_test.go
@@ -12,13 +12,13 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// Symptom: a host reaches the control group four seconds after a partition has ended.
-// Sequence: its first packet to a control host is lost in the partition, which ends 300 ms later.
-// Cause: the kernel repeats such a packet after one, three and seven seconds.
-func TestLostFirstPacketIsSentAgainSoon(t *testing.T) {
+// Guards against a host that reaches the control group only four seconds after a partition has
+// ended. Its first packet to a control host is lost in the partition, which ends 300 ms later,
+// and the kernel retransmits such a packet after one, three and seven seconds.
+func TestDialRetriesSoonAfterLostPacket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mended := time.Now().Add(300 * time.Millisecond)
-		dial := Again(func(ctx context.Context, _, _ string) (net.Conn, error) {
+		dial := DialWithRetries(func(ctx context.Context, _, _ string) (net.Conn, error) {
 			if time.Now().Before(mended) {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -37,9 +37,9 @@
 	})
 }
 
-func TestRefusedConnectionIsNotDialledAgain(t *testing.T) {
+func TestRefusedConnectionIsNotRetried(t *testing.T) {
 	tries := 0
-	dial := Again(func(context.Context, string, string) (net.Conn, error) {
+	dial := DialWithRetries(func(context.Context, string, string) (net.Conn, error) {
 		tries++
 		return nil, errors.New("connection refused")
 	})
@@ -50,7 +50,7 @@
 
 func TestDialEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dial := Again(func(ctx context.Context, _, _ string) (net.Conn, error) {
+		dial := DialWithRetries(func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
--- a/internal/peerconn/peerconn_test.go
+++ b/internal/peerconn/peerconn_test.go
@@ -37,26 +37,27 @@
 	return listener.Addr().String()
 }
 
-// middle forwards connections; mute makes those it has silent, and new ones too if all.
-type middle struct {
-	listener net.Listener
-	target   string
-	mu       sync.Mutex
-	muteFrom int // connections numbered below are silent
-	count    int
-	conns    []net.Conn
+// proxy forwards connections. Its method silence makes the present connections silent, and all
+// later ones too if all is set.
+type proxy struct {
+	listener    net.Listener
+	target      string
+	mu          sync.Mutex
+	silentBelow int // connections with lower numbers are silent
+	count       int
+	conns       []net.Conn
 }
 
-func newMiddle(t *testing.T, target string) *middle {
+func newProxy(t *testing.T, target string) *proxy {
 	t.Helper()
 	listener := testutil.Listen(t)
-	m := &middle{listener: listener, target: target}
+	m := &proxy{listener: listener, target: target}
 	go m.accept()
 	t.Cleanup(m.close)
 	return m
 }
 
-func (m *middle) accept() {
+func (m *proxy) accept() {
 	for {
 		in, err := m.listener.Accept()
 		if err != nil {
@@ -76,8 +77,9 @@
 	}
 }
 
-// copy swallows what comes over a silent connection: its ends see acknowledgements only.
-func (m *middle) copy(number int, to io.Writer, from io.Reader) {
+// copy discards what arrives on a silent connection, so that its ends receive only
+// acknowledgments.
+func (m *proxy) copy(number int, to io.Writer, from io.Reader) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
@@ -85,7 +87,7 @@
 			return
 		}
 		m.mu.Lock()
-		silent := number < m.muteFrom
+		silent := number < m.silentBelow
 		m.mu.Unlock()
 		if !silent {
 			_, _ = to.Write(buf[:n])
@@ -93,16 +95,16 @@
 	}
 }
 
-func (m *middle) mute(all bool) {
+func (m *proxy) silence(all bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.muteFrom = m.count
+	m.silentBelow = m.count
 	if all {
-		m.muteFrom = 1 << 30
+		m.silentBelow = 1 << 30
 	}
 }
 
-func (m *middle) close() {
+func (m *proxy) close() {
 	_ = m.listener.Close()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,21 +120,21 @@
 	return err
 }
 
-// Symptom: one host finds another dead although everybody else reaches it.
-// Sequence: the connection between them goes silent; new ones work.
-// Cause: the silent connection was kept, since TCP saw its data acknowledged.
+// Guards against a host that takes another for dead although all others reach it. The
+// connection between them goes silent while new ones work; TCP keeps the silent one, since its
+// data is acknowledged.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
 	silent := make(chan string, 8)
 	address := serve(t)
-	m := newMiddle(t, address)
+	m := newProxy(t, address)
 	defer m.close()
-	pool := New(Config{OnSilent: func(a string) { silent <- a }, Grace: time.Millisecond})
+	pool := New(Config{OnReplaced: func(a string) { silent <- a }, Grace: time.Millisecond})
 	defer func() { _ = pool.Close() }()
 	client := pool.Client(m.listener.Addr().String())
 	testutil.NoError(t, call(client))
-	m.mute(false)
+	m.silence(false)
 	for i := range DefaultSilentAfter {
 		if err := call(client); status.Code(err) != codes.DeadlineExceeded {
 			t.Fatalf("call %d over the silent connection: %v", i, err)
@@ -141,25 +143,25 @@
 	select {
 	case <-silent:
 	case <-time.After(5 * time.Second):
-		t.Fatal("not replaced")
+		t.Fatal("the silent connection was not replaced")
 	}
 	if err := call(client); err != nil {
 		t.Errorf("after the replacement: %v", err)
 	}
 }
 
-// Symptom: connections are opened over and over to a host that is out of reach.
-// Sequence: everything to the host is lost; calls time out; then the cut is mended.
-// Cause: a fresh connection that works no better was taken for the old one's repair.
-func TestConnectionStaysWhileThePeerIsOutOfReach(t *testing.T) {
+// Guards against opening connections over and over to an unreachable host. All packets to the
+// host are lost and calls time out. A new connection that gets no answer either must not
+// replace the old one.
+func TestConnectionIsKeptWhilePeerIsUnreachable(t *testing.T) {
 	address := serve(t)
-	m := newMiddle(t, address)
+	m := newProxy(t, address)
 	replaced := make(chan string, 8)
-	pool := New(Config{OnSilent: func(a string) { replaced <- a }, TryTimeout: callTimeout})
+	pool := New(Config{OnReplaced: func(a string) { replaced <- a }, TryTimeout: callTimeout})
 	defer func() { _ = pool.Close() }()
 	client := pool.Client(m.listener.Addr().String())
 	testutil.NoError(t, call(client))
-	m.mute(true)
+	m.silence(true)
 	for range 2 * DefaultSilentAfter {
 		_ = call(client)
 	}
@@ -178,14 +180,14 @@
 	}
 	m.mu.Lock()
 	tried := m.count > 1
-	m.muteFrom = 0
+	m.silentBelow = 0
 	m.mu.Unlock()
 	if !tried {
-		t.Error("no fresh connection was tried")
+		t.Error("no new connection was tried")
 	}
 }
 
-func TestClosedPoolRefusesCalls(t *testing.T) {
+func TestClosedPoolRejectsCalls(t *testing.T) {
 	pool := New(Config{})
 	client := pool.Client(serve(t))
 	testutil.NoError(t, call(client))
--- a/internal/peerconn/recover_test.go
+++ b/internal/peerconn/recover_test.go
@@ -14,35 +14,35 @@
 	"github.com/bluebellsail/bluebellsail/internal/testutil"
 )
 
-// faultyPeer panics over a heartbeat and over a watch.
-type faultyPeer struct {
+// panickingPeer panics in Heartbeat and Watch.
+type panickingPeer struct {
 	pb.UnimplementedPeerServer
 	pb.UnimplementedControlServer
 }
 
-func (faultyPeer) Heartbeat(context.Context, *pb.HeartbeatRequest) (*pb.HeartbeatReply, error) {
+func (panickingPeer) Heartbeat(context.Context, *pb.HeartbeatRequest) (*pb.HeartbeatReply, error) {
 	var none *pb.HeartbeatReply
 	none.Seq++
 	return none, nil
 }
 
-func (faultyPeer) Tell(context.Context, *pb.TellRequest) (*pb.TellReply, error) {
+func (panickingPeer) Tell(context.Context, *pb.TellRequest) (*pb.TellReply, error) {
 	return &pb.TellReply{}, nil
 }
 
-func (faultyPeer) Watch(*pb.WatchRequest, grpc.ServerStreamingServer[pb.WatchEvent]) error {
-	panic("over a watch")
+func (panickingPeer) Watch(*pb.WatchRequest, grpc.ServerStreamingServer[pb.WatchEvent]) error {
+	panic("panic in Watch")
 }
 
-// Symptom: all requests of a host end at one moment without an answer.
-// Sequence: a peer sends a message that a handler does not expect.
-// Cause: gRPC lets the panic of a handler end the process.
-func TestPanicOfAHandlerIsTheCallsError(t *testing.T) {
+// Guards against a peer's message that ends the process: a handler panics on a message that it
+// does not expect, and gRPC does not recover panics of handlers, so that all requests of the
+// host would end without an answer.
+func TestHandlerPanicBecomesCallError(t *testing.T) {
 	var out testutil.LogBuffer
 	listener := testutil.Listen(t)
 	server := grpc.NewServer(append(ServerOptions(nil, nil), RecoverOptions(zerolog.New(&out))...)...)
-	pb.RegisterPeerServer(server, faultyPeer{})
-	pb.RegisterControlServer(server, faultyPeer{})
+	pb.RegisterPeerServer(server, panickingPeer{})
+	pb.RegisterControlServer(server, panickingPeer{})
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Stop)
 	pool := New(Config{})
@@ -62,7 +62,7 @@
 	}
 	for _, method := range []string{"/Heartbeat", "/Watch"} {
 		if !strings.Contains(out.String(), method) {
-			t.Errorf("no line on %s: %s", method, out.String())
+			t.Errorf("no log line for %s: %s", method, out.String())
 		}
 	}
 }
--- a/internal/sse/splitter.go
+++ b/internal/sse/splitter.go
@@ -2,35 +2,35 @@
 
 import "bytes"
 
-// maxHeld bounds the bytes of one event that are held until it is whole. A longer event
-// is passed on in parts.
-const maxHeld = 1 << 20
+// maxBuffered bounds the bytes of one event that are buffered until it is complete. A longer
+// event is passed on in parts.
+const maxBuffered = 1 << 20
 
-// Splitter cuts a stream where events end. Its zero value is ready for a stream's
-// beginning.
-type Splitter struct{ held []byte }
+// Splitter splits a stream at the ends of events. Its zero value is ready for the beginning of
+// a stream.
+type Splitter struct{ buffered []byte }
 
-// Take takes the next bytes of the stream and returns the whole events that are there.
-// What it returns is valid until the next call.
-func (s *Splitter) Take(b []byte) []byte {
-	s.held = append(s.held, b...)
-	end := lastEnd(s.held)
-	if end == 0 && len(s.held) > maxHeld {
-		end = len(s.held)
+// Split appends the next bytes of the stream and returns the events that are now complete. The
+// result is valid until the next call.
+func (s *Splitter) Split(b []byte) []byte {
+	s.buffered = append(s.buffered, b...)
+	end := lastEnd(s.buffered)
+	if end == 0 && len(s.buffered) > maxBuffered {
+		end = len(s.buffered)
 	}
-	whole := s.held[:end:end]
-	s.held = append([]byte(nil), s.held[end:]...)
+	whole := s.buffered[:end:end]
+	s.buffered = append([]byte(nil), s.buffered[end:]...)
 	return whole
 }
 
-// Rest is what is held of an event that is not whole.
+// Rest returns and removes the buffered bytes of an incomplete event.
 func (s *Splitter) Rest() []byte {
-	rest := s.held
-	s.held = nil
+	rest := s.buffered
+	s.buffered = nil
 	return rest
 }
 
-// lastEnd is where the last whole event ends; 0: there is none.
+// lastEnd returns the position after the last complete event; 0: there is none.
 func lastEnd(b []byte) int {
 	return max(lastAfter(b, "\n\n"), lastAfter(b, "\n\r\n"))
 }
