--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -63,7 +63,7 @@
 // Read reads the resource usage. It takes tens of microseconds and lists a directory, so it is
 // meant for queries of the metrics and not for each request.
 func Read() Usage {
-	samples := sampled(metricMapped, metricReleased, metricObjects, metricLive, metricRoutines, metricCycles, metricPauses, metricWaits)
+	samples := newSamples(metricMapped, metricReleased, metricObjects, metricLive, metricRoutines, metricCycles, metricPauses, metricWaits)
 	metrics.Read(samples)
 	u := Usage{
 		UptimeMs:     time.Since(Started).Milliseconds(),
@@ -78,7 +78,7 @@
 	return u
 }
 
-func sampled(names ...string) []metrics.Sample {
+func newSamples(names ...string) []metrics.Sample {
 	samples := make([]metrics.Sample, len(names))
 	for i, name := range names {
 		samples[i].Name = name
--- a/internal/procstat/watch.go
+++ b/internal/procstat/watch.go
@@ -40,15 +40,15 @@
 	samples []metrics.Sample
 	// due is when the next tick is expected.
 	due time.Time
-	// waits and pauses are the runtime's histogram counts at the last tick.
-	waits, pauses []uint64
+	// waitCounts and pauseCounts are the runtime's histogram counts at the last tick.
+	waitCounts, pauseCounts []uint64
 
-	still     stillness
-	stillLine time.Time
-	stood     Pauses
+	unlogged     pauseSummary
+	lastPauseLine time.Time
+	total     Pauses
 
-	high     bool
-	highLine time.Time
+	memoryHigh     bool
+	lastMemoryLine time.Time
 }
 
 // Pauses has the number of periods with a pause of the process, and the longest pause.
@@ -57,8 +57,8 @@
 	LongestMs float64 `json:"longest_ms"`
 }
 
-// stillness summarizes the pauses since the last log line.
-type stillness struct {
+// pauseSummary summarizes the pauses since the last log line.
+type pauseSummary struct {
 	times          int
 	late, wait, gc time.Duration
 }
@@ -73,7 +73,7 @@
 
 // NewWatch returns a Watch for a ticker with the given period.
 func NewWatch(period time.Duration, log zerolog.Logger) *Watch {
-	return &Watch{log: log, period: period, samples: sampled(metricMapped, metricReleased, metricWaits, metricPauses)}
+	return &Watch{log: log, period: period, samples: newSamples(metricMapped, metricReleased, metricWaits, metricPauses)}
 }
 
 // Tick must be called at each tick of the ticker. It takes some microseconds (BenchmarkTick).
@@ -83,12 +83,12 @@
 	metrics.Read(w.samples)
 	late := w.lateness(now)
 	waits, pauses := w.samples[sampleWaits].Value.Float64Histogram(), w.samples[samplePauses].Value.Float64Histogram()
-	if w.waits != nil {
-		w.see(now, late, longest(waits, w.waits), longest(pauses, w.pauses))
+	if w.waitCounts != nil {
+		w.recordPauses(now, late, longest(waits, w.waitCounts), longest(pauses, w.pauseCounts))
 	}
-	w.waits = append(w.waits[:0], waits.Counts...)
-	w.pauses = append(w.pauses[:0], pauses.Counts...)
-	w.seeMemory(now, w.samples[sampleMapped].Value.Uint64()-w.samples[sampleReleased].Value.Uint64(), runtimeLimit())
+	w.waitCounts = append(w.waitCounts[:0], waits.Counts...)
+	w.pauseCounts = append(w.pauseCounts[:0], pauses.Counts...)
+	w.checkMemory(now, w.samples[sampleMapped].Value.Uint64()-w.samples[sampleReleased].Value.Uint64(), runtimeLimit())
 }
 
 // lateness returns how late a tick is, and computes when the next one is due.
@@ -107,38 +107,38 @@
 	return late
 }
 
-// see records the last period: how late the tick was, the longest time that a goroutine waited
+// recordPauses records the last period: how late the tick was, the longest time that a goroutine waited
 // for a processor, and the longest pause of a garbage collection.
-func (w *Watch) see(now time.Time, late, wait, gc time.Duration) {
+func (w *Watch) recordPauses(now time.Time, late, wait, gc time.Duration) {
 	if longest := max(late, wait, gc); longest >= MinPause {
-		s := &w.still
+		s := &w.unlogged
 		s.times++
 		s.late, s.wait, s.gc = max(s.late, late), max(s.wait, wait), max(s.gc, gc)
-		w.stood.Times++
-		w.stood.LongestMs = max(w.stood.LongestMs, milliseconds(longest))
+		w.total.Times++
+		w.total.LongestMs = max(w.total.LongestMs, milliseconds(longest))
 	}
-	if w.still.times == 0 || now.Sub(w.stillLine) < pauseLineInterval {
+	if w.unlogged.times == 0 || now.Sub(w.lastPauseLine) < pauseLineInterval {
 		return
 	}
-	s := w.still
-	w.still, w.stillLine = stillness{}, now
+	s := w.unlogged
+	w.unlogged, w.lastPauseLine = pauseSummary{}, now
 	w.log.Warn().Str("event", "stood-still").Dur("longest", max(s.late, s.wait, s.gc)).Int("periods", s.times).
 		Dur("tick_late", s.late).Dur("waited_for_processor", s.wait).Dur("gc_pause", s.gc).Send()
 }
 
-// seeMemory logs if the Go runtime uses much of its memory limit; a limit of 0 means none.
-func (w *Watch) seeMemory(now time.Time, used, limit uint64) {
+// checkMemory logs if the Go runtime uses much of its memory limit; a limit of 0 means none.
+func (w *Watch) checkMemory(now time.Time, used, limit uint64) {
 	if limit == 0 || limit > math.MaxUint64/100 {
 		return
 	}
 	percent := used * 100 / limit
 	if percent < lowPercent {
-		w.high = false
+		w.memoryHigh = false
 	}
-	if percent < highPercent || w.high || !w.highLine.IsZero() && now.Sub(w.highLine) < memoryLineInterval {
+	if percent < highPercent || w.memoryHigh || !w.lastMemoryLine.IsZero() && now.Sub(w.lastMemoryLine) < memoryLineInterval {
 		return
 	}
-	w.high, w.highLine = true, now
+	w.memoryHigh, w.lastMemoryLine = true, now
 	residentBytes, peak := resident()
 	w.log.Warn().Str("event", "memory-high").Uint64("percent", percent).Uint64("runtime_bytes", used).
 		Uint64("runtime_limit_bytes", limit).Uint64("resident_bytes", residentBytes).Uint64("peak_resident_bytes", peak).Send()
@@ -148,5 +148,5 @@
 func (w *Watch) Pauses() Pauses {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.stood
+	return w.total
 }
--- a/internal/procstat/watch_test.go
+++ b/internal/procstat/watch_test.go
@@ -50,17 +50,17 @@
 			t.Errorf("the tick at %v is late by %v, want %v", tick.at, late, tick.late)
 		}
 	}
-	w.see(begin, 61*time.Millisecond, 0, 0)
+	w.recordPauses(begin, 61*time.Millisecond, 0, 0)
 	if lines(out, "stood-still") != 1 || !strings.Contains(out.String(), `"longest":61`) {
 		t.Errorf("logged %q", out.String())
 	}
 }
 
-func TestPausesBetweenTicksAreSeen(t *testing.T) {
+func TestPausesBetweenTicksAreDetected(t *testing.T) {
 	w, out := newTestWatch()
-	w.see(begin, 0, 70*time.Millisecond, 0)
-	w.see(begin.Add(pauseLineInterval), 0, 0, 90*time.Millisecond)
-	w.see(begin.Add(2*pauseLineInterval), 0, 40*time.Millisecond, 10*time.Millisecond)
+	w.recordPauses(begin, 0, 70*time.Millisecond, 0)
+	w.recordPauses(begin.Add(pauseLineInterval), 0, 0, 90*time.Millisecond)
+	w.recordPauses(begin.Add(2*pauseLineInterval), 0, 40*time.Millisecond, 10*time.Millisecond)
 	if got := lines(out, "stood-still"); got != 2 {
 		t.Errorf("%d lines, want 2: %s", got, out.String())
 	}
@@ -74,8 +74,8 @@
 	w, out := newTestWatch()
 	const ticks = 40
 	for n := range ticks {
-		w.see(begin.Add(time.Duration(n)*period), 60*time.Millisecond, 0, 0)
-		w.seeMemory(begin.Add(time.Duration(n)*period), uint64(60+n%2*30), 100)
+		w.recordPauses(begin.Add(time.Duration(n)*period), 60*time.Millisecond, 0, 0)
+		w.checkMemory(begin.Add(time.Duration(n)*period), uint64(60+n%2*30), 100)
 	}
 	if got, most := lines(out, "stood-still"), int(ticks*period/pauseLineInterval); got != most {
 		t.Errorf("%d lines about pauses in %v, want %d", got, ticks*period, most)
@@ -92,17 +92,17 @@
 // came close to it.
 func TestMemoryNearItsLimitIsLogged(t *testing.T) {
 	w, out := newTestWatch()
-	w.seeMemory(begin, 79, 100)
+	w.checkMemory(begin, 79, 100)
 	if lines(out, "memory-high") != 0 {
 		t.Errorf("logged %s", out.String())
 	}
 	for n, used := range []uint64{81, 90, 75, 85, 69, 85} {
-		w.seeMemory(begin.Add(time.Duration(n+1)*memoryLineInterval), used, 100)
+		w.checkMemory(begin.Add(time.Duration(n+1)*memoryLineInterval), used, 100)
 	}
 	if got := lines(out, "memory-high"); got != 2 {
 		t.Errorf("%d lines, want one for each rise above the threshold: %s", got, out.String())
 	}
-	w.seeMemory(begin.Add(time.Hour), 1<<40, 0) // no limit
+	w.checkMemory(begin.Add(time.Hour), 1<<40, 0) // no limit
 	if got := lines(out, "memory-high"); got != 2 {
 		t.Error("a line was logged though there is no limit")
 	}
@@ -125,7 +125,7 @@
 	for range 3 {
 		w.Tick(time.Now())
 	}
-	if len(w.waits) == 0 || len(w.pauses) == 0 {
+	if len(w.waitCounts) == 0 || len(w.pauseCounts) == 0 {
 		t.Error("the runtime's histograms were not read")
 	}
 }
