--- a/internal/lastrun/lastrun.go
+++ b/internal/lastrun/lastrun.go
@@ -22,7 +22,7 @@
 
 // Names in the data folder.
 const (
-	noteFile  = "run.json"
+	recordFile  = "run.json"
 	crashFile = "crash.txt"
 )
 
@@ -30,8 +30,8 @@
 	// maxCrash is how many bytes of the crash output are read: it begins with the cause and the
 	// stack of the goroutine that crashed.
 	maxCrash = 4 << 10
-	// closeWait bounds the wait of a process that exits for its disk.
-	closeWait = 200 * time.Millisecond
+	// endTimeout bounds the wait of a process that exits for its disk.
+	endTimeout = 200 * time.Millisecond
 	fileMode  = 0o640
 )
 
@@ -62,8 +62,8 @@
 	Detail  string
 }
 
-// note is the record of a run in the data folder.
-type note struct {
+// record is the record of a run in the data folder.
+type record struct {
 	Version string    `json:"version"`
 	Started time.Time `json:"started"`
 	Ended   Ended     `json:"ended,omitempty"`
@@ -73,35 +73,35 @@
 // Run is the current run. The zero value records nothing.
 type Run struct {
 	dir  string
-	note note
+	record record
 }
 
 // Begin reads how the previous run ended and records that this one started. After an error this
 // run is not recorded or has no crash output; the report is still valid.
 func Begin(dir, version string, now time.Time) (*Run, Report, error) {
-	report := before(dir)
-	r := &Run{dir: dir, note: note{Version: version, Started: now}}
+	report := readPrevious(dir)
+	r := &Run{dir: dir, record: record{Version: version, Started: now}}
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return &Run{}, report, errors.Wrap(err, "record of this run")
 	}
 	if err := r.write(); err != nil {
 		return &Run{}, report, err
 	}
-	return r, report, r.keepCrash()
+	return r, report, r.captureCrashOutput()
 }
 
-// before reads the record and the crash output of the previous run.
-func before(dir string) Report {
-	text, err := os.ReadFile(filepath.Join(dir, noteFile))
+// readPrevious reads the record and the crash output of the previous run.
+func readPrevious(dir string) Report {
+	text, err := os.ReadFile(filepath.Join(dir, recordFile))
 	if err != nil {
 		return Report{Ended: Unknown}
 	}
-	var n note
+	var n record
 	if json.Unmarshal(text, &n) != nil {
 		return Report{Ended: Silent} // the run ended while it wrote its record
 	}
 	report := Report{Ended: n.Ended, Started: n.Started, Version: n.Version, Detail: n.Detail}
-	if crash := head(filepath.Join(dir, crashFile)); crash != "" {
+	if crash := readHead(filepath.Join(dir, crashFile)); crash != "" {
 		report.Ended, report.Detail = Crash, crash
 	}
 	if report.Ended == "" {
@@ -110,8 +110,8 @@
 	return report
 }
 
-// head returns the beginning of a file; empty if there is no file.
-func head(path string) string {
+// readHead returns the beginning of a file; empty if there is no file.
+func readHead(path string) string {
 	f, err := os.Open(path)
 	if err != nil {
 		return ""
@@ -122,8 +122,8 @@
 	return string(buf[:n])
 }
 
-// keepCrash makes the Go runtime write its crash output also to the data folder.
-func (r *Run) keepCrash() error {
+// captureCrashOutput makes the Go runtime write its crash output also to the data folder.
+func (r *Run) captureCrashOutput() error {
 	f, err := os.OpenFile(filepath.Join(r.dir, crashFile), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
 		return errors.Wrap(err, "crash file")
@@ -138,9 +138,9 @@
 	if r.dir == "" {
 		return
 	}
-	r.note.Ended = InOrder
+	r.record.Ended = InOrder
 	if err != nil {
-		r.note.Ended, r.note.Detail = Fault, err.Error()
+		r.record.Ended, r.record.Detail = Fault, err.Error()
 	}
 	written := make(chan struct{})
 	go func() {
@@ -149,16 +149,16 @@
 	}()
 	select {
 	case <-written:
-	case <-time.After(closeWait):
+	case <-time.After(endTimeout):
 	}
 }
 
 func (r *Run) write() error {
-	text, err := json.Marshal(r.note)
+	text, err := json.Marshal(r.record)
 	if err != nil {
 		return errors.Wrap(err, "record of this run")
 	}
-	path := filepath.Join(r.dir, noteFile)
+	path := filepath.Join(r.dir, recordFile)
 	next := path + ".next"
 	if err := os.WriteFile(next, text, fileMode); err != nil {
 		return errors.Wrap(err, "record of this run")
--- a/internal/lastrun/lastrun_test.go
+++ b/internal/lastrun/lastrun_test.go
@@ -35,15 +35,15 @@
 		var none []int
 		_ = none[len(os.Args)]
 	case "concurrent map writes":
-		crowd()
+		writeMapConcurrently()
 	case "killed":
 		_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 	}
 	os.Exit(0)
 }
 
-// crowd makes the runtime detect concurrent writes to a map. It never returns.
-func crowd() {
+// writeMapConcurrently makes the runtime detect concurrent writes to a map. It never returns.
+func writeMapConcurrently() {
 	m := map[int]int{}
 	for range 4 {
 		go func() {
@@ -57,7 +57,7 @@
 
 // When all requests of a host end at once, the log of the restarted process must show how the
 // previous run ended.
-func TestNextRunKnowsHowThisOneEnded(t *testing.T) {
+func TestNextRunReportsHowPreviousRunEnded(t *testing.T) {
 	for _, c := range []struct {
 		end    string
 		want   Ended
@@ -101,13 +101,13 @@
 // keep a process from starting or stopping.
 func TestFaultyNotesStopNobody(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, noteFile), []byte(`{"ver`), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, recordFile), []byte(`{"ver`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, report, err := Begin(dir, "v1", time.Now()); err != nil || report.Ended != Silent {
 		t.Errorf("reported %+v, %v, want Silent", report, err)
 	}
-	file := filepath.Join(dir, noteFile)
+	file := filepath.Join(dir, recordFile)
 	run, report, err := Begin(file, "v1", time.Now()) // a file in place of the folder
 	if err == nil || report.Ended != Unknown {
 		t.Errorf("reported %+v, %v, want Unknown and an error", report, err)
