--- a/internal/lastrun/lastrun_test.go
+++ b/internal/lastrun/lastrun_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestNoRunBefore(t *testing.T) {
+func TestNoPreviousRun(t *testing.T) {
 	if _, report, err := Begin(t.TempDir(), "v1", time.Now()); err != nil || report.Ended != Unknown {
 		t.Errorf("reported %+v, %v, want Unknown", report, err)
 	}
