--- a/internal/lastrun/lastrun_test.go
+++ b/internal/lastrun/lastrun_test.go
@@ -99,7 +99,7 @@
 
 // A record that is incomplete because the process was killed, or that can't be written, must not
 // keep a process from starting or stopping.
-func TestFaultyNotesStopNobody(t *testing.T) {
+func TestFaultyRecordDoesNotStopProcess(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, recordFile), []byte(`{"ver`), 0o600); err != nil {
 		t.Fatal(err)
