--- a/internal/panics/panics_test.go
+++ b/internal/panics/panics_test.go
@@ -36,7 +36,7 @@
 	_ = none[len(none)]
 }
 
-func TestNothingIsSaidWithoutAPanic(t *testing.T) {
+func TestNothingIsLoggedWithoutPanic(t *testing.T) {
 	var out bytes.Buffer
 	func() {
 		defer Log(zerolog.New(&out), "quiet")
