--- a/internal/tlsutil/ca.go
+++ b/internal/tlsutil/ca.go
@@ -102,7 +102,7 @@
 		files.Hosts = append(files.Hosts, HostFile{
 			Host: h.Name, Cert: filepath.Join(o.Dir, h.Name+".pem"), Key: filepath.Join(o.Dir, h.Name+"-key.pem")})
 	}
-	if err := files.checkFree(o.Renew); err != nil {
+	if err := files.checkExisting(o.Renew); err != nil {
 		return nil, err
 	}
 	ca, err := loadOrMakeAuthority(files)
@@ -117,9 +117,9 @@
 	return files, nil
 }
 
-// checkFree returns an error if host certificates exist and renew is not set, since they may be
+// checkExisting returns an error if host certificates exist and renew is not set, since they may be
 // in use.
-func (f *Files) checkFree(renew bool) error {
+func (f *Files) checkExisting(renew bool) error {
 	for _, h := range f.Hosts {
 		if h.Host == "ca" {
 			return errors.New("a host can't have the name ca, which is that of the authority's files")
--- a/internal/tlsutil/reload.go
+++ b/internal/tlsutil/reload.go
@@ -20,7 +20,7 @@
 	size     int64
 }
 
-func stampOf(file string) (stamp, error) {
+func readStamp(file string) (stamp, error) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return stamp{}, errors.Wrap(err, "check for changes")
@@ -56,7 +56,7 @@
 }
 
 func (p *KeyPair) load() error {
-	stamps, err := p.look()
+	stamps, err := p.readStamps()
 	if err != nil {
 		return err
 	}
@@ -80,12 +80,12 @@
 	return nil
 }
 
-func (p *KeyPair) look() ([2]stamp, error) {
-	cert, err := stampOf(p.certFile)
+func (p *KeyPair) readStamps() ([2]stamp, error) {
+	cert, err := readStamp(p.certFile)
 	if err != nil {
 		return [2]stamp{}, err
 	}
-	key, err := stampOf(p.keyFile)
+	key, err := readStamp(p.keyFile)
 	return [2]stamp{cert, key}, err
 }
 
@@ -96,7 +96,7 @@
 		return
 	}
 	p.checked = now
-	stamps, err := p.look()
+	stamps, err := p.readStamps()
 	if err == nil && stamps == p.stamps {
 		return
 	}
@@ -152,7 +152,7 @@
 }
 
 func (p *Pool) load() error {
-	s, err := stampOf(p.file)
+	s, err := readStamp(p.file)
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 		return
 	}
 	p.checked = now
-	s, err := stampOf(p.file)
+	s, err := readStamp(p.file)
 	if err == nil && s == p.stamp {
 		return
 	}
--- a/internal/tlsutil/tlsutil_test.go
+++ b/internal/tlsutil/tlsutil_test.go
@@ -41,8 +41,8 @@
 	return p
 }
 
-// forget makes the next use check the files for changes at once.
-func (p *Peers) forget() {
+// expireChecks makes the next use check the files for changes at once.
+func (p *Peers) expireChecks() {
 	p.pair.mu.Lock()
 	p.pair.checked = time.Time{}
 	p.pair.mu.Unlock()
@@ -78,7 +78,7 @@
 	return err
 }
 
-func TestPeersTakeOnlyTheFleetsCertificates(t *testing.T) {
+func TestPeersAcceptOnlyTheFleetsCertificates(t *testing.T) {
 	fleet := mustInit(t, t.TempDir(), false, "a=127.0.0.1", "b=127.0.0.2")
 	other := mustInit(t, t.TempDir(), false, "a=127.0.0.1")
 	a, b := mustPeers(t, fleet.CA, fleet.Hosts[0]), mustPeers(t, fleet.CA, fleet.Hosts[1])
@@ -117,11 +117,11 @@
 		}
 	}
 	mustInit(t, dir, true, "a=127.0.0.1", "b=127.0.0.2")
-	a.forget()
+	a.expireChecks()
 	if err := check(address, b.Credentials()); err == nil {
 		t.Fatal("the client still trusts a replaced authority's server")
 	}
-	b.forget()
+	b.expireChecks()
 	if err := check(address, b.Credentials()); err != nil {
 		t.Errorf("after both have reloaded: %v", err)
 	}
