--- a/internal/tlsutil/tlsutil_test.go
+++ b/internal/tlsutil/tlsutil_test.go
@@ -106,7 +106,7 @@
 
 // If the files were read only at the start, the hosts of a fleet would reject each other after its
 // authority and certificates are replaced on disk, until every process is restarted.
-func TestReplacedFilesAreTakenWithoutARestart(t *testing.T) {
+func TestReplacedFilesAreLoadedWithoutRestart(t *testing.T) {
 	dir := t.TempDir()
 	old := mustInit(t, dir, false, "a=127.0.0.1", "b=127.0.0.2")
 	a, b := mustPeers(t, old.CA, old.Hosts[0]), mustPeers(t, old.CA, old.Hosts[1])
