--- a/internal/tlsutil/tlsutil_test.go
+++ b/internal/tlsutil/tlsutil_test.go
@@ -158,7 +158,7 @@
 // A connection may arrive when the key is already replaced and the certificate is not. If the
 // former pair were dropped before the new one is known to be valid, the process would become
 // unreachable.
-func TestHalfReplacedPairLeavesTheFormerInForce(t *testing.T) {
+func TestHalfReplacedPairKeepsFormerInUse(t *testing.T) {
 	files := mustInit(t, t.TempDir(), false, "a=127.0.0.1", "b=127.0.0.2")
 	a, b := files.Hosts[0], files.Hosts[1]
 	pair, err := LoadKeyPair(a.Cert, a.Key)
