--- a/internal/tlsutil/tlsutil_test.go
+++ b/internal/tlsutil/tlsutil_test.go
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestInitKeepsTheAuthorityAndRefusesToReplace(t *testing.T) {
+func TestInitKeepsAuthorityAndExistingCertificates(t *testing.T) {
 	dir := t.TempDir()
 	files := mustInit(t, dir, false, "a=127.0.0.1")
 	ca, err := os.ReadFile(files.CA)
