--- a/internal/daemon/gatewaydrain.go
+++ b/internal/daemon/gatewaydrain.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// acceptDivisor is the divisor of the drain timeout that gives the longest time for which a
-	// leaving host accepts requests, from callers that already have its address.
+	// acceptDivisor bounds the time for which a leaving host accepts requests from callers that
+	// already have its address: the drain timeout divided by acceptDivisor.
 	acceptDivisor = 3
 	// returnReserve is the part of the drain timeout that is kept to settle the last bills and
 	// return the grants. That takes one or two batches of 100 ms.
--- a/internal/daemon/gatewayhttp.go
+++ b/internal/daemon/gatewayhttp.go
@@ -25,12 +25,12 @@
 // maxHeaderBytes is the largest header size that a routing table may allow.
 const maxHeaderBytes = 1 << 20
 
-// bodiesDivisor is the divisor of the memory limit that gives the bound on buffered request
-// bodies. A body of megabytes takes up to four times its size until it has reached the backend
-// server: the received pieces, the joined body, the request made of it, and garbage of these
-// that is not collected yet. So bodies use up to half of the limit; the other half is for
-// everything else. With 40 callers that sent 4 MB each at once, a process with a limit of
-// 134 MB reached 141 to 175 MB without the bound, and 83 to 98 MB with it.
+// bodiesDivisor bounds the buffered request bodies: the memory limit divided by bodiesDivisor.
+// A body of megabytes takes up to four times its size until it has reached the backend server:
+// the received pieces, the joined body, the request made of it, and garbage of these that is
+// not collected yet. So bodies use up to half of the limit; the other half is for everything
+// else. With 40 callers that sent 4 MB each at once, a process with a limit of 134 MB reached
+// 141 to 175 MB without the bound, and 83 to 98 MB with it.
 const bodiesDivisor = 8
 
 // maxBodiesBytes returns the bound on the bytes of requests that are buffered at once; 0 means
--- a/internal/daemon/suspects.go
+++ b/internal/daemon/suspects.go
@@ -19,10 +19,10 @@
 	return guard
 }
 
-// newLimiter creates the limiter that enforces the servers' rate limits. tell broadcasts a
+// newLimiter creates the limiter that enforces the servers' rate limits. broadcast sends a
 // changed limit to all hosts.
-func (d *Daemon) newLimiter(o *owners.Table, tell func(*pb.ServerLimit)) *ratelimits.Limiter {
-	l := ratelimits.New(ratelimits.Config{Host: d.cfg.Host, Owners: o, Client: d.pool.Client, Broadcast: tell, Log: d.tel.Log})
+func (d *Daemon) newLimiter(o *owners.Table, broadcast func(*pb.ServerLimit)) *ratelimits.Limiter {
+	l := ratelimits.New(ratelimits.Config{Host: d.cfg.Host, Owners: o, Client: d.pool.Client, Broadcast: broadcast, Log: d.tel.Log})
 	d.tel.Metrics.Set("server_limits", l.Metrics())
 	return l
 }
--- a/internal/lastrun/lastrun.go
+++ b/internal/lastrun/lastrun.go
@@ -22,8 +22,8 @@
 
 // Names in the data folder.
 const (
-	recordFile  = "run.json"
-	crashFile = "crash.txt"
+	recordFile = "run.json"
+	crashFile  = "crash.txt"
 )
 
 const (
@@ -32,7 +32,7 @@
 	maxCrash = 4 << 10
 	// endTimeout bounds the wait of a process that exits for its disk.
 	endTimeout = 200 * time.Millisecond
-	fileMode  = 0o640
+	fileMode   = 0o640
 )
 
 // Ended is how a run ended.
@@ -62,7 +62,7 @@
 	Detail  string
 }
 
-// record is the record of a run in the data folder.
+// record is the stored form of a run in the data folder.
 type record struct {
 	Version string    `json:"version"`
 	Started time.Time `json:"started"`
@@ -72,7 +72,7 @@
 
 // Run is the current run. The zero value records nothing.
 type Run struct {
-	dir  string
+	dir    string
 	record record
 }
 
--- a/internal/logreport/report.go
+++ b/internal/logreport/report.go
@@ -27,10 +27,10 @@
 }
 
 const (
-	// windowBefore and after bound the time between a request's line and the lines around it.
-	// Changes of leader, starts and lost servers take effect within a few seconds. A request's
-	// line is written at its end, so windowBefore also covers the duration of the longest usual
-	// request.
+	// windowBefore and windowAfter bound the time between a request's line and the lines around
+	// it. Changes of leader, starts and lost servers take effect within a few seconds. A
+	// request's line is written at its end, so windowBefore also covers the duration of the
+	// longest usual request.
 	windowBefore = 15 * time.Second
 	windowAfter  = 2 * time.Second
 	// maxAround bounds the lines around a request.
@@ -137,7 +137,7 @@
 
 func byTime(a, b Line) int { return a.Time.Compare(b.Time) }
 
-// forEachLine calls visit for forEachLine line of forEachLine log.
+// forEachLine calls visit for each line of each log.
 func forEachLine(logs int, open func(i int) (io.ReadCloser, error), visit func(Line)) error {
 	for i := range logs {
 		f, err := open(i)
--- a/internal/procstat/watch.go
+++ b/internal/procstat/watch.go
@@ -13,8 +13,8 @@
 	// MinPause is the shortest delay that counts as a pause. A host that has used up its
 	// processor quota pauses for up to 80 ms, which callers of short requests notice.
 	MinPause = 50 * time.Millisecond
-	// pauseLineInterval and memoryLines are the shortest times between two log lines about pauses
-	// and about memory.
+	// pauseLineInterval and memoryLineInterval are the shortest times between two log lines
+	// about pauses and about memory.
 	pauseLineInterval  = time.Second
 	memoryLineInterval = 10 * time.Second
 	// highPercent of the runtime's memory limit is logged. The usage must fall below
@@ -43,9 +43,9 @@
 	// waitCounts and pauseCounts are the runtime's histogram counts at the last tick.
 	waitCounts, pauseCounts []uint64
 
-	unlogged     pauseSummary
+	unlogged      pauseSummary
 	lastPauseLine time.Time
-	total     Pauses
+	total         Pauses
 
 	memoryHigh     bool
 	lastMemoryLine time.Time
@@ -107,8 +107,9 @@
 	return late
 }
 
-// recordPauses records the last period: how late the tick was, the longest time that a goroutine waited
-// for a processor, and the longest pause of a garbage collection.
+// recordPauses records the last period: how late the tick was, the longest time that a
+// goroutine waited for a processor, and the longest pause of a garbage collection. It logs the
+// pauses since the last line, if there are any and the last line is old enough.
 func (w *Watch) recordPauses(now time.Time, late, wait, gc time.Duration) {
 	if longest := max(late, wait, gc); longest >= MinPause {
 		s := &w.unlogged
--- a/internal/telemetry/firsts.go
+++ b/internal/telemetry/firsts.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// maxSeenKeys bounds the keys that Firsts remembers. It forgets all of them when it is full.
+// maxSeenKeys bounds the keys that FirstSeen remembers. It forgets all of them when it is full.
 const maxSeenKeys = 1024
 
 // FirstSeen detects the first of many similar events, so that only that one is logged. The zero
