--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -130,7 +130,7 @@
 	}
 	d.tasks.run("settings", d.settings.Run)
 	if d.replica != nil && !d.cfg.Control.ManualRepair {
-		d.tasks.run("keep in group", d.keepInGroup)
+		d.tasks.run("maintain membership", d.maintainMembership)
 	}
 	if d.cfg.Has(procconfig.RoleEntry) {
 		d.entry = newEntry(d)
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -161,7 +161,7 @@
 	t.run("heartbeats", e.members.Run)
 	t.run("news", e.news.Run)
 	t.run("suspects", e.suspects.Run)
-	t.run("keep suspects", e.suspects.RunStore)
+	t.run("store suspects", e.suspects.RunStore)
 	t.runUntilPanic("records", e.records.Run)
 	t.runUntilPanic("grants", e.grants.Run)
 	t.run("follow fleet", e.followFleet)
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -107,9 +107,9 @@
 	return slices.Compact(out)
 }
 
-// relayAddresses returns the peer addresses of the hosts that may relay information from
-// other hosts. It includes dead hosts and seeds, since a host that has just started knows no
-// other host yet.
+// relayAddresses returns the peer addresses of the other hosts, from which the settings and the
+// suspects can be fetched. It includes dead hosts, and seeds since a host that has just started
+// knows no other host yet.
 func (e *entry) relayAddresses() []string {
 	out := e.seeds()
 	for _, m := range e.members.Peers() {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -126,9 +126,9 @@
 	// connections: it is unknown whether a request that was sent while the server closed the
 	// connection has run.
 	idleServerTimeout = 8 * time.Second
-	// lostServerTimeout is how long a backend server may leave bytes unacknowledged. Round
+	// unacknowledgedTimeout is how long a backend server may leave bytes unacknowledged. Round
 	// trips take milliseconds; a lost packet is retransmitted within this time.
-	lostServerTimeout = 800 * time.Millisecond
+	unacknowledgedTimeout = 800 * time.Millisecond
 	// maxFirstSource bounds the index of the host that is asked first for a routing table.
 	maxFirstSource = 1 << 16
 	// followEvery is how often the replica is checked for a newer routing table.
@@ -159,8 +159,8 @@
 	}
 	d.peers.setPeer(gatewayPeer{g: g, Shared: peerservice.Shared{Suspects: g.suspects, News: g.news, Limits: g.limits}})
 	if d.replica != nil {
-		d.tasks.run("keep in group", d.keepInGroup)
-		d.tasks.run("keep voters", d.reconcileVoters)
+		d.tasks.run("maintain membership", d.maintainMembership)
+		d.tasks.run("reconcile voters", d.reconcileVoters)
 		d.tasks.run("follow replica", g.followReplica)
 	}
 	d.operators = newOperatorServer(d)
@@ -170,7 +170,7 @@
 	d.tasks.run("heartbeats", g.members.Run)
 	d.tasks.run("news", g.news.Run)
 	d.tasks.run("suspects", g.suspects.Run)
-	d.tasks.run("keep suspects", g.suspects.RunStore)
+	d.tasks.run("store suspects", g.suspects.RunStore)
 	d.tasks.runUntilPanic("join", g.join)
 	if g.servesCallers() {
 		d.tasks.run("routes", g.routes.Run)
@@ -186,7 +186,7 @@
 func newGateway(d *Daemon, p surface.Protocol) *gateway {
 	cfg := d.cfg
 	g := &gateway{d: d, protocol: p, run: newRun(cfg.Host), registered: make(chan struct{}), metrics: newRoutedMetrics(), client: engineclient.New(engineclient.Config{
-		DialTimeout: dialServerTimeout, IdleTimeout: idleServerTimeout, Unacknowledged: lostServerTimeout, Source: cfg.Listen.Source,
+		DialTimeout: dialServerTimeout, IdleTimeout: idleServerTimeout, Unacknowledged: unacknowledgedTimeout, Source: cfg.Listen.Source,
 	})}
 	g.setSeeds(cfg.SeedPeers())
 	d.tel.Metrics.Set("routed", &g.metrics.vars)
--- a/internal/daemon/join.go
+++ b/internal/daemon/join.go
@@ -15,11 +15,11 @@
 // membersTimeout bounds a read or a change of the group's membership.
 const membersTimeout = time.Second
 
-// keepInGroup adds this host's replica to the control group whenever it is outside: as a new
+// maintainMembership adds this host's replica to the control group whenever it is outside: as a new
 // replica, under a new id after a lost disk, or when it was removed while it was unreachable.
 // Until it has all committed entries it has no vote, and the leader does not report it as
 // repaired.
-func (d *Daemon) keepInGroup(ctx context.Context) {
+func (d *Daemon) maintainMembership(ctx context.Context) {
 	every(ctx, joinEvery, func() {
 		if d.replica.Joining() || d.removedWithoutNotice(ctx) {
 			d.joinGroup(ctx)
