--- a/internal/tlsutil/tlsutil_test.go
+++ b/internal/tlsutil/tlsutil_test.go
@@ -41,8 +41,8 @@
 	return p
 }
 
-// forget makes the next use check the files for changes at once.
-func (p *Peers) forget() {
+// expireChecks makes the next use check the files for changes at once.
+func (p *Peers) expireChecks() {
 	p.pair.mu.Lock()
 	p.pair.checked = time.Time{}
 	p.pair.mu.Unlock()
@@ -78,7 +78,7 @@
 	return err
 }
 
-func TestPeersTakeOnlyTheFleetsCertificates(t *testing.T) {
+func TestPeersAcceptOnlyTheFleetsCertificates(t *testing.T) {
 	fleet := mustInit(t, t.TempDir(), false, "a=127.0.0.1", "b=127.0.0.2")
 	other := mustInit(t, t.TempDir(), false, "a=127.0.0.1")
 	a, b := mustPeers(t, fleet.CA, fleet.Hosts[0]), mustPeers(t, fleet.CA, fleet.Hosts[1])
@@ -106,7 +106,7 @@
 
 // If the files were read only at the start, the hosts of a fleet would reject each other after its
 // authority and certificates are replaced on disk, until every process is restarted.
-func TestReplacedFilesAreTakenWithoutARestart(t *testing.T) {
+func TestReplacedFilesAreLoadedWithoutRestart(t *testing.T) {
 	dir := t.TempDir()
 	old := mustInit(t, dir, false, "a=127.0.0.1", "b=127.0.0.2")
 	a, b := mustPeers(t, old.CA, old.Hosts[0]), mustPeers(t, old.CA, old.Hosts[1])
@@ -117,11 +117,11 @@
 		}
 	}
 	mustInit(t, dir, true, "a=127.0.0.1", "b=127.0.0.2")
-	a.forget()
+	a.expireChecks()
 	if err := check(address, b.Credentials()); err == nil {
 		t.Fatal("the client still trusts a replaced authority's server")
 	}
-	b.forget()
+	b.expireChecks()
 	if err := check(address, b.Credentials()); err != nil {
 		t.Errorf("after both have reloaded: %v", err)
 	}
@@ -158,7 +158,7 @@
 // A connection may arrive when the key is already replaced and the certificate is not. If the
 // former pair were dropped before the new one is known to be valid, the process would become
 // unreachable.
-func TestHalfReplacedPairLeavesTheFormerInForce(t *testing.T) {
+func TestHalfReplacedPairKeepsFormerInUse(t *testing.T) {
 	files := mustInit(t, t.TempDir(), false, "a=127.0.0.1", "b=127.0.0.2")
 	a, b := files.Hosts[0], files.Hosts[1]
 	pair, err := LoadKeyPair(a.Cert, a.Key)
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestInitKeepsTheAuthorityAndRefusesToReplace(t *testing.T) {
+func TestInitKeepsAuthorityAndExistingCertificates(t *testing.T) {
 	dir := t.TempDir()
 	files := mustInit(t, dir, false, "a=127.0.0.1")
 	ca, err := os.ReadFile(files.CA)
