--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -23,14 +23,14 @@
 	Events      []CacheEvent `json:"events"`
 }
 
-// datedLoad is a load together with the time of its measurement.
-type datedLoad struct {
+// timedLoad is a load together with the time of its measurement.
+type timedLoad struct {
 	at   time.Time
 	load load
 }
 
-// datedEvents is a batch of cache events together with the time from which it may be posted.
-type datedEvents struct {
+// timedEvents is a batch of cache events together with the time from which it may be posted.
+type timedEvents struct {
 	at     time.Time
 	events []CacheEvent
 }
@@ -41,10 +41,10 @@
 	address string
 	client  *http.Client
 	hosts   []*announcedHost
-	kick    chan struct{}
+	trigger    chan struct{}
 	seq     uint64
-	history []datedLoad
-	pending []datedEvents
+	history []timedLoad
+	pending []timedEvents
 }
 
 // announcedHost is one entry host that gets announcements. A host that does not answer must not
@@ -65,14 +65,14 @@
 		server:  s,
 		address: address,
 		client:  &http.Client{Timeout: announceTimeout},
-		kick:    make(chan struct{}, 1),
+		trigger:    make(chan struct{}, 1),
 	}
 }
 
-// now triggers an immediate announcement.
-func (a *announcer) now() {
+// announceNow triggers an immediate announcement.
+func (a *announcer) announceNow() {
 	select {
-	case a.kick <- struct{}{}:
+	case a.trigger <- struct{}{}:
 	default:
 	}
 }
@@ -81,20 +81,20 @@
 	ticker := time.NewTicker(a.server.opts.AnnounceEvery)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		a.round(ctx, time.Now())
+		a.announceOnce(ctx, time.Now())
 		select {
 		case <-ticker.C:
-		case <-a.kick:
+		case <-a.trigger:
 		case <-ctx.Done():
 		}
 	}
 	a.client.CloseIdleConnections()
 }
 
-// round sends one announcement and the cache events that are due.
-func (a *announcer) round(ctx context.Context, now time.Time) {
+// announceOnce sends one announcement and the cache events that are due.
+func (a *announcer) announceOnce(ctx context.Context, now time.Time) {
 	f := a.server.faults.get()
-	a.history = append(a.history, datedLoad{at: now, load: a.server.engine.load()})
+	a.history = append(a.history, timedLoad{at: now, load: a.server.engine.load()})
 	events := a.dueEvents(now)
 	if f.StopAnnouncing {
 		return
@@ -115,7 +115,7 @@
 func (a *announcer) state(f Faults, now time.Time) *pb.ServerState {
 	s := a.server
 	a.seq++
-	models, adapters := s.offer.lists()
+	models, adapters := s.catalog.lists()
 	past := a.loadAt(now.Add(-time.Duration(f.LateLoadMS) * time.Millisecond))
 	st := &pb.ServerState{
 		Address:          a.address,
@@ -133,7 +133,7 @@
 		Slots:            uint32(s.opts.Slots),
 		TokensPerSecond:  past.load.tokensPerSecond,
 		PrefillPerSecond: past.load.prefillPerSecond,
-		Role:             s.offer.currentRole(),
+		Role:             s.catalog.currentRole(),
 		LoadAgeMs:        now.Sub(past.at).Milliseconds(),
 		Resumes:          !s.opts.NoResume,
 		MovesKv:          !s.opts.NoMoveKV,
@@ -147,7 +147,7 @@
 
 // loadAt returns the latest load measured at or before t, or the oldest one if there is none,
 // and discards older ones.
-func (a *announcer) loadAt(t time.Time) datedLoad {
+func (a *announcer) loadAt(t time.Time) timedLoad {
 	best := 0
 	for i, d := range a.history {
 		if !d.at.After(t) {
@@ -162,11 +162,11 @@
 func (a *announcer) dueEvents(now time.Time) []CacheEvent {
 	e := a.server.engine
 	e.mu.Lock()
-	fresh := e.cache.take()
+	fresh := e.cache.takeEvents()
 	e.mu.Unlock()
 	if len(fresh) > 0 {
 		at := now.Add(a.server.opts.CacheEventDelay)
-		a.pending = append(a.pending, datedEvents{at: at, events: fresh})
+		a.pending = append(a.pending, timedEvents{at: at, events: fresh})
 	}
 	var due []CacheEvent
 	for len(a.pending) > 0 && !a.pending[0].at.After(now) {
@@ -196,7 +196,7 @@
 		if !h.busy.CompareAndSwap(false, true) {
 			continue
 		}
-		a.server.done.Go(func() {
+		a.server.wg.Go(func() {
 			defer h.busy.Store(false)
 			a.sendTo(ctx, h.address, posts)
 		})
--- a/internal/standin/answers.go
+++ b/internal/standin/answers.go
@@ -90,19 +90,19 @@
 			return
 		}
 		for ; sent < p.produced; sent++ {
-			s.breakStream(r, out, sent)
+			s.injectStreamFault(r, out, sent)
 			out.token(sent)
 		}
 		if p.state != streamRunning {
-			out.end(p)
+			out.finish(p)
 			return
 		}
 		out.flush()
 	}
 }
 
-// breakStream injects the faults that affect a stream after some tokens.
-func (s *Server) breakStream(r *http.Request, out *eventWriter, sent int) {
+// injectStreamFault injects the faults that affect a stream after some tokens.
+func (s *Server) injectStreamFault(r *http.Request, out *eventWriter, sent int) {
 	f := s.faults.get()
 	if f.DropAfterTokens > 0 && sent >= f.DropAfterTokens {
 		out.flush()
@@ -131,10 +131,10 @@
 
 func (e *eventWriter) token(i int) {
 	text := Token(e.st.hash, i)
-	e.chunk(completion{Choices: []choice{e.piece(text, i == 0)}})
+	e.chunk(completion{Choices: []choice{e.newChoice(text, i == 0)}})
 }
 
-func (e *eventWriter) piece(text string, first bool) choice {
+func (e *eventWriter) newChoice(text string, first bool) choice {
 	if !e.st.chat {
 		return choice{Text: &text}
 	}
@@ -145,13 +145,13 @@
 	return choice{Delta: m}
 }
 
-func (e *eventWriter) end(p progress) {
-	last := e.piece("", false)
+func (e *eventWriter) finish(p progress) {
+	last := e.newChoice("", false)
 	reason := e.st.finishReason(p.state)
 	last.FinishReason = &reason
 	e.chunk(completion{Choices: []choice{last}})
 	e.chunk(completion{Choices: []choice{}, Usage: e.st.usage(p.produced)})
-	e.raw([]byte("[DONE]"))
+	e.writeData([]byte("[DONE]"))
 	e.flush()
 }
 
@@ -161,10 +161,10 @@
 	if err != nil {
 		return
 	}
-	e.raw(b)
+	e.writeData(b)
 }
 
-func (e *eventWriter) raw(data []byte) {
+func (e *eventWriter) writeData(data []byte) {
 	line := make([]byte, 0, len(data)+8)
 	line = append(line, "data: "...)
 	line = append(line, data...)
@@ -180,8 +180,8 @@
 	return errorAnswer{Error: errorDetail{Type: kind, Message: strings.TrimSpace(text)}}
 }
 
-// refuse sends a refusal, with the header that states that the request was not executed.
-func refuse(w http.ResponseWriter, status int, kind, text string) {
+// reject sends a refusal, with the header that states that the request was not executed.
+func reject(w http.ResponseWriter, status int, kind, text string) {
 	w.Header().Set(HeaderRan, "no")
 	writeJSON(w, status, errorBody(kind, text))
 }
--- a/internal/standin/batch_test.go
+++ b/internal/standin/batch_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestBatchHonoursSlotsAndPriority(t *testing.T) {
+func TestBatchHonorsSlotsAndPriority(t *testing.T) {
 	b := newBatch(Options{Slots: 1})
 	b.add(&sequence{stream: newStream("later"), priority: 1, decodeLeft: 1})
 	b.add(&sequence{stream: newStream("first"), decodeLeft: 1})
@@ -61,7 +61,7 @@
 	if hits := c.use([]uint64{1, 2}); hits != 1 {
 		t.Fatalf("%d hits, want 1: block 2 must have been evicted for block 3", hits)
 	}
-	events := c.take()
+	events := c.takeEvents()
 	for i, ev := range events {
 		if ev.Seq != uint64(i+1) {
 			t.Fatalf("event %d has number %d", i, ev.Seq)
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -28,7 +28,7 @@
 
 // prefixCache is an LRU cache of blocks, with the events that were not taken yet.
 type prefixCache struct {
-	bound  int
+	capacity  int
 	blocks map[uint64]*list.Element
 	recent *list.List // front: most recently used
 	seq    uint64
@@ -36,7 +36,7 @@
 }
 
 func newPrefixCache(bound int) *prefixCache {
-	return &prefixCache{bound: bound, blocks: map[uint64]*list.Element{}, recent: list.New()}
+	return &prefixCache{capacity: bound, blocks: map[uint64]*list.Element{}, recent: list.New()}
 }
 
 // use looks up a prompt's blocks, stores the missing ones and returns the number of leading
@@ -56,7 +56,7 @@
 		c.blocks[h] = c.recent.PushFront(h)
 		ev.Stored = append(ev.Stored, BlockHash(h))
 	}
-	for len(c.blocks) > c.bound {
+	for len(c.blocks) > c.capacity {
 		oldest := c.recent.Back()
 		h := c.recent.Remove(oldest).(uint64)
 		delete(c.blocks, h)
@@ -73,8 +73,8 @@
 	return hits
 }
 
-// take returns the events since the last call.
-func (c *prefixCache) take() []CacheEvent {
+// takeEvents returns the events since the last call.
+func (c *prefixCache) takeEvents() []CacheEvent {
 	ev := c.events
 	c.events = nil
 	return ev
--- a/internal/standin/completions.go
+++ b/internal/standin/completions.go
@@ -15,8 +15,8 @@
 // maxBody bounds a request body.
 const maxBody = 16 << 20
 
-// endlessOutput is added to four times the cap if the cap is ignored.
-const endlessOutput = 16
+// uncappedExtra is added to four times the cap if the cap is ignored.
+const uncappedExtra = 16
 
 // completionRequest is the body of both completion calls. A chat has messages, a plain
 // completion has a prompt.
@@ -123,48 +123,48 @@
 	var req completionRequest
 	body := http.MaxBytesReader(w, r.Body, maxBody)
 	if err := json.NewDecoder(body).Decode(&req); err != nil {
-		refuse(w, http.StatusBadRequest, "bad_request", err.Error())
+		reject(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	prompt, err := req.prompt()
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "bad_request", err.Error())
+		reject(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
-	if !s.serves(w, &req) {
+	if !s.acceptsCompletion(w, &req) {
 		return
 	}
-	st := s.newRun(&req, prompt, r)
+	st := s.newCompletionStream(&req, prompt, r)
 	err = s.engine.submit(st, parse.PrefixHashes(req.Model, req.cacheText()), req.Priority)
 	if err != nil {
-		refuseRun(w, err)
+		rejectStream(w, err)
 		return
 	}
 	if mark := s.faults.get().DieOnPrompt; mark != "" && strings.Contains(string(req.cacheText()), mark) {
 		s.die()
 	}
-	s.serveRun(w, r, st, req.Stream)
+	s.serveStream(w, r, st, req.Stream)
 }
 
-// serves reports whether the server accepts a completion. If not, it sends a refusal.
-func (s *Server) serves(w http.ResponseWriter, req *completionRequest) bool {
-	if !s.takesWork(w) {
+// acceptsCompletion reports whether the server accepts a completion. If not, it sends a refusal.
+func (s *Server) acceptsCompletion(w http.ResponseWriter, req *completionRequest) bool {
+	if !s.acceptsWork(w) {
 		return false
 	}
-	models, adapters := s.offer.lists()
+	models, adapters := s.catalog.lists()
 	if !slices.Contains(models, req.Model) {
-		refuse(w, http.StatusNotFound, "unknown_model", "model "+req.Model+" is not loaded")
+		reject(w, http.StatusNotFound, "unknown_model", "model "+req.Model+" is not loaded")
 		return false
 	}
 	if req.Adapter != "" && !slices.Contains(adapters, req.Adapter) {
-		refuse(w, http.StatusNotFound, "unknown_adapter", "adapter "+req.Adapter+" is not loaded")
+		reject(w, http.StatusNotFound, "unknown_adapter", "adapter "+req.Adapter+" is not loaded")
 		return false
 	}
 	return true
 }
 
-// newRun returns the stream for a completion, whose answer follows from the prompt.
-func (s *Server) newRun(req *completionRequest, prompt Prompt, r *http.Request) *stream {
+// newCompletionStream returns the stream for a completion, whose answer follows from the prompt.
+func (s *Server) newCompletionStream(req *completionRequest, prompt Prompt, r *http.Request) *stream {
 	id := r.Header.Get(HeaderEngineRequest)
 	if id == "" {
 		id = fmt.Sprintf("unnamed-%d", s.unnamed.Add(1))
@@ -178,15 +178,15 @@
 	st.limit = OutputTokens(st.hash, limit, req.IgnoreEOS)
 	st.capped = st.limit == limit
 	if limit > 0 && s.faults.get().IgnoreMaxTokens {
-		st.limit = 4*limit + endlessOutput
+		st.limit = 4*limit + uncappedExtra
 	}
 	return st
 }
 
-// serveRun sends the stream's whole text or streams it. A stream whose request has an engine
+// serveStream sends the stream's whole text or streams it. A stream whose request has an engine
 // request id continues after its connection ends, so that another host can read the rest. A
 // stream without one is cancelled with its connection.
-func (s *Server) serveRun(w http.ResponseWriter, r *http.Request, st *stream, streamed bool) {
+func (s *Server) serveStream(w http.ResponseWriter, r *http.Request, st *stream, streamed bool) {
 	w.Header().Set(HeaderEngineRequest, st.id)
 	if r.Header.Get(HeaderEngineRequest) == "" {
 		defer s.engine.cancel(st)
@@ -198,13 +198,13 @@
 	s.writeWhole(w, r, st)
 }
 
-// refuseRun sends the refusal for an error of the engine.
-func refuseRun(w http.ResponseWriter, err error) {
-	if errors.Is(err, errKnown) {
+// rejectStream sends the refusal for an error of the engine.
+func rejectStream(w http.ResponseWriter, err error) {
+	if errors.Is(err, errDuplicate) {
 		w.Header().Set(HeaderRan, "yes")
 		writeJSON(w, http.StatusConflict, errorBody("already_known", err.Error()))
 		return
 	}
 	w.Header().Set("Retry-After", "1")
-	refuse(w, http.StatusServiceUnavailable, "overloaded", err.Error())
+	reject(w, http.StatusServiceUnavailable, "overloaded", err.Error())
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,12 +12,12 @@
 
 // The reasons why the engine rejects a stream.
 var (
-	errKnown     = errors.New("a stream with this id already exists")
+	errDuplicate     = errors.New("a stream with this id already exists")
 	errQueueFull = errors.New("the queue is full")
 )
 
-// sweepEvery is the interval at which expired streams are removed.
-const sweepEvery = time.Second
+// sweepInterval is the interval at which expired streams are removed.
+const sweepInterval = time.Second
 
 // engine runs the batch model in real time and stores the streams by id.
 type engine struct {
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// adopt continues a stream of another engine, whose KV cache was imported.
-func (e *engine) adopt(st *stream) error {
+// importStream continues a stream of another engine, whose KV cache was imported.
+func (e *engine) importStream(st *stream) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err := e.admit(st); err != nil {
@@ -77,7 +77,7 @@
 
 func (e *engine) admit(st *stream) error {
 	if _, known := e.streams[st.id]; known {
-		return errKnown
+		return errDuplicate
 	}
 	if len(e.batch.waiting) >= e.maxWaiting {
 		return errQueueFull
@@ -157,7 +157,7 @@
 		took, emitted := e.batch.step()
 		e.mu.Unlock()
 		if idle {
-			e.rest(ctx)
+			e.waitForWork(ctx)
 			next = time.Now()
 			continue
 		}
@@ -167,9 +167,9 @@
 	}
 }
 
-// rest waits for work and removes expired streams.
-func (e *engine) rest(ctx context.Context) {
-	timer := time.NewTimer(sweepEvery)
+// waitForWork waits for work and removes expired streams.
+func (e *engine) waitForWork(ctx context.Context) {
+	timer := time.NewTimer(sweepInterval)
 	defer timer.Stop()
 	select {
 	case <-e.wake:
@@ -196,7 +196,7 @@
 func (e *engine) sweep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.lastSweep) < sweepEvery {
+	if now.Sub(e.lastSweep) < sweepInterval {
 		return
 	}
 	e.lastSweep = now
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -49,25 +49,25 @@
 
 type faultState struct {
 	mu  sync.Mutex
-	now Faults
+	current Faults
 }
 
 func (f *faultState) get() Faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now
+	return f.current
 }
 
 func (f *faultState) set(n Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.now = n
+	f.current = n
 }
 
 func (s *Server) postFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
-		refuse(w, http.StatusBadRequest, "bad_request", err.Error())
+		reject(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	s.SetFaults(f, connOf(r))
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -40,23 +40,23 @@
 	return o.Object
 }
 
-// offer holds the loaded models and adapters, the role, and the accepted orders.
-type offer struct {
+// catalog holds the loaded models and adapters, the role, and the accepted orders.
+type catalog struct {
 	mu       sync.Mutex
 	models   []string
 	adapters []string
 	role     string
 	fence    uint64
-	taken    []Order
+	accepted    []Order
 }
 
-func (o *offer) lists() (models, adapters []string) {
+func (o *catalog) lists() (models, adapters []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.models), slices.Clone(o.adapters)
 }
 
-func (o *offer) currentRole() string {
+func (o *catalog) currentRole() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.role
@@ -64,19 +64,19 @@
 
 // accept records an order. It returns false if checks is set and the order's fencing number is
 // lower than that of an earlier order.
-func (o *offer) accept(order Order, checks bool) bool {
+func (o *catalog) accept(order Order, checks bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if checks && order.Fence < o.fence {
 		return false
 	}
 	o.fence = max(o.fence, order.Fence)
-	o.taken = append(o.taken, order)
+	o.accepted = append(o.accepted, order)
 	return true
 }
 
 // apply executes an accepted order.
-func (o *offer) apply(order Order) {
+func (o *catalog) apply(order Order) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch order.Verb {
@@ -109,37 +109,37 @@
 func (s *Server) postOrder(w http.ResponseWriter, r *http.Request) {
 	var order Order
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&order); err != nil {
-		refuse(w, http.StatusBadRequest, "bad_request", err.Error())
+		reject(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
 	if !slices.Contains(knownVerbs, order.Verb) {
-		refuse(w, http.StatusBadRequest, "bad_request", "unknown verb "+order.Verb)
+		reject(w, http.StatusBadRequest, "bad_request", "unknown verb "+order.Verb)
 		return
 	}
-	if !s.takesWork(w) {
+	if !s.acceptsWork(w) {
 		return
 	}
-	if !s.offer.accept(order, s.opts.ChecksFence) {
-		refuse(w, http.StatusConflict, "stale_fence", "an order with a higher fencing number was received")
+	if !s.catalog.accept(order, s.opts.ChecksFence) {
+		reject(w, http.StatusConflict, "stale_fence", "an order with a higher fencing number was received")
 		return
 	}
-	s.carryOut(order)
+	s.applyOrder(order)
 	writeJSON(w, http.StatusOK, order)
 }
 
-// carryOut applies the order. Models and adapters are loaded after LoadTime, and then appear in
+// applyOrder applies the order. Models and adapters are loaded after LoadTime, and then appear in
 // the announcements.
-func (s *Server) carryOut(order Order) {
+func (s *Server) applyOrder(order Order) {
 	if s.opts.LoadTime == 0 || !strings.HasPrefix(order.Verb, "load_") {
-		s.offer.apply(order)
+		s.catalog.apply(order)
 		return
 	}
-	time.AfterFunc(s.opts.LoadTime, func() { s.offer.apply(order) })
+	time.AfterFunc(s.opts.LoadTime, func() { s.catalog.apply(order) })
 }
 
 func (s *Server) getOrders(w http.ResponseWriter, _ *http.Request) {
-	s.offer.mu.Lock()
-	taken := slices.Clone(s.offer.taken)
-	s.offer.mu.Unlock()
+	s.catalog.mu.Lock()
+	taken := slices.Clone(s.catalog.accepted)
+	s.catalog.mu.Unlock()
 	writeJSON(w, http.StatusOK, taken)
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -20,7 +20,7 @@
 type Server struct {
 	opts     Options
 	engine   *engine
-	offer    *offer
+	catalog    *catalog
 	runs     *runCounts
 	faults   faultState
 	unnamed  atomic.Int64
@@ -31,7 +31,7 @@
 	http     *http.Server
 	announce *announcer
 	stop     context.CancelFunc
-	done     sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
 // New returns a Server that does not listen yet.
@@ -40,7 +40,7 @@
 	return &Server{
 		opts:   opts,
 		engine: newEngine(opts),
-		offer:  &offer{models: opts.Models, adapters: opts.Adapters, role: opts.Role},
+		catalog:  &catalog{models: opts.Models, adapters: opts.Adapters, role: opts.Role},
 		runs:   &runCounts{entries: map[string]int{}},
 	}
 }
@@ -48,23 +48,23 @@
 // Handler returns the server's complete HTTP API.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", s.namingLimit(s.postCompletion))
-	mux.HandleFunc("POST /v1/completions", s.namingLimit(s.postCompletion))
+	mux.HandleFunc("POST /v1/chat/completions", s.withRateLimitHeader(s.postCompletion))
+	mux.HandleFunc("POST /v1/completions", s.withRateLimitHeader(s.postCompletion))
 	mux.HandleFunc("GET /v1/streams/{id}", s.getStream)
 	mux.HandleFunc("POST /v1/streams/{id}/cancel", s.cancelStream)
 	mux.HandleFunc("GET /kv/{id}", s.exportKV)
 	mux.HandleFunc("POST /kv/{id}", s.importKV)
 	mux.HandleFunc("POST /orders", s.postOrder)
 	mux.HandleFunc("GET /orders", s.getOrders)
-	mux.HandleFunc("/services/{name}/lookup", s.namingLimit(s.lookup))
-	mux.HandleFunc("POST /services/{name}/entries", s.namingLimit(s.postEntry))
+	mux.HandleFunc("/services/{name}/lookup", s.withRateLimitHeader(s.lookup))
+	mux.HandleFunc("POST /services/{name}/entries", s.withRateLimitHeader(s.postEntry))
 	mux.HandleFunc("POST /debug/faults", s.postFaults)
 	mux.HandleFunc("GET /debug/runs", s.getRuns)
 	return mux
 }
 
-// namingLimit adds the rate limit that is in force to the headers of each answer.
-func (s *Server) namingLimit(h http.HandlerFunc) http.HandlerFunc {
+// withRateLimitHeader adds the rate limit that is in force to the headers of each answer.
+func (s *Server) withRateLimitHeader(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if limit := s.faults.get().RateLimit; limit != nil {
 			w.Header().Set(HeaderRateLimit, strconv.FormatFloat(*limit, 'g', -1, 64))
@@ -88,9 +88,9 @@
 		ConnContext: withConn,
 		ErrorLog:    log.New(discard{}, "", 0),
 	}
-	s.done.Go(func() { s.engine.run(ctx) })
-	s.done.Go(func() { s.announce.run(ctx) })
-	s.done.Go(func() { _ = s.http.Serve(s.listener) })
+	s.wg.Go(func() { s.engine.run(ctx) })
+	s.wg.Go(func() { s.announce.run(ctx) })
+	s.wg.Go(func() { _ = s.http.Serve(s.listener) })
 	return nil
 }
 
@@ -107,7 +107,7 @@
 // at once.
 func (s *Server) Leave(ctx context.Context) error {
 	s.leaving.Store(true)
-	s.announce.now()
+	s.announce.announceNow()
 	sleepUntil(ctx, time.Now().Add(s.opts.LeaveGrace))
 	s.closed.Store(true)
 	for !s.idle() && ctx.Err() == nil {
@@ -127,7 +127,7 @@
 	s.stop()
 	_ = s.http.Close()
 	s.listener.closeAll()
-	s.done.Wait()
+	s.wg.Wait()
 }
 
 // die terminates the process as a crash would.
@@ -137,18 +137,18 @@
 	}
 }
 
-// takesWork reports whether new work is accepted. If a fault or leaving prevents it, takesWork
+// acceptsWork reports whether new work is accepted. If a fault or leaving prevents it, acceptsWork
 // sends a refusal.
-func (s *Server) takesWork(w http.ResponseWriter) bool {
+func (s *Server) acceptsWork(w http.ResponseWriter) bool {
 	if f := s.faults.get(); f.Refuse {
 		if f.RetryAfter != "" {
 			w.Header().Set("Retry-After", f.RetryAfter)
 		}
-		refuse(w, http.StatusServiceUnavailable, "refused", "an injected fault rejects all work")
+		reject(w, http.StatusServiceUnavailable, "refused", "an injected fault rejects all work")
 		return false
 	}
 	if s.closed.Load() {
-		refuse(w, http.StatusServiceUnavailable, "leaving", "this server is leaving")
+		reject(w, http.StatusServiceUnavailable, "leaving", "this server is leaving")
 		return false
 	}
 	return true
--- a/internal/standin/server_test.go
+++ b/internal/standin/server_test.go
@@ -192,10 +192,10 @@
 		call(t, s, "POST", "/orders", "", `{"verb":"load_model","model":"n","fence":7}`)
 		old := call(t, s, "POST", "/orders", "", `{"verb":"change_role","role":"prefill","fence":6}`)
 		refused := old.StatusCode == http.StatusConflict && old.Header.Get(HeaderRan) == "no"
-		if refused != checks || (s.offer.currentRole() == "prefill") == checks {
-			t.Errorf("checks %v: old order answered %d, role %q", checks, old.StatusCode, s.offer.currentRole())
+		if refused != checks || (s.catalog.currentRole() == "prefill") == checks {
+			t.Errorf("checks %v: old order answered %d, role %q", checks, old.StatusCode, s.catalog.currentRole())
 		}
-		if models, _ := s.offer.lists(); len(models) != 2 {
+		if models, _ := s.catalog.lists(); len(models) != 2 {
 			t.Errorf("models %v, want the loaded one too", models)
 		}
 	}
--- a/internal/standin/services.go
+++ b/internal/standin/services.go
@@ -80,12 +80,12 @@
 
 // lookup serves /services/{name}/lookup?q=... with an answer that depends only on the query.
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request) {
-	if !s.startService(w, r) {
+	if !s.acceptsService(w, r) {
 		return
 	}
 	s.runs.addLookup()
 	q := r.FormValue("q")
-	s.endService(w, r, lookupAnswer{Service: r.PathValue("name"), Query: q, Code: LookupCode(q)})
+	s.answerService(w, r, lookupAnswer{Service: r.PathValue("name"), Query: q, Code: LookupCode(q)})
 }
 
 // LookupCode returns the code in the answer to a lookup of q.
@@ -99,30 +99,30 @@
 func (s *Server) postEntry(w http.ResponseWriter, r *http.Request) {
 	var req entryRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&req); err != nil {
-		refuse(w, http.StatusBadRequest, "bad_request", err.Error())
+		reject(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
-	if !s.startService(w, r) {
+	if !s.acceptsService(w, r) {
 		return
 	}
-	s.endService(w, r, entryAnswer{ID: req.ID, Run: s.runs.addEntry(req.ID)})
+	s.answerService(w, r, entryAnswer{ID: req.ID, Run: s.runs.addEntry(req.ID)})
 }
 
-// startService reports whether a call of a plain service is accepted. If not, it sends a refusal.
-func (s *Server) startService(w http.ResponseWriter, r *http.Request) bool {
-	if !s.takesWork(w) {
+// acceptsService reports whether a call of a plain service is accepted. If not, it sends a refusal.
+func (s *Server) acceptsService(w http.ResponseWriter, r *http.Request) bool {
+	if !s.acceptsWork(w) {
 		return false
 	}
 	if !slices.Contains(s.opts.Services, r.PathValue("name")) {
-		refuse(w, http.StatusNotFound, "unknown_service", "no such service")
+		reject(w, http.StatusNotFound, "unknown_service", "no such service")
 		return false
 	}
 	return true
 }
 
-// endService sends the answer of a plain service after ServiceTime. The execution was counted
+// answerService sends the answer of a plain service after ServiceTime. The execution was counted
 // before.
-func (s *Server) endService(w http.ResponseWriter, r *http.Request, answer any) {
+func (s *Server) answerService(w http.ResponseWriter, r *http.Request, answer any) {
 	s.calls.Add(1)
 	defer s.calls.Add(-1)
 	f := s.faults.get()
--- a/internal/standin/streams.go
+++ b/internal/standin/streams.go
@@ -27,7 +27,7 @@
 	Usage    *usage `json:"usage"`
 }
 
-func (s *Server) streamOf(w http.ResponseWriter, r *http.Request) (*stream, bool) {
+func (s *Server) findStream(w http.ResponseWriter, r *http.Request) (*stream, bool) {
 	st, ok := s.engine.find(r.PathValue("id"))
 	if !ok {
 		writeJSON(w, http.StatusNotFound, errorBody("unknown_stream", "no stream with this id is kept"))
@@ -41,7 +41,7 @@
 		writeJSON(w, http.StatusNotFound, errorBody("unknown_path", "this engine does not resume streams"))
 		return
 	}
-	st, ok := s.streamOf(w, r)
+	st, ok := s.findStream(w, r)
 	if !ok {
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 func (s *Server) cancelStream(w http.ResponseWriter, r *http.Request) {
-	st, ok := s.streamOf(w, r)
+	st, ok := s.findStream(w, r)
 	if !ok {
 		return
 	}
@@ -72,7 +72,7 @@
 }
 
 func (s *Server) exportKV(w http.ResponseWriter, r *http.Request) {
-	st, ok := s.streamOf(w, r)
+	st, ok := s.findStream(w, r)
 	if !ok {
 		return
 	}
@@ -92,14 +92,14 @@
 func (s *Server) importKV(w http.ResponseWriter, r *http.Request) {
 	var kv kvExport
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&kv); err != nil {
-		refuse(w, http.StatusBadRequest, "bad_request", err.Error())
+		reject(w, http.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
-	if !s.serves(w, &completionRequest{Model: kv.Model}) {
+	if !s.acceptsCompletion(w, &completionRequest{Model: kv.Model}) {
 		return
 	}
-	if err := s.engine.adopt(kv.stream(r.PathValue("id"), time.Now())); err != nil {
-		refuseRun(w, err)
+	if err := s.engine.importStream(kv.stream(r.PathValue("id"), time.Now())); err != nil {
+		rejectStream(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, kv)
