--- a/internal/standin/batch_test.go
+++ b/internal/standin/batch_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestPrefixCacheKeepsWhatWasUsedLast(t *testing.T) {
+func TestPrefixCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	c := newPrefixCache(2)
 	c.use([]uint64{1, 2})
 	c.use([]uint64{1})
