--- a/internal/standin/server_test.go
+++ b/internal/standin/server_test.go
@@ -218,7 +218,7 @@
 
 // Simulates a device between the two ends that loses the state of open connections. Their streams
 // stall forever because neither end is notified, while the server and new connections work.
-func TestOpenConnectionsGoSilentNewOnesWork(t *testing.T) {
+func TestOpenConnectionsSilencedNewOnesWork(t *testing.T) {
 	s := start(t, Options{DecodeSpeed: 1000})
 	old := call(t, s, "POST", "/v1/chat/completions", "r1", chatBody("x", 200))
 	call(t, s, "POST", "/debug/faults", "", `{"silence_open":true}`)
