--- a/internal/standin/server_test.go
+++ b/internal/standin/server_test.go
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestLeavingServerSaysSoAndFinishesItsStreams(t *testing.T) {
+func TestLeavingServerAnnouncesItAndFinishesStreams(t *testing.T) {
 	states := make(chan *pb.ServerState, 100)
 	host := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		st := &pb.ServerState{}
