--- a/internal/admincli/client.go
+++ b/internal/admincli/client.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// classifyResponse classifies a response other than 200: whether to try again, and whether a change may
-// have taken effect.
+// classifyResponse classifies a response other than 200: whether to try again, and whether a
+// change may have taken effect.
 func classifyResponse(status int, body []byte, changes bool) attempt {
 	var answer httpserver.ErrorAnswer
 	if err := json.Unmarshal(body, &answer); err != nil || answer.Error.Kind == "" {
--- a/internal/admincli/script_test.go
+++ b/internal/admincli/script_test.go
@@ -86,9 +86,9 @@
 	server *httptest.Server
 	api    http.Handler
 
-	mu    sync.Mutex
-	fault string
-	remaining  int
+	mu        sync.Mutex
+	fault     string
+	remaining int
 }
 
 func newHost(group adminapi.Group, name string) *host {
@@ -130,7 +130,8 @@
 	}
 }
 
-// setFault: fault HOST FAULT COUNT.
+// setFault implements the script command fault HOST FAULT COUNT, which injects a fault into the
+// next COUNT requests to a host.
 func setFault(ts *testscript.TestScript, _ bool, args []string) {
 	h := ts.Value(fleetKey{}).(map[string]*host)[args[0]]
 	n, err := strconv.Atoi(args[2])
@@ -140,7 +141,8 @@
 	h.fault, h.remaining = args[1], n
 }
 
-// exits: exits CODE COMMAND... runs the command and checks its exit code.
+// exits implements the script command exits CODE COMMAND..., which runs the command and checks
+// its exit code.
 func exits(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[0])
 	ts.Check(err)
--- a/internal/admincli/team.go
+++ b/internal/admincli/team.go
@@ -100,9 +100,9 @@
 	return a.print(cmd, out, func(w io.Writer) { printChange(w, *out) })
 }
 
-// findEarlierChange returns the change at path that was made with the operation id from the command
-// line, or nil if there is none. Without it, the resend of a change that is computed from the
-// current value would be a different change, since it would read its own first result.
+// findEarlierChange returns the change at path that was made with the operation id from the
+// command line, or nil if there is none. Without it, the resend of a change that is computed from
+// the current value would be a different change, since it would read its own first result.
 func (cl *client) findEarlierChange(ctx context.Context, cmd *cli.Command, path string) (*adminapi.ChangeAnswer, error) {
 	opID := cmd.String(flagOpID)
 	if opID == "" {
--- a/internal/load/addresses.go
+++ b/internal/load/addresses.go
@@ -29,11 +29,11 @@
 }
 
 // addressCache caches the addresses returned by a host until their TTL expires, and chooses among
-// them. It does no I/O; the addresses are fetched by asker.
+// them. It does no I/O; the addresses are fetched by addressFetcher.
 type addressCache struct {
 	mu      sync.Mutex
 	list    []string
-	expires   time.Time
+	expires time.Time
 	failed  map[string]time.Time
 	updates int
 }
@@ -99,12 +99,12 @@
 	return append(append([]string{}, b.list...), seeds...)
 }
 
-// addressFetcher fetches addresses into an addressBook.
+// addressFetcher fetches addresses into an addressCache.
 type addressFetcher struct {
 	client *http.Client
 	seeds  []string
 	zone   string
-	cache   *addressCache
+	cache  *addressCache
 	mu     sync.Mutex // serializes fetches
 }
 
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -12,9 +12,9 @@
 	// brokenRetryDelay is the delay after an attempt without a complete answer.
 	brokenRetryDelay = 20 * time.Millisecond
 	// firstBackoff is the delay after the first refusal that asks for a retry with the same
-	// key but does not say when. It doubles with each attempt, up to longestPause.
+	// key but does not say when. It doubles with each attempt, up to maxBackoff.
 	firstBackoff = 100 * time.Millisecond
-	maxBackoff  = 2 * time.Second
+	maxBackoff   = 2 * time.Second
 )
 
 // lateGrace is how long a caller still waits for a final answer after the deadline, so that
@@ -49,8 +49,8 @@
 	wait  time.Duration
 }
 
-// decideRetry decides whether a well-behaved caller tries again after its n-th attempt, whose outcome
-// is a. It tries again only if that can help, never after its deadline, and makes at most
+// decideRetry decides whether a well-behaved caller tries again after its n-th attempt, whose
+// outcome is a. It tries again only if that can help, never after its deadline, and makes at most
 // maxAttempts attempts.
 func decideRetry(a *attempt, left time.Duration, n, maxAttempts int) retryDecision {
 	p := retryFor(a, n)
@@ -60,7 +60,7 @@
 	return p
 }
 
-// retryFor returns the plan that follows from the outcome a of the n-th attempt alone.
+// retryFor returns the decision that follows from the outcome a of the n-th attempt alone.
 func retryFor(a *attempt, n int) retryDecision {
 	if a.broken != nil {
 		return retryDecision{retry: true, wait: brokenRetryDelay}
@@ -91,12 +91,12 @@
 
 // caller sends requests and retries them.
 type caller struct {
-	sender   *sender
-	addresses     *addressCache
-	fetcher    *addressFetcher // nil if requests go to the backend server direct
-	direct   string
-	timeout  time.Duration
-	attempts int
+	sender    *sender
+	addresses *addressCache
+	fetcher   *addressFetcher // nil if requests go to the backend server direct
+	direct    string
+	timeout   time.Duration
+	attempts  int
 }
 
 // call sends r until it has a final answer. started is the scheduled time of the first attempt.
@@ -143,7 +143,7 @@
 	return a
 }
 
-// classify sets the verdict and the fault from the last attempt.
+// classify sets the outcome and the fault from the last attempt.
 func (res *result) classify(r *request, timeout time.Duration) {
 	a := res.last
 	switch {
--- a/internal/load/command.go
+++ b/internal/load/command.go
@@ -17,9 +17,9 @@
 
 // The exit statuses.
 const (
-	exitError   = 1 // usage error, or no host could be reached
-	exitWrongOrLost     = 2 // an answer was wrong or lost
-	exitRefused = 3 // the request of `once` was rejected
+	exitError       = 1 // usage error, or no host could be reached
+	exitWrongOrLost = 2 // an answer was wrong or lost
+	exitRefused     = 3 // the request of `once` was rejected
 )
 
 // Main runs the load tool's command line and returns the exit status.
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -278,6 +278,6 @@
 	res := result{last: &attempt{code: standin.LookupCode("q")}, total: 2 * time.Second}
 	res.classify(r, time.Second)
 	if res.outcome != late {
-		t.Fatalf("verdict %d", res.outcome)
+		t.Fatalf("outcome %d, want late", res.outcome)
 	}
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -61,7 +61,7 @@
 	BilledTotal uint64 `json:"billed_tokens_total"`
 	// Uncertain counts requests that may have been billed without a complete answer.
 	Uncertain int `json:"uncertain"`
-	// Addresses is how often the addresses were asked for.
+	// Addresses counts how often the addresses were fetched.
 	Addresses int `json:"address_answers"`
 
 	FirstToken Percentiles `json:"first_token"`
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -58,16 +58,16 @@
 }
 
 func newCaller(o *Options, client *http.Client) *caller {
-	book := newAddressCache()
+	addresses := newAddressCache()
 	c := &caller{
-		sender:   &sender{client: client, patience: o.Patience},
-		addresses:     book,
-		direct:   o.Direct,
-		timeout:  o.Timeout,
-		attempts: o.Attempts,
+		sender:    &sender{client: client, patience: o.Patience},
+		addresses: addresses,
+		direct:    o.Direct,
+		timeout:   o.Timeout,
+		attempts:  o.Attempts,
 	}
 	if o.Direct == "" {
-		c.fetcher = &addressFetcher{client: client, seeds: o.Hosts, zone: o.Zone, cache: book}
+		c.fetcher = &addressFetcher{client: client, seeds: o.Hosts, zone: o.Zone, cache: addresses}
 	}
 	return c
 }
--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -41,7 +41,7 @@
 	address string
 	client  *http.Client
 	hosts   []*announcedHost
-	trigger    chan struct{}
+	trigger chan struct{}
 	seq     uint64
 	history []timedLoad
 	pending []timedEvents
@@ -65,7 +65,7 @@
 		server:  s,
 		address: address,
 		client:  &http.Client{Timeout: announceTimeout},
-		trigger:    make(chan struct{}, 1),
+		trigger: make(chan struct{}, 1),
 	}
 }
 
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -28,11 +28,11 @@
 
 // prefixCache is an LRU cache of blocks, with the events that were not taken yet.
 type prefixCache struct {
-	capacity  int
-	blocks map[uint64]*list.Element
-	recent *list.List // front: most recently used
-	seq    uint64
-	events []CacheEvent
+	capacity int
+	blocks   map[uint64]*list.Element
+	recent   *list.List // front: most recently used
+	seq      uint64
+	events   []CacheEvent
 }
 
 func newPrefixCache(bound int) *prefixCache {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,7 +12,7 @@
 
 // The reasons why the engine rejects a stream.
 var (
-	errDuplicate     = errors.New("a stream with this id already exists")
+	errDuplicate = errors.New("a stream with this id already exists")
 	errQueueFull = errors.New("the queue is full")
 )
 
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -48,7 +48,7 @@
 }
 
 type faultState struct {
-	mu  sync.Mutex
+	mu      sync.Mutex
 	current Faults
 }
 
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -47,7 +47,7 @@
 	adapters []string
 	role     string
 	fence    uint64
-	accepted    []Order
+	accepted []Order
 }
 
 func (o *catalog) lists() (models, adapters []string) {
@@ -139,7 +139,7 @@
 
 func (s *Server) getOrders(w http.ResponseWriter, _ *http.Request) {
 	s.catalog.mu.Lock()
-	taken := slices.Clone(s.catalog.accepted)
+	accepted := slices.Clone(s.catalog.accepted)
 	s.catalog.mu.Unlock()
-	writeJSON(w, http.StatusOK, taken)
+	writeJSON(w, http.StatusOK, accepted)
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -20,7 +20,7 @@
 type Server struct {
 	opts     Options
 	engine   *engine
-	catalog    *catalog
+	catalog  *catalog
 	runs     *runCounts
 	faults   faultState
 	unnamed  atomic.Int64
@@ -31,17 +31,17 @@
 	http     *http.Server
 	announce *announcer
 	stop     context.CancelFunc
-	wg     sync.WaitGroup
+	wg       sync.WaitGroup
 }
 
 // New returns a Server that does not listen yet.
 func New(opts Options) *Server {
 	opts = opts.withDefaults(time.Now())
 	return &Server{
-		opts:   opts,
-		engine: newEngine(opts),
-		catalog:  &catalog{models: opts.Models, adapters: opts.Adapters, role: opts.Role},
-		runs:   &runCounts{entries: map[string]int{}},
+		opts:    opts,
+		engine:  newEngine(opts),
+		catalog: &catalog{models: opts.Models, adapters: opts.Adapters, role: opts.Role},
+		runs:    &runCounts{entries: map[string]int{}},
 	}
 }
 
