--- a/internal/measure/budgets/budgets.go
+++ b/internal/measure/budgets/budgets.go
@@ -1,6 +1,7 @@
-// Package budgets measures ways of spending prepaid budgets at many hosts: the same demand
-// and the same cuts, from fixed seeds, in virtual time. The ways with grants run the
-// product's own state machine, package grant, against a small ledger in memory.
+// Package budgets compares strategies for spending prepaid budgets on many hosts. Each strategy
+// gets the same demand and the same cuts, generated from fixed seeds, in virtual time. A cut is
+// a network partition that separates one availability zone from the others. The strategies with
+// grants run the state machine of package grant against a small in-memory ledger.
 package budgets
 
 import (
@@ -13,27 +14,28 @@
 	"github.com/bluebellsail/bluebellsail/internal/grant"
 )
 
-// Row is what one run measured.
+// Row holds the measurements of one run.
 type Row struct {
 	Way      string
 	Requests int
-	// Refused counts all refusals; RefusedInCut those during the cut. A false refusal is
-	// one while tokens were left somewhere: by the policy if they were in reach.
+	// Refused counts all refusals, RefusedInCut those during the cut. A refusal is false if
+	// enough tokens were left. It is FalseByPolicy if they were reachable, else FalseByCut.
 	Refused, RefusedInCut, FalseByCut, FalseByPolicy int
-	// Overspend is in tokens, OnHosts those that lay idle on hosts or in transit as the cut ended.
+	// Overspend is the number of overspent tokens. OnHosts is the number of unused tokens on
+	// hosts and in transit at the end of the cut.
 	Overspend, OnHosts uint64
 	Messages, Bytes    int
-	// Faults are rules of the ledger that were broken.
+	// Faults counts violations of the ledger's rules.
 	Faults int
 }
 
-// named is a way with its name in the table.
+// named is a strategy with its name in the table.
 type named struct {
 	name string
 	make func(*sim) way
 }
 
-// DefaultGrants is how the product is set.
+// DefaultGrants returns the product's default settings.
 func DefaultGrants() Grants {
 	return Grants{Policy: grant.PolicyFrom(nil)}
 }
@@ -47,7 +49,7 @@
 	return g
 }
 
-// fourWays are the ways that the table compares.
+// fourWays returns the strategies that the table compares.
 func fourWays() []named {
 	return []named{
 		{"equal shares", newStatic},
@@ -57,7 +59,8 @@
 	}
 }
 
-// scenarios are the rows: cut, part of the budget spent, demand even or skewed.
+// scenarios returns all combinations of even and skewed demand, the duration of the cut, and the
+// part of the budgets that is spent.
 func scenarios(seed int64) []scenario {
 	var all []scenario
 	for _, skewed := range []bool{false, true} {
@@ -70,10 +73,10 @@
 	return all
 }
 
-// parallel bounds the runs at a time.
+// parallel bounds the number of concurrent runs.
 const parallel = 4
 
-// Run writes the table of the four ways.
+// Run writes the table of the four strategies.
 func Run(w io.Writer, seed int64) error {
 	return writeTable(w, scenarios(seed), fourWays())
 }
@@ -105,7 +108,8 @@
 	}
 }
 
-// runAll plays every scenario with every way; results stand in the order of both.
+// runAll runs every scenario with every strategy. The result is indexed by scenario, then by
+// strategy.
 func runAll(rows []scenario, ways []named) [][]Row {
 	results := make([][]Row, len(rows))
 	limit := make(chan struct{}, parallel)
--- a/internal/measure/budgets/budgets_test.go
+++ b/internal/measure/budgets/budgets_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// shortCut is a scenario of a few seconds of processor time.
+// shortCut holds scenarios that take a few seconds of CPU time.
 var shortCut = []scenario{
 	{cut: 5 * time.Minute, spent: 0.30, seed: 1},
 	{cut: 5 * time.Minute, spent: 0.90, skewed: true, seed: 2},
 }
 
-// TestGoals: no overspend and no broken rule of the ledger in any way, the same figures each
-// time, and with the product's defaults under 1% refused in a cut of 5 minutes.
+// TestGoals checks that no strategy overspends or violates a rule of the ledger, that the figures
+// are reproducible, and that the product's defaults refuse less than 1% in a cut of 5 minutes.
 func TestGoals(t *testing.T) {
 	first := runAll(shortCut, fourWays())
 	if again := runAll(shortCut, fourWays()); !reflect.DeepEqual(first, again) {
@@ -22,17 +22,17 @@
 	for i, rows := range first {
 		for _, r := range rows {
 			if r.Overspend != 0 || r.Faults != 0 || r.Requests == 0 {
-				t.Errorf("%+v: overspend, broken rules or no requests", r)
+				t.Errorf("%+v: overspend, violated rules or no requests", r)
 			}
 			inCut := shortCut[i].cut.Seconds() * totalRate
 			if r.Way == "grants+transfers" && (float64(r.RefusedInCut) > inCut/100 || r.FalseByPolicy > 0) {
-				t.Errorf("%+v: more than 1%% refused, or in reach of tokens", r)
+				t.Errorf("%+v: more than 1%% refused, or refused although enough tokens were reachable", r)
 			}
 		}
 	}
 }
 
-// reckless spends the whole rest of a budget at every host.
+// reckless is a strategy that lets every host spend all that is left of a budget.
 func reckless(s *sim) way {
 	w := newStatic(s).(*static)
 	for host := range hostCount {
@@ -43,15 +43,15 @@
 	return w
 }
 
-// TestOverspendIsSeen: the measurement shows the overspend of a way that overspends, and the
-// false refusals of one that can't serve in the cut.
+// TestOverspendIsSeen checks that the measurement detects the overspend of a strategy that
+// overspends, and the false refusals of one that can't serve during the cut.
 func TestOverspendIsSeen(t *testing.T) {
 	long := []scenario{{cut: time.Hour, spent: 0.90, seed: 1}}
 	rows := runAll(long, []named{{"reckless", reckless}, {"quorum write", newQuorum}})[0]
 	if rows[0].Overspend == 0 {
-		t.Error("no overspend seen of a way that spends each budget at each host")
+		t.Error("no overspend detected of a strategy that spends each budget at each host")
 	}
 	if rows[1].FalseByCut == 0 {
-		t.Error("no false refusal seen of a way that needs the quorum")
+		t.Error("no false refusal detected of a strategy that needs the quorum")
 	}
 }
--- a/internal/measure/budgets/scenario.go
+++ b/internal/measure/budgets/scenario.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The fleet measured: 7 hosts in three availability zones, as both users have today. The
-// ledger's leader is in zone 0; a cut separates zone 2, which has no quorum.
+// The simulated fleet has 7 hosts in three availability zones, as both users have today. The
+// ledger's leader is in zone 0. A cut separates zone 2, which has no quorum.
 const (
 	hostCount  = 7
 	cutZone    = 2
@@ -18,10 +18,10 @@
 
 var zoneOf = [hostCount]int{0, 0, 0, 1, 1, 2, 2}
 
-// accountShare is each account's part of the demand: 3 large ones, 7 small ones.
+// accountShare is each account's share of the demand: 3 large accounts and 7 small ones.
 var accountShare = [...]float64{0.22, 0.22, 0.22, 0.05, 0.05, 0.05, 0.05, 0.05, 0.05, 0.04}
 
-// Sizes of requests in tokens. The output is cut at the cap, of which a third is used on
+// The sizes of requests in tokens. The output is limited by the cap, of which a third is used on
 // average.
 const (
 	promptLeast, promptMost = 300, 900
@@ -33,8 +33,8 @@
 // scenario is one row of the table.
 type scenario struct {
 	cut    time.Duration
-	spent  float64 // part of each budget that is billed when the cut begins
-	skewed bool    // 70% of an account's requests come to one host
+	spent  float64 // share of each budget that is billed when the cut begins
+	skewed bool    // 70% of an account's requests go to one host
 	seed   int64
 }
 
@@ -50,23 +50,24 @@
 	decided  bool
 }
 
-// cutFrom and cutTo bound the cut in virtual time.
+// cutFrom and cutTo are the start and the end of the cut in virtual time.
 func (s scenario) cutFrom() time.Duration { return warmUp }
 func (s scenario) cutTo() time.Duration   { return warmUp + s.cut }
 func (s scenario) end() time.Duration     { return s.cutTo() + afterCut }
 
-// funded is the size of an account's budget: some hours of its mean demand.
+// funded returns the size of an account's budget, which is its mean demand during budgetLife.
 func funded(account int) uint64 {
 	return uint64(accountShare[account] * totalRate * meanUsage * budgetLife.Seconds())
 }
 
-// billedBefore is what was billed before the run, so that spent holds when the cut begins.
+// billedBefore returns the tokens billed before the run, chosen so that the share spent is
+// reached on average when the cut begins.
 func (s scenario) billedBefore(account int) uint64 {
 	part := s.spent - warmUp.Seconds()/budgetLife.Seconds()
 	return uint64(max(0, part) * float64(funded(account)))
 }
 
-// requests draws the demand: the same for every way of a scenario.
+// requests generates the demand, which is the same for all strategies in a scenario.
 func (s scenario) requests() []*request {
 	rng := rand.New(rand.NewSource(s.seed))
 	var all []*request
--- a/internal/measure/budgets/sim.go
+++ b/internal/measure/budgets/sim.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Times of the network and of the runtime, one way where it is a latency.
+// The timing of the network and of the runtime. Latencies are one-way.
 const (
 	inZone         = 300 * time.Microsecond
 	betweenZones   = 1100 * time.Microsecond
@@ -21,22 +21,22 @@
 	proposeTimeout = time.Second
 	askTimeout     = 250 * time.Millisecond
 	tickEvery      = 100 * time.Millisecond
-	suspectAfter   = 2 * time.Second // until a peer that was cut off isn't asked any more
+	suspectAfter   = 2 * time.Second // until a peer that was cut off is no longer contacted
 	messageBytes   = 100             // headers of one message: TCP, HTTP/2, gRPC
 	replicas       = 3
 )
 
-// way is one way of spending budgets at many hosts.
+// way is a strategy for spending budgets on many hosts.
 type way interface {
-	// reserve ends in exactly one sim.decide, now or later.
+	// reserve leads to exactly one call of sim.decide, immediately or later.
 	reserve(r *request)
 	settle(r *request)
 	tick()
-	// free is what a host could reserve at once of an account's budget.
+	// free returns the tokens of an account's budget that a host could reserve immediately.
 	free(host, account int) uint64
 }
 
-// sim is one run in virtual time.
+// sim is one run of a scenario in virtual time.
 type sim struct {
 	scenario scenario
 	now      time.Duration
@@ -46,7 +46,8 @@
 	way      way
 	result   Row
 	used     []uint64
-	// inTransit are tokens deducted at a giver and not yet at the receiver.
+	// inTransit is, for each account, the tokens deducted from a transfer's sender and not yet
+	// added to its receiver.
 	inTransit []uint64
 }
 
@@ -77,7 +78,7 @@
 func budgetName(a int) string      { return "b" + strconv.Itoa(a) }
 func holderOf(host int) *pb.Holder { return &pb.Holder{Host: hostName(host), Incarnation: 1} }
 
-// virtual is a time.Time for the state machines.
+// virtual returns the virtual time as a time.Time for the state machines.
 func (s *sim) virtual() time.Time { return time.Unix(0, 0).Add(s.now) }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -89,7 +90,7 @@
 	return s.now >= s.scenario.cutFrom() && s.now < s.scenario.cutTo()
 }
 
-// joined tells whether two zones reach each other now.
+// joined reports whether two zones are currently connected.
 func (s *sim) joined(a, b int) bool {
 	return !s.cutNow() || (a == cutZone) == (b == cutZone)
 }
@@ -108,8 +109,8 @@
 	s.result.Bytes += bytes + messages*messageBytes
 }
 
-// propose carries a command to the ledger. answered gets nil if there is no answer. A
-// command costs a message and its answer, and both again to each further replica.
+// propose sends a command to the ledger. answered gets nil if there is no answer. The traffic of
+// a command is one message and its answer, and the same again for each further replica.
 func (s *sim) propose(host int, cmd *pb.Command, answered func(*pb.CommandResult)) {
 	size := proto.Size(cmd)
 	if !s.reachesLedger(host) {
@@ -129,7 +130,7 @@
 	})
 }
 
-// run plays the scenario and returns its row.
+// run simulates the scenario and returns its row.
 func (s *sim) run() Row {
 	for _, r := range s.scenario.requests() {
 		s.after(r.at-s.now, func() {
@@ -156,7 +157,8 @@
 	s.after(tickEvery, s.tick)
 }
 
-// decide ends a request's wait. A granted one runs and settles; a refused one is judged.
+// decide sets the outcome of a reservation. A granted request runs and is settled, a refused one
+// is counted by judge.
 func (s *sim) decide(r *request, err *errkind.Error) {
 	if r.decided {
 		panic(fmt.Sprintf("%s decided twice", r.id))
@@ -170,8 +172,9 @@
 	s.judge(r)
 }
 
-// judge tells a true refusal from a false one, and whose fault a false one is: of the
-// policy if the ledger and the hosts in reach held enough, else of the cut.
+// judge classifies a refusal. It is false if enough tokens were left in total. The policy is the
+// cause of a false refusal if the ledger and the hosts that were reachable had enough tokens,
+// otherwise the cut is.
 func (s *sim) judge(r *request) {
 	s.result.Refused++
 	ledger := s.ledger.Budgets[budgetName(r.account)].Free()
@@ -197,7 +200,7 @@
 	}
 }
 
-// noteOnHosts counts the tokens that lie idle on hosts or in transit as the cut ends.
+// noteOnHosts counts the unused tokens on hosts and in transit at the end of the cut.
 func (s *sim) noteOnHosts() {
 	for account := range accountShare {
 		s.result.OnHosts += s.inTransit[account]
@@ -207,7 +210,7 @@
 	}
 }
 
-// checkOverspend compares what runs took with the funds, and takes in the ledger's faults.
+// checkOverspend compares the tokens used with the budgets, and counts the ledger's faults.
 func (s *sim) checkOverspend() {
 	for account, used := range s.used {
 		spent := used + s.scenario.billedBefore(account)
--- a/internal/measure/budgets/transfers.go
+++ b/internal/measure/budgets/transfers.go
@@ -9,7 +9,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// ask carries a request for tokens to a peer and its answer back.
+// ask sends a request for tokens to a peer.
 func (w *demand) ask(host int, ask grant.Ask) {
 	peer := w.index[ask.Peer]
 	w.s.count(1, proto.Size(ask.Request))
@@ -23,51 +23,54 @@
 	w.s.after(latency(zoneOf[host], zoneOf[peer]), func() { w.give(host, peer, ask.Request) })
 }
 
-// give is the peer's side: deduct, copy to a third host, answer.
-func (w *demand) give(asker, giver int, req *pb.AskTokensRequest) {
-	h := w.holders[giver]
+// give handles a request for tokens on the transfer's sender: it deducts the tokens, stores a
+// copy of the transfer on a third host and answers.
+func (w *demand) give(receiver, sender int, req *pb.AskTokensRequest) {
+	h := w.holders[sender]
 	t, state := h.HandleAsk(w.s.virtual(), req)
 	if state != grant.NewTransfer {
-		w.answer(asker, giver, req, t)
+		w.answer(receiver, sender, req, t)
 		return
 	}
-	third := w.third(asker, giver)
+	third := w.third(receiver, sender)
 	if third < 0 && w.set.NeedThird {
-		w.step(giver, func(h *grant.Holder, now time.Time) grant.Output { return h.UndoTransfer(now, req.GetId()) })
-		w.answer(asker, giver, req, nil)
+		w.step(sender, func(h *grant.Holder, now time.Time) grant.Output { return h.UndoTransfer(now, req.GetId()) })
+		w.answer(receiver, sender, req, nil)
 		return
 	}
 	trip := askTimeout / 2
 	if third >= 0 {
-		trip = 2 * latency(zoneOf[giver], zoneOf[third])
+		trip = 2 * latency(zoneOf[sender], zoneOf[third])
 	}
 	account := w.accounts[req.GetBudget()]
 	w.s.inTransit[account] += t.GetTokens()
 	w.s.count(2, 2*proto.Size(t))
 	w.s.after(trip, func() {
 		h.MarkTransferReady(req.GetId())
-		w.answer(asker, giver, req, t)
+		w.answer(receiver, sender, req, t)
 	})
 }
 
-// third is a host that can hold the copy: in reach of the giver and neither end; -1: none.
-func (w *demand) third(asker, giver int) int {
+// third returns a host that can store the copy: one that the sender can reach and that is neither
+// sender nor receiver. It returns -1 if there is none.
+func (w *demand) third(receiver, sender int) int {
 	for host := range hostCount {
-		if host != asker && host != giver && w.s.joined(zoneOf[host], zoneOf[giver]) {
+		if host != receiver && host != sender && w.s.joined(zoneOf[host], zoneOf[sender]) {
 			return host
 		}
 	}
 	return -1
 }
 
-func (w *demand) answer(asker, giver int, req *pb.AskTokensRequest, t *pb.Transfer) {
+// answer sends the answer to a request for tokens; t is nil if no tokens are transferred.
+func (w *demand) answer(receiver, sender int, req *pb.AskTokensRequest, t *pb.Transfer) {
 	w.s.count(1, proto.Size(t))
-	if !w.s.joined(zoneOf[asker], zoneOf[giver]) {
-		return // lost: the ask is repeated until it is answered
+	if !w.s.joined(zoneOf[receiver], zoneOf[sender]) {
+		return // the answer is lost; the request is repeated until it is answered
 	}
-	w.s.after(latency(zoneOf[asker], zoneOf[giver]), func() {
+	w.s.after(latency(zoneOf[receiver], zoneOf[sender]), func() {
 		account := w.accounts[req.GetBudget()]
-		w.step(asker, func(h *grant.Holder, now time.Time) grant.Output { return h.AskAnswered(now, req.GetId(), t) })
+		w.step(receiver, func(h *grant.Holder, now time.Time) grant.Output { return h.AskAnswered(now, req.GetId(), t) })
 		if t != nil {
 			w.s.inTransit[account] -= min(w.s.inTransit[account], t.GetTokens())
 		}
--- a/internal/measure/budgets/ways.go
+++ b/internal/measure/budgets/ways.go
@@ -11,8 +11,8 @@
 
 var errRefused = errkind.New(errkind.BudgetExhausted, "refused")
 
-// static gives each host an equal share of what is left at the start, for good. Bills go to
-// the ledger one by one; that is all that it sends.
+// static gives each host a fixed, equal share of the tokens that are left at the start. Its only
+// messages are the bills, which are sent to the ledger one by one.
 type static struct {
 	s    *sim
 	left [hostCount][]uint64
@@ -50,10 +50,10 @@
 func (w *static) tick()                         {}
 func (w *static) free(host, account int) uint64 { return w.left[host][account] }
 
-// quorum writes to the ledger before and after each request; hosts hold nothing.
+// quorum writes to the ledger before and after each request. Hosts hold no tokens in between.
 type quorum struct {
 	s       *sim
-	acquire [hostCount][]uint64 // last number of each budget
+	acquire [hostCount][]uint64 // last sequence number by account
 	batch   [hostCount]uint64
 }
 
@@ -66,7 +66,7 @@
 }
 
 func (w *quorum) reserve(r *request) {
-	if !w.s.reachesLedger(r.host) { // refused at once: the cut is known to the host
+	if !w.s.reachesLedger(r.host) { // refused immediately, because the host has detected the cut
 		w.s.count(1, 100)
 		w.s.decide(r, errRefused)
 		return
@@ -92,7 +92,8 @@
 	w.settleWith(r, bill, r.reserve-r.use)
 }
 
-// settleWith returns what was not used. In the cut the batch is kept and sent again.
+// settleWith sends the bill, if any, and returns the unused tokens. During the cut it tries again
+// until the ledger is reachable.
 func (w *quorum) settleWith(r *request, bill *pb.Bill, back uint64) {
 	if !w.s.reachesLedger(r.host) {
 		w.s.after(proposeTimeout, func() { w.settleWith(r, bill, back) })
@@ -112,15 +113,16 @@
 func (w *quorum) tick()                {}
 func (w *quorum) free(int, int) uint64 { return 0 }
 
-// Grants is how the ways with grants are set.
+// Grants configures the strategies with grants.
 type Grants struct {
 	Policy grant.Policy
 	Config grant.Config
-	// NeedThird refuses a transfer that no third host can hold a copy of.
+	// NeedThird rejects a transfer if no third host can store a copy of it.
 	NeedThird bool
 }
 
-// demand spends from grants by demand, and shares by transfers if the policy says so.
+// demand spends from grants that are acquired on demand. If the policy allows it, hosts transfer
+// tokens to each other.
 type demand struct {
 	s       *sim
 	set     Grants
@@ -128,7 +130,7 @@
 	waiting map[string]*request
 	flush   [hostCount]bool
 	index   map[string]int
-	// accounts finds the account of a budget's name.
+	// accounts maps the names of budgets to accounts.
 	accounts map[string]int
 }
 
@@ -144,7 +146,7 @@
 	return w
 }
 
-// peers are the hosts that membership counts as reachable, two seconds late.
+// peers returns the hosts that the membership considers reachable, which lags by suspectAfter.
 func (w *demand) peers(host int) []string {
 	late := w.s.now - suspectAfter
 	apart := late >= w.s.scenario.cutFrom() && late < w.s.scenario.cutTo()
@@ -205,6 +207,7 @@
 	return 0
 }
 
+// carry executes the output of a host's state machine.
 func (w *demand) carry(host int, out grant.Output) {
 	for _, d := range out.Decisions {
 		r := w.waiting[d.Request]
--- a/internal/measure/routing/baseline.go
+++ b/internal/measure/routing/baseline.go
@@ -8,8 +8,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// registries is what all routers but the oracle know of the servers: one registry
-// per host, fed by announcements and heartbeats.
+// registries holds the state of the servers as known to all routers but the oracle. There is one
+// registry per host, updated by announcements and heartbeats.
 type registries struct {
 	sim  *sim
 	regs []*backend.Registry
@@ -44,8 +44,8 @@
 	}
 }
 
-// direct sends every request at once to a server picked from the usable ones, and
-// again elsewhere if that is lost.
+// direct sends every request immediately to one of the usable servers, and again to another one
+// if that server is lost.
 type direct struct {
 	registries
 	pick func(host int, usable []*backend.Server) *backend.Server
@@ -71,6 +71,7 @@
 func (d *direct) first(time.Duration, *job)       {}
 func (d *direct) lost(now time.Duration, j *job)  { d.arrive(now, j) }
 
+// roundRobin returns a router whose hosts use the usable servers in turn.
 func roundRobin(m *sim, seed int64) router {
 	rng := rand.New(rand.NewSource(seed))
 	next := make([]int, m.site.hosts)
@@ -83,6 +84,8 @@
 	}}
 }
 
+// leastReported returns a router that uses the server with the lowest reported load, and a random
+// one of several.
 func leastReported(m *sim, seed int64) router {
 	rng := rand.New(rand.NewSource(seed))
 	return &direct{newRegistries(m), func(_ int, usable []*backend.Server) *backend.Server {
--- a/internal/measure/routing/oracle.go
+++ b/internal/measure/routing/oracle.go
@@ -8,9 +8,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// oracle schedules all hosts' requests from one queue and knows the true load, the
-// true caches and how long every output will be. It is a yardstick, no bound: its
-// order is by class and then by deadline.
+// oracle schedules the requests of all hosts from one queue. It knows the actual load and caches
+// and the length of every output. It serves as a reference, but is not an upper bound, since it
+// simply orders requests by class and then by deadline.
 type oracle struct {
 	sim     *sim
 	waiting []*job
@@ -20,7 +20,7 @@
 
 func (o *oracle) arrive(_ time.Duration, j *job) { o.waiting = append(o.waiting, j) }
 
-// runTime is how long j takes on s with a full batch.
+// runTime returns the duration of j on s with a full batch.
 func (o *oracle) runTime(j *job, s *server) time.Duration {
 	seconds := float64(j.output) * s.tokenTime(s.slots)
 	if s.model {
@@ -58,7 +58,7 @@
 	o.waiting = keep
 }
 
-// free tells whether a server of the kind has a free slot.
+// free reports whether a model server, or else a service server, has a free slot.
 func (o *oracle) free(model bool) bool {
 	for _, s := range o.sim.servers {
 		if !s.dead && s.model == model && len(s.active)+len(s.queue) < s.slots {
@@ -68,7 +68,8 @@
 	return false
 }
 
-// outputTime is the least time that j takes anywhere.
+// outputTime returns the time to generate the output of j. Model servers are assumed to have a
+// full batch.
 func (o *oracle) outputTime(j *job) time.Duration {
 	if j.target == serviceTarget {
 		return time.Duration(float64(j.output) * serviceTokenTime * float64(time.Second))
@@ -76,7 +77,7 @@
 	return time.Duration(float64(j.output) * fullTokenTime * float64(time.Second))
 }
 
-// place starts or refuses j; false: it goes on waiting.
+// place dispatches or refuses j. It returns false if j keeps waiting.
 func (o *oracle) place(now time.Duration, j *job) bool {
 	var best *server
 	var bestTime, least time.Duration
--- a/internal/measure/routing/ours.go
+++ b/internal/measure/routing/ours.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/sched"
 )
 
-// ours runs one scheduling core per host.
+// ours is the product's router, with one scheduling core per host.
 type ours struct {
 	registries
 	cores  []*sched.Core
--- a/internal/measure/routing/routing_test.go
+++ b/internal/measure/routing/routing_test.go
@@ -12,13 +12,13 @@
 			return r
 		}
 	}
-	t.Fatalf("no row of %q", policy)
+	t.Fatalf("no row for policy %q", policy)
 	return row{}
 }
 
-// Symptom: admitted requests are late, or more are refused than need be.
-// Sequence: twice the capacity arrives, or a server is lost at the capacity.
-// Cause: any change of the policy; virtual time, so the figures are exact.
+// Guards against changes of the policy that make admitted requests late or cause unnecessary
+// refusals, at twice the capacity with and without a lost server. Time is virtual, so the figures
+// are exact.
 func TestPolicyUnderLoad(t *testing.T) {
 	for _, f := range []fault{faults[0], faults[1]} {
 		rows := measure(sites[:1], []float64{2.0}, []fault{f}, policies, 1)
@@ -47,7 +47,7 @@
 		return b.String()
 	}
 	if first := table(); first != table() || !strings.Contains(first, oracleName) {
-		t.Error("two runs of one seed differ")
+		t.Error("two runs with the same seed differ")
 	}
 }
 
@@ -57,9 +57,9 @@
 		t.Errorf("shares %v, want 10 40 40", fair)
 	}
 	if j := jain([]float64{10, 40, 40}, []float64{10, 100, 100}); j < 0.999 {
-		t.Errorf("index %v of a fair division, want 1", j)
+		t.Errorf("index %v for a fair allocation, want 1", j)
 	}
 	if j := jain([]float64{10, 80, 0}, []float64{10, 100, 100}); j > 0.7 {
-		t.Errorf("index %v of an unfair division", j)
+		t.Errorf("index %v for an unfair allocation, want at most 0.7", j)
 	}
 }
--- a/internal/measure/routing/server.go
+++ b/internal/measure/routing/server.go
@@ -7,11 +7,11 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Constants of the fake servers, in seconds and tokens per second.
+// The constants of the simulated servers, in seconds and tokens per second.
 const (
 	modelSlots    = 16
 	baseTokenTime = 0.015
-	slowdown      = 0.00075 // added per request in the batch
+	slowdown      = 0.00075 // added to the token time per request in the batch
 	fullTokenTime = baseTokenTime + slowdown*modelSlots
 	prefillRate   = 12000.0
 	cacheBlocks   = 1200
@@ -20,8 +20,8 @@
 	serviceTokenTime = 0.010
 )
 
-// modelCapacity is how many requests a second n servers can do with full batches
-// and no cache hits.
+// modelCapacity returns the number of requests per second that n servers can process with full
+// batches and no cache hits.
 func modelCapacity(n int) float64 {
 	slotTime := 0.0
 	for _, s := range shapes {
@@ -34,7 +34,7 @@
 
 func serviceCapacity(n int) float64 { return float64(n*serviceSlots) / (10 * serviceTokenTime) }
 
-// server is a fake backend server.
+// server is a simulated backend server.
 type server struct {
 	index   int
 	address string
@@ -51,13 +51,13 @@
 	busySum float64
 }
 
-// reported is the load at a time.
+// reported is the load at a point in time.
 type reported struct {
 	at               time.Duration
 	running, waiting int
 }
 
-// lru is a prefix cache and the events that it owes.
+// lru is a prefix cache with its changes since the last cache event.
 type lru struct {
 	order   *list.List
 	blocks  map[uint64]*list.Element
@@ -103,7 +103,7 @@
 	}
 }
 
-// peek counts hits without touching the order, for the oracle.
+// peek counts hits without changing the order, for the oracle.
 func (c *lru) peek(hashes []uint64) int {
 	n := 0
 	for _, h := range hashes {
@@ -122,7 +122,7 @@
 	return baseTokenTime + slowdown*float64(batch)
 }
 
-// fill moves waiting requests into the batch, more pressing classes first.
+// fill moves waiting requests into the batch, more urgent classes first.
 func (s *server) fill() {
 	for len(s.active) < s.slots && len(s.queue) > 0 {
 		best := 0
@@ -139,7 +139,7 @@
 	}
 }
 
-// run does one tick of work and returns the requests that ended in it.
+// run simulates one tick and returns the requests that finished in it.
 func (s *server) run(now, tick time.Duration) []*job {
 	s.fill()
 	budget := prefillRate * tick.Seconds()
@@ -191,7 +191,7 @@
 	}
 }
 
-// announce is the next announcement, with the load as it was lag ago.
+// announce returns the next announcement, with the load as it was lag ago.
 func (s *server) announce(now, lag time.Duration) *pb.ServerState {
 	s.past = append(s.past, reported{now, len(s.active), len(s.queue)})
 	for len(s.past) > 1 && s.past[1].at <= now-lag {
--- a/internal/measure/routing/sim.go
+++ b/internal/measure/routing/sim.go
@@ -11,25 +11,25 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Steps of virtual time.
+// The timing of the simulation.
 const (
 	tick          = 20 * time.Millisecond
 	announceEvery = 500 * time.Millisecond
 	// faultAt is when servers are lost.
 	faultAt = 25 * time.Second
-	// noticeLoss is when a host sees that a connection to a lost server broke.
+	// noticeLoss is how long after that hosts detect that their connections broke.
 	noticeLoss = 500 * time.Millisecond
 	eventDelay = 200 * time.Millisecond
 	maxRun     = 10 * time.Minute
 )
 
-// fault is what goes wrong in a run.
+// fault describes the faults that are injected into a run.
 type fault struct {
 	name     string
-	servers  int           // lost model servers
-	zone     bool          // the first zone's servers are lost
-	lag      time.Duration // of load reports
-	gapShare float64       // of cache events lost
+	servers  int           // number of model servers that are lost
+	zone     bool          // all servers in the first zone are lost
+	lag      time.Duration // delay of load reports
+	gapShare float64       // share of cache events that are lost
 }
 
 var faults = []fault{
@@ -43,20 +43,20 @@
 // router is a policy under measurement.
 type router interface {
 	arrive(now time.Duration, j *job)
-	// tick is called once per step after the servers ran.
+	// tick is called once per step, after the servers.
 	tick(now time.Duration)
-	// ended: j left its server, whole or not.
+	// ended is called when j has left its server. whole is true if j has completed.
 	ended(now time.Duration, j *job, whole bool)
-	// first: j's first token came.
+	// first is called when j has its first token.
 	first(now time.Duration, j *job)
-	// lost: j's server is gone.
+	// lost is called when j's server is lost.
 	lost(now time.Duration, j *job)
 	announce(now time.Duration, host int, st *pb.ServerState)
 	heartbeat(now time.Duration)
 	event(now time.Duration, ev backend.CacheEvent)
 }
 
-// sim is one run.
+// sim is one simulation run.
 type sim struct {
 	site    site
 	fault   fault
@@ -71,7 +71,7 @@
 	events  []timedEvent
 	evSeq   []uint64
 	ticks   int
-	// settled is the number of jobs from the first on that have a result.
+	// settled is the number of jobs at the start of jobs that all have a result.
 	settled int
 }
 
@@ -80,7 +80,7 @@
 	ev backend.CacheEvent
 }
 
-// epoch is the wall time of virtual time 0.
+// epoch is the wall-clock time at virtual time 0.
 var epoch = time.Unix(1_000_000, 0)
 
 func wall(t time.Duration) time.Time { return epoch.Add(t) }
@@ -105,7 +105,7 @@
 
 func (m *sim) hostZone(h int) string { return m.site.zones[h%len(m.site.zones)] }
 
-// way is the round trip between a job's host and a server.
+// way returns the round-trip time between a job's host and a server.
 func (m *sim) way(j *job, s *server) time.Duration {
 	if m.hostZone(j.host) == s.zone {
 		return 0
@@ -165,7 +165,7 @@
 	}
 }
 
-// work lets the servers run one tick, and tells the router what came of it.
+// work simulates one tick of the servers and notifies the router of the outcomes.
 func (m *sim) work(now time.Duration) {
 	m.ticks++
 	if now == faultAt {
@@ -198,7 +198,7 @@
 	}
 }
 
-// cut cancels a run whose deadline passed.
+// cut cancels a running job whose deadline has passed.
 func (m *sim) cut(now time.Duration, j *job) {
 	m.servers[j.server].drop(j)
 	m.wasted += j.made
@@ -225,7 +225,7 @@
 	}
 }
 
-// breakLost tells of requests at lost servers once that can be noticed.
+// breakLost notifies the router of requests on lost servers as soon as hosts can detect the loss.
 func (m *sim) breakLost(now time.Duration) {
 	if now < faultAt+noticeLoss {
 		return
--- a/internal/measure/routing/table.go
+++ b/internal/measure/routing/table.go
@@ -11,13 +11,13 @@
 	"github.com/bluebellsail/bluebellsail/internal/sched"
 )
 
-// policy is a named router.
+// policy is a router with its name in the table.
 type policy struct {
 	name string
 	make func(m *sim, seed int64) router
 }
 
-// oracleName marks the row that others are compared with.
+// oracleName is the policy with which all others are compared.
 const oracleName = "oracle"
 
 func withParts(p sched.Ablation) func(*sim, int64) router {
@@ -36,7 +36,7 @@
 
 var loads = []float64{0.7, 1.0, 1.3, 2.0}
 
-// row holds the figures of one run.
+// row holds the measurements of one run.
 type row struct {
 	site, fault, policy string
 	load                float64
@@ -46,14 +46,14 @@
 	services, servicesInTime                int
 	work                                    float64 // output tokens in time
 	firstMedian, firstP95                   time.Duration
-	hits                                    float64 // share of prompt blocks of dispatched jobs
-	excess                                  float64 // worst server's mean load above the mean of all
+	hits                                    float64 // cached share of the prompt blocks of dispatched jobs
+	excess                                  float64 // busiest server's mean load relative to the mean, minus 1
 	jain                                    float64
 	wasted                                  float64
 	busy                                    float64 // share of slots in use while requests arrive
 }
 
-// Run prints the table of the whole comparison.
+// Run prints the table of all policies, loads and faults.
 func Run(w io.Writer, seed int64) error {
 	rows := measure(sites, loads, faults, policies, seed)
 	return printRows(w, rows)
@@ -63,7 +63,7 @@
 	rows := make([]row, len(ss)*len(ls)*len(fs)*len(ps))
 	var wg sync.WaitGroup
 	next := make(chan func())
-	// Half of the processors: the table shares its machine with others.
+	// Use half of the CPUs, since the machine is shared.
 	for range max(runtime.GOMAXPROCS(0)/2, 1) {
 		wg.Go(func() {
 			for f := range next {
@@ -148,8 +148,8 @@
 	r.jain = jain(served, asked)
 }
 
-// jain is Jain's index of what each account got relative to its max-min fair share
-// of all that was served in time.
+// jain returns Jain's fairness index of the ratio between what each account was served and its
+// max-min fair share of all that was served in time.
 func jain(served, asked []float64) float64 {
 	total := 0.0
 	for _, v := range served {
@@ -172,7 +172,8 @@
 	return sum * sum / (n * squares)
 }
 
-// maxMin splits total so that nobody gets more than asked and the least is greatest.
+// maxMin returns the max-min fair allocation of total: no account gets more than it asked for,
+// and the smallest share is as large as possible.
 func maxMin(asked []float64, total float64) []float64 {
 	out := make([]float64, len(asked))
 	left := len(asked)
@@ -194,7 +195,7 @@
 	return out
 }
 
-// excess is how far the busiest model server's mean load lies above the mean.
+// excess returns by what share the busiest model server's mean load exceeds the mean of all.
 func (m *sim) excess() float64 {
 	sum, most, n := 0.0, 0.0, 0.0
 	for _, s := range m.servers {
@@ -210,7 +211,8 @@
 	return most/(sum/n) - 1
 }
 
-// busy is the share of the model servers' slots in use while requests arrived.
+// busy returns the share of the model servers' slots that were in use from countFrom to
+// countUntil.
 func (m *sim) busy() float64 {
 	sum := 0.0
 	for _, s := range m.servers {
--- a/internal/measure/routing/workload.go
+++ b/internal/measure/routing/workload.go
@@ -1,7 +1,7 @@
-// Package routing measures the decisions under load: the same arrivals and faults,
-// in virtual time, against the usual baselines, each step of the scheduler and an
-// oracle that knows everything. Servers are small fakes that batch continuously,
-// hold a limited prefix cache and report load late.
+// Package routing measures routing decisions under load. In virtual time, with the same arrivals
+// and faults, it compares common baselines, the scheduler with more and more of its parts, and an
+// oracle with perfect information. The simulated servers have continuous batching and a limited
+// prefix cache, and report their load with a delay.
 package routing
 
 import (
@@ -16,9 +16,9 @@
 // blockTokens is the size of a prefix block.
 const blockTokens = 128
 
-// Requests arrive for the time arrivals. Those from countFrom to countUntil are in
-// the figures, and the run ends when all of them have ended: so queues are filled
-// before, and the load holds for as long as any of them may wait.
+// Requests arrive during arrivals. Only those that arrive from countFrom to countUntil are
+// counted, and the run ends when all of these have ended. So the queues are filled before, and
+// the load persists for as long as any of the counted requests may wait.
 const (
 	arrivals   = 75 * time.Second
 	countFrom  = 20 * time.Second
@@ -46,16 +46,16 @@
 	serviceTarget = backend.Target{Kind: backend.Service, Name: "s"}
 )
 
-// shape is the form of one class's requests.
+// shape describes the requests of one class.
 type shape struct {
 	class          sched.Class
 	share          float64 // of all model requests
-	prompt, output [2]int  // least and most tokens
+	prompt, output [2]int  // minimum and maximum number of tokens
 	slack          [2]time.Duration
 }
 
-// deadlineFactor times the time of the whole output cap at a full batch, plus the
-// slack of the class, is a request's deadline.
+// deadlineFactor determines the deadline of a request: deadlineFactor times the time to generate
+// the whole output cap in a full batch, plus the slack of the class.
 const deadlineFactor = 1.5
 
 var shapes = []shape{
@@ -64,16 +64,18 @@
 	{sched.Batch, 0.25, [2]int{3000, 9000}, [2]int{300, 800}, [2]time.Duration{5 * time.Second, 20 * time.Second}},
 }
 
-// Real outputs are this share of the cap, evenly distributed.
+// leastOutput and mostOutput bound the actual output as a share of the cap. It is uniformly
+// distributed.
 const leastOutput, mostOutput = 0.3, 1.0
 
-// families of prompts per account, and the share of a prompt that its family has in common.
+// families is the number of prompt families per account. The prompts of a family share a prefix
+// whose length is commonShare of the class's mean prompt.
 const (
 	families    = 6
 	commonShare = 0.6
 )
 
-// job is one request with what became of it.
+// job is one request and its outcome.
 type job struct {
 	id       int
 	host     int
@@ -83,7 +85,7 @@
 	prompt   int
 	hashes   []uint64
 	limit    int // output cap
-	output   int // what it will really be
+	output   int // actual number of output tokens
 	arrive   time.Duration
 	deadline time.Duration
 
@@ -91,27 +93,27 @@
 	attempts int
 	exclude  []string
 	ticket   uint64
-	place    int // in the list of running jobs
+	place    int // index in sim.running
 	running  bool
 	result   result
 	firstAt  time.Duration
-	toFill   float64 // prompt tokens still to be computed
-	made     float64 // output tokens made
+	toFill   float64 // prompt tokens still to be processed
+	made     float64 // output tokens generated
 	cached   int
 }
 
-// result of a job.
+// result is the outcome of a job.
 type result int
 
 const (
 	open result = iota
 	inTime
-	refused // told before it ran that it will not be
+	refused // rejected before it ran
 	late    // ran or waited past its deadline
-	failed  // its server was lost and it was told at once
+	failed  // refused after its server was lost
 )
 
-// generate makes the arrivals of a run at a load, the share of the capacity.
+// generate returns the requests of a run. load is relative to the capacity.
 func generate(s site, load float64, seed int64) []*job {
 	rng := rand.New(rand.NewSource(seed))
 	weights := accountWeights(s.accounts)
@@ -165,7 +167,8 @@
 	return j
 }
 
-// accountWeights: three large accounts send most of the work.
+// accountWeights returns the accounts' shares of the requests: three large accounts send most of
+// them.
 func accountWeights(n int) []float64 {
 	w := make([]float64, n)
 	for i := range w {
@@ -177,7 +180,8 @@
 	return w
 }
 
-// hostWeights: callers keep addresses for a while, so hosts get unequal work.
+// hostWeights returns the hosts' shares of the requests. They are unequal, because callers keep
+// addresses for a while.
 func hostWeights(n int) []float64 {
 	w := make([]float64, n)
 	for i := range w {
@@ -186,6 +190,7 @@
 	return w
 }
 
+// pick returns a random index, with probabilities proportional to weights.
 func pick(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
