--- a/internal/measure/budgets/budgets.go
+++ b/internal/measure/budgets/budgets.go
@@ -16,7 +16,7 @@
 
 // Row holds the measurements of one run.
 type Row struct {
-	Way      string
+	Strategy      string
 	Requests int
 	// Refused counts all refusals, RefusedInCut those during the cut. A refusal is false if
 	// enough tokens were left. It is FalseByPolicy if they were reachable, else FalseByCut.
@@ -32,7 +32,7 @@
 // named is a strategy with its name in the table.
 type named struct {
 	name string
-	make func(*sim) way
+	make func(*sim) strategy
 }
 
 // DefaultGrants returns the product's default settings.
@@ -41,7 +41,7 @@
 }
 
 func withGrants(name string, set Grants) named {
-	return named{name, func(s *sim) way { return newDemand(s, set) }}
+	return named{name, func(s *sim) strategy { return newDemand(s, set) }}
 }
 
 func withoutTransfers(g Grants) Grants {
@@ -101,10 +101,10 @@
 	inCut := sc.cut.Seconds() * totalRate
 	n := float64(max(r.Requests, 1))
 	fmt.Fprintf(w, "%s\t%v\t%.0f%%\t%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.1f\t%.0f\t%d\t\n",
-		kind, sc.cut, sc.spent*100, r.Way, r.Requests, r.Overspend, r.FalseByCut, r.FalseByPolicy, r.Refused,
+		kind, sc.cut, sc.spent*100, r.Strategy, r.Requests, r.Overspend, r.FalseByCut, r.FalseByPolicy, r.Refused,
 		100*float64(r.RefusedInCut)/inCut, float64(r.Messages)/n, float64(r.Bytes)/n, r.OnHosts)
 	if r.Faults > 0 {
-		fmt.Fprintf(w, "\t\t\t%s: %d broken rules of the ledger\t\n", r.Way, r.Faults)
+		fmt.Fprintf(w, "\t\t\t%s: %d broken rules of the ledger\t\n", r.Strategy, r.Faults)
 	}
 }
 
@@ -121,8 +121,8 @@
 				limit <- struct{}{}
 				defer func() { <-limit }()
 				s := newSim(sc)
-				s.way = way.make(s)
-				s.result.Way = way.name
+				s.strategy = way.make(s)
+				s.result.Strategy = way.name
 				results[i][j] = s.run()
 			})
 		}
--- a/internal/measure/budgets/budgets_test.go
+++ b/internal/measure/budgets/budgets_test.go
@@ -25,7 +25,7 @@
 				t.Errorf("%+v: overspend, violated rules or no requests", r)
 			}
 			inCut := shortCut[i].cut.Seconds() * totalRate
-			if r.Way == "grants+transfers" && (float64(r.RefusedInCut) > inCut/100 || r.FalseByPolicy > 0) {
+			if r.Strategy == "grants+transfers" && (float64(r.RefusedInCut) > inCut/100 || r.FalseByPolicy > 0) {
 				t.Errorf("%+v: more than 1%% refused, or refused although enough tokens were reachable", r)
 			}
 		}
@@ -33,7 +33,7 @@
 }
 
 // reckless is a strategy that lets every host spend all that is left of a budget.
-func reckless(s *sim) way {
+func reckless(s *sim) strategy {
 	w := newStatic(s).(*static)
 	for host := range hostCount {
 		for account := range accountShare {
--- a/internal/measure/budgets/sim.go
+++ b/internal/measure/budgets/sim.go
@@ -26,8 +26,8 @@
 	replicas       = 3
 )
 
-// way is a strategy for spending budgets on many hosts.
-type way interface {
+// strategy is a strategy for spending budgets on many hosts.
+type strategy interface {
 	// reserve leads to exactly one call of sim.decide, immediately or later.
 	reserve(r *request)
 	settle(r *request)
@@ -43,7 +43,7 @@
 	queue    events
 	sequence int
 	ledger   *fakeledger.Ledger
-	way      way
+	strategy      strategy
 	result   Row
 	used     []uint64
 	// inTransit is, for each account, the tokens deducted from a transfer's sender and not yet
@@ -135,7 +135,7 @@
 	for _, r := range s.scenario.requests() {
 		s.after(r.at-s.now, func() {
 			s.result.Requests++
-			s.way.reserve(r)
+			s.strategy.reserve(r)
 		})
 	}
 	s.after(tickEvery, s.tick)
@@ -153,7 +153,7 @@
 }
 
 func (s *sim) tick() {
-	s.way.tick()
+	s.strategy.tick()
 	s.after(tickEvery, s.tick)
 }
 
@@ -166,7 +166,7 @@
 	r.decided = true
 	if err == nil {
 		s.used[r.account] += r.use
-		s.after(r.duration, func() { s.way.settle(r) })
+		s.after(r.duration, func() { s.strategy.settle(r) })
 		return
 	}
 	s.judge(r)
@@ -183,7 +183,7 @@
 		reachable = ledger
 	}
 	for host := range hostCount {
-		free := s.way.free(host, r.account)
+		free := s.strategy.free(host, r.account)
 		everywhere += free
 		if s.joined(zoneOf[host], zoneOf[r.host]) {
 			reachable += free
@@ -205,7 +205,7 @@
 	for account := range accountShare {
 		s.result.OnHosts += s.inTransit[account]
 		for host := range hostCount {
-			s.result.OnHosts += s.way.free(host, account)
+			s.result.OnHosts += s.strategy.free(host, account)
 		}
 	}
 }
--- a/internal/measure/budgets/ways.go
+++ b/internal/measure/budgets/ways.go
@@ -18,7 +18,7 @@
 	left [hostCount][]uint64
 }
 
-func newStatic(s *sim) way {
+func newStatic(s *sim) strategy {
 	w := &static{s: s}
 	for host := range hostCount {
 		for account := range accountShare {
@@ -57,7 +57,7 @@
 	batch   [hostCount]uint64
 }
 
-func newQuorum(s *sim) way {
+func newQuorum(s *sim) strategy {
 	w := &quorum{s: s}
 	for host := range hostCount {
 		w.acquire[host] = make([]uint64, len(accountShare))
@@ -134,7 +134,7 @@
 	accounts map[string]int
 }
 
-func newDemand(s *sim, set Grants) way {
+func newDemand(s *sim, set Grants) strategy {
 	w := &demand{s: s, set: set, waiting: make(map[string]*request), index: make(map[string]int), accounts: make(map[string]int)}
 	for host := range hostCount {
 		w.index[hostName(host)] = host
