--- a/internal/measure/budgets/budgets.go
+++ b/internal/measure/budgets/budgets.go
@@ -29,8 +29,8 @@
 	Faults int
 }
 
-// named is a strategy with its name in the table.
-type named struct {
+// namedStrategy is a strategy with its name in the table.
+type namedStrategy struct {
 	name string
 	make func(*sim) strategy
 }
@@ -40,8 +40,8 @@
 	return Grants{Policy: grant.PolicyFrom(nil)}
 }
 
-func withGrants(name string, set Grants) named {
-	return named{name, func(s *sim) strategy { return newDemand(s, set) }}
+func withGrants(name string, set Grants) namedStrategy {
+	return namedStrategy{name, func(s *sim) strategy { return newDemand(s, set) }}
 }
 
 func withoutTransfers(g Grants) Grants {
@@ -49,9 +49,9 @@
 	return g
 }
 
-// fourWays returns the strategies that the table compares.
-func fourWays() []named {
-	return []named{
+// comparedStrategies returns the strategies that the table compares.
+func comparedStrategies() []namedStrategy {
+	return []namedStrategy{
 		{"equal shares", newStatic},
 		withGrants("grants", withoutTransfers(DefaultGrants())),
 		withGrants("grants+transfers", DefaultGrants()),
@@ -73,15 +73,15 @@
 	return all
 }
 
-// parallel bounds the number of concurrent runs.
-const parallel = 4
+// maxParallel bounds the number of concurrent runs.
+const maxParallel = 4
 
 // Run writes the table of the four strategies.
 func Run(w io.Writer, seed int64) error {
-	return writeTable(w, scenarios(seed), fourWays())
+	return writeTable(w, scenarios(seed), comparedStrategies())
 }
 
-func writeTable(w io.Writer, rows []scenario, ways []named) error {
+func writeTable(w io.Writer, rows []scenario, ways []namedStrategy) error {
 	results := runAll(rows, ways)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "demand\tcut\tspent\tway\trequests\toverspend\tfalse by cut\tfalse by policy\trefused\trefused in cut %\tmessages/req\tbytes/req\ton hosts\t")
@@ -110,9 +110,9 @@
 
 // runAll runs every scenario with every strategy. The result is indexed by scenario, then by
 // strategy.
-func runAll(rows []scenario, ways []named) [][]Row {
+func runAll(rows []scenario, ways []namedStrategy) [][]Row {
 	results := make([][]Row, len(rows))
-	limit := make(chan struct{}, parallel)
+	limit := make(chan struct{}, maxParallel)
 	var wg sync.WaitGroup
 	for i, sc := range rows {
 		results[i] = make([]Row, len(ways))
--- a/internal/measure/budgets/budgets_test.go
+++ b/internal/measure/budgets/budgets_test.go
@@ -15,8 +15,8 @@
 // TestGoals checks that no strategy overspends or violates a rule of the ledger, that the figures
 // are reproducible, and that the product's defaults refuse less than 1% in a cut of 5 minutes.
 func TestGoals(t *testing.T) {
-	first := runAll(shortCut, fourWays())
-	if again := runAll(shortCut, fourWays()); !reflect.DeepEqual(first, again) {
+	first := runAll(shortCut, comparedStrategies())
+	if again := runAll(shortCut, comparedStrategies()); !reflect.DeepEqual(first, again) {
 		t.Errorf("figures differ between runs:\n%+v\n%+v", first, again)
 	}
 	for i, rows := range first {
@@ -47,7 +47,7 @@
 // overspends, and the false refusals of one that can't serve during the cut.
 func TestOverspendIsSeen(t *testing.T) {
 	long := []scenario{{cut: time.Hour, spent: 0.90, seed: 1}}
-	rows := runAll(long, []named{{"reckless", reckless}, {"quorum write", newQuorum}})[0]
+	rows := runAll(long, []namedStrategy{{"reckless", reckless}, {"quorum write", newQuorum}})[0]
 	if rows[0].Overspend == 0 {
 		t.Error("no overspend detected of a strategy that spends each budget at each host")
 	}
--- a/internal/measure/budgets/scenario.go
+++ b/internal/measure/budgets/scenario.go
@@ -50,10 +50,10 @@
 	decided  bool
 }
 
-// cutFrom and cutTo are the start and the end of the cut in virtual time.
-func (s scenario) cutFrom() time.Duration { return warmUp }
-func (s scenario) cutTo() time.Duration   { return warmUp + s.cut }
-func (s scenario) end() time.Duration     { return s.cutTo() + afterCut }
+// cutStart and cutTo are the start and the end of the cut in virtual time.
+func (s scenario) cutStart() time.Duration { return warmUp }
+func (s scenario) cutEnd() time.Duration   { return warmUp + s.cut }
+func (s scenario) end() time.Duration     { return s.cutEnd() + afterCut }
 
 // funded returns the size of an account's budget, which is its mean demand during budgetLife.
 func funded(account int) uint64 {
@@ -77,22 +77,22 @@
 		if at >= s.end() {
 			return all
 		}
-		all = append(all, s.draw(rng, len(all), at))
+		all = append(all, s.randomRequest(rng, len(all), at))
 	}
 }
 
-func (s scenario) draw(rng *rand.Rand, n int, at time.Duration) *request {
-	account := drawAccount(rng)
+func (s scenario) randomRequest(rng *rand.Rand, n int, at time.Duration) *request {
+	account := randomAccount(rng)
 	prompt := uint64(promptLeast + rng.Intn(promptMost-promptLeast))
 	output := uint64(rng.Intn(2 * outputCap / 3))
 	return &request{
-		id: requestID(n), account: account, at: at, host: s.drawHost(rng, account),
+		id: requestID(n), account: account, at: at, host: s.randomHost(rng, account),
 		reserve: prompt + outputCap, use: prompt + output,
 		duration: time.Second + time.Duration(output)*time.Second/tokensPerSecond,
 	}
 }
 
-func drawAccount(rng *rand.Rand) int {
+func randomAccount(rng *rand.Rand) int {
 	x := rng.Float64()
 	for i, share := range accountShare {
 		if x -= share; x < 0 {
@@ -102,7 +102,7 @@
 	return len(accountShare) - 1
 }
 
-func (s scenario) drawHost(rng *rand.Rand, account int) int {
+func (s scenario) randomHost(rng *rand.Rand, account int) int {
 	any := rng.Intn(hostCount)
 	if s.skewed && rng.Float64() < 0.7 {
 		return (account*3 + 5) % hostCount
--- a/internal/measure/budgets/sim.go
+++ b/internal/measure/budgets/sim.go
@@ -78,24 +78,24 @@
 func budgetName(a int) string      { return "b" + strconv.Itoa(a) }
 func holderOf(host int) *pb.Holder { return &pb.Holder{Host: hostName(host), Incarnation: 1} }
 
-// virtual returns the virtual time as a time.Time for the state machines.
-func (s *sim) virtual() time.Time { return time.Unix(0, 0).Add(s.now) }
+// virtualTime returns the virtualTime time as a time.Time for the state machines.
+func (s *sim) virtualTime() time.Time { return time.Unix(0, 0).Add(s.now) }
 
 func (s *sim) after(d time.Duration, do func()) {
 	s.sequence++
 	heap.Push(&s.queue, event{at: s.now + d, sequence: s.sequence, do: do})
 }
 
-func (s *sim) cutNow() bool {
-	return s.now >= s.scenario.cutFrom() && s.now < s.scenario.cutTo()
+func (s *sim) inCut() bool {
+	return s.now >= s.scenario.cutStart() && s.now < s.scenario.cutEnd()
 }
 
-// joined reports whether two zones are currently connected.
-func (s *sim) joined(a, b int) bool {
-	return !s.cutNow() || (a == cutZone) == (b == cutZone)
+// connected reports whether two zones are currently connected.
+func (s *sim) connected(a, b int) bool {
+	return !s.inCut() || (a == cutZone) == (b == cutZone)
 }
 
-func (s *sim) reachesLedger(host int) bool { return s.joined(zoneOf[host], 0) }
+func (s *sim) reachesLedger(host int) bool { return s.connected(zoneOf[host], 0) }
 
 func latency(a, b int) time.Duration {
 	if a == b {
@@ -104,7 +104,7 @@
 	return betweenZones
 }
 
-func (s *sim) count(messages int, bytes int) {
+func (s *sim) countMessages(messages int, bytes int) {
 	s.result.Messages += messages
 	s.result.Bytes += bytes + messages*messageBytes
 }
@@ -114,14 +114,14 @@
 func (s *sim) propose(host int, cmd *pb.Command, answered func(*pb.CommandResult)) {
 	size := proto.Size(cmd)
 	if !s.reachesLedger(host) {
-		s.count(1, size)
+		s.countMessages(1, size)
 		s.after(proposeTimeout, func() { answered(nil) })
 		return
 	}
 	trip := latency(zoneOf[host], 0)
 	s.after(trip+quorumWrite, func() {
 		r := s.ledger.Apply(cmd)
-		s.count(2*replicas, size*replicas+proto.Size(r))
+		s.countMessages(2*replicas, size*replicas+proto.Size(r))
 		if !s.reachesLedger(host) {
 			s.after(proposeTimeout-trip-quorumWrite, func() { answered(nil) })
 			return
@@ -139,7 +139,7 @@
 		})
 	}
 	s.after(tickEvery, s.tick)
-	s.after(s.scenario.cutTo()-time.Millisecond, s.noteOnHosts)
+	s.after(s.scenario.cutEnd()-time.Millisecond, s.countOnHosts)
 	for len(s.queue) > 0 {
 		e := heap.Pop(&s.queue).(event)
 		if e.at > s.scenario.end() {
@@ -169,13 +169,13 @@
 		s.after(r.duration, func() { s.strategy.settle(r) })
 		return
 	}
-	s.judge(r)
+	s.classifyRefusal(r)
 }
 
-// judge classifies a refusal. It is false if enough tokens were left in total. The policy is the
+// classifyRefusal classifies a refusal. It is false if enough tokens were left in total. The policy is the
 // cause of a false refusal if the ledger and the hosts that were reachable had enough tokens,
 // otherwise the cut is.
-func (s *sim) judge(r *request) {
+func (s *sim) classifyRefusal(r *request) {
 	s.result.Refused++
 	ledger := s.ledger.Budgets[budgetName(r.account)].Free()
 	everywhere, reachable := ledger+s.inTransit[r.account], uint64(0)
@@ -185,7 +185,7 @@
 	for host := range hostCount {
 		free := s.strategy.free(host, r.account)
 		everywhere += free
-		if s.joined(zoneOf[host], zoneOf[r.host]) {
+		if s.connected(zoneOf[host], zoneOf[r.host]) {
 			reachable += free
 		}
 	}
@@ -195,13 +195,13 @@
 	case everywhere >= r.reserve:
 		s.result.FalseByCut++
 	}
-	if s.cutNow() {
+	if s.inCut() {
 		s.result.RefusedInCut++
 	}
 }
 
-// noteOnHosts counts the unused tokens on hosts and in transit at the end of the cut.
-func (s *sim) noteOnHosts() {
+// countOnHosts counts the unused tokens on hosts and in transit at the end of the cut.
+func (s *sim) countOnHosts() {
 	for account := range accountShare {
 		s.result.OnHosts += s.inTransit[account]
 		for host := range hostCount {
--- a/internal/measure/budgets/transfers.go
+++ b/internal/measure/budgets/transfers.go
@@ -12,28 +12,28 @@
 // ask sends a request for tokens to a peer.
 func (w *demand) ask(host int, ask grant.Ask) {
 	peer := w.index[ask.Peer]
-	w.s.count(1, proto.Size(ask.Request))
+	w.s.countMessages(1, proto.Size(ask.Request))
 	failed := func() {
 		w.step(host, func(h *grant.Holder, now time.Time) grant.Output { return h.AskFailed(now, ask.Request.GetId()) })
 	}
-	if !w.s.joined(zoneOf[host], zoneOf[peer]) {
+	if !w.s.connected(zoneOf[host], zoneOf[peer]) {
 		w.s.after(askTimeout, failed)
 		return
 	}
-	w.s.after(latency(zoneOf[host], zoneOf[peer]), func() { w.give(host, peer, ask.Request) })
+	w.s.after(latency(zoneOf[host], zoneOf[peer]), func() { w.handleAsk(host, peer, ask.Request) })
 }
 
-// give handles a request for tokens on the transfer's sender: it deducts the tokens, stores a
+// handleAsk handles a request for tokens on the transfer's sender: it deducts the tokens, stores a
 // copy of the transfer on a third host and answers.
-func (w *demand) give(receiver, sender int, req *pb.AskTokensRequest) {
+func (w *demand) handleAsk(receiver, sender int, req *pb.AskTokensRequest) {
 	h := w.holders[sender]
-	t, state := h.HandleAsk(w.s.virtual(), req)
+	t, state := h.HandleAsk(w.s.virtualTime(), req)
 	if state != grant.NewTransfer {
 		w.answer(receiver, sender, req, t)
 		return
 	}
-	third := w.third(receiver, sender)
-	if third < 0 && w.set.NeedThird {
+	third := w.copyHolder(receiver, sender)
+	if third < 0 && w.set.RequireCopy {
 		w.step(sender, func(h *grant.Holder, now time.Time) grant.Output { return h.UndoTransfer(now, req.GetId()) })
 		w.answer(receiver, sender, req, nil)
 		return
@@ -44,18 +44,18 @@
 	}
 	account := w.accounts[req.GetBudget()]
 	w.s.inTransit[account] += t.GetTokens()
-	w.s.count(2, 2*proto.Size(t))
+	w.s.countMessages(2, 2*proto.Size(t))
 	w.s.after(trip, func() {
 		h.MarkTransferReady(req.GetId())
 		w.answer(receiver, sender, req, t)
 	})
 }
 
-// third returns a host that can store the copy: one that the sender can reach and that is neither
+// copyHolder returns a host that can store the copy: one that the sender can reach and that is neither
 // sender nor receiver. It returns -1 if there is none.
-func (w *demand) third(receiver, sender int) int {
+func (w *demand) copyHolder(receiver, sender int) int {
 	for host := range hostCount {
-		if host != receiver && host != sender && w.s.joined(zoneOf[host], zoneOf[sender]) {
+		if host != receiver && host != sender && w.s.connected(zoneOf[host], zoneOf[sender]) {
 			return host
 		}
 	}
@@ -64,8 +64,8 @@
 
 // answer sends the answer to a request for tokens; t is nil if no tokens are transferred.
 func (w *demand) answer(receiver, sender int, req *pb.AskTokensRequest, t *pb.Transfer) {
-	w.s.count(1, proto.Size(t))
-	if !w.s.joined(zoneOf[receiver], zoneOf[sender]) {
+	w.s.countMessages(1, proto.Size(t))
+	if !w.s.connected(zoneOf[receiver], zoneOf[sender]) {
 		return // the answer is lost; the request is repeated until it is answered
 	}
 	w.s.after(latency(zoneOf[receiver], zoneOf[sender]), func() {
--- a/internal/measure/budgets/ways.go
+++ b/internal/measure/budgets/ways.go
@@ -44,7 +44,7 @@
 
 func (w *static) settle(r *request) {
 	w.left[r.host][r.account] += r.reserve - r.use
-	w.s.count(2*replicas, 400)
+	w.s.countMessages(2*replicas, 400)
 }
 
 func (w *static) tick()                         {}
@@ -67,7 +67,7 @@
 
 func (w *quorum) reserve(r *request) {
 	if !w.s.reachesLedger(r.host) { // refused immediately, because the host has detected the cut
-		w.s.count(1, 100)
+		w.s.countMessages(1, 100)
 		w.s.decide(r, errRefused)
 		return
 	}
@@ -117,8 +117,8 @@
 type Grants struct {
 	Policy grant.Policy
 	Config grant.Config
-	// NeedThird rejects a transfer if no third host can store a copy of it.
-	NeedThird bool
+	// RequireCopy rejects a transfer if no third host can store a copy of it.
+	RequireCopy bool
 }
 
 // demand spends from grants that are acquired on demand. If the policy allows it, hosts transfer
@@ -149,7 +149,7 @@
 // peers returns the hosts that the membership considers reachable, which lags by suspectAfter.
 func (w *demand) peers(host int) []string {
 	late := w.s.now - suspectAfter
-	apart := late >= w.s.scenario.cutFrom() && late < w.s.scenario.cutTo()
+	apart := late >= w.s.scenario.cutStart() && late < w.s.scenario.cutEnd()
 	var peers []string
 	for other := range hostCount {
 		sameSide := (zoneOf[other] == cutZone) == (zoneOf[host] == cutZone)
@@ -163,7 +163,7 @@
 func (w *demand) step(host int, input func(h *grant.Holder, now time.Time) grant.Output) {
 	h := w.holders[host]
 	h.SetPeers(w.peers(host))
-	w.carry(host, input(h, w.s.virtual()))
+	w.carry(host, input(h, w.s.virtualTime()))
 }
 
 func (w *demand) reserve(r *request) {
