--- a/internal/measure/budgets/budgets.go
+++ b/internal/measure/budgets/budgets.go
@@ -41,7 +41,7 @@
 }
 
 func withGrants(name string, set Grants) namedStrategy {
-	return namedStrategy{name, func(s *sim) strategy { return newDemand(s, set) }}
+	return namedStrategy{name, func(s *sim) strategy { return newGrantStrategy(s, set) }}
 }
 
 func withoutTransfers(g Grants) Grants {
@@ -52,10 +52,10 @@
 // comparedStrategies returns the strategies that the table compares.
 func comparedStrategies() []namedStrategy {
 	return []namedStrategy{
-		{"equal shares", newStatic},
+		{"equal shares", newStaticStrategy},
 		withGrants("grants", withoutTransfers(DefaultGrants())),
 		withGrants("grants+transfers", DefaultGrants()),
-		{"quorum write", newQuorum},
+		{"quorum write", newQuorumStrategy},
 	}
 }
 
--- a/internal/measure/budgets/budgets_test.go
+++ b/internal/measure/budgets/budgets_test.go
@@ -34,7 +34,7 @@
 
 // reckless is a strategy that lets every host spend all that is left of a budget.
 func reckless(s *sim) strategy {
-	w := newStatic(s).(*static)
+	w := newStaticStrategy(s).(*staticStrategy)
 	for host := range hostCount {
 		for account := range accountShare {
 			w.left[host][account] = funded(account) - s.scenario.billedBefore(account)
@@ -43,11 +43,11 @@
 	return w
 }
 
-// TestOverspendIsSeen checks that the measurement detects the overspend of a strategy that
+// TestOverspendIsDetected checks that the measurement detects the overspend of a strategy that
 // overspends, and the false refusals of one that can't serve during the cut.
-func TestOverspendIsSeen(t *testing.T) {
+func TestOverspendIsDetected(t *testing.T) {
 	long := []scenario{{cut: time.Hour, spent: 0.90, seed: 1}}
-	rows := runAll(long, []namedStrategy{{"reckless", reckless}, {"quorum write", newQuorum}})[0]
+	rows := runAll(long, []namedStrategy{{"reckless", reckless}, {"quorum write", newQuorumStrategy}})[0]
 	if rows[0].Overspend == 0 {
 		t.Error("no overspend detected of a strategy that spends each budget at each host")
 	}
--- a/internal/measure/budgets/transfers.go
+++ b/internal/measure/budgets/transfers.go
@@ -10,7 +10,7 @@
 )
 
 // ask sends a request for tokens to a peer.
-func (w *demand) ask(host int, ask grant.Ask) {
+func (w *grantStrategy) ask(host int, ask grant.Ask) {
 	peer := w.index[ask.Peer]
 	w.s.countMessages(1, proto.Size(ask.Request))
 	failed := func() {
@@ -25,7 +25,7 @@
 
 // handleAsk handles a request for tokens on the transfer's sender: it deducts the tokens, stores a
 // copy of the transfer on a third host and answers.
-func (w *demand) handleAsk(receiver, sender int, req *pb.AskTokensRequest) {
+func (w *grantStrategy) handleAsk(receiver, sender int, req *pb.AskTokensRequest) {
 	h := w.holders[sender]
 	t, state := h.HandleAsk(w.s.virtualTime(), req)
 	if state != grant.NewTransfer {
@@ -53,7 +53,7 @@
 
 // copyHolder returns a host that can store the copy: one that the sender can reach and that is neither
 // sender nor receiver. It returns -1 if there is none.
-func (w *demand) copyHolder(receiver, sender int) int {
+func (w *grantStrategy) copyHolder(receiver, sender int) int {
 	for host := range hostCount {
 		if host != receiver && host != sender && w.s.connected(zoneOf[host], zoneOf[sender]) {
 			return host
@@ -63,7 +63,7 @@
 }
 
 // answer sends the answer to a request for tokens; t is nil if no tokens are transferred.
-func (w *demand) answer(receiver, sender int, req *pb.AskTokensRequest, t *pb.Transfer) {
+func (w *grantStrategy) answer(receiver, sender int, req *pb.AskTokensRequest, t *pb.Transfer) {
 	w.s.countMessages(1, proto.Size(t))
 	if !w.s.connected(zoneOf[receiver], zoneOf[sender]) {
 		return // the answer is lost; the request is repeated until it is answered
--- a/internal/measure/budgets/ways.go
+++ b/internal/measure/budgets/ways.go
@@ -11,15 +11,15 @@
 
 var errRefused = errkind.New(errkind.BudgetExhausted, "refused")
 
-// static gives each host a fixed, equal share of the tokens that are left at the start. Its only
+// staticStrategy gives each host a fixed, equal share of the tokens that are left at the start. Its only
 // messages are the bills, which are sent to the ledger one by one.
-type static struct {
+type staticStrategy struct {
 	s    *sim
 	left [hostCount][]uint64
 }
 
-func newStatic(s *sim) strategy {
-	w := &static{s: s}
+func newStaticStrategy(s *sim) strategy {
+	w := &staticStrategy{s: s}
 	for host := range hostCount {
 		for account := range accountShare {
 			name := budgetName(account)
@@ -33,7 +33,7 @@
 	return w
 }
 
-func (w *static) reserve(r *request) {
+func (w *staticStrategy) reserve(r *request) {
 	if w.left[r.host][r.account] < r.reserve {
 		w.s.decide(r, errRefused)
 		return
@@ -42,30 +42,30 @@
 	w.s.decide(r, nil)
 }
 
-func (w *static) settle(r *request) {
+func (w *staticStrategy) settle(r *request) {
 	w.left[r.host][r.account] += r.reserve - r.use
 	w.s.countMessages(2*replicas, 400)
 }
 
-func (w *static) tick()                         {}
-func (w *static) free(host, account int) uint64 { return w.left[host][account] }
+func (w *staticStrategy) tick()                         {}
+func (w *staticStrategy) free(host, account int) uint64 { return w.left[host][account] }
 
-// quorum writes to the ledger before and after each request. Hosts hold no tokens in between.
-type quorum struct {
+// quorumStrategy writes to the ledger before and after each request. Hosts hold no tokens in between.
+type quorumStrategy struct {
 	s       *sim
 	acquire [hostCount][]uint64 // last sequence number by account
 	batch   [hostCount]uint64
 }
 
-func newQuorum(s *sim) strategy {
-	w := &quorum{s: s}
+func newQuorumStrategy(s *sim) strategy {
+	w := &quorumStrategy{s: s}
 	for host := range hostCount {
 		w.acquire[host] = make([]uint64, len(accountShare))
 	}
 	return w
 }
 
-func (w *quorum) reserve(r *request) {
+func (w *quorumStrategy) reserve(r *request) {
 	if !w.s.reachesLedger(r.host) { // refused immediately, because the host has detected the cut
 		w.s.countMessages(1, 100)
 		w.s.decide(r, errRefused)
@@ -87,14 +87,14 @@
 	})
 }
 
-func (w *quorum) settle(r *request) {
+func (w *quorumStrategy) settle(r *request) {
 	bill := &pb.Bill{Budget: budgetName(r.account), Identity: r.id, RequestId: r.id, Tokens: r.use}
 	w.settleWith(r, bill, r.reserve-r.use)
 }
 
 // settleWith sends the bill, if any, and returns the unused tokens. During the cut it tries again
 // until the ledger is reachable.
-func (w *quorum) settleWith(r *request, bill *pb.Bill, back uint64) {
+func (w *quorumStrategy) settleWith(r *request, bill *pb.Bill, back uint64) {
 	if !w.s.reachesLedger(r.host) {
 		w.s.after(proposeTimeout, func() { w.settleWith(r, bill, back) })
 		return
@@ -110,8 +110,8 @@
 	w.s.propose(r.host, &pb.Command{Body: &pb.Command_Settle{Settle: batch}}, func(*pb.CommandResult) {})
 }
 
-func (w *quorum) tick()                {}
-func (w *quorum) free(int, int) uint64 { return 0 }
+func (w *quorumStrategy) tick()                {}
+func (w *quorumStrategy) free(int, int) uint64 { return 0 }
 
 // Grants configures the strategies with grants.
 type Grants struct {
@@ -121,9 +121,9 @@
 	RequireCopy bool
 }
 
-// demand spends from grants that are acquired on demand. If the policy allows it, hosts transfer
+// grantStrategy spends from grants that are acquired on grantStrategy. If the policy allows it, hosts transfer
 // tokens to each other.
-type demand struct {
+type grantStrategy struct {
 	s       *sim
 	set     Grants
 	holders [hostCount]*grant.Holder
@@ -134,8 +134,8 @@
 	accounts map[string]int
 }
 
-func newDemand(s *sim, set Grants) strategy {
-	w := &demand{s: s, set: set, waiting: make(map[string]*request), index: make(map[string]int), accounts: make(map[string]int)}
+func newGrantStrategy(s *sim, set Grants) strategy {
+	w := &grantStrategy{s: s, set: set, waiting: make(map[string]*request), index: make(map[string]int), accounts: make(map[string]int)}
 	for host := range hostCount {
 		w.index[hostName(host)] = host
 		w.holders[host] = grant.New(holderOf(host), set.Config, rand.New(rand.NewSource(s.scenario.seed+int64(host))))
@@ -147,7 +147,7 @@
 }
 
 // peers returns the hosts that the membership considers reachable, which lags by suspectAfter.
-func (w *demand) peers(host int) []string {
+func (w *grantStrategy) peers(host int) []string {
 	late := w.s.now - suspectAfter
 	apart := late >= w.s.scenario.cutStart() && late < w.s.scenario.cutEnd()
 	var peers []string
@@ -160,20 +160,20 @@
 	return peers
 }
 
-func (w *demand) step(host int, input func(h *grant.Holder, now time.Time) grant.Output) {
+func (w *grantStrategy) step(host int, input func(h *grant.Holder, now time.Time) grant.Output) {
 	h := w.holders[host]
 	h.SetPeers(w.peers(host))
-	w.carry(host, input(h, w.s.virtualTime()))
+	w.execute(host, input(h, w.s.virtualTime()))
 }
 
-func (w *demand) reserve(r *request) {
+func (w *grantStrategy) reserve(r *request) {
 	w.waiting[r.id] = r
 	w.step(r.host, func(h *grant.Holder, now time.Time) grant.Output {
 		return h.Reserve(now, r.id, budgetName(r.account), r.reserve, w.set.Policy)
 	})
 }
 
-func (w *demand) settle(r *request) {
+func (w *grantStrategy) settle(r *request) {
 	w.step(r.host, func(h *grant.Holder, now time.Time) grant.Output {
 		out, _ := h.Settle(now, &pb.Bill{Budget: budgetName(r.account), Identity: r.id, RequestId: r.id, Tokens: r.use, TimeMs: 1})
 		return out
@@ -181,7 +181,7 @@
 	w.scheduleFlush(r.host)
 }
 
-func (w *demand) scheduleFlush(host int) {
+func (w *grantStrategy) scheduleFlush(host int) {
 	if w.flush[host] {
 		return
 	}
@@ -192,13 +192,13 @@
 	})
 }
 
-func (w *demand) tick() {
+func (w *grantStrategy) tick() {
 	for host := range hostCount {
 		w.step(host, (*grant.Holder).Tick)
 	}
 }
 
-func (w *demand) free(host, account int) uint64 {
+func (w *grantStrategy) free(host, account int) uint64 {
 	for _, l := range w.holders[host].Levels() {
 		if l.Budget == budgetName(account) {
 			return l.Free
@@ -207,8 +207,8 @@
 	return 0
 }
 
-// carry executes the output of a host's state machine.
-func (w *demand) carry(host int, out grant.Output) {
+// execute executes the output of a host's state machine.
+func (w *grantStrategy) execute(host int, out grant.Output) {
 	for _, d := range out.Decisions {
 		r := w.waiting[d.Request]
 		delete(w.waiting, d.Request)
@@ -225,7 +225,7 @@
 	}
 }
 
-func (w *demand) acquire(host int, msg *pb.Acquire) {
+func (w *grantStrategy) acquire(host int, msg *pb.Acquire) {
 	w.s.propose(host, &pb.Command{Body: &pb.Command_Acquire{Acquire: msg}}, func(r *pb.CommandResult) {
 		w.step(host, func(h *grant.Holder, now time.Time) grant.Output {
 			if r.GetAcquire() == nil {
@@ -236,7 +236,7 @@
 	})
 }
 
-func (w *demand) sendBatch(host int, batch *pb.Settle) {
+func (w *grantStrategy) sendBatch(host int, batch *pb.Settle) {
 	w.s.propose(host, &pb.Command{Body: &pb.Command_Settle{Settle: batch}}, func(r *pb.CommandResult) {
 		if r.GetSettle() == nil {
 			return
