--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -21,7 +21,7 @@
 // late answers and refusals are distinguished from missing ones.
 const lateGrace = 2 * time.Second
 
-// outcome is the outcome of a request.
+// outcome is the final state of a request.
 type outcome int
 
 const (
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -80,29 +80,29 @@
 // runAtRate starts each request at its scheduled time, so that slow answers do not reduce the
 // request rate.
 func runAtRate(ctx context.Context, o *Options, callers []*caller, results *collector, began time.Time) {
-	var open sync.WaitGroup
+	var inFlight sync.WaitGroup
 	for n := range o.Count {
 		due := began.Add(time.Duration(float64(n) / o.Rate * float64(time.Second)))
 		pause(ctx, time.Until(due))
 		if o.finished(ctx, began) {
 			break
 		}
-		open.Go(func() {
+		inFlight.Go(func() {
 			r := o.requestOf(n)
 			results.add(r, callers[n%len(callers)].call(ctx, r, due))
 		})
 	}
-	open.Wait()
+	inFlight.Wait()
 }
 
 // runCallers makes each caller send one request after the other.
 func runCallers(ctx context.Context, o *Options, callers []*caller, results *collector, began time.Time) {
-	var open sync.WaitGroup
-	var numbers atomic.Int64
+	var inFlight sync.WaitGroup
+	var nextNumber atomic.Int64
 	for _, c := range callers {
-		open.Go(func() {
+		inFlight.Go(func() {
 			for !o.finished(ctx, began) {
-				n := int(numbers.Add(1)) - 1
+				n := int(nextNumber.Add(1)) - 1
 				if n >= o.Count {
 					return
 				}
@@ -111,5 +111,5 @@
 			}
 		})
 	}
-	open.Wait()
+	inFlight.Wait()
 }
--- a/internal/measure/budgets/budgets.go
+++ b/internal/measure/budgets/budgets.go
@@ -16,7 +16,7 @@
 
 // Row holds the measurements of one run.
 type Row struct {
-	Strategy      string
+	Strategy string
 	Requests int
 	// Refused counts all refusals, RefusedInCut those during the cut. A refusal is false if
 	// enough tokens were left. It is FalseByPolicy if they were reachable, else FalseByCut.
@@ -81,8 +81,8 @@
 	return writeTable(w, scenarios(seed), comparedStrategies())
 }
 
-func writeTable(w io.Writer, rows []scenario, ways []namedStrategy) error {
-	results := runAll(rows, ways)
+func writeTable(w io.Writer, rows []scenario, strategies []namedStrategy) error {
+	results := runAll(rows, strategies)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "demand\tcut\tspent\tway\trequests\toverspend\tfalse by cut\tfalse by policy\trefused\trefused in cut %\tmessages/req\tbytes/req\ton hosts\t")
 	for i, sc := range rows {
@@ -110,19 +110,19 @@
 
 // runAll runs every scenario with every strategy. The result is indexed by scenario, then by
 // strategy.
-func runAll(rows []scenario, ways []namedStrategy) [][]Row {
+func runAll(rows []scenario, strategies []namedStrategy) [][]Row {
 	results := make([][]Row, len(rows))
 	limit := make(chan struct{}, maxParallel)
 	var wg sync.WaitGroup
 	for i, sc := range rows {
-		results[i] = make([]Row, len(ways))
-		for j, way := range ways {
+		results[i] = make([]Row, len(strategies))
+		for j, named := range strategies {
 			wg.Go(func() {
 				limit <- struct{}{}
 				defer func() { <-limit }()
 				s := newSim(sc)
-				s.strategy = way.make(s)
-				s.result.Strategy = way.name
+				s.strategy = named.make(s)
+				s.result.Strategy = named.name
 				results[i][j] = s.run()
 			})
 		}
--- a/internal/measure/budgets/scenario.go
+++ b/internal/measure/budgets/scenario.go
@@ -53,7 +53,7 @@
 // cutStart and cutTo are the start and the end of the cut in virtual time.
 func (s scenario) cutStart() time.Duration { return warmUp }
 func (s scenario) cutEnd() time.Duration   { return warmUp + s.cut }
-func (s scenario) end() time.Duration     { return s.cutEnd() + afterCut }
+func (s scenario) end() time.Duration      { return s.cutEnd() + afterCut }
 
 // funded returns the size of an account's budget, which is its mean demand during budgetLife.
 func funded(account int) uint64 {
--- a/internal/measure/budgets/sim.go
+++ b/internal/measure/budgets/sim.go
@@ -26,7 +26,7 @@
 	replicas       = 3
 )
 
-// strategy is a strategy for spending budgets on many hosts.
+// strategy decides how budgets are spent on many hosts.
 type strategy interface {
 	// reserve leads to exactly one call of sim.decide, immediately or later.
 	reserve(r *request)
@@ -43,7 +43,7 @@
 	queue    events
 	sequence int
 	ledger   *fakeledger.Ledger
-	strategy      strategy
+	strategy strategy
 	result   Row
 	used     []uint64
 	// inTransit is, for each account, the tokens deducted from a transfer's sender and not yet
@@ -78,7 +78,7 @@
 func budgetName(a int) string      { return "b" + strconv.Itoa(a) }
 func holderOf(host int) *pb.Holder { return &pb.Holder{Host: hostName(host), Incarnation: 1} }
 
-// virtualTime returns the virtualTime time as a time.Time for the state machines.
+// virtualTime returns the virtual time as a time.Time for the state machines.
 func (s *sim) virtualTime() time.Time { return time.Unix(0, 0).Add(s.now) }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -158,7 +158,7 @@
 }
 
 // decide sets the outcome of a reservation. A granted request runs and is settled, a refused one
-// is counted by judge.
+// is counted by classifyRefusal.
 func (s *sim) decide(r *request, err *errkind.Error) {
 	if r.decided {
 		panic(fmt.Sprintf("%s decided twice", r.id))
@@ -172,8 +172,8 @@
 	s.classifyRefusal(r)
 }
 
-// classifyRefusal classifies a refusal. It is false if enough tokens were left in total. The policy is the
-// cause of a false refusal if the ledger and the hosts that were reachable had enough tokens,
+// classifyRefusal counts a refusal. It is false if enough tokens were left in total. The policy is
+// the cause of a false refusal if the ledger and the hosts that were reachable had enough tokens,
 // otherwise the cut is.
 func (s *sim) classifyRefusal(r *request) {
 	s.result.Refused++
--- a/internal/measure/budgets/transfers.go
+++ b/internal/measure/budgets/transfers.go
@@ -32,15 +32,15 @@
 		w.answer(receiver, sender, req, t)
 		return
 	}
-	third := w.copyHolder(receiver, sender)
-	if third < 0 && w.set.RequireCopy {
+	copyHost := w.copyHolder(receiver, sender)
+	if copyHost < 0 && w.set.RequireCopy {
 		w.step(sender, func(h *grant.Holder, now time.Time) grant.Output { return h.UndoTransfer(now, req.GetId()) })
 		w.answer(receiver, sender, req, nil)
 		return
 	}
 	trip := askTimeout / 2
-	if third >= 0 {
-		trip = 2 * latency(zoneOf[sender], zoneOf[third])
+	if copyHost >= 0 {
+		trip = 2 * latency(zoneOf[sender], zoneOf[copyHost])
 	}
 	account := w.accounts[req.GetBudget()]
 	w.s.inTransit[account] += t.GetTokens()
@@ -51,8 +51,8 @@
 	})
 }
 
-// copyHolder returns a host that can store the copy: one that the sender can reach and that is neither
-// sender nor receiver. It returns -1 if there is none.
+// copyHolder returns a host that can store the copy: one that the sender can reach and that is
+// neither sender nor receiver. It returns -1 if there is none.
 func (w *grantStrategy) copyHolder(receiver, sender int) int {
 	for host := range hostCount {
 		if host != receiver && host != sender && w.s.connected(zoneOf[host], zoneOf[sender]) {
--- a/internal/measure/budgets/ways.go
+++ b/internal/measure/budgets/ways.go
@@ -11,8 +11,8 @@
 
 var errRefused = errkind.New(errkind.BudgetExhausted, "refused")
 
-// staticStrategy gives each host a fixed, equal share of the tokens that are left at the start. Its only
-// messages are the bills, which are sent to the ledger one by one.
+// staticStrategy gives each host a fixed, equal share of the tokens that are left at the start.
+// Its only messages are the bills, which are sent to the ledger one by one.
 type staticStrategy struct {
 	s    *sim
 	left [hostCount][]uint64
@@ -50,7 +50,8 @@
 func (w *staticStrategy) tick()                         {}
 func (w *staticStrategy) free(host, account int) uint64 { return w.left[host][account] }
 
-// quorumStrategy writes to the ledger before and after each request. Hosts hold no tokens in between.
+// quorumStrategy writes to the ledger before and after each request. Hosts hold no tokens in
+// between.
 type quorumStrategy struct {
 	s       *sim
 	acquire [hostCount][]uint64 // last sequence number by account
@@ -121,8 +122,8 @@
 	RequireCopy bool
 }
 
-// grantStrategy spends from grants that are acquired on grantStrategy. If the policy allows it, hosts transfer
-// tokens to each other.
+// grantStrategy spends from grants that are acquired on demand. If the policy allows it, hosts
+// transfer tokens to each other.
 type grantStrategy struct {
 	s       *sim
 	set     Grants
@@ -148,12 +149,12 @@
 
 // peers returns the hosts that the membership considers reachable, which lags by suspectAfter.
 func (w *grantStrategy) peers(host int) []string {
-	late := w.s.now - suspectAfter
-	apart := late >= w.s.scenario.cutStart() && late < w.s.scenario.cutEnd()
+	asOf := w.s.now - suspectAfter
+	inCut := asOf >= w.s.scenario.cutStart() && asOf < w.s.scenario.cutEnd()
 	var peers []string
 	for other := range hostCount {
 		sameSide := (zoneOf[other] == cutZone) == (zoneOf[host] == cutZone)
-		if other != host && (!apart || sameSide) {
+		if other != host && (!inCut || sameSide) {
 			peers = append(peers, hostName(other))
 		}
 	}
@@ -207,7 +208,8 @@
 	return 0
 }
 
-// execute executes the output of a host's state machine.
+// execute handles the output of a host's state machine: decisions on requests, and messages to
+// the ledger and to peers.
 func (w *grantStrategy) execute(host int, out grant.Output) {
 	for _, d := range out.Decisions {
 		r := w.waiting[d.Request]
--- a/internal/measure/routing/baseline.go
+++ b/internal/measure/routing/baseline.go
@@ -24,15 +24,15 @@
 }
 
 func (r *registries) announce(now time.Duration, host int, st *pb.ServerState) {
-	r.regs[host].Announce(wall(now), st)
+	r.regs[host].Announce(wallTime(now), st)
 }
 
 func (r *registries) heartbeat(now time.Duration) {
 	for i, from := range r.regs {
-		states := from.Snapshot(wall(now))
+		states := from.Snapshot(wallTime(now))
 		for k, to := range r.regs {
 			if k != i {
-				to.Merge(wall(now), 2*r.sim.site.delay, states)
+				to.Merge(wallTime(now), 2*r.sim.site.delay, states)
 			}
 		}
 	}
@@ -55,7 +55,7 @@
 	reg := d.regs[j.host]
 	var usable []*backend.Server
 	for _, s := range reg.Serving(j.target) {
-		if reg.UsableServer(wall(now), s) {
+		if reg.UsableServer(wallTime(now), s) {
 			usable = append(usable, s)
 		}
 	}
@@ -66,10 +66,10 @@
 	d.sim.dispatch(j, d.sim.byAddr[d.pick(j.host, usable).Address()])
 }
 
-func (d *direct) tick(time.Duration)              {}
-func (d *direct) ended(time.Duration, *job, bool) {}
-func (d *direct) first(time.Duration, *job)       {}
-func (d *direct) lost(now time.Duration, j *job)  { d.arrive(now, j) }
+func (d *direct) tick(time.Duration)                   {}
+func (d *direct) ended(time.Duration, *job, bool)      {}
+func (d *direct) firstToken(time.Duration, *job)       {}
+func (d *direct) serverLost(now time.Duration, j *job) { d.arrive(now, j) }
 
 // roundRobin returns a router whose hosts use the usable servers in turn.
 func roundRobin(m *sim, seed int64) router {
--- a/internal/measure/routing/oracle.go
+++ b/internal/measure/routing/oracle.go
@@ -26,14 +26,14 @@
 	if s.model {
 		prompt := float64(j.prompt - s.cache.peek(j.hashes)*blockTokens)
 		for _, x := range s.active {
-			prompt += x.toFill
+			prompt += x.prefillLeft
 		}
 		for _, x := range s.queue {
 			prompt += float64(x.prompt - s.cache.peek(x.hashes)*blockTokens)
 		}
 		seconds += prompt / prefillRate
 	}
-	return time.Duration(seconds*float64(time.Second)) + o.sim.way(j, s) + 3*tick
+	return time.Duration(seconds*float64(time.Second)) + o.sim.roundTrip(j, s) + 3*tick
 }
 
 func (o *oracle) tick(now time.Duration) {
@@ -46,20 +46,20 @@
 	})
 	keep := o.waiting[:0]
 	for _, j := range o.waiting {
-		free := o.free(j.target == modelTarget)
+		free := o.hasFreeSlot(j.target == modelTarget)
 		if !free && now+o.outputTime(j) <= j.deadline {
 			keep = append(keep, j)
 			continue
 		}
-		if !o.place(now, j) {
+		if !o.dispatchOrRefuse(now, j) {
 			keep = append(keep, j)
 		}
 	}
 	o.waiting = keep
 }
 
-// free reports whether a model server, or else a service server, has a free slot.
-func (o *oracle) free(model bool) bool {
+// hasFreeSlot reports whether a server of the given kind has a free slot.
+func (o *oracle) hasFreeSlot(model bool) bool {
 	for _, s := range o.sim.servers {
 		if !s.dead && s.model == model && len(s.active)+len(s.queue) < s.slots {
 			return true
@@ -77,8 +77,8 @@
 	return time.Duration(float64(j.output) * fullTokenTime * float64(time.Second))
 }
 
-// place dispatches or refuses j. It returns false if j keeps waiting.
-func (o *oracle) place(now time.Duration, j *job) bool {
+// dispatchOrRefuse dispatches or refuses j. It returns false if j keeps waiting.
+func (o *oracle) dispatchOrRefuse(now time.Duration, j *job) bool {
 	var best *server
 	var bestTime, least time.Duration
 	for _, s := range o.sim.servers {
@@ -108,8 +108,8 @@
 }
 
 func (o *oracle) ended(time.Duration, *job, bool)              {}
-func (o *oracle) first(time.Duration, *job)                    {}
-func (o *oracle) lost(now time.Duration, j *job)               { o.arrive(now, j) }
+func (o *oracle) firstToken(time.Duration, *job)               {}
+func (o *oracle) serverLost(now time.Duration, j *job)         { o.arrive(now, j) }
 func (o *oracle) announce(time.Duration, int, *pb.ServerState) {}
 func (o *oracle) heartbeat(time.Duration)                      {}
 func (o *oracle) event(time.Duration, backend.CacheEvent)      {}
--- a/internal/measure/routing/ours.go
+++ b/internal/measure/routing/ours.go
@@ -8,16 +8,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/sched"
 )
 
-// ours is the product's router, with one scheduling core per host.
-type ours struct {
+// scheduler is the product's router, with one scheduling core per host.
+type scheduler struct {
 	registries
 	cores  []*sched.Core
 	queued []map[uint64]*job
 	ticket uint64
 }
 
-func newOurs(m *sim, seed int64, cfg sched.Config) router {
-	o := &ours{registries: newRegistries(m)}
+func newScheduler(m *sim, seed int64, cfg sched.Config) router {
+	o := &scheduler{registries: newRegistries(m)}
 	var names []string
 	for h := range m.site.hosts {
 		names = append(names, fmt.Sprintf("host-%d", h))
@@ -33,13 +33,13 @@
 	return o
 }
 
-func (o *ours) arrive(now time.Duration, j *job) {
+func (o *scheduler) arrive(now time.Duration, j *job) {
 	o.ticket++
 	j.ticket = o.ticket
-	res, decided := o.cores[j.host].Submit(wall(now), sched.Work{
+	res, decided := o.cores[j.host].Submit(wallTime(now), sched.Work{
 		Ticket: j.ticket, Account: j.accountName(), Class: j.class, Target: j.target,
 		PromptTokens: uint64(j.prompt), OutputCap: uint64(j.limit), PromptHashes: j.hashes,
-		Deadline: wall(j.deadline), Exclude: j.exclude,
+		Deadline: wallTime(j.deadline), Exclude: j.exclude,
 	})
 	o.queued[j.host][j.ticket] = j
 	if decided {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (o *ours) apply(host int, res sched.Result) {
+func (o *scheduler) apply(host int, res sched.Result) {
 	j := o.queued[host][res.Ticket]
 	delete(o.queued[host], res.Ticket)
 	switch {
@@ -60,39 +60,39 @@
 	}
 }
 
-func (o *ours) tick(now time.Duration) {
+func (o *scheduler) tick(now time.Duration) {
 	for h := range o.cores {
 		o.step(now, h)
 	}
 }
 
-func (o *ours) step(now time.Duration, host int) {
-	for _, res := range o.cores[host].Step(wall(now + tick)) {
+func (o *scheduler) step(now time.Duration, host int) {
+	for _, res := range o.cores[host].Step(wallTime(now + tick)) {
 		o.apply(host, res)
 	}
 }
 
-func (o *ours) ended(now time.Duration, j *job, whole bool) {
-	o.cores[j.host].Release(wall(now), j.ticket, sched.End{Completed: whole, Output: uint64(j.made)})
+func (o *scheduler) ended(now time.Duration, j *job, whole bool) {
+	o.cores[j.host].Release(wallTime(now), j.ticket, sched.End{Completed: whole, Output: uint64(j.produced)})
 }
 
-func (o *ours) first(now time.Duration, j *job) {
+func (o *scheduler) firstToken(now time.Duration, j *job) {
 	o.cores[j.host].FirstToken(j.ticket, now-j.arrive)
 }
 
-func (o *ours) lost(now time.Duration, j *job) {
-	o.cores[j.host].Release(wall(now), j.ticket, sched.End{})
+func (o *scheduler) serverLost(now time.Duration, j *job) {
+	o.cores[j.host].Release(wallTime(now), j.ticket, sched.End{})
 	j.exclude = append(j.exclude, o.sim.servers[j.server].address)
 	o.arrive(now, j)
 }
 
-func (o *ours) heartbeat(now time.Duration) {
+func (o *scheduler) heartbeat(now time.Duration) {
 	o.registries.heartbeat(now)
 	for i, from := range o.regs {
 		work := from.RecentWork()
 		for k, to := range o.regs {
 			if k != i {
-				to.MergeRecentWork(wall(now), fmt.Sprintf("host-%d", i), work)
+				to.MergeRecentWork(wallTime(now), fmt.Sprintf("host-%d", i), work)
 			}
 		}
 	}
--- a/internal/measure/routing/routing_test.go
+++ b/internal/measure/routing/routing_test.go
@@ -52,7 +52,7 @@
 }
 
 func TestMaxMinAndJain(t *testing.T) {
-	fair := maxMin([]float64{10, 100, 100}, 90)
+	fair := maxMinShares([]float64{10, 100, 100}, 90)
 	if fair[0] != 10 || fair[1] != 40 || fair[2] != 40 {
 		t.Errorf("shares %v, want 10 40 40", fair)
 	}
--- a/internal/measure/routing/server.go
+++ b/internal/measure/routing/server.go
@@ -24,8 +24,8 @@
 // batches and no cache hits.
 func modelCapacity(n int) float64 {
 	slotTime := 0.0
-	for _, s := range shapes {
-		output := float64(s.output[0]+s.output[1]) / 2 * (leastOutput + mostOutput) / 2
+	for _, s := range classShapes {
+		output := float64(s.output[0]+s.output[1]) / 2 * (minOutputShare + maxOutputShare) / 2
 		prompt := float64(s.prompt[0]+s.prompt[1]) / 2
 		slotTime += s.share * (output*fullTokenTime + prompt/prefillRate)
 	}
@@ -36,23 +36,23 @@
 
 // server is a simulated backend server.
 type server struct {
-	index   int
-	address string
-	zone    string
-	model   bool
-	slots   int
-	dead    bool
-	active  []*job
-	queue   []*job
-	cache   lru
-	seq     uint64
-	past    []reported
-	loadSum float64
-	busySum float64
+	index       int
+	address     string
+	zone        string
+	model       bool
+	slots       int
+	dead        bool
+	active      []*job
+	queue       []*job
+	cache       lru
+	seq         uint64
+	loadHistory []loadSample
+	loadSum     float64
+	busySum     float64
 }
 
-// reported is the load at a point in time.
-type reported struct {
+// loadSample is the load at a point in time.
+type loadSample struct {
 	at               time.Duration
 	running, waiting int
 }
@@ -122,8 +122,8 @@
 	return baseTokenTime + slowdown*float64(batch)
 }
 
-// fill moves waiting requests into the batch, more urgent classes first.
-func (s *server) fill() {
+// admit moves waiting requests into the batch, more urgent classes first.
+func (s *server) admit() {
 	for len(s.active) < s.slots && len(s.queue) > 0 {
 		best := 0
 		for i, j := range s.queue {
@@ -134,34 +134,34 @@
 		j := s.queue[best]
 		s.queue = append(s.queue[:best], s.queue[best+1:]...)
 		j.cached = s.cache.hits(j.hashes)
-		j.toFill = float64(j.prompt - j.cached*blockTokens)
+		j.prefillLeft = float64(j.prompt - j.cached*blockTokens)
 		s.active = append(s.active, j)
 	}
 }
 
-// run simulates one tick and returns the requests that finished in it.
-func (s *server) run(now, tick time.Duration) []*job {
-	s.fill()
+// runTick simulates one tick and returns the requests that finished in it.
+func (s *server) runTick(now, tick time.Duration) []*job {
+	s.admit()
 	budget := prefillRate * tick.Seconds()
 	rate := tick.Seconds() / s.tokenTime(len(s.active))
 	var done []*job
 	keep := s.active[:0]
 	for _, j := range s.active {
-		if j.toFill > 0 {
-			step := min(budget, j.toFill)
+		if j.prefillLeft > 0 {
+			step := min(budget, j.prefillLeft)
 			budget -= step
-			j.toFill -= step
-			if j.toFill <= 0 {
+			j.prefillLeft -= step
+			if j.prefillLeft <= 0 {
 				s.cache.put(j.hashes)
 			}
 			keep = append(keep, j)
 			continue
 		}
-		j.made += rate
-		if j.firstAt == 0 && j.made >= 1 {
+		j.produced += rate
+		if j.firstAt == 0 && j.produced >= 1 {
 			j.firstAt = now
 		}
-		if j.made >= float64(j.output) {
+		if j.produced >= float64(j.output) {
 			done = append(done, j)
 			continue
 		}
@@ -175,8 +175,8 @@
 	return done
 }
 
-// drop cancels a request.
-func (s *server) drop(j *job) {
+// cancel cancels a request.
+func (s *server) cancel(j *job) {
 	for i, x := range s.active {
 		if x == j {
 			s.active = append(s.active[:i], s.active[i+1:]...)
@@ -193,11 +193,11 @@
 
 // announce returns the next announcement, with the load as it was lag ago.
 func (s *server) announce(now, lag time.Duration) *pb.ServerState {
-	s.past = append(s.past, reported{now, len(s.active), len(s.queue)})
-	for len(s.past) > 1 && s.past[1].at <= now-lag {
-		s.past = s.past[1:]
+	s.loadHistory = append(s.loadHistory, loadSample{now, len(s.active), len(s.queue)})
+	for len(s.loadHistory) > 1 && s.loadHistory[1].at <= now-lag {
+		s.loadHistory = s.loadHistory[1:]
 	}
-	old := s.past[0]
+	old := s.loadHistory[0]
 	s.seq++
 	st := &pb.ServerState{
 		Address: s.address, Incarnation: 1, Seq: s.seq, Zone: s.zone,
--- a/internal/measure/routing/sim.go
+++ b/internal/measure/routing/sim.go
@@ -17,10 +17,11 @@
 	announceEvery = 500 * time.Millisecond
 	// faultAt is when servers are lost.
 	faultAt = 25 * time.Second
-	// noticeLoss is how long after that hosts detect that their connections broke.
-	noticeLoss = 500 * time.Millisecond
-	eventDelay = 200 * time.Millisecond
-	maxRun     = 10 * time.Minute
+	// lossDetectionDelay is the time after faultAt until hosts detect that their connections to
+	// the lost servers broke.
+	lossDetectionDelay = 500 * time.Millisecond
+	eventDelay         = 200 * time.Millisecond
+	maxRun             = 10 * time.Minute
 )
 
 // fault describes the faults that are injected into a run.
@@ -47,10 +48,10 @@
 	tick(now time.Duration)
 	// ended is called when j has left its server. whole is true if j has completed.
 	ended(now time.Duration, j *job, whole bool)
-	// first is called when j has its first token.
-	first(now time.Duration, j *job)
-	// lost is called when j's server is lost.
-	lost(now time.Duration, j *job)
+	// firstToken is called when j has its first token.
+	firstToken(now time.Duration, j *job)
+	// serverLost is called when j's server is lost.
+	serverLost(now time.Duration, j *job)
 	announce(now time.Duration, host int, st *pb.ServerState)
 	heartbeat(now time.Duration)
 	event(now time.Duration, ev backend.CacheEvent)
@@ -71,7 +72,7 @@
 	events  []timedEvent
 	evSeq   []uint64
 	ticks   int
-	// settled is the number of jobs at the start of jobs that all have a result.
+	// settled is the length of the longest prefix of jobs that all have a result.
 	settled int
 }
 
@@ -83,7 +84,7 @@
 // epoch is the wall-clock time at virtual time 0.
 var epoch = time.Unix(1_000_000, 0)
 
-func wall(t time.Duration) time.Time { return epoch.Add(t) }
+func wallTime(t time.Duration) time.Time { return epoch.Add(t) }
 
 func sortByArrival(jobs []*job) {
 	slices.SortStableFunc(jobs, func(a, b *job) int { return cmp.Compare(a.arrive, b.arrive) })
@@ -105,8 +106,8 @@
 
 func (m *sim) hostZone(h int) string { return m.site.zones[h%len(m.site.zones)] }
 
-// way returns the round-trip time between a job's host and a server.
-func (m *sim) way(j *job, s *server) time.Duration {
+// roundTrip returns the round-trip time between a job's host and a server.
+func (m *sim) roundTrip(j *job, s *server) time.Duration {
 	if m.hostZone(j.host) == s.zone {
 		return 0
 	}
@@ -115,9 +116,9 @@
 
 // dispatch sends j to a server.
 func (m *sim) dispatch(j *job, s *server) {
-	j.server, j.running, j.made, j.firstAt, j.toFill = s.index, true, 0, 0, 0
+	j.server, j.running, j.produced, j.firstAt, j.prefillLeft = s.index, true, 0, 0, 0
 	j.attempts++
-	j.place = len(m.running)
+	j.runningIndex = len(m.running)
 	m.running = append(m.running, j)
 	if s.dead {
 		m.broken = append(m.broken, j)
@@ -135,7 +136,7 @@
 			r.arrive(now, m.jobs[next])
 			next++
 		}
-		m.work(now)
+		m.runServers(now)
 		r.tick(now)
 		if m.finished() {
 			return
@@ -144,7 +145,7 @@
 }
 
 func (m *sim) finished() bool {
-	for m.settled < len(m.jobs) && m.jobs[m.settled].result != open {
+	for m.settled < len(m.jobs) && m.jobs[m.settled].result != pending {
 		m.settled++
 	}
 	return m.settled == len(m.jobs) || m.jobs[m.settled].arrive >= countUntil
@@ -165,57 +166,57 @@
 	}
 }
 
-// work simulates one tick of the servers and notifies the router of the outcomes.
-func (m *sim) work(now time.Duration) {
+// runServers simulates one tick of the servers and notifies the router of the outcomes.
+func (m *sim) runServers(now time.Duration) {
 	m.ticks++
 	if now == faultAt {
-		m.lose()
+		m.failServers()
 	}
 	end := now + tick
 	for _, s := range m.servers {
 		if s.dead {
 			continue
 		}
-		for _, j := range s.run(end, tick) {
-			m.end(j)
+		for _, j := range s.runTick(end, tick) {
+			m.removeRunning(j)
 			j.result = inTime
-			if end+m.way(j, s) > j.deadline {
+			if end+m.roundTrip(j, s) > j.deadline {
 				j.result = late
-				m.wasted += j.made
+				m.wasted += j.produced
 			}
 			m.router.ended(end, j, true)
 		}
 		m.cacheEvents(end, s)
 	}
-	m.breakLost(end)
+	m.reportLost(end)
 	for _, j := range slices.Clone(m.running) {
 		if j.firstAt == end {
-			m.router.first(end, j)
+			m.router.firstToken(end, j)
 		}
 		if j.running && end >= j.deadline {
-			m.cut(end, j)
+			m.cancelLate(end, j)
 		}
 	}
 }
 
-// cut cancels a running job whose deadline has passed.
-func (m *sim) cut(now time.Duration, j *job) {
-	m.servers[j.server].drop(j)
-	m.wasted += j.made
-	m.end(j)
+// cancelLate cancels a running job whose deadline has passed.
+func (m *sim) cancelLate(now time.Duration, j *job) {
+	m.servers[j.server].cancel(j)
+	m.wasted += j.produced
+	m.removeRunning(j)
 	j.result = late
 	m.router.ended(now, j, false)
 }
 
-func (m *sim) end(j *job) {
+func (m *sim) removeRunning(j *job) {
 	j.running = false
 	last := len(m.running) - 1
-	m.running[j.place] = m.running[last]
-	m.running[j.place].place = j.place
+	m.running[j.runningIndex] = m.running[last]
+	m.running[j.runningIndex].runningIndex = j.runningIndex
 	m.running = m.running[:last]
 }
 
-func (m *sim) lose() {
+func (m *sim) failServers() {
 	for i, s := range m.servers {
 		if (m.fault.servers > 0 && i < m.fault.servers) || (m.fault.zone && s.zone == m.site.zones[0]) {
 			s.dead = true
@@ -225,9 +226,9 @@
 	}
 }
 
-// breakLost notifies the router of requests on lost servers as soon as hosts can detect the loss.
-func (m *sim) breakLost(now time.Duration) {
-	if now < faultAt+noticeLoss {
+// reportLost notifies the router of requests on lost servers as soon as hosts can detect the loss.
+func (m *sim) reportLost(now time.Duration) {
+	if now < faultAt+lossDetectionDelay {
 		return
 	}
 	broken := m.broken
@@ -236,9 +237,9 @@
 		if !j.running {
 			continue
 		}
-		m.wasted += j.made
-		m.end(j)
-		m.router.lost(now, j)
+		m.wasted += j.produced
+		m.removeRunning(j)
+		m.router.serverLost(now, j)
 	}
 }
 
--- a/internal/measure/routing/table.go
+++ b/internal/measure/routing/table.go
@@ -20,17 +20,17 @@
 // oracleName is the policy with which all others are compared.
 const oracleName = "oracle"
 
-func withParts(p sched.Ablation) func(*sim, int64) router {
-	return func(m *sim, seed int64) router { return newOurs(m, seed, sched.Config{Ablation: p}) }
+func withAblation(p sched.Ablation) func(*sim, int64) router {
+	return func(m *sim, seed int64) router { return newScheduler(m, seed, sched.Config{Ablation: p}) }
 }
 
 var policies = []policy{
 	{"round robin", roundRobin},
 	{"least reported", leastReported},
-	{"+admission, queues", withParts(sched.Ablation{NoCorrection: true, NoPrefix: true, NoDistance: true})},
-	{"+corrected load", withParts(sched.Ablation{NoPrefix: true, NoDistance: true})},
-	{"+zone distance", withParts(sched.Ablation{NoPrefix: true})},
-	{"+prefix cache = ours", withParts(sched.Ablation{})},
+	{"+admission, queues", withAblation(sched.Ablation{NoCorrection: true, NoPrefix: true, NoDistance: true})},
+	{"+corrected load", withAblation(sched.Ablation{NoPrefix: true, NoDistance: true})},
+	{"+zone distance", withAblation(sched.Ablation{NoPrefix: true})},
+	{"+prefix cache = ours", withAblation(sched.Ablation{})},
 	{oracleName, newOracle},
 }
 
@@ -94,7 +94,7 @@
 	m.run(p.make(m, seed+2))
 	r := row{site: s.name, fault: f.name, policy: p.name, load: load, wasted: m.wasted}
 	r.count(jobs, s.accounts)
-	r.excess, r.busy = m.excess(), m.busy()
+	r.excess, r.busy = m.loadExcess(), m.utilization()
 	return r
 }
 
@@ -155,7 +155,7 @@
 	for _, v := range served {
 		total += v
 	}
-	fair := maxMin(asked, total)
+	fair := maxMinShares(asked, total)
 	sum, squares, n := 0.0, 0.0, 0.0
 	for i := range served {
 		if fair[i] <= 0 {
@@ -172,9 +172,9 @@
 	return sum * sum / (n * squares)
 }
 
-// maxMin returns the max-min fair allocation of total: no account gets more than it asked for,
-// and the smallest share is as large as possible.
-func maxMin(asked []float64, total float64) []float64 {
+// maxMinShares returns the max-min fair allocation of total: no account gets more than it asked
+// for, and the smallest share is as large as possible.
+func maxMinShares(asked []float64, total float64) []float64 {
 	out := make([]float64, len(asked))
 	left := len(asked)
 	sorted := slices.Clone(asked)
@@ -195,8 +195,8 @@
 	return out
 }
 
-// excess returns by what share the busiest model server's mean load exceeds the mean of all.
-func (m *sim) excess() float64 {
+// loadExcess returns by what share the busiest model server's mean load exceeds the mean of all.
+func (m *sim) loadExcess() float64 {
 	sum, most, n := 0.0, 0.0, 0.0
 	for _, s := range m.servers {
 		if s.model && !s.dead {
@@ -211,9 +211,9 @@
 	return most/(sum/n) - 1
 }
 
-// busy returns the share of the model servers' slots that were in use from countFrom to
+// utilization returns the share of the model servers' slots that were in use from countFrom to
 // countUntil.
-func (m *sim) busy() float64 {
+func (m *sim) utilization() float64 {
 	sum := 0.0
 	for _, s := range m.servers {
 		if s.model {
--- a/internal/measure/routing/workload.go
+++ b/internal/measure/routing/workload.go
@@ -16,9 +16,9 @@
 // blockTokens is the size of a prefix block.
 const blockTokens = 128
 
-// Requests arrive during arrivals. Only those that arrive from countFrom to countUntil are
-// counted, and the run ends when all of these have ended. So the queues are filled before, and
-// the load persists for as long as any of the counted requests may wait.
+// Requests arrive until the time arrivals. Only those that arrive from countFrom to countUntil
+// are counted, and the run ends when all of these have ended. So the queues are filled before,
+// and the load persists for as long as any of the counted requests may wait.
 const (
 	arrivals   = 75 * time.Second
 	countFrom  = 20 * time.Second
@@ -46,8 +46,8 @@
 	serviceTarget = backend.Target{Kind: backend.Service, Name: "s"}
 )
 
-// shape describes the requests of one class.
-type shape struct {
+// classShape describes the requests of one class.
+type classShape struct {
 	class          sched.Class
 	share          float64 // of all model requests
 	prompt, output [2]int  // minimum and maximum number of tokens
@@ -58,15 +58,15 @@
 // the whole output cap in a full batch, plus the slack of the class.
 const deadlineFactor = 1.5
 
-var shapes = []shape{
+var classShapes = []classShape{
 	{sched.Urgent, 0.15, [2]int{200, 500}, [2]int{30, 100}, [2]time.Duration{500 * time.Millisecond, 1500 * time.Millisecond}},
 	{sched.Normal, 0.60, [2]int{800, 3000}, [2]int{80, 300}, [2]time.Duration{500 * time.Millisecond, 4 * time.Second}},
 	{sched.Batch, 0.25, [2]int{3000, 9000}, [2]int{300, 800}, [2]time.Duration{5 * time.Second, 20 * time.Second}},
 }
 
-// leastOutput and mostOutput bound the actual output as a share of the cap. It is uniformly
+// minOutputShare and maxOutputShare bound the actual output as a share of the cap. It is uniformly
 // distributed.
-const leastOutput, mostOutput = 0.3, 1.0
+const minOutputShare, maxOutputShare = 0.3, 1.0
 
 // families is the number of prompt families per account. The prompts of a family share a prefix
 // whose length is commonShare of the class's mean prompt.
@@ -89,24 +89,24 @@
 	arrive   time.Duration
 	deadline time.Duration
 
-	server   int
-	attempts int
-	exclude  []string
-	ticket   uint64
-	place    int // index in sim.running
-	running  bool
-	result   result
-	firstAt  time.Duration
-	toFill   float64 // prompt tokens still to be processed
-	made     float64 // output tokens generated
-	cached   int
+	server       int
+	attempts     int
+	exclude      []string
+	ticket       uint64
+	runningIndex int // index in sim.running
+	running      bool
+	result       result
+	firstAt      time.Duration
+	prefillLeft  float64 // prompt tokens still to be processed
+	produced     float64 // output tokens generated
+	cached       int
 }
 
 // result is the outcome of a job.
 type result int
 
 const (
-	open result = iota
+	pending result = iota
 	inTime
 	refused // rejected before it ran
 	late    // ran or waited past its deadline
@@ -126,8 +126,8 @@
 		if at >= arrivals {
 			break
 		}
-		j := modelJob(rng, pick(rng, weights))
-		j.host, j.arrive = pick(rng, hosts), at
+		j := modelJob(rng, weightedPick(rng, weights))
+		j.host, j.arrive = weightedPick(rng, hosts), at
 		j.deadline += at
 		jobs = append(jobs, j)
 	}
@@ -139,7 +139,7 @@
 			break
 		}
 		jobs = append(jobs, &job{
-			account: pick(rng, weights), host: pick(rng, hosts), target: serviceTarget, class: sched.Normal,
+			account: weightedPick(rng, weights), host: weightedPick(rng, hosts), target: serviceTarget, class: sched.Normal,
 			output: 4 + rng.Intn(13), arrive: at, deadline: at + time.Second,
 		})
 	}
@@ -148,11 +148,11 @@
 }
 
 func modelJob(rng *rand.Rand, account int) *job {
-	s := shapes[pick(rng, []float64{shapes[0].share, shapes[1].share, shapes[2].share})]
+	s := classShapes[weightedPick(rng, []float64{classShapes[0].share, classShapes[1].share, classShapes[2].share})]
 	j := &job{account: account, target: modelTarget, class: s.class}
-	j.prompt = between(rng, s.prompt)
-	j.limit = between(rng, s.output)
-	j.output = max(2, int(float64(j.limit)*(leastOutput+rng.Float64()*(mostOutput-leastOutput))))
+	j.prompt = randomBetween(rng, s.prompt)
+	j.limit = randomBetween(rng, s.output)
+	j.output = max(2, int(float64(j.limit)*(minOutputShare+rng.Float64()*(maxOutputShare-minOutputShare))))
 	slack := s.slack[0] + time.Duration(rng.Int63n(int64(s.slack[1]-s.slack[0])))
 	j.deadline = slack + time.Duration(deadlineFactor*float64(j.limit)*fullTokenTime*float64(time.Second))
 	family := rng.Intn(families)
@@ -190,8 +190,8 @@
 	return w
 }
 
-// pick returns a random index, with probabilities proportional to weights.
-func pick(rng *rand.Rand, weights []float64) int {
+// weightedPick returns a random index, with probabilities proportional to weights.
+func weightedPick(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -206,6 +206,6 @@
 	return len(weights) - 1
 }
 
-func between(rng *rand.Rand, b [2]int) int { return b[0] + rng.Intn(b[1]-b[0]+1) }
+func randomBetween(rng *rand.Rand, b [2]int) int { return b[0] + rng.Intn(b[1]-b[0]+1) }
 
 func (j *job) accountName() string { return fmt.Sprintf("account-%02d", j.account) }
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -35,8 +35,8 @@
 	events   []CacheEvent
 }
 
-func newPrefixCache(bound int) *prefixCache {
-	return &prefixCache{capacity: bound, blocks: map[uint64]*list.Element{}, recent: list.New()}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, blocks: map[uint64]*list.Element{}, recent: list.New()}
 }
 
 // use looks up a prompt's blocks, stores the missing ones and returns the number of leading
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -47,7 +47,7 @@
 }
 
 // submit queues a stream. hashes are those of the prompt's prefix blocks. No id is executed
-// twice: submit returns errKnown while an earlier stream with the same id is kept.
+// twice: submit returns errDuplicate while an earlier stream with the same id is kept.
 func (e *engine) submit(st *stream, hashes []uint64, priority int) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// acceptsWork reports whether new work is accepted. If a fault or leaving prevents it, acceptsWork
-// sends a refusal.
+// acceptsWork reports whether new work is accepted. If an injected fault or leaving prevents it,
+// it sends a refusal.
 func (s *Server) acceptsWork(w http.ResponseWriter) bool {
 	if f := s.faults.get(); f.Refuse {
 		if f.RetryAfter != "" {
