--- a/internal/adminapi/answer.go
+++ b/internal/adminapi/answer.go
@@ -33,7 +33,7 @@
 
 func writeError(w http.ResponseWriter, err error) { httpserver.WriteError(w, "", err) }
 
-// readBody returns the whole body, or the refusal of one that is too long.
+// readBody returns the request body, or an error if it is too long.
 func readBody(q *request) ([]byte, error) {
 	b, err := io.ReadAll(q.http.Body)
 	var tooLong *http.MaxBytesError
--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -15,9 +15,9 @@
 // ConfigAnswer is the settings tree at one path.
 type ConfigAnswer struct {
 	Path string `json:"path"`
-	// Version is that of the subtree that contains Path. A change sends it as If-Match.
+	// Version is the version of the subtree that contains Path. A change sends it as If-Match.
 	Version uint64 `json:"version"`
-	// Revision is that of the whole tree.
+	// Revision is the revision of the whole tree.
 	Revision uint64          `json:"revision"`
 	Value    json.RawMessage `json:"value"`
 }
--- a/internal/load/addresses.go
+++ b/internal/load/addresses.go
@@ -43,46 +43,46 @@
 }
 
 // stale reports whether the cached answer has expired.
-func (b *addressCache) stale(now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return !now.Before(b.expires)
+func (c *addressCache) stale(now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !now.Before(c.expires)
 }
 
-func (b *addressCache) set(now time.Time, a addressAnswer) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.list = nil
+func (c *addressCache) set(now time.Time, a addressAnswer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.list = nil
 	for _, item := range a.Addresses {
-		b.list = append(b.list, item.Address)
+		c.list = append(c.list, item.Address)
 	}
-	b.expires = now.Add(time.Duration(a.TTLMS) * time.Millisecond)
-	b.updates++
+	c.expires = now.Add(time.Duration(a.TTLMS) * time.Millisecond)
+	c.updates++
 }
 
 // fail records that an address did not answer.
-func (b *addressCache) fail(now time.Time, address string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.failed[address] = now
+func (c *addressCache) fail(now time.Time, address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.failed[address] = now
 }
 
 // pick returns the first address that was neither tried already nor failed recently. If there
 // is none, it returns the first one that was tried but did not fail recently, then the first
 // one that failed recently but was not tried, then the first one.
-func (b *addressCache) pick(now time.Time, tried map[string]bool) (string, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.list) == 0 {
+func (c *addressCache) pick(now time.Time, tried map[string]bool) (string, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.list) == 0 {
 		return "", false
 	}
 	best, bestRank := "", 4
-	for _, a := range b.list {
+	for _, a := range c.list {
 		rank := 0
 		if tried[a] {
 			rank++
 		}
-		if at, ok := b.failed[a]; ok && now.Sub(at) < avoidFailedFor {
+		if at, ok := c.failed[a]; ok && now.Sub(at) < avoidFailedFor {
 			rank += 2
 		}
 		if rank < bestRank {
@@ -93,10 +93,10 @@
 }
 
 // hostsToQuery returns the hosts to fetch addresses from, the cached ones first.
-func (b *addressCache) hostsToQuery(seeds []string) []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append(append([]string{}, b.list...), seeds...)
+func (c *addressCache) hostsToQuery(seeds []string) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append(append([]string{}, c.list...), seeds...)
 }
 
 // addressFetcher fetches addresses into an addressCache.
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -43,7 +43,7 @@
 	total      time.Duration
 }
 
-// retryDecision tells whether and when a caller tries again.
+// retryDecision states whether a caller tries again, and after which delay.
 type retryDecision struct {
 	retry bool
 	wait  time.Duration
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -34,7 +34,7 @@
 	return report, nil
 }
 
-// newCallers returns callers that fetch their own addresses each, since a fleet balances its
+// newCallers returns callers that fetch their addresses separately, since a fleet balances its
 // load by giving each caller the addresses in a different order.
 func newCallers(ctx context.Context, o *Options, client *http.Client) ([]*caller, error) {
 	callers := make([]*caller, o.Concurrency)
--- a/internal/measure/routing/ours.go
+++ b/internal/measure/routing/ours.go
@@ -72,8 +72,8 @@
 	}
 }
 
-func (o *scheduler) ended(now time.Duration, j *job, whole bool) {
-	o.cores[j.host].Release(wallTime(now), j.ticket, sched.End{Completed: whole, Output: uint64(j.produced)})
+func (o *scheduler) ended(now time.Duration, j *job, completed bool) {
+	o.cores[j.host].Release(wallTime(now), j.ticket, sched.End{Completed: completed, Output: uint64(j.produced)})
 }
 
 func (o *scheduler) firstToken(now time.Duration, j *job) {
--- a/internal/measure/routing/sim.go
+++ b/internal/measure/routing/sim.go
@@ -46,8 +46,8 @@
 	arrive(now time.Duration, j *job)
 	// tick is called once per step, after the servers.
 	tick(now time.Duration)
-	// ended is called when j has left its server. whole is true if j has completed.
-	ended(now time.Duration, j *job, whole bool)
+	// ended is called when j has left its server. completed is false if j was cancelled.
+	ended(now time.Duration, j *job, completed bool)
 	// firstToken is called when j has its first token.
 	firstToken(now time.Duration, j *job)
 	// serverLost is called when j's server is lost.
