--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -129,7 +129,8 @@
 	Lines  []StatementLine `json:"lines"`
 }
 
-// StatementLine is one entry of a statement. Kind is "create", "top-up", "bill", "duplicate" or "recover".
+// StatementLine is one entry of a statement. Kind is "create", "top-up", "lowered", "bill", "spend",
+// "duplicate", "expired", "recover" or "uncovered".
 type StatementLine struct {
 	Index     uint64    `json:"index"`
 	Time      time.Time `json:"time"`
@@ -249,11 +250,11 @@
 
 // Order is the body of POST /v1/servers/{address}/orders.
 type Order struct {
-	// Verb is the action, such as "load" or "unload".
+	// Verb is the action, such as "load_model" or "unload_model".
 	Verb string `json:"verb"`
 	// Object is the model, adapter or version concerned.
 	Object string `json:"object,omitempty"`
-	// Role is the new role, for the verb "role".
+	// Role is the new role, for the verb "change_role".
 	Role string `json:"role,omitempty"`
 }
 
