--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -12,7 +12,7 @@
 	// brokenRetryDelay is the delay after an attempt without a complete answer.
 	brokenRetryDelay = 20 * time.Millisecond
 	// firstBackoff is the delay after the first refusal that asks for a retry with the same
-	// key but does not say when. It doubles with each attempt, up to longestPause.
+	// key but does not say when. It doubles with each attempt, up to maxBackoff.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 2 * time.Second
 )
@@ -21,7 +21,7 @@
 // late answers and refusals are distinguished from missing ones.
 const lateGrace = 2 * time.Second
 
-// outcome is the outcome of a request.
+// outcome is the final state of a request.
 type outcome int
 
 const (
@@ -43,14 +43,14 @@
 	total      time.Duration
 }
 
-// retryDecision tells whether and when a caller tries again.
+// retryDecision states whether a caller tries again, and after which delay.
 type retryDecision struct {
 	retry bool
 	wait  time.Duration
 }
 
-// decideRetry decides whether a well-behaved caller tries again after its n-th attempt, whose outcome
-// is a. It tries again only if that can help, never after its deadline, and makes at most
+// decideRetry decides whether a well-behaved caller tries again after its n-th attempt, whose
+// outcome is a. It tries again only if that can help, never after its deadline, and makes at most
 // maxAttempts attempts.
 func decideRetry(a *attempt, left time.Duration, n, maxAttempts int) retryDecision {
 	p := retryFor(a, n)
@@ -60,7 +60,7 @@
 	return p
 }
 
-// retryFor returns the plan that follows from the outcome a of the n-th attempt alone.
+// retryFor returns the decision that follows from the outcome a of the n-th attempt alone.
 func retryFor(a *attempt, n int) retryDecision {
 	if a.broken != nil {
 		return retryDecision{retry: true, wait: brokenRetryDelay}
@@ -143,7 +143,7 @@
 	return a
 }
 
-// classify sets the verdict and the fault from the last attempt.
+// classify sets the outcome and the fault from the last attempt.
 func (res *result) classify(r *request, timeout time.Duration) {
 	a := res.last
 	switch {
--- a/internal/measure/budgets/budgets.go
+++ b/internal/measure/budgets/budgets.go
@@ -1,6 +1,7 @@
-// Package budgets measures ways of spending prepaid budgets at many hosts: the same demand
-// and the same cuts, from fixed seeds, in virtual time. The ways with grants run the
-// product's own state machine, package grant, against a small ledger in memory.
+// Package budgets compares strategies for spending prepaid budgets on many hosts. Each strategy
+// gets the same demand and the same cuts, generated from fixed seeds, in virtual time. A cut is
+// a network partition that separates one availability zone from the others. The strategies with
+// grants run the state machine of package grant against a small in-memory ledger.
 package budgets
 
 import (
@@ -13,33 +14,34 @@
 	"github.com/bluebellsail/bluebellsail/internal/grant"
 )
 
-// Row is what one run measured.
+// Row holds the measurements of one run.
 type Row struct {
-	Way      string
+	Strategy string
 	Requests int
-	// Refused counts all refusals; RefusedInCut those during the cut. A false refusal is
-	// one while tokens were left somewhere: by the policy if they were in reach.
+	// Refused counts all refusals, RefusedInCut those during the cut. A refusal is false if
+	// enough tokens were left. It is FalseByPolicy if they were reachable, else FalseByCut.
 	Refused, RefusedInCut, FalseByCut, FalseByPolicy int
-	// Overspend is in tokens, OnHosts those that lay idle on hosts or in transit as the cut ended.
+	// Overspend is the number of overspent tokens. OnHosts is the number of unused tokens on
+	// hosts and in transit at the end of the cut.
 	Overspend, OnHosts uint64
 	Messages, Bytes    int
-	// Faults are rules of the ledger that were broken.
+	// Faults counts violations of the ledger's rules.
 	Faults int
 }
 
-// named is a way with its name in the table.
-type named struct {
+// namedStrategy is a strategy with its name in the table.
+type namedStrategy struct {
 	name string
-	make func(*sim) way
+	make func(*sim) strategy
 }
 
-// DefaultGrants is how the product is set.
+// DefaultGrants returns the product's default settings.
 func DefaultGrants() Grants {
 	return Grants{Policy: grant.PolicyFrom(nil)}
 }
 
-func withGrants(name string, set Grants) named {
-	return named{name, func(s *sim) way { return newDemand(s, set) }}
+func withGrants(name string, set Grants) namedStrategy {
+	return namedStrategy{name, func(s *sim) strategy { return newGrantStrategy(s, set) }}
 }
 
 func withoutTransfers(g Grants) Grants {
@@ -47,17 +49,18 @@
 	return g
 }
 
-// fourWays are the ways that the table compares.
-func fourWays() []named {
-	return []named{
-		{"equal shares", newStatic},
+// comparedStrategies returns the strategies that the table compares.
+func comparedStrategies() []namedStrategy {
+	return []namedStrategy{
+		{"equal shares", newStaticStrategy},
 		withGrants("grants", withoutTransfers(DefaultGrants())),
 		withGrants("grants+transfers", DefaultGrants()),
-		{"quorum write", newQuorum},
+		{"quorum write", newQuorumStrategy},
 	}
 }
 
-// scenarios are the rows: cut, part of the budget spent, demand even or skewed.
+// scenarios returns all combinations of even and skewed demand, the duration of the cut, and the
+// part of the budgets that is spent.
 func scenarios(seed int64) []scenario {
 	var all []scenario
 	for _, skewed := range []bool{false, true} {
@@ -70,16 +73,16 @@
 	return all
 }
 
-// parallel bounds the runs at a time.
-const parallel = 4
+// maxParallel bounds the number of concurrent runs.
+const maxParallel = 4
 
-// Run writes the table of the four ways.
+// Run writes the table of the four strategies.
 func Run(w io.Writer, seed int64) error {
-	return writeTable(w, scenarios(seed), fourWays())
+	return writeTable(w, scenarios(seed), comparedStrategies())
 }
 
-func writeTable(w io.Writer, rows []scenario, ways []named) error {
-	results := runAll(rows, ways)
+func writeTable(w io.Writer, rows []scenario, strategies []namedStrategy) error {
+	results := runAll(rows, strategies)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "demand\tcut\tspent\tway\trequests\toverspend\tfalse by cut\tfalse by policy\trefused\trefused in cut %\tmessages/req\tbytes/req\ton hosts\t")
 	for i, sc := range rows {
@@ -98,27 +101,28 @@
 	inCut := sc.cut.Seconds() * totalRate
 	n := float64(max(r.Requests, 1))
 	fmt.Fprintf(w, "%s\t%v\t%.0f%%\t%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.1f\t%.0f\t%d\t\n",
-		kind, sc.cut, sc.spent*100, r.Way, r.Requests, r.Overspend, r.FalseByCut, r.FalseByPolicy, r.Refused,
+		kind, sc.cut, sc.spent*100, r.Strategy, r.Requests, r.Overspend, r.FalseByCut, r.FalseByPolicy, r.Refused,
 		100*float64(r.RefusedInCut)/inCut, float64(r.Messages)/n, float64(r.Bytes)/n, r.OnHosts)
 	if r.Faults > 0 {
-		fmt.Fprintf(w, "\t\t\t%s: %d broken rules of the ledger\t\n", r.Way, r.Faults)
+		fmt.Fprintf(w, "\t\t\t%s: %d broken rules of the ledger\t\n", r.Strategy, r.Faults)
 	}
 }
 
-// runAll plays every scenario with every way; results stand in the order of both.
-func runAll(rows []scenario, ways []named) [][]Row {
+// runAll runs every scenario with every strategy. The result is indexed by scenario, then by
+// strategy.
+func runAll(rows []scenario, strategies []namedStrategy) [][]Row {
 	results := make([][]Row, len(rows))
-	limit := make(chan struct{}, parallel)
+	limit := make(chan struct{}, maxParallel)
 	var wg sync.WaitGroup
 	for i, sc := range rows {
-		results[i] = make([]Row, len(ways))
-		for j, way := range ways {
+		results[i] = make([]Row, len(strategies))
+		for j, named := range strategies {
 			wg.Go(func() {
 				limit <- struct{}{}
 				defer func() { <-limit }()
 				s := newSim(sc)
-				s.way = way.make(s)
-				s.result.Way = way.name
+				s.strategy = named.make(s)
+				s.result.Strategy = named.name
 				results[i][j] = s.run()
 			})
 		}
--- a/internal/measure/budgets/sim.go
+++ b/internal/measure/budgets/sim.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// Times of the network and of the runtime, one way where it is a latency.
+// The timing of the network and of the runtime. Latencies are one-way.
 const (
 	inZone         = 300 * time.Microsecond
 	betweenZones   = 1100 * time.Microsecond
@@ -21,32 +21,33 @@
 	proposeTimeout = time.Second
 	askTimeout     = 250 * time.Millisecond
 	tickEvery      = 100 * time.Millisecond
-	suspectAfter   = 2 * time.Second // until a peer that was cut off isn't asked any more
+	suspectAfter   = 2 * time.Second // until a peer that was cut off is no longer contacted
 	messageBytes   = 100             // headers of one message: TCP, HTTP/2, gRPC
 	replicas       = 3
 )
 
-// way is one way of spending budgets at many hosts.
-type way interface {
-	// reserve ends in exactly one sim.decide, now or later.
+// strategy decides how budgets are spent on many hosts.
+type strategy interface {
+	// reserve leads to exactly one call of sim.decide, immediately or later.
 	reserve(r *request)
 	settle(r *request)
 	tick()
-	// free is what a host could reserve at once of an account's budget.
+	// free returns the tokens of an account's budget that a host could reserve immediately.
 	free(host, account int) uint64
 }
 
-// sim is one run in virtual time.
+// sim is one run of a scenario in virtual time.
 type sim struct {
 	scenario scenario
 	now      time.Duration
 	queue    events
 	sequence int
 	ledger   *fakeledger.Ledger
-	way      way
+	strategy strategy
 	result   Row
 	used     []uint64
-	// inTransit are tokens deducted at a giver and not yet at the receiver.
+	// inTransit is, for each account, the tokens deducted from a transfer's sender and not yet
+	// added to its receiver.
 	inTransit []uint64
 }
 
@@ -77,24 +78,24 @@
 func budgetName(a int) string      { return "b" + strconv.Itoa(a) }
 func holderOf(host int) *pb.Holder { return &pb.Holder{Host: hostName(host), Incarnation: 1} }
 
-// virtual is a time.Time for the state machines.
-func (s *sim) virtual() time.Time { return time.Unix(0, 0).Add(s.now) }
+// virtualTime returns the virtual time as a time.Time for the state machines.
+func (s *sim) virtualTime() time.Time { return time.Unix(0, 0).Add(s.now) }
 
 func (s *sim) after(d time.Duration, do func()) {
 	s.sequence++
 	heap.Push(&s.queue, event{at: s.now + d, sequence: s.sequence, do: do})
 }
 
-func (s *sim) cutNow() bool {
-	return s.now >= s.scenario.cutFrom() && s.now < s.scenario.cutTo()
+func (s *sim) inCut() bool {
+	return s.now >= s.scenario.cutStart() && s.now < s.scenario.cutEnd()
 }
 
-// joined tells whether two zones reach each other now.
-func (s *sim) joined(a, b int) bool {
-	return !s.cutNow() || (a == cutZone) == (b == cutZone)
+// connected reports whether two zones are currently connected.
+func (s *sim) connected(a, b int) bool {
+	return !s.inCut() || (a == cutZone) == (b == cutZone)
 }
 
-func (s *sim) reachesLedger(host int) bool { return s.joined(zoneOf[host], 0) }
+func (s *sim) reachesLedger(host int) bool { return s.connected(zoneOf[host], 0) }
 
 func latency(a, b int) time.Duration {
 	if a == b {
@@ -103,24 +104,24 @@
 	return betweenZones
 }
 
-func (s *sim) count(messages int, bytes int) {
+func (s *sim) countMessages(messages int, bytes int) {
 	s.result.Messages += messages
 	s.result.Bytes += bytes + messages*messageBytes
 }
 
-// propose carries a command to the ledger. answered gets nil if there is no answer. A
-// command costs a message and its answer, and both again to each further replica.
+// propose sends a command to the ledger. answered gets nil if there is no answer. The traffic of
+// a command is one message and its answer, and the same again for each further replica.
 func (s *sim) propose(host int, cmd *pb.Command, answered func(*pb.CommandResult)) {
 	size := proto.Size(cmd)
 	if !s.reachesLedger(host) {
-		s.count(1, size)
+		s.countMessages(1, size)
 		s.after(proposeTimeout, func() { answered(nil) })
 		return
 	}
 	trip := latency(zoneOf[host], 0)
 	s.after(trip+quorumWrite, func() {
 		r := s.ledger.Apply(cmd)
-		s.count(2*replicas, size*replicas+proto.Size(r))
+		s.countMessages(2*replicas, size*replicas+proto.Size(r))
 		if !s.reachesLedger(host) {
 			s.after(proposeTimeout-trip-quorumWrite, func() { answered(nil) })
 			return
@@ -129,16 +130,16 @@
 	})
 }
 
-// run plays the scenario and returns its row.
+// run simulates the scenario and returns its row.
 func (s *sim) run() Row {
 	for _, r := range s.scenario.requests() {
 		s.after(r.at-s.now, func() {
 			s.result.Requests++
-			s.way.reserve(r)
+			s.strategy.reserve(r)
 		})
 	}
 	s.after(tickEvery, s.tick)
-	s.after(s.scenario.cutTo()-time.Millisecond, s.noteOnHosts)
+	s.after(s.scenario.cutEnd()-time.Millisecond, s.countOnHosts)
 	for len(s.queue) > 0 {
 		e := heap.Pop(&s.queue).(event)
 		if e.at > s.scenario.end() {
@@ -152,11 +153,12 @@
 }
 
 func (s *sim) tick() {
-	s.way.tick()
+	s.strategy.tick()
 	s.after(tickEvery, s.tick)
 }
 
-// decide ends a request's wait. A granted one runs and settles; a refused one is judged.
+// decide sets the outcome of a reservation. A granted request runs and is settled, a refused one
+// is counted by classifyRefusal.
 func (s *sim) decide(r *request, err *errkind.Error) {
 	if r.decided {
 		panic(fmt.Sprintf("%s decided twice", r.id))
@@ -164,15 +166,16 @@
 	r.decided = true
 	if err == nil {
 		s.used[r.account] += r.use
-		s.after(r.duration, func() { s.way.settle(r) })
+		s.after(r.duration, func() { s.strategy.settle(r) })
 		return
 	}
-	s.judge(r)
+	s.classifyRefusal(r)
 }
 
-// judge tells a true refusal from a false one, and whose fault a false one is: of the
-// policy if the ledger and the hosts in reach held enough, else of the cut.
-func (s *sim) judge(r *request) {
+// classifyRefusal counts a refusal. It is false if enough tokens were left in total. The policy is
+// the cause of a false refusal if the ledger and the hosts that were reachable had enough tokens,
+// otherwise the cut is.
+func (s *sim) classifyRefusal(r *request) {
 	s.result.Refused++
 	ledger := s.ledger.Budgets[budgetName(r.account)].Free()
 	everywhere, reachable := ledger+s.inTransit[r.account], uint64(0)
@@ -180,9 +183,9 @@
 		reachable = ledger
 	}
 	for host := range hostCount {
-		free := s.way.free(host, r.account)
+		free := s.strategy.free(host, r.account)
 		everywhere += free
-		if s.joined(zoneOf[host], zoneOf[r.host]) {
+		if s.connected(zoneOf[host], zoneOf[r.host]) {
 			reachable += free
 		}
 	}
@@ -192,22 +195,22 @@
 	case everywhere >= r.reserve:
 		s.result.FalseByCut++
 	}
-	if s.cutNow() {
+	if s.inCut() {
 		s.result.RefusedInCut++
 	}
 }
 
-// noteOnHosts counts the tokens that lie idle on hosts or in transit as the cut ends.
-func (s *sim) noteOnHosts() {
+// countOnHosts counts the unused tokens on hosts and in transit at the end of the cut.
+func (s *sim) countOnHosts() {
 	for account := range accountShare {
 		s.result.OnHosts += s.inTransit[account]
 		for host := range hostCount {
-			s.result.OnHosts += s.way.free(host, account)
+			s.result.OnHosts += s.strategy.free(host, account)
 		}
 	}
 }
 
-// checkOverspend compares what runs took with the funds, and takes in the ledger's faults.
+// checkOverspend compares the tokens used with the budgets, and counts the ledger's faults.
 func (s *sim) checkOverspend() {
 	for account, used := range s.used {
 		spent := used + s.scenario.billedBefore(account)
--- a/internal/measure/routing/baseline.go
+++ b/internal/measure/routing/baseline.go
@@ -8,8 +8,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// registries is what all routers but the oracle know of the servers: one registry
-// per host, fed by announcements and heartbeats.
+// registries holds the state of the servers as known to all routers but the oracle. There is one
+// registry per host, updated by announcements and heartbeats.
 type registries struct {
 	sim  *sim
 	regs []*backend.Registry
@@ -24,15 +24,15 @@
 }
 
 func (r *registries) announce(now time.Duration, host int, st *pb.ServerState) {
-	r.regs[host].Announce(wall(now), st)
+	r.regs[host].Announce(wallTime(now), st)
 }
 
 func (r *registries) heartbeat(now time.Duration) {
 	for i, from := range r.regs {
-		states := from.Snapshot(wall(now))
+		states := from.Snapshot(wallTime(now))
 		for k, to := range r.regs {
 			if k != i {
-				to.Merge(wall(now), 2*r.sim.site.delay, states)
+				to.Merge(wallTime(now), 2*r.sim.site.delay, states)
 			}
 		}
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// direct sends every request at once to a server picked from the usable ones, and
-// again elsewhere if that is lost.
+// direct sends every request immediately to one of the usable servers, and again to another one
+// if that server is lost.
 type direct struct {
 	registries
 	pick func(host int, usable []*backend.Server) *backend.Server
@@ -55,7 +55,7 @@
 	reg := d.regs[j.host]
 	var usable []*backend.Server
 	for _, s := range reg.Serving(j.target) {
-		if reg.UsableServer(wall(now), s) {
+		if reg.UsableServer(wallTime(now), s) {
 			usable = append(usable, s)
 		}
 	}
@@ -66,11 +66,12 @@
 	d.sim.dispatch(j, d.sim.byAddr[d.pick(j.host, usable).Address()])
 }
 
-func (d *direct) tick(time.Duration)              {}
-func (d *direct) ended(time.Duration, *job, bool) {}
-func (d *direct) first(time.Duration, *job)       {}
-func (d *direct) lost(now time.Duration, j *job)  { d.arrive(now, j) }
+func (d *direct) tick(time.Duration)                   {}
+func (d *direct) ended(time.Duration, *job, bool)      {}
+func (d *direct) firstToken(time.Duration, *job)       {}
+func (d *direct) serverLost(now time.Duration, j *job) { d.arrive(now, j) }
 
+// roundRobin returns a router whose hosts use the usable servers in turn.
 func roundRobin(m *sim, seed int64) router {
 	rng := rand.New(rand.NewSource(seed))
 	next := make([]int, m.site.hosts)
@@ -83,6 +84,8 @@
 	}}
 }
 
+// leastReported returns a router that uses the server with the lowest reported load, and a random
+// one of several.
 func leastReported(m *sim, seed int64) router {
 	rng := rand.New(rand.NewSource(seed))
 	return &direct{newRegistries(m), func(_ int, usable []*backend.Server) *backend.Server {
--- a/internal/measure/routing/oracle.go
+++ b/internal/measure/routing/oracle.go
@@ -8,9 +8,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// oracle schedules all hosts' requests from one queue and knows the true load, the
-// true caches and how long every output will be. It is a yardstick, no bound: its
-// order is by class and then by deadline.
+// oracle schedules the requests of all hosts from one queue. It knows the actual load and caches
+// and the length of every output. It serves as a reference, but is not an upper bound, since it
+// simply orders requests by class and then by deadline.
 type oracle struct {
 	sim     *sim
 	waiting []*job
@@ -20,20 +20,20 @@
 
 func (o *oracle) arrive(_ time.Duration, j *job) { o.waiting = append(o.waiting, j) }
 
-// runTime is how long j takes on s with a full batch.
+// runTime returns the duration of j on s with a full batch.
 func (o *oracle) runTime(j *job, s *server) time.Duration {
 	seconds := float64(j.output) * s.tokenTime(s.slots)
 	if s.model {
 		prompt := float64(j.prompt - s.cache.peek(j.hashes)*blockTokens)
 		for _, x := range s.active {
-			prompt += x.toFill
+			prompt += x.prefillLeft
 		}
 		for _, x := range s.queue {
 			prompt += float64(x.prompt - s.cache.peek(x.hashes)*blockTokens)
 		}
 		seconds += prompt / prefillRate
 	}
-	return time.Duration(seconds*float64(time.Second)) + o.sim.way(j, s) + 3*tick
+	return time.Duration(seconds*float64(time.Second)) + o.sim.roundTrip(j, s) + 3*tick
 }
 
 func (o *oracle) tick(now time.Duration) {
@@ -46,20 +46,20 @@
 	})
 	keep := o.waiting[:0]
 	for _, j := range o.waiting {
-		free := o.free(j.target == modelTarget)
+		free := o.hasFreeSlot(j.target == modelTarget)
 		if !free && now+o.outputTime(j) <= j.deadline {
 			keep = append(keep, j)
 			continue
 		}
-		if !o.place(now, j) {
+		if !o.dispatchOrRefuse(now, j) {
 			keep = append(keep, j)
 		}
 	}
 	o.waiting = keep
 }
 
-// free tells whether a server of the kind has a free slot.
-func (o *oracle) free(model bool) bool {
+// hasFreeSlot reports whether a server of the given kind has a free slot.
+func (o *oracle) hasFreeSlot(model bool) bool {
 	for _, s := range o.sim.servers {
 		if !s.dead && s.model == model && len(s.active)+len(s.queue) < s.slots {
 			return true
@@ -68,7 +68,8 @@
 	return false
 }
 
-// outputTime is the least time that j takes anywhere.
+// outputTime returns the time to generate the output of j. Model servers are assumed to have a
+// full batch.
 func (o *oracle) outputTime(j *job) time.Duration {
 	if j.target == serviceTarget {
 		return time.Duration(float64(j.output) * serviceTokenTime * float64(time.Second))
@@ -76,8 +77,8 @@
 	return time.Duration(float64(j.output) * fullTokenTime * float64(time.Second))
 }
 
-// place starts or refuses j; false: it goes on waiting.
-func (o *oracle) place(now time.Duration, j *job) bool {
+// dispatchOrRefuse dispatches or refuses j. It returns false if j keeps waiting.
+func (o *oracle) dispatchOrRefuse(now time.Duration, j *job) bool {
 	var best *server
 	var bestTime, least time.Duration
 	for _, s := range o.sim.servers {
@@ -107,8 +108,8 @@
 }
 
 func (o *oracle) ended(time.Duration, *job, bool)              {}
-func (o *oracle) first(time.Duration, *job)                    {}
-func (o *oracle) lost(now time.Duration, j *job)               { o.arrive(now, j) }
+func (o *oracle) firstToken(time.Duration, *job)               {}
+func (o *oracle) serverLost(now time.Duration, j *job)         { o.arrive(now, j) }
 func (o *oracle) announce(time.Duration, int, *pb.ServerState) {}
 func (o *oracle) heartbeat(time.Duration)                      {}
 func (o *oracle) event(time.Duration, backend.CacheEvent)      {}
--- a/internal/measure/routing/table.go
+++ b/internal/measure/routing/table.go
@@ -11,32 +11,32 @@
 	"github.com/bluebellsail/bluebellsail/internal/sched"
 )
 
-// policy is a named router.
+// policy is a router with its name in the table.
 type policy struct {
 	name string
 	make func(m *sim, seed int64) router
 }
 
-// oracleName marks the row that others are compared with.
+// oracleName is the policy with which all others are compared.
 const oracleName = "oracle"
 
-func withParts(p sched.Ablation) func(*sim, int64) router {
-	return func(m *sim, seed int64) router { return newOurs(m, seed, sched.Config{Ablation: p}) }
+func withAblation(p sched.Ablation) func(*sim, int64) router {
+	return func(m *sim, seed int64) router { return newScheduler(m, seed, sched.Config{Ablation: p}) }
 }
 
 var policies = []policy{
 	{"round robin", roundRobin},
 	{"least reported", leastReported},
-	{"+admission, queues", withParts(sched.Ablation{NoCorrection: true, NoPrefix: true, NoDistance: true})},
-	{"+corrected load", withParts(sched.Ablation{NoPrefix: true, NoDistance: true})},
-	{"+zone distance", withParts(sched.Ablation{NoPrefix: true})},
-	{"+prefix cache = ours", withParts(sched.Ablation{})},
+	{"+admission, queues", withAblation(sched.Ablation{NoCorrection: true, NoPrefix: true, NoDistance: true})},
+	{"+corrected load", withAblation(sched.Ablation{NoPrefix: true, NoDistance: true})},
+	{"+zone distance", withAblation(sched.Ablation{NoPrefix: true})},
+	{"+prefix cache = ours", withAblation(sched.Ablation{})},
 	{oracleName, newOracle},
 }
 
 var loads = []float64{0.7, 1.0, 1.3, 2.0}
 
-// row holds the figures of one run.
+// row holds the measurements of one run.
 type row struct {
 	site, fault, policy string
 	load                float64
@@ -46,14 +46,14 @@
 	services, servicesInTime                int
 	work                                    float64 // output tokens in time
 	firstMedian, firstP95                   time.Duration
-	hits                                    float64 // share of prompt blocks of dispatched jobs
-	excess                                  float64 // worst server's mean load above the mean of all
+	hits                                    float64 // cached share of the prompt blocks of dispatched jobs
+	excess                                  float64 // busiest server's mean load relative to the mean, minus 1
 	jain                                    float64
 	wasted                                  float64
 	busy                                    float64 // share of slots in use while requests arrive
 }
 
-// Run prints the table of the whole comparison.
+// Run prints the table of all policies, loads and faults.
 func Run(w io.Writer, seed int64) error {
 	rows := measure(sites, loads, faults, policies, seed)
 	return printRows(w, rows)
@@ -63,7 +63,7 @@
 	rows := make([]row, len(ss)*len(ls)*len(fs)*len(ps))
 	var wg sync.WaitGroup
 	next := make(chan func())
-	// Half of the processors: the table shares its machine with others.
+	// Use half of the CPUs, since the machine is shared.
 	for range max(runtime.GOMAXPROCS(0)/2, 1) {
 		wg.Go(func() {
 			for f := range next {
@@ -94,7 +94,7 @@
 	m.run(p.make(m, seed+2))
 	r := row{site: s.name, fault: f.name, policy: p.name, load: load, wasted: m.wasted}
 	r.count(jobs, s.accounts)
-	r.excess, r.busy = m.excess(), m.busy()
+	r.excess, r.busy = m.loadExcess(), m.utilization()
 	return r
 }
 
@@ -148,14 +148,14 @@
 	r.jain = jain(served, asked)
 }
 
-// jain is Jain's index of what each account got relative to its max-min fair share
-// of all that was served in time.
+// jain returns Jain's fairness index of the ratio between what each account was served and its
+// max-min fair share of all that was served in time.
 func jain(served, asked []float64) float64 {
 	total := 0.0
 	for _, v := range served {
 		total += v
 	}
-	fair := maxMin(asked, total)
+	fair := maxMinShares(asked, total)
 	sum, squares, n := 0.0, 0.0, 0.0
 	for i := range served {
 		if fair[i] <= 0 {
@@ -172,8 +172,9 @@
 	return sum * sum / (n * squares)
 }
 
-// maxMin splits total so that nobody gets more than asked and the least is greatest.
-func maxMin(asked []float64, total float64) []float64 {
+// maxMinShares returns the max-min fair allocation of total: no account gets more than it asked
+// for, and the smallest share is as large as possible.
+func maxMinShares(asked []float64, total float64) []float64 {
 	out := make([]float64, len(asked))
 	left := len(asked)
 	sorted := slices.Clone(asked)
@@ -194,8 +195,8 @@
 	return out
 }
 
-// excess is how far the busiest model server's mean load lies above the mean.
-func (m *sim) excess() float64 {
+// loadExcess returns by what share the busiest model server's mean load exceeds the mean of all.
+func (m *sim) loadExcess() float64 {
 	sum, most, n := 0.0, 0.0, 0.0
 	for _, s := range m.servers {
 		if s.model && !s.dead {
@@ -210,8 +211,9 @@
 	return most/(sum/n) - 1
 }
 
-// busy is the share of the model servers' slots in use while requests arrived.
-func (m *sim) busy() float64 {
+// utilization returns the share of the model servers' slots that were in use from countFrom to
+// countUntil.
+func (m *sim) utilization() float64 {
 	sum := 0.0
 	for _, s := range m.servers {
 		if s.model {
--- a/internal/measure/routing/workload.go
+++ b/internal/measure/routing/workload.go
@@ -1,7 +1,7 @@
-// Package routing measures the decisions under load: the same arrivals and faults,
-// in virtual time, against the usual baselines, each step of the scheduler and an
-// oracle that knows everything. Servers are small fakes that batch continuously,
-// hold a limited prefix cache and report load late.
+// Package routing measures routing decisions under load. In virtual time, with the same arrivals
+// and faults, it compares common baselines, the scheduler with more and more of its parts, and an
+// oracle with perfect information. The simulated servers have continuous batching and a limited
+// prefix cache, and report their load with a delay.
 package routing
 
 import (
@@ -16,9 +16,9 @@
 // blockTokens is the size of a prefix block.
 const blockTokens = 128
 
-// Requests arrive for the time arrivals. Those from countFrom to countUntil are in
-// the figures, and the run ends when all of them have ended: so queues are filled
-// before, and the load holds for as long as any of them may wait.
+// Requests arrive until the time arrivals. Only those that arrive from countFrom to countUntil
+// are counted, and the run ends when all of these have ended. So the queues are filled before,
+// and the load persists for as long as any of the counted requests may wait.
 const (
 	arrivals   = 75 * time.Second
 	countFrom  = 20 * time.Second
@@ -46,34 +46,36 @@
 	serviceTarget = backend.Target{Kind: backend.Service, Name: "s"}
 )
 
-// shape is the form of one class's requests.
-type shape struct {
+// classShape describes the requests of one class.
+type classShape struct {
 	class          sched.Class
 	share          float64 // of all model requests
-	prompt, output [2]int  // least and most tokens
+	prompt, output [2]int  // minimum and maximum number of tokens
 	slack          [2]time.Duration
 }
 
-// deadlineFactor times the time of the whole output cap at a full batch, plus the
-// slack of the class, is a request's deadline.
+// deadlineFactor determines the deadline of a request: deadlineFactor times the time to generate
+// the whole output cap in a full batch, plus the slack of the class.
 const deadlineFactor = 1.5
 
-var shapes = []shape{
+var classShapes = []classShape{
 	{sched.Urgent, 0.15, [2]int{200, 500}, [2]int{30, 100}, [2]time.Duration{500 * time.Millisecond, 1500 * time.Millisecond}},
 	{sched.Normal, 0.60, [2]int{800, 3000}, [2]int{80, 300}, [2]time.Duration{500 * time.Millisecond, 4 * time.Second}},
 	{sched.Batch, 0.25, [2]int{3000, 9000}, [2]int{300, 800}, [2]time.Duration{5 * time.Second, 20 * time.Second}},
 }
 
-// Real outputs are this share of the cap, evenly distributed.
-const leastOutput, mostOutput = 0.3, 1.0
+// minOutputShare and maxOutputShare bound the actual output as a share of the cap. It is uniformly
+// distributed.
+const minOutputShare, maxOutputShare = 0.3, 1.0
 
-// families of prompts per account, and the share of a prompt that its family has in common.
+// families is the number of prompt families per account. The prompts of a family share a prefix
+// whose length is commonShare of the class's mean prompt.
 const (
 	families    = 6
 	commonShare = 0.6
 )
 
-// job is one request with what became of it.
+// job is one request and its outcome.
 type job struct {
 	id       int
 	host     int
@@ -83,35 +85,35 @@
 	prompt   int
 	hashes   []uint64
 	limit    int // output cap
-	output   int // what it will really be
+	output   int // actual number of output tokens
 	arrive   time.Duration
 	deadline time.Duration
 
-	server   int
-	attempts int
-	exclude  []string
-	ticket   uint64
-	place    int // in the list of running jobs
-	running  bool
-	result   result
-	firstAt  time.Duration
-	toFill   float64 // prompt tokens still to be computed
-	made     float64 // output tokens made
-	cached   int
+	server       int
+	attempts     int
+	exclude      []string
+	ticket       uint64
+	runningIndex int // index in sim.running
+	running      bool
+	result       result
+	firstAt      time.Duration
+	prefillLeft  float64 // prompt tokens still to be processed
+	produced     float64 // output tokens generated
+	cached       int
 }
 
-// result of a job.
+// result is the outcome of a job.
 type result int
 
 const (
-	open result = iota
+	pending result = iota
 	inTime
-	refused // told before it ran that it will not be
+	refused // rejected before it ran
 	late    // ran or waited past its deadline
-	failed  // its server was lost and it was told at once
+	failed  // refused after its server was lost
 )
 
-// generate makes the arrivals of a run at a load, the share of the capacity.
+// generate returns the requests of a run. load is relative to the capacity.
 func generate(s site, load float64, seed int64) []*job {
 	rng := rand.New(rand.NewSource(seed))
 	weights := accountWeights(s.accounts)
@@ -124,8 +126,8 @@
 		if at >= arrivals {
 			break
 		}
-		j := modelJob(rng, pick(rng, weights))
-		j.host, j.arrive = pick(rng, hosts), at
+		j := modelJob(rng, weightedPick(rng, weights))
+		j.host, j.arrive = weightedPick(rng, hosts), at
 		j.deadline += at
 		jobs = append(jobs, j)
 	}
@@ -137,7 +139,7 @@
 			break
 		}
 		jobs = append(jobs, &job{
-			account: pick(rng, weights), host: pick(rng, hosts), target: serviceTarget, class: sched.Normal,
+			account: weightedPick(rng, weights), host: weightedPick(rng, hosts), target: serviceTarget, class: sched.Normal,
 			output: 4 + rng.Intn(13), arrive: at, deadline: at + time.Second,
 		})
 	}
@@ -146,11 +148,11 @@
 }
 
 func modelJob(rng *rand.Rand, account int) *job {
-	s := shapes[pick(rng, []float64{shapes[0].share, shapes[1].share, shapes[2].share})]
+	s := classShapes[weightedPick(rng, []float64{classShapes[0].share, classShapes[1].share, classShapes[2].share})]
 	j := &job{account: account, target: modelTarget, class: s.class}
-	j.prompt = between(rng, s.prompt)
-	j.limit = between(rng, s.output)
-	j.output = max(2, int(float64(j.limit)*(leastOutput+rng.Float64()*(mostOutput-leastOutput))))
+	j.prompt = randomBetween(rng, s.prompt)
+	j.limit = randomBetween(rng, s.output)
+	j.output = max(2, int(float64(j.limit)*(minOutputShare+rng.Float64()*(maxOutputShare-minOutputShare))))
 	slack := s.slack[0] + time.Duration(rng.Int63n(int64(s.slack[1]-s.slack[0])))
 	j.deadline = slack + time.Duration(deadlineFactor*float64(j.limit)*fullTokenTime*float64(time.Second))
 	family := rng.Intn(families)
@@ -165,7 +167,8 @@
 	return j
 }
 
-// accountWeights: three large accounts send most of the work.
+// accountWeights returns the accounts' shares of the requests: three large accounts send most of
+// them.
 func accountWeights(n int) []float64 {
 	w := make([]float64, n)
 	for i := range w {
@@ -177,7 +180,8 @@
 	return w
 }
 
-// hostWeights: callers keep addresses for a while, so hosts get unequal work.
+// hostWeights returns the hosts' shares of the requests. They are unequal, because callers keep
+// addresses for a while.
 func hostWeights(n int) []float64 {
 	w := make([]float64, n)
 	for i := range w {
@@ -186,7 +190,8 @@
 	return w
 }
 
-func pick(rng *rand.Rand, weights []float64) int {
+// weightedPick returns a random index, with probabilities proportional to weights.
+func weightedPick(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -201,6 +206,6 @@
 	return len(weights) - 1
 }
 
-func between(rng *rand.Rand, b [2]int) int { return b[0] + rng.Intn(b[1]-b[0]+1) }
+func randomBetween(rng *rand.Rand, b [2]int) int { return b[0] + rng.Intn(b[1]-b[0]+1) }
 
 func (j *job) accountName() string { return fmt.Sprintf("account-%02d", j.account) }
--- a/internal/standin/server_test.go
+++ b/internal/standin/server_test.go
@@ -192,10 +192,10 @@
 		call(t, s, "POST", "/orders", "", `{"verb":"load_model","model":"n","fence":7}`)
 		old := call(t, s, "POST", "/orders", "", `{"verb":"change_role","role":"prefill","fence":6}`)
 		refused := old.StatusCode == http.StatusConflict && old.Header.Get(HeaderRan) == "no"
-		if refused != checks || (s.offer.currentRole() == "prefill") == checks {
-			t.Errorf("checks %v: old order answered %d, role %q", checks, old.StatusCode, s.offer.currentRole())
+		if refused != checks || (s.catalog.currentRole() == "prefill") == checks {
+			t.Errorf("checks %v: old order answered %d, role %q", checks, old.StatusCode, s.catalog.currentRole())
 		}
-		if models, _ := s.offer.lists(); len(models) != 2 {
+		if models, _ := s.catalog.lists(); len(models) != 2 {
 			t.Errorf("models %v, want the loaded one too", models)
 		}
 	}
@@ -218,7 +218,7 @@
 
 // Simulates a device between the two ends that loses the state of open connections. Their streams
 // stall forever because neither end is notified, while the server and new connections work.
-func TestOpenConnectionsGoSilentNewOnesWork(t *testing.T) {
+func TestOpenConnectionsSilencedNewOnesWork(t *testing.T) {
 	s := start(t, Options{DecodeSpeed: 1000})
 	old := call(t, s, "POST", "/v1/chat/completions", "r1", chatBody("x", 200))
 	call(t, s, "POST", "/debug/faults", "", `{"silence_open":true}`)
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestLeavingServerSaysSoAndFinishesItsStreams(t *testing.T) {
+func TestLeavingServerAnnouncesItAndFinishesStreams(t *testing.T) {
 	states := make(chan *pb.ServerState, 100)
 	host := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		st := &pb.ServerState{}
