--- a/e2e/books_test.go
+++ b/e2e/books_test.go
@@ -10,7 +10,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/load"
 )
 
-func reportOf(ts *testscript.TestScript, file string) load.Report {
+func readReport(ts *testscript.TestScript, file string) load.Report {
 	var r load.Report
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(file)), &r))
 	return r
@@ -18,7 +18,8 @@
 
 var conditionPattern = regexp.MustCompile(`^([a-z_]+)(=|>|<)(\d+)$`)
 
-// reportCommand: report FILE FIELD=N FIELD>N FIELD<N... checks a load report's figures.
+// reportCommand implements "report FILE FIELD=N FIELD>N FIELD<N...". It checks the numbers in a report
+// of the load tool.
 func reportCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: report FILE CONDITION...")
@@ -28,7 +29,7 @@
 	for _, condition := range args[1:] {
 		m := conditionPattern.FindStringSubmatch(condition)
 		if m == nil {
-			ts.Fatalf("%q is no condition", condition)
+			ts.Fatalf("malformed condition %q", condition)
 		}
 		got, ok := fields[m[1]].(float64)
 		want, err := strconv.ParseFloat(m[3], 64)
@@ -40,7 +41,7 @@
 	}
 }
 
-// budget is what `bluebellsail --json budget show` prints.
+// budget is the output of "bluebellsail --json budget show".
 type budget struct {
 	Funded  uint64 `json:"funded"`
 	Billed  uint64 `json:"billed"`
@@ -48,7 +49,7 @@
 	Bills   uint64 `json:"bills"`
 }
 
-func budgetOf(ts *testscript.TestScript, name string) (b budget, ok bool) {
+func showBudget(ts *testscript.TestScript, name string) (b budget, ok bool) {
 	if ts.Exec("bluebellsail", "--timeout", "5s", "--json", "budget", "show", name) != nil {
 		return b, false
 	}
@@ -56,17 +57,16 @@
 	return b, true
 }
 
-// booksCommand: books BUDGET REPORT... waits until the ledger has billed exactly what the
-// callers know of, one bill for each answer, and checks that nothing is missing or too
-// much. The reports must be certain: a request whose outcome its caller doesn't know
-// could be billed or not.
+// booksCommand implements "books BUDGET REPORT...". It waits until the ledger has billed as many tokens
+// and answers as the load reports contain, and checks that it billed no more. The reports must not
+// contain uncertain requests: one whose outcome the caller does not know may or may not be billed.
 func booksCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: books BUDGET REPORT...")
 	}
 	var tokens, bills uint64
 	for _, file := range args[1:] {
-		r := reportOf(ts, file)
+		r := readReport(ts, file)
 		if r.Uncertain > 0 {
 			ts.Fatalf("%s: %d requests are uncertain\n%s", file, r.Uncertain, ts.ReadFile(file))
 		}
@@ -75,7 +75,7 @@
 	}
 	var last budget
 	poll(ts, "the ledger has all bills", func() bool {
-		b, ok := budgetOf(ts, args[0])
+		b, ok := showBudget(ts, args[0])
 		if !ok {
 			return false
 		}
@@ -83,9 +83,9 @@
 		return b.Billed >= tokens && b.Bills >= bills
 	})
 	if last.Billed != tokens || last.Bills != bills {
-		ts.Fatalf("billed %d in %d bills, callers know of %d in %d", last.Billed, last.Bills, tokens, bills)
+		ts.Fatalf("the ledger billed %d tokens in %d bills, callers got %d tokens in %d answers", last.Billed, last.Bills, tokens, bills)
 	}
 	if last.Billed+last.Granted > last.Funded {
-		ts.Fatalf("overspent: %+v", last)
+		ts.Fatalf("the budget is overspent: %+v", last)
 	}
 }
--- a/e2e/control/caller_test.go
+++ b/e2e/control/caller_test.go
@@ -33,7 +33,7 @@
 	backend string
 }
 
-// answer is what came back.
+// answer is the answer to a caller's request.
 type answer struct {
 	status  int
 	tokens  uint64
@@ -41,21 +41,21 @@
 	body    string
 }
 
-// usage sums what callers know of.
-type usage struct {
+// billable sums the answers that callers got, and their tokens.
+type billable struct {
 	answers, tokens uint64
 }
 
-func (u *usage) add(t *testing.T, a answer) {
+func (u *billable) add(t *testing.T, a answer) {
 	t.Helper()
 	if a.status != http.StatusOK || a.tokens == 0 {
-		t.Fatalf("no answer: status %d, %s", a.status, a.body)
+		t.Fatalf("not answered: status %d, %s", a.status, a.body)
 	}
 	u.answers++
 	u.tokens += a.tokens
 }
 
-// callerAddresses are those of all hosts.
+// callerAddresses returns the addresses of all hosts for callers.
 func (f *fleet) callerAddresses() []string {
 	var out []string
 	for _, h := range f.layout.Hosts {
@@ -78,26 +78,26 @@
 	return strings.TrimSpace(string(address))
 }
 
-// newCaller makes a budget, a team and a client account, and waits until every host
-// knows them and the backend server.
+// newCaller creates a budget, a team and a client account, and waits until every host knows them and
+// the backend server.
 func (f *fleet) newCaller(backend string, tokens uint64) *caller {
 	f.t.Helper()
-	f.do(f.layout.Hosts, "budget", "create", "cash", "--tokens", strconv.FormatUint(tokens, 10))
-	f.do(f.layout.Hosts, "config", "set", "/teams/school", fmt.Sprintf(`{"default_timeout":"10s","service_tokens":%d}`, serviceTokens), "--version", "0")
-	out := f.do(f.layout.Hosts, "--json", "account", "create", "caruaru", "--team", "school", "--budget", "cash")
+	f.mustRunCLI(f.layout.Hosts, "budget", "create", "cash", "--tokens", strconv.FormatUint(tokens, 10))
+	f.mustRunCLI(f.layout.Hosts, "config", "set", "/teams/school", fmt.Sprintf(`{"default_timeout":"10s","service_tokens":%d}`, serviceTokens), "--version", "0")
+	out := f.mustRunCLI(f.layout.Hosts, "--json", "account", "create", "caruaru", "--team", "school", "--budget", "cash")
 	key := decode[adminapi.KeyAnswer](f.t, out).Key
 	f.awaitInForce(2)
 	for _, h := range f.layout.Hosts {
 		eventually(f.t, h.Host+" serves and knows the backend server", func() bool {
 			var list adminapi.ServerList
 			var s adminapi.Status
-			return f.ask(&list, h, "server", "list") && len(list.Servers) == 1 && f.ask(&s, h, "status") && s.Ready
+			return f.query(&list, h, "server", "list") && len(list.Servers) == 1 && f.query(&s, h, "status") && s.Ready
 		})
 	}
-	return &caller{f: f, client: &http.Client{Timeout: waitLimit}, scheme: "http://", key: key, backend: backend}
+	return &caller{f: f, client: &http.Client{Timeout: waitTimeout}, scheme: "http://", key: key, backend: backend}
 }
 
-// chat asks the model at a host.
+// chat sends a chat completion request to a host.
 func (c *caller) chat(h devfleet.Host, what string, i int) answer {
 	c.f.t.Helper()
 	body := fmt.Sprintf(chatBody, what, i)
@@ -114,8 +114,8 @@
 	return a
 }
 
-// post posts a ledger entry, which may run only once.
-func (c *caller) post(h devfleet.Host, id string) answer {
+// postEntry posts a ledger entry, which may be executed only once.
+func (c *caller) postEntry(h devfleet.Host, id string) answer {
 	c.f.t.Helper()
 	a := c.send(h, "/services/ledger/entries", fmt.Sprintf(`{"id":%q}`, id), id, true)
 	if a.status == http.StatusOK {
@@ -147,14 +147,14 @@
 		c.f.t.Fatal(err)
 	}
 	a := answer{status: resp.StatusCode, body: string(b)}
-	var refused httpserver.ErrorAnswer
-	if resp.StatusCode != http.StatusOK && json.Unmarshal(b, &refused) == nil {
-		a.refusal = refused.Error
+	var refusal httpserver.ErrorAnswer
+	if resp.StatusCode != http.StatusOK && json.Unmarshal(b, &refusal) == nil {
+		a.refusal = refusal.Error
 	}
 	return a
 }
 
-// runs is what the backend server has run.
+// runs returns the requests that the backend server has executed.
 func (c *caller) runs() standin.Runs {
 	c.f.t.Helper()
 	resp, err := c.client.Get("http://" + c.backend + "/debug/runs")
--- a/e2e/control/fleet_test.go
+++ b/e2e/control/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/procconfig"
 )
 
-// replicas is how many hosts of a test's fleet have a replica.
+// replicas is how many hosts of a test's fleet have a replica of the control group.
 const replicas = 3
 
 // fleet is a fleet of real processes.
@@ -23,7 +23,8 @@
 	hosts  map[string]*process
 }
 
-// newFleet writes the settings of a fleet, edits them, starts it and waits until it is up.
+// newFleet writes the settings of a fleet, applies the edits, starts the hosts and waits until they
+// are up.
 func newFleet(t *testing.T, hosts int, tls bool, edits ...func(*procconfig.Config)) *fleet {
 	t.Helper()
 	if testing.Short() {
@@ -38,7 +39,7 @@
 	t.Cleanup(f.showLogs)
 	for _, h := range layout.Hosts {
 		for _, edit := range edits {
-			f.edit(h, edit)
+			f.editSettings(h, edit)
 		}
 		f.start(h)
 	}
@@ -58,19 +59,19 @@
 	f.hosts[h.Host].signal(f.t, s)
 }
 
-// awaitUp waits until each of hosts reaches the control group and hears all of them.
-// Without a backend server a host that has started takes seconds more to serve callers.
+// awaitUp waits until each of the hosts reaches the control group and sees all of them alive. A host
+// that has just started takes some seconds more to serve callers if there is no backend server.
 func (f *fleet) awaitUp(hosts ...devfleet.Host) {
 	f.t.Helper()
 	for _, h := range hosts {
 		eventually(f.t, h.Host+" is up", func() bool {
 			var s adminapi.Status
-			return f.ask(&s, h, "status") && s.Control != nil && s.HostsAlive >= len(hosts)
+			return f.query(&s, h, "status") && s.Control != nil && s.HostsAlive >= len(hosts)
 		})
 	}
 }
 
-// host finds a host by its name.
+// host returns the host with a name.
 func (f *fleet) host(name string) devfleet.Host {
 	f.t.Helper()
 	for _, h := range f.layout.Hosts {
@@ -82,13 +83,14 @@
 	return devfleet.Host{}
 }
 
-// members is the control group as its leader has it; asked at any of hosts.
+// members returns the control group as its leader knows it. Any of the hosts may answer.
 func (f *fleet) members(hosts ...devfleet.Host) (g adminapi.GroupStatus, ok bool) {
-	ok = f.askAny(&g, hosts, "control", "members")
+	ok = f.queryAny(&g, hosts, "control", "members")
 	return g, ok
 }
 
-// leader waits for a leader and returns its host; asked at any of hosts.
+// leader waits until the control group has a leader and returns its host. Any of the hosts may
+// answer.
 func (f *fleet) leader(hosts ...devfleet.Host) devfleet.Host {
 	f.t.Helper()
 	name := ""
@@ -104,22 +106,22 @@
 	return f.host(name)
 }
 
-// without returns the fleet's hosts but those named.
-func (f *fleet) without(gone ...devfleet.Host) []devfleet.Host {
+// without returns the fleet's hosts except the excluded ones.
+func (f *fleet) without(excluded ...devfleet.Host) []devfleet.Host {
 	var out []devfleet.Host
 	for _, h := range f.layout.Hosts {
-		missing := false
-		for _, g := range gone {
-			missing = missing || g.Host == h.Host
+		skip := false
+		for _, g := range excluded {
+			skip = skip || g.Host == h.Host
 		}
-		if !missing {
+		if !skip {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// loseDisk kills a host and deletes its data folder.
+// loseDisk kills a host and deletes its data directory.
 func (f *fleet) loseDisk(h devfleet.Host) {
 	f.t.Helper()
 	f.kill(h)
@@ -138,8 +140,8 @@
 	return c
 }
 
-// edit changes a host's settings file.
-func (f *fleet) edit(h devfleet.Host, edit func(*procconfig.Config)) {
+// editSettings changes a host's settings file.
+func (f *fleet) editSettings(h devfleet.Host, edit func(*procconfig.Config)) {
 	f.t.Helper()
 	c := f.config(h)
 	edit(c)
--- a/e2e/control/frozen_test.go
+++ b/e2e/control/frozen_test.go
@@ -9,69 +9,68 @@
 	"github.com/bluebellsail/bluebellsail/internal/devfleet"
 )
 
-// queuedReads is how many reads wait at the frozen leader when it wakes.
+// queuedReads is how many reads of each kind wait at the frozen leader when it resumes.
 const queuedReads = 8
 
-// Symptom: an operator reads a funded amount or a setting that was changed long before,
-// a top-up that was answered is gone, or one counts twice.
-// Sequence: the leader's process is stopped past its lease; another leads and commits;
-// a top-up first goes to the stopped one; it wakes with reads and the top-up waiting.
-// Cause: the woken process believes in its lease, or its log wins over the new leader's.
-func TestFrozenLeaderWakes(t *testing.T) {
+// Guards against stale reads, lost top-ups and top-ups that count twice. The leader's process is
+// stopped until its lease has expired, while another leader commits changes. A top-up is sent to the
+// stopped process first, which resumes with that top-up and some reads in its sockets. It must not rely
+// on its old lease, and its log must not win over the new leader's.
+func TestFrozenLeaderResumes(t *testing.T) {
 	f := newFleet(t, 5, false)
-	before := f.fill(f.layout.Hosts)
+	before := f.commitInitial(f.layout.Hosts)
 	frozen := f.leader(f.layout.Hosts...)
-	rest := f.without(frozen)
+	others := f.without(frozen)
 	f.signal(frozen, syscall.SIGSTOP)
 
-	// The tool gives up on the frozen leader and sends the top-up again elsewhere; the
+	// The command times out at the frozen leader and sends the top-up again to another host. The
 	// first copy waits in the frozen leader's sockets.
-	const late = 500
+	const lateTopUp = 500
 	var wg sync.WaitGroup
-	var resent outcome
-	atFrozenFirst := f.command(append([]devfleet.Host{frozen}, rest...), "--op-id", "late", "budget", "top-up", "cash", "--tokens", "500")
-	wg.Go(func() { resent = f.finish(atFrozenFirst) })
+	var resent result
+	command := f.command(append([]devfleet.Host{frozen}, others...), "--op-id", "late", "budget", "top-up", "cash", "--tokens", "500")
+	wg.Go(func() { resent = f.runCommand(command) })
 
-	f.leader(rest...)
-	var want holding
+	f.leader(others...)
+	var want committed
 	for range 5 {
-		want = f.grow(rest)
+		want = f.commitMore(others)
 	}
 	wg.Wait()
 	if resent.code != 0 {
-		t.Fatalf("top-up by way of the frozen leader: status %d, %s", resent.code, resent.stderr)
+		t.Fatalf("top-up sent to the frozen leader first: status %d, %s", resent.code, resent.stderr)
 	}
-	want.funded = before.funded + 5*growth + late
-	f.checkHolds(rest, want)
+	want.funded = before.funded + 5*topUpPerCommit + lateTopUp
+	f.checkCommitted(others, want)
 
 	checkReads := f.queueReads(frozen)
 	f.signal(frozen, syscall.SIGCONT)
 	checkReads(want)
 	for range 10 {
-		f.checkHolds([]devfleet.Host{frozen}, want)
+		f.checkCommitted([]devfleet.Host{frozen}, want)
 	}
 	f.awaitUp(f.layout.Hosts...)
-	f.checkHolds(f.layout.Hosts, want)
-	want = f.grow(f.layout.Hosts)
-	f.checkHolds([]devfleet.Host{frozen}, want)
-	if want.funded != before.funded+6*growth+late {
-		t.Errorf("funded %d, want %d", want.funded, before.funded+6*growth+late)
+	f.checkCommitted(f.layout.Hosts, want)
+	want = f.commitMore(f.layout.Hosts)
+	f.checkCommitted([]devfleet.Host{frozen}, want)
+	if want.funded != before.funded+6*topUpPerCommit+lateTopUp {
+		t.Errorf("funded %d, want %d", want.funded, before.funded+6*topUpPerCommit+lateTopUp)
 	}
 }
 
-// queueReads starts reads at a frozen host. The function returned waits for them and
-// checks that none is older than want.
-func (f *fleet) queueReads(frozen devfleet.Host) func(want holding) {
+// queueReads starts reads at a frozen host. The returned function waits for their answers and checks
+// that none is older than want.
+func (f *fleet) queueReads(frozen devfleet.Host) func(want committed) {
 	at := []devfleet.Host{frozen}
-	budgets, configs := make([]outcome, queuedReads), make([]outcome, queuedReads)
+	budgets, configs := make([]result, queuedReads), make([]result, queuedReads)
 	var wg sync.WaitGroup
 	for i := range queuedReads {
 		budget := f.command(at, "--json", "budget", "show", "cash")
 		config := f.command(at, "--json", "config", "get", "/teams/school")
-		wg.Go(func() { budgets[i] = f.finish(budget) })
-		wg.Go(func() { configs[i] = f.finish(config) })
+		wg.Go(func() { budgets[i] = f.runCommand(budget) })
+		wg.Go(func() { configs[i] = f.runCommand(config) })
 	}
-	return func(want holding) {
+	return func(want committed) {
 		f.t.Helper()
 		wg.Wait()
 		for i := range queuedReads {
--- a/e2e/control/main_test.go
+++ b/e2e/control/main_test.go
@@ -1,6 +1,6 @@
-// Package control proves on real processes what the control group promises: a lost
-// disk, a frozen leader, a restart of everything, operators who race, a lost quorum
-// and certificates. Each test starts a fleet of its own on loopback.
+// Package control tests the guarantees of the control group with real processes: a lost disk, a
+// frozen leader, a restart of all hosts, concurrent changes by operators, a lost quorum, and TLS
+// certificates. Each test starts its own fleet on the loopback interface.
 package control
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/standin"
 )
 
-// TestMain puts the programs into PATH; each is this test binary under another name.
+// TestMain adds the programs to PATH; each is this test binary under another name.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"bluebellsaild": func() { os.Exit(daemon.Main()) },
--- a/e2e/control/operator_test.go
+++ b/e2e/control/operator_test.go
@@ -12,14 +12,15 @@
 	"github.com/bluebellsail/bluebellsail/internal/devfleet"
 )
 
-// outcome is how one run of bluebellsail ended.
-type outcome struct {
+// result is the result of one bluebellsail command.
+type result struct {
 	code   int
 	stdout string
 	stderr string
 }
 
-// command is one run of bluebellsail at hosts.
+// command returns a bluebellsail command that is sent to the given hosts, in this order until one
+// answers.
 func (f *fleet) command(hosts []devfleet.Host, args ...string) *exec.Cmd {
 	all := []string{"--key-file", f.layout.KeyFile}
 	if f.layout.CA != "" {
@@ -31,13 +32,13 @@
 	return exec.Command("bluebellsail", append(all, args...)...)
 }
 
-// try runs bluebellsail at hosts, tried in turn.
-func (f *fleet) try(hosts []devfleet.Host, args ...string) outcome {
+// runCLI runs a bluebellsail command.
+func (f *fleet) runCLI(hosts []devfleet.Host, args ...string) result {
 	f.t.Helper()
-	return f.finish(f.command(hosts, args...))
+	return f.runCommand(f.command(hosts, args...))
 }
 
-func (f *fleet) finish(cmd *exec.Cmd) outcome {
+func (f *fleet) runCommand(cmd *exec.Cmd) result {
 	f.t.Helper()
 	var stdout, stderr bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &stdout, &stderr
@@ -46,27 +47,29 @@
 	if err != nil && !errors.As(err, &status) {
 		f.t.Error(err)
 	}
-	return outcome{code: cmd.ProcessState.ExitCode(), stdout: stdout.String(), stderr: stderr.String()}
+	return result{code: cmd.ProcessState.ExitCode(), stdout: stdout.String(), stderr: stderr.String()}
 }
 
-// do runs bluebellsail at hosts and fails the test unless it exits with 0.
-func (f *fleet) do(hosts []devfleet.Host, args ...string) string {
+// mustRunCLI runs a bluebellsail command and fails the test unless it exits with status 0.
+func (f *fleet) mustRunCLI(hosts []devfleet.Host, args ...string) string {
 	f.t.Helper()
-	o := f.try(hosts, args...)
+	o := f.runCLI(hosts, args...)
 	if o.code != 0 {
 		f.t.Fatalf("bluebellsail %q: status %d\n%s%s", args, o.code, o.stdout, o.stderr)
 	}
 	return o.stdout
 }
 
-// ask reads an answer at one host within a short time; false without one.
-func (f *fleet) ask(out any, h devfleet.Host, args ...string) bool {
-	return f.askAny(out, []devfleet.Host{h}, args...)
+// query runs a command at one host with a short timeout and decodes its output. It returns false if the
+// command fails.
+func (f *fleet) query(out any, h devfleet.Host, args ...string) bool {
+	return f.queryAny(out, []devfleet.Host{h}, args...)
 }
 
-func (f *fleet) askAny(out any, hosts []devfleet.Host, args ...string) bool {
+// queryAny is query at any of the hosts.
+func (f *fleet) queryAny(out any, hosts []devfleet.Host, args ...string) bool {
 	f.t.Helper()
-	o := f.try(hosts, append([]string{"--json", "--timeout", "3s"}, args...)...)
+	o := f.runCLI(hosts, append([]string{"--json", "--timeout", "3s"}, args...)...)
 	if o.code != 0 {
 		return false
 	}
@@ -76,26 +79,26 @@
 	return true
 }
 
-// mustAsk waits for an answer from any of hosts.
-func (f *fleet) mustAsk(out any, hosts []devfleet.Host, args ...string) {
+// mustQuery repeats a query at any of the hosts until it succeeds.
+func (f *fleet) mustQuery(out any, hosts []devfleet.Host, args ...string) {
 	f.t.Helper()
-	eventually(f.t, strings.Join(args, " "), func() bool { return f.askAny(out, hosts, args...) })
+	eventually(f.t, strings.Join(args, " "), func() bool { return f.queryAny(out, hosts, args...) })
 }
 
 func (f *fleet) budget(hosts []devfleet.Host, name string) (b adminapi.Budget) {
 	f.t.Helper()
-	f.mustAsk(&b, hosts, "budget", "show", name)
+	f.mustQuery(&b, hosts, "budget", "show", name)
 	return b
 }
 
-// awaitInForce waits until each host of the fleet has the committed revision in force,
-// by the word of each of them.
+// awaitInForce waits until each host of the fleet reports that revision is committed and in force at all
+// hosts.
 func (f *fleet) awaitInForce(revision uint64) {
 	f.t.Helper()
 	for _, h := range f.layout.Hosts {
-		eventually(f.t, "settings in force, as "+h.Host+" sees it", func() bool {
+		eventually(f.t, "settings are in force, according to "+h.Host, func() bool {
 			var s adminapi.ConfigStatus
-			return f.ask(&s, h, "config", "status") && s.CommittedKnown && s.CommittedRevision == revision &&
+			return f.query(&s, h, "config", "status") && s.CommittedKnown && s.CommittedRevision == revision &&
 				allInForce(s.Hosts, len(f.layout.Hosts))
 		})
 	}
@@ -111,7 +114,7 @@
 	return n == want
 }
 
-// decode reads the JSON that a run of bluebellsail printed.
+// decode decodes the JSON output of a bluebellsail command.
 func decode[T any](t *testing.T, stdout string) (v T) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(stdout), &v); err != nil {
--- a/e2e/control/process_test.go
+++ b/e2e/control/process_test.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// waitLimit bounds every wait for a condition.
-	waitLimit = 30 * time.Second
-	pollPause = 50 * time.Millisecond
+	// waitTimeout bounds each wait for a condition.
+	waitTimeout  = 30 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-// process is one that the test started.
+// process is a process started by the test.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// startProcess runs a program with its output in NAME.out; the test's end kills it.
+// startProcess starts a program that writes its output to NAME.out. It is killed when the test ends.
 func startProcess(t *testing.T, dir, name string, args ...string) *process {
 	t.Helper()
 	path, err := exec.LookPath(args[0])
@@ -53,18 +53,18 @@
 	}
 }
 
-// kill ends the process at once and waits until it is gone.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
-	_ = p.cmd.Process.Kill() // it may have ended by itself
+	_ = p.cmd.Process.Kill() // it may have exited by itself
 	<-p.done
 }
 
 // eventually waits until check is true.
 func eventually(t *testing.T, what string, check func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(waitLimit); !check(); time.Sleep(pollPause) {
+	for limit := time.Now().Add(waitTimeout); !check(); time.Sleep(pollInterval) {
 		if time.Now().After(limit) {
-			t.Fatalf("not within %v: %s", waitLimit, what)
+			t.Fatalf("timed out after %v waiting until: %s", waitTimeout, what)
 		}
 	}
 }
--- a/e2e/control/tls_test.go
+++ b/e2e/control/tls_test.go
@@ -28,33 +28,32 @@
 // peerCallTimeout bounds one call to a peer address.
 const peerCallTimeout = 5 * time.Second
 
-// Symptom: somebody on the network reads the replicas' log or proposes to them.
-// Sequence: they connect to a peer address without a certificate of the fleet's
-// authority: in clear, without any, with one of another authority.
-// Cause: the peer listener asks for no certificate, or takes any.
+// Guards against outsiders that read the replicas' log or send them proposals. They connect to a peer
+// address without a certificate of the fleet's authority: without TLS, without a certificate, or with one
+// of another authority. The peer listener must require a certificate of the fleet's authority.
 func TestFleetWithTLS(t *testing.T) {
 	f := newFleet(t, 4, true)
-	pool := f.authority()
-	c := f.newCaller(f.startBackend([]string{f.forward(pool, f.layout.Hosts[0]), f.forward(pool, f.layout.Hosts[1]),
-		f.forward(pool, f.layout.Hosts[2]), f.forward(pool, f.layout.Hosts[3])}), funds)
+	pool := f.caPool()
+	c := f.newCaller(f.startBackend([]string{f.forwardTLS(pool, f.layout.Hosts[0]), f.forwardTLS(pool, f.layout.Hosts[1]),
+		f.forwardTLS(pool, f.layout.Hosts[2]), f.forwardTLS(pool, f.layout.Hosts[3])}), funds)
 	c.scheme = "https://"
 	c.client.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}
 	t.Cleanup(c.client.CloseIdleConnections)
-	var books usage
+	var billed billable
 	for i, h := range f.layout.Hosts {
-		books.add(t, c.chat(h, "tls", i))
+		billed.add(t, c.chat(h, "tls", i))
 	}
-	books.add(t, c.post(f.layout.Hosts[3], "entry-1"))
-	f.checkBooks(books, funds)
+	billed.add(t, c.postEntry(f.layout.Hosts[3], "entry-1"))
+	f.checkBills(billed, funds)
 
 	own := f.config(f.layout.Hosts[3]).TLS.Peers
-	foreign := foreignFiles(t)
+	foreign := foreignCertificate(t)
 	for name, tc := range map[string]struct {
 		creds credentials.TransportCredentials
 		want  codes.Code
 	}{
 		"own authority":     {peerCredentials(t, own.Cert, own.Key, f.layout.CA), codes.OK},
-		"in clear":          {insecure.NewCredentials(), codes.Unavailable},
+		"without TLS":       {insecure.NewCredentials(), codes.Unavailable},
 		"no certificate":    {credentials.NewTLS(&tls.Config{RootCAs: pool}), codes.Unavailable},
 		"another authority": {peerCredentials(t, foreign.Cert, foreign.Key, f.layout.CA), codes.Unavailable},
 	} {
@@ -66,7 +65,7 @@
 	}
 }
 
-// watchOnce asks a peer address for one event of the settings.
+// watchOnce requests one event of the settings' watch from a peer address.
 func (f *fleet) watchOnce(h devfleet.Host, creds credentials.TransportCredentials) error {
 	f.t.Helper()
 	options := append(peerconn.Fleet(f.layout.Fleet).DialOptions(), grpc.WithTransportCredentials(creds))
@@ -94,8 +93,8 @@
 	return p.Credentials()
 }
 
-// foreignFiles is a host's certificate of another authority.
-func foreignFiles(t *testing.T) tlsutil.HostFile {
+// foreignCertificate creates a host certificate of another authority.
+func foreignCertificate(t *testing.T) tlsutil.HostFile {
 	t.Helper()
 	files, err := tlsutil.Init(tlsutil.InitOptions{Dir: filepath.Join(t.TempDir(), "tls"), Validity: time.Hour,
 		Hosts: []tlsutil.Host{{Name: "host-4", IP: netip.MustParseAddr("127.0.0.1")}}})
@@ -105,20 +104,20 @@
 	return files.Hosts[0]
 }
 
-// authority is the fleet's.
-func (f *fleet) authority() *x509.CertPool {
+// caPool returns a pool with the fleet's certificate authority.
+func (f *fleet) caPool() *x509.CertPool {
 	f.t.Helper()
 	b, err := os.ReadFile(f.layout.CA)
 	pool := x509.NewCertPool()
 	if err != nil || !pool.AppendCertsFromPEM(b) {
-		f.t.Fatalf("no authority in %s: %v", f.layout.CA, err)
+		f.t.Fatalf("no certificate authority in %s: %v", f.layout.CA, err)
 	}
 	return pool
 }
 
-// forward listens in clear for the stand-in, which speaks no TLS, and passes each
-// connection on to a host's callers' address with TLS. It returns its address.
-func (f *fleet) forward(pool *x509.CertPool, h devfleet.Host) string {
+// forwardTLS listens without TLS for the stand-in, which does not support it, and forwards each
+// connection with TLS to a host's address for callers. It returns the address at which it listens.
+func (f *fleet) forwardTLS(pool *x509.CertPool, h devfleet.Host) string {
 	f.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,14 +130,14 @@
 			if err != nil {
 				return
 			}
-			go pass(in, h.Callers, pool)
+			go proxy(in, h.Callers, pool)
 		}
 	}()
 	return l.Addr().String()
 }
 
-// pass copies both ways until one side closes.
-func pass(in net.Conn, to string, pool *x509.CertPool) {
+// proxy forwards a connection with TLS, in both directions until one side closes it.
+func proxy(in net.Conn, to string, pool *x509.CertPool) {
 	defer in.Close()
 	out, err := tls.Dial("tcp", to, &tls.Config{RootCAs: pool})
 	if err != nil {
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -15,10 +15,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/standin"
 )
 
-// client asks stand-ins for their figures.
+// client calls the debug interface of stand-ins.
 var client = &http.Client{Timeout: 5 * time.Second}
 
-// fleetLayout is what `bluebellsail --json dev init` prints.
+// fleetLayout is the output of "bluebellsail --json dev init".
 type fleetLayout struct {
 	KeyFile string `json:"key_file"`
 	Hosts   []struct {
@@ -30,9 +30,10 @@
 	} `json:"hosts"`
 }
 
-// fleetCommand: fleet HOSTS CONTROLS starts a fleet and waits until it is up. It sets
-// CALLERS, the callers' address of each host by its number (CALLERS1...), OPERATORS1... and
-// what bluebellsail needs.
+// fleetCommand implements "fleet HOSTS CONTROLS". It starts a fleet and waits until it is up. It sets
+// CALLERS to the addresses of all hosts for callers, CALLERS1, OPERATORS1 and SETTINGS1 and so on to
+// the address for callers, the address for operators and the settings file of each host, and the
+// variables that bluebellsail needs.
 func fleetCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: fleet HOSTS CONTROLS")
@@ -62,8 +63,8 @@
 	}
 }
 
-// backendCommand: backend NAME ARG... starts a stand-in that announces itself to all
-// hosts and sets NAME to its address.
+// backendCommand implements "backend NAME ARG...". It starts a stand-in that announces itself to all
+// hosts, and sets NAME to its address.
 func backendCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 1 {
 		ts.Fatalf("usage: backend NAME ARG...")
@@ -81,15 +82,17 @@
 	ts.Setenv(name, strings.TrimSpace(ts.ReadFile(file)))
 }
 
-// runsCommand: runs NAME VAR sets VAR to how many completions the stand-in has started.
+// runsCommand implements "runs NAME VAR". It sets VAR to the number of completions that the stand-in
+// has started.
 func runsCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: runs NAME VAR")
 	}
-	ts.Setenv(args[1], fmt.Sprint(runsOf(ts, args[0]).Streams))
+	ts.Setenv(args[1], fmt.Sprint(standinRuns(ts, args[0]).Streams))
 }
 
-// runningCommand: running NAME N waits until the stand-in has N or more streams open.
+// runningCommand implements "running NAME N". It waits until at least N streams run or wait at the
+// stand-in.
 func runningCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: running NAME N")
@@ -97,12 +100,12 @@
 	want, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	poll(ts, "streams run", func() bool {
-		r := runsOf(ts, args[0])
+		r := standinRuns(ts, args[0])
 		return r.Running+r.Waiting >= want
 	})
 }
 
-func runsOf(ts *testscript.TestScript, name string) standin.Runs {
+func standinRuns(ts *testscript.TestScript, name string) standin.Runs {
 	var r standin.Runs
 	resp, err := client.Get("http://" + ts.Getenv(name) + "/debug/runs")
 	ts.Check(err)
@@ -111,7 +114,7 @@
 	return r
 }
 
-// faultCommand: fault NAME JSON sets a stand-in's faults.
+// faultCommand implements "fault NAME JSON". It sets the faults that a stand-in injects.
 func faultCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: fault NAME JSON")
@@ -121,6 +124,6 @@
 	ts.Check(err)
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		ts.Fatalf("faults answered %d", resp.StatusCode)
+		ts.Fatalf("the stand-in answered with status %d", resp.StatusCode)
 	}
 }
--- a/e2e/main_test.go
+++ b/e2e/main_test.go
@@ -1,5 +1,5 @@
-// Package e2e drives the whole path on real processes by testscript: hosts, stand-in
-// backend servers, the load tool and the operators' tool, all on loopback.
+// Package e2e tests whole fleets with scripts in the language of package testscript. Hosts, stand-in
+// backend servers, the load tool and the operators' tool are real processes on the loopback interface.
 package e2e
 
 import (
@@ -27,7 +27,7 @@
 	})
 }
 
-// TestScripts runs the scripts one after the other: each starts a fleet of its own.
+// TestScripts runs the scripts one after the other, since each starts its own fleet.
 func TestScripts(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts real processes")
@@ -64,7 +64,7 @@
 	})
 }
 
-// serial is a testing.T whose subtests do not run in parallel.
+// serial is a testscript.T whose subtests do not run in parallel.
 type serial struct{ *testing.T }
 
 // Parallel does nothing.
--- a/e2e/operator_test.go
+++ b/e2e/operator_test.go
@@ -10,7 +10,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// accountCommand: account NAME TEAM BUDGET VAR creates a client account and sets VAR to NAME=KEY.
+// accountCommand implements "account NAME TEAM BUDGET VAR". It creates a client account and sets VAR to
+// NAME=KEY.
 func accountCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 4 {
 		ts.Fatalf("usage: account NAME TEAM BUDGET VAR")
@@ -28,7 +29,7 @@
 
 var inForcePattern = regexp.MustCompile(`(?m) true +yes$`)
 
-// inforceCommand: inforce N waits until N hosts have the newest settings in force.
+// inforceCommand implements "inforce N". It waits until the newest settings are in force at N hosts.
 func inforceCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: inforce N")
@@ -43,8 +44,8 @@
 	})
 }
 
-// onceCommand: once MIN MAX NAME... checks that the stand-ins have run MIN to MAX ledger
-// entries, no entry twice, at one or at two of them.
+// onceCommand implements "once MIN MAX NAME...". It checks that the stand-ins have executed MIN to MAX
+// ledger entries, and none of them twice, be it at one stand-in or at two.
 func onceCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 3 {
 		ts.Fatalf("usage: once MIN MAX NAME...")
@@ -55,7 +56,7 @@
 	ts.Check(err)
 	total := map[string]int{}
 	for _, name := range args[2:] {
-		for id, runs := range runsOf(ts, name).Entries {
+		for id, runs := range standinRuns(ts, name).Entries {
 			total[id] += runs
 		}
 	}
@@ -69,24 +70,24 @@
 	}
 }
 
-// truthfulCommand: truthful REPORT NAME... checks that no ledger entry ran of which a
-// refusal said that it did not.
+// truthfulCommand implements "truthful REPORT NAME...". It checks that the stand-ins executed no ledger
+// entry for which the caller got a refusal that promises that the entry did not run.
 func truthfulCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: truthful REPORT NAME...")
 	}
 	for _, name := range args[1:] {
-		entries := runsOf(ts, name).Entries
-		for _, id := range reportOf(ts, args[0]).NotRun {
+		entries := standinRuns(ts, name).Entries
+		for _, id := range readReport(ts, args[0]).NotRun {
 			if entries[id] > 0 {
-				ts.Fatalf("entry %s ran at %s, its caller was told that it did not", id, name)
+				ts.Fatalf("entry %s ran at %s, although the refusal promised that it did not", id, name)
 			}
 		}
 	}
 }
 
-// grabCommand: grab VAR PATTERN sets VAR to the first group of PATTERN in the last
-// standard output.
+// grabCommand implements "grab VAR PATTERN". It sets VAR to the first group of PATTERN in the standard
+// output of the last command.
 func grabCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: grab VAR PATTERN")
@@ -100,7 +101,7 @@
 	ts.Setenv(args[0], strings.TrimSpace(m[1]))
 }
 
-// equalCommand: [!] equal A B
+// equalCommand implements "[!] equal A B". It checks that A and B are equal, or not equal with "!".
 func equalCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) != 2 {
 		ts.Fatalf("usage: equal A B")
@@ -110,7 +111,8 @@
 	}
 }
 
-// pauseCommand: pause DURATION lets time pass for what may not happen meanwhile.
+// pauseCommand implements "pause DURATION". It waits, for example to check that something does not
+// happen.
 func pauseCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: pause DURATION")
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// awaitLimit bounds `await`, endLimit `ended`.
-	awaitLimit = 60 * time.Second
-	endLimit   = 90 * time.Second
-	pollPause  = 100 * time.Millisecond
+	// awaitTimeout bounds "await" and other waits for a condition, exitTimeout bounds "ended".
+	awaitTimeout = 60 * time.Second
+	exitTimeout  = 90 * time.Second
+	pollInterval = 100 * time.Millisecond
 )
 
-// killed is the exit status of a process that a signal ended.
-const killed = -1
+// exitKilled is the exit status of a process that was killed by a signal.
+const exitKilled = -1
 
 type processesKey struct{}
 
-// processes are those that one script started, by name.
+// processes holds the processes that one script started, by name.
 type processes struct {
 	dir  string
 	vars []string
@@ -48,7 +48,7 @@
 	return ts.Value(processesKey{}).(*processes)
 }
 
-// start runs a command with its output in NAME.out and NAME.err.
+// start starts a command that writes its output to NAME.out and NAME.err.
 func (ps *processes) start(name string, args []string) error {
 	path, err := exec.LookPath(args[0])
 	if err != nil {
@@ -91,7 +91,7 @@
 	return p
 }
 
-// killAll ends what is left when the script is over.
+// killAll kills the remaining processes when the script has ended.
 func (ps *processes) killAll() {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// startCommand: start NAME COMMAND ARG...
+// startCommand implements "start NAME COMMAND ARG...". It starts a process.
 func startCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: start NAME COMMAND ARG...")
@@ -118,7 +118,7 @@
 	"CONT": syscall.SIGCONT,
 }
 
-// signalCommand: signal NAME TERM|KILL|STOP|CONT
+// signalCommand implements "signal NAME TERM|KILL|STOP|CONT". It sends a signal to a process.
 func signalCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 || signals[args[1]] == 0 {
 		ts.Fatalf("usage: signal NAME TERM|KILL|STOP|CONT")
@@ -126,14 +126,15 @@
 	ts.Check(processesOf(ts).find(ts, args[0]).cmd.Process.Signal(signals[args[1]]))
 }
 
-// endedCommand: ended NAME [STATUS] waits for the end and checks the exit status.
+// endedCommand implements "ended NAME [STATUS|killed]". It waits until a process has exited and checks
+// its exit status, by default 0.
 func endedCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 1 || len(args) > 2 {
 		ts.Fatalf("usage: ended NAME [STATUS|killed]")
 	}
 	want := 0
 	if len(args) == 2 && args[1] == "killed" {
-		want = killed
+		want = exitKilled
 	} else if len(args) == 2 {
 		var err error
 		want, err = strconv.Atoi(args[1])
@@ -143,18 +144,18 @@
 	p := ps.find(ts, args[0])
 	select {
 	case <-p.done:
-	case <-time.After(endLimit):
-		ts.Fatalf("%s has not ended after %v", args[0], endLimit)
+	case <-time.After(exitTimeout):
+		ts.Fatalf("%s has not exited after %v", args[0], exitTimeout)
 	}
 	if got := p.cmd.ProcessState.ExitCode(); got != want {
 		ts.Logf("%s", ts.ReadFile(args[0]+".err"))
 		ts.Logf("%s", ts.ReadFile(args[0]+".out"))
-		ts.Fatalf("%s ended with status %d, want %d", args[0], got, want)
+		ts.Fatalf("%s exited with status %d, want %d", args[0], got, want)
 	}
 }
 
-// awaitCommand: await PATTERN COMMAND ARG... repeats a command until it succeeds with
-// standard output that matches.
+// awaitCommand implements "await PATTERN COMMAND ARG...". It repeats a command until it succeeds and its
+// standard output matches PATTERN.
 func awaitCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: await PATTERN COMMAND ARG...")
@@ -167,11 +168,11 @@
 	})
 }
 
-// poll repeats try until it is true, and ends the script at awaitLimit.
+// poll repeats try until it returns true, and fails the script after awaitTimeout.
 func poll(ts *testscript.TestScript, what string, try func() bool) {
-	for limit := time.Now().Add(awaitLimit); !try(); time.Sleep(pollPause) {
+	for limit := time.Now().Add(awaitTimeout); !try(); time.Sleep(pollInterval) {
 		if time.Now().After(limit) {
-			ts.Fatalf("gave up after %v: %s", awaitLimit, what)
+			ts.Fatalf("timed out after %v waiting until: %s", awaitTimeout, what)
 		}
 	}
 }
