--- a/e2e/control/operator_test.go
+++ b/e2e/control/operator_test.go
@@ -96,7 +96,7 @@
 func (f *fleet) awaitInForce(revision uint64) {
 	f.t.Helper()
 	for _, h := range f.layout.Hosts {
-		eventually(f.t, "settings are in force, according to "+h.Host, func() bool {
+		eventually(f.t, "settings in force, as "+h.Host+" reports", func() bool {
 			var s adminapi.ConfigStatus
 			return f.query(&s, h, "config", "status") && s.CommittedKnown && s.CommittedRevision == revision &&
 				allInForce(s.Hosts, len(f.layout.Hosts))
