--- a/internal/membership/addresses.go
+++ b/internal/membership/addresses.go
@@ -48,10 +48,10 @@
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.key, b.key))
 	})
-	return named(candidates, now.Add(ttl))
+	return withExpiry(candidates, now.Add(ttl))
 }
 
-func named(candidates []candidate, until time.Time) []Address {
+func withExpiry(candidates []candidate, until time.Time) []Address {
 	addresses := make([]Address, 0, len(candidates))
 	for _, c := range candidates {
 		c.address.Until = until
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func (f *benchFleet) have(i int) []*pb.ServerState {
+func (f *benchFleet) known(i int) []*pb.ServerState {
 	var have []*pb.ServerState
 	for _, s := range f.newest[i] {
 		if s != nil {
@@ -114,14 +114,14 @@
 		return
 	}
 	h, peer := f.hosts[i], f.hosts[j]
-	if !peer.running || f.cut[[2]int{i, j}] {
+	if !peer.running || f.blocked[[2]int{i, j}] {
 		h.MarkUnanswered(h.Now(), target.Host)
 		return
 	}
 	m := h.Request(target.Host)
 	f.hostBytes += proto.Size(m)
 	holder := &pb.Holder{Host: target.Host, Incarnation: 1}
-	m.Servers = f.deltas[i].Select(holder, f.have(i))
+	m.Servers = f.deltas[i].Select(holder, f.known(i))
 	f.stateBytes += proto.Size(&pb.HeartbeatRequest{Servers: m.GetServers()})
 	peer.ReceiveRequest(m)
 	f.merge(j, m.GetServers(), servers)
@@ -220,8 +220,8 @@
 				f.runTicks(20)
 				f.leave(1)
 				f.hosts[2].running = false
-				f.cut[[2]int{3, 4}] = true
-				f.cut[[2]int{4, 3}] = true
+				f.blocked[[2]int{3, 4}] = true
+				f.blocked[[2]int{4, 3}] = true
 				left, died, wrong := 0, 0, 0
 				for tick := 1; tick <= 60; tick++ {
 					f.hosts[5].running = tick > DefaultDeadAfter-2 // a pause just too short for death
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -10,22 +10,22 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// wholeViewEvery is the number of replies in a full mesh of which one, on average, is the whole
+// repliesPerWholeView is the number of replies in a full mesh of which one, on average, is the whole
 // view.
-const wholeViewEvery = 8
+const repliesPerWholeView = 8
 
-// fullViewEvery is the number of whole views of which one, on average, has all addresses.
-const fullViewEvery = 3
+// wholeViewsPerAddressView is the number of whole views of which one, on average, has all addresses.
+const wholeViewsPerAddressView = 3
 
-// newsPerRound is how often, per round of spreading, an entry with news is sent
+// sendsPerRound is how often, per round of spreading, an entry with news is sent
 // before it only takes its turn.
-const newsPerRound = 3
+const sendsPerRound = 3
 
-// spread puts e among the entries that go first; full tells whether its addresses
+// queueUpdate puts e among the entries that go first; full tells whether its addresses
 // are news too.
-func (t *Table) spread(e *entry, full bool) {
+func (t *Table) queueUpdate(e *entry, full bool) {
 	t.changes++
-	e.updatesLeft = newsPerRound * t.rounds()
+	e.updatesLeft = sendsPerRound * t.spreadRounds()
 	e.updateAddresses = e.updateAddresses || full
 }
 
@@ -33,7 +33,7 @@
 // adds what is not membership's.
 func (t *Table) Request(to string) *pb.HeartbeatRequest {
 	if t.fullMesh() {
-		return t.message(t.onlyNews(to))
+		return t.message(t.updates(to))
 	}
 	return t.message(t.digest(to))
 }
@@ -45,10 +45,10 @@
 	switch {
 	case !t.fullMesh():
 		return t.message(t.digest(to))
-	case t.rng.IntN(wholeViewEvery) == 0:
+	case t.rng.IntN(repliesPerWholeView) == 0:
 		return t.message(t.wholeView(to))
 	}
-	return t.message(t.onlyNews(to))
+	return t.message(t.updates(to))
 }
 
 func (t *Table) message(hosts []*pb.HostState) *pb.HeartbeatRequest {
@@ -72,12 +72,12 @@
 // digest is the entries with news, of leaving and doubted hosts first, then
 // those sent least often, and then others in turn, up to DigestBytes.
 func (t *Table) digest(to string) []*pb.HostState {
-	d := &digestBuilder{table: t, to: to, room: t.cfg.DigestBytes, in: make(map[*entry]bool)}
-	for _, e := range t.news() {
+	d := &digestBuilder{table: t, to: to, remaining: t.cfg.DigestBytes, included: make(map[*entry]bool)}
+	for _, e := range t.pendingUpdates() {
 		if !d.add(e, e.updateAddresses) {
 			return d.states
 		}
-		t.sentNews(e)
+		t.markSent(e)
 	}
 	for range t.order {
 		t.nextDigest %= len(t.order)
@@ -89,12 +89,12 @@
 	return d.states
 }
 
-func (t *Table) onlyNews(to string) []*pb.HostState {
+func (t *Table) updates(to string) []*pb.HostState {
 	var states []*pb.HostState
-	for _, e := range t.news() {
+	for _, e := range t.pendingUpdates() {
 		if e.host != to && !e.unconfirmed {
-			states = append(states, t.state(e, e.updateAddresses))
-			t.sentNews(e)
+			states = append(states, t.hostState(e, e.updateAddresses))
+			t.markSent(e)
 		}
 	}
 	return states
@@ -103,17 +103,17 @@
 // wholeView has addresses where they are news, and all of them now and then for a peer
 // that missed the news.
 func (t *Table) wholeView(to string) []*pb.HostState {
-	full := t.rng.IntN(fullViewEvery) == 0
+	full := t.rng.IntN(wholeViewsPerAddressView) == 0
 	states := make([]*pb.HostState, 0, len(t.order))
 	for _, e := range t.order {
 		if e.host != to && !e.unconfirmed {
-			states = append(states, t.state(e, full || e.updateAddresses))
+			states = append(states, t.hostState(e, full || e.updateAddresses))
 		}
 	}
 	return states
 }
 
-func (t *Table) news() []*entry {
+func (t *Table) pendingUpdates() []*entry {
 	var news []*entry
 	for _, e := range t.order {
 		if e.updatesLeft > 0 {
@@ -121,21 +121,21 @@
 		}
 	}
 	slices.SortStableFunc(news, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(urgency(a), urgency(b)), cmp.Compare(b.updatesLeft, a.updatesLeft))
+		return cmp.Or(cmp.Compare(updatePriority(a), updatePriority(b)), cmp.Compare(b.updatesLeft, a.updatesLeft))
 	})
 	return news
 }
 
-// urgency is lower for hosts that callers must not be sent to: their news must not
+// updatePriority is lower for hosts that callers must not be sent to: their news must not
 // wait behind that of many hosts that join.
-func urgency(e *entry) int {
+func updatePriority(e *entry) int {
 	if e.leaving || e.doubted {
 		return 0
 	}
 	return 1
 }
 
-func (t *Table) sentNews(e *entry) {
+func (t *Table) markSent(e *entry) {
 	e.updatesLeft--
 	if e.updatesLeft == 0 {
 		e.updateAddresses = false
@@ -145,8 +145,8 @@
 type digestBuilder struct {
 	table  *Table
 	to     string
-	room   int
-	in     map[*entry]bool
+	remaining   int
+	included     map[*entry]bool
 	states []*pb.HostState
 }
 
@@ -155,24 +155,24 @@
 
 // add appends e's state; false: no room.
 func (d *digestBuilder) add(e *entry, full bool) bool {
-	if d.in[e] || e.unconfirmed || e.host == d.to {
+	if d.included[e] || e.unconfirmed || e.host == d.to {
 		return true
 	}
-	s := d.table.state(e, full)
+	s := d.table.hostState(e, full)
 	size := proto.Size(s) + entryOverhead
-	if size > d.room {
+	if size > d.remaining {
 		return false
 	}
-	d.room -= size
-	d.in[e] = true
+	d.remaining -= size
+	d.included[e] = true
 	d.states = append(d.states, s)
 	return true
 }
 
-// state is the word about e. HeardMs is the age of the evidence if e is alive and
+// hostState is the word about e. HeardMs is the age of the evidence if e is alive and
 // the age of the last unanswered heartbeat if not. A doubt is told as suspicion from its first tick,
 // so that hosts with later evidence can refute it before it counts.
-func (t *Table) state(e *entry, full bool) *pb.HostState {
+func (t *Table) hostState(e *entry, full bool) *pb.HostState {
 	s := &pb.HostState{
 		Holder:         &pb.Holder{Host: e.host, Incarnation: e.incarnation},
 		Health:         t.health(e),
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -243,8 +243,8 @@
 	return t.health(e) == pb.HostHealth_HOST_HEALTH_DEAD
 }
 
-// rounds is about the number of ticks in which news reaches every host.
-func (t *Table) rounds() int {
+// spreadRounds is about the number of ticks in which news reaches every host.
+func (t *Table) spreadRounds() int {
 	rounds := 1
 	for n := len(t.order); n > 0; n /= 2 {
 		rounds++
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -19,13 +19,13 @@
 
 var testNow = time.Unix(1_800_000_000, 0)
 
-// settled is a fleet of n in which everybody knows everybody.
-func settled(t *testing.T, n int) *fleet {
+// settledFleet is a fleet of n in which everybody knows everybody.
+func settledFleet(t *testing.T, n int) *fleet {
 	t.Helper()
 	f := newFleet(n, 1, Config{})
 	f.run(30 + 2*n)
 	for i := range f.hosts {
-		if got := f.names(i); !slices.Equal(got, f.truth()) {
+		if got := f.names(i); !slices.Equal(got, f.wantNames()) {
 			t.Fatalf("host %d starts with %d of %d addresses", i, len(got), n)
 		}
 	}
@@ -45,8 +45,8 @@
 // Symptom: two hosts stay apart although nothing is between them any more.
 // Sequence: a fleet of two is cut for a minute; the cut is mended.
 // Cause: each had stopped asking the other, and there was no third.
-func TestTwoHostsFindEachOtherAgain(t *testing.T) {
-	f := settled(t, 2)
+func TestTwoHostsReconnectAfterPartition(t *testing.T) {
+	f := settledFleet(t, 2)
 	f.isolate(0, true)
 	f.run(120)
 	f.isolate(0, false)
@@ -58,12 +58,12 @@
 // Sequence: messages from host 0 to host 1 (then both ways) are lost for a minute;
 // five others reach both.
 // Cause: host 0 took its own unanswered heartbeats for the death of host 1.
-func TestCutBetweenTwoHostsRemovesNeither(t *testing.T) {
+func TestPartitionBetweenTwoHostsRemovesNeither(t *testing.T) {
 	for name, both := range map[string]bool{"one way": false, "both ways": true} {
 		t.Run(name, func(t *testing.T) {
-			f := settled(t, 7)
-			f.cut[[2]int{0, 1}] = true
-			f.cut[[2]int{1, 0}] = both
+			f := settledFleet(t, 7)
+			f.blocked[[2]int{0, 1}] = true
+			f.blocked[[2]int{1, 0}] = both
 			for tick := range 120 {
 				f.run(1)
 				f.wantAll(t, 7, fmt.Sprint("at tick ", tick))
@@ -79,9 +79,9 @@
 // Sequence: the link between two hosts of seven fails for a minute; all others hear both. Word
 // of third hosts comes in few replies, as each host hears nearly all others itself.
 // Cause: the hosts that hear the doubted one were not asked for their word.
-func TestDoubtIsAnsweredAsLongAsItLasts(t *testing.T) {
-	f := settled(t, 7)
-	f.cut[[2]int{0, 1}], f.cut[[2]int{1, 0}] = true, true
+func TestThirdHostsRefuteDoubtWhileItLasts(t *testing.T) {
+	f := settledFleet(t, 7)
+	f.blocked[[2]int{0, 1}], f.blocked[[2]int{1, 0}] = true, true
 	for range 240 {
 		f.run(1)
 		if f.health(0, 1) == dead || f.health(1, 0) == dead {
@@ -92,8 +92,8 @@
 
 // Pattern: a calm fleet of seven, in which nobody doubts anybody. What its heartbeats say of
 // third hosts is a small part of what they would if each reply named all.
-func TestCalmMeshSaysLittleOfThirdHosts(t *testing.T) {
-	f := settled(t, 7)
+func TestHealthyMeshRepliesCarryFewHosts(t *testing.T) {
+	f := settledFleet(t, 7)
 	f.run(100)
 	named, replies := 0, 0
 	for i := range f.hosts {
@@ -111,10 +111,10 @@
 
 // Pattern: seven hosts that send each other a heartbeat every other tick. It costs half of the
 // messages; a dead host is found as soon, and one that leaves tells all in its next tick.
-func TestMeshInTurns(t *testing.T) {
+func TestMeshPeriod(t *testing.T) {
 	messages := map[int64]int{}
 	for _, turns := range []int64{1, 2} {
-		f := settled(t, 7)
+		f := settledFleet(t, 7)
 		for _, h := range f.hosts {
 			h.cfg.MeshPeriod = turns
 		}
@@ -144,14 +144,14 @@
 	}
 }
 
-func TestTwoSidesDropAndFindEachOther(t *testing.T) {
-	f := settled(t, 7)
+func TestPartitionSidesDropAndRejoin(t *testing.T) {
+	f := settledFleet(t, 7)
 	side := func(i int) bool { return i < 3 }
 	setCut := func(on bool) {
 		for i := range 7 {
 			for j := range 7 {
 				if side(i) != side(j) {
-					f.cut[[2]int{i, j}] = on
+					f.blocked[[2]int{i, j}] = on
 				}
 			}
 		}
@@ -172,13 +172,13 @@
 // Symptom: new callers come to a host that is shutting down.
 // Sequence: host 2 marks itself leaving and beats once more.
 // Cause: the flag didn't travel, or stale word of the same incarnation cleared it.
-func TestLeavingHostIsGoneAfterOneHeartbeat(t *testing.T) {
-	f := settled(t, 7)
+func TestLeavingHostIsDroppedAfterOneHeartbeat(t *testing.T) {
+	f := settledFleet(t, 7)
 	old := f.hosts[3].Request("")
 	f.leave(2)
 	f.run(1)
 	// Word from before the leave, through a host that had not heard of it.
-	f.hosts[0].takeState(&pb.HostState{
+	f.hosts[0].mergeState(&pb.HostState{
 		Holder: &pb.Holder{Host: simName(2), Incarnation: 1}, Health: alive, PeerAddress: simAddress(2),
 	}, f.hosts[0].Now())
 	f.hosts[0].ReceiveRequest(old)
@@ -196,10 +196,10 @@
 // Sequence: requests of host 6 lie in silent connections; it dies; all others find
 // it dead; the requests arrive.
 // Cause: an old request was taken for a sign of life.
-func TestDeadHostIsFoundAndNotRevivedByStaleWord(t *testing.T) {
-	f := settled(t, 7)
+func TestStaleMessagesDoNotReviveDeadHost(t *testing.T) {
+	f := settledFleet(t, 7)
 	stale := f.hosts[5].Reply("") // says that host 6 lives
-	f.holdFrom = 6
+	f.delayFrom = 6
 	f.run(2)
 	f.hosts[6].running = false
 	f.run(DefaultDeadAfter + 1)
@@ -211,7 +211,7 @@
 	stale.Seq = f.hosts[5].seq + 1
 	f.hosts[0].ReceiveRequest(stale)
 	for range 20 {
-		f.deliverHeld()
+		f.deliverDelayed()
 		for i := range 6 {
 			if got := f.health(i, 6); got != dead {
 				t.Fatalf("host %d has the dead host as %v", i, got)
@@ -226,7 +226,7 @@
 // Sequence: a process is stopped for a minute and goes on.
 // Cause: time was counted by the clock rather than by own heartbeats.
 func TestPausedHostKeepsItsView(t *testing.T) {
-	f := settled(t, 7)
+	f := settledFleet(t, 7)
 	f.hosts[0].running = false
 	f.run(120)
 	f.hosts[0].running = true
@@ -238,8 +238,8 @@
 
 // A registration alone must neither make a host's addresses preferred nor be passed
 // on; an operator's word that a host is dead must hold against stale word.
-func TestLearnedAndRemovedHosts(t *testing.T) {
-	f := settled(t, 3)
+func TestRegisteredAndRemovedHosts(t *testing.T) {
+	f := settledFleet(t, 3)
 	h := f.hosts[0]
 	h.MergeRegistered([]*pb.HostInfo{
 		{Host: "new", Incarnation: 4, Zone: "olinda", CallerAddress: "10.9.0.1:80", PeerAddress: "10.9.0.1:81"},
@@ -299,8 +299,8 @@
 // Symptom: one host's streams come too late while others have nothing to do.
 // Sequence: most callers choose the same host, whatever the order of the answer.
 // Cause: it is named in every answer.
-func TestCallersShareTheFleet(t *testing.T) {
-	f := settled(t, 7)
+func TestShareSpreadsCallers(t *testing.T) {
+	f := settledFleet(t, 7)
 	// preferred is whom callers choose of the hosts that they are named: the first by name.
 	preferred := func(at int) map[string]int {
 		chosen := make(map[string]int)
@@ -328,8 +328,8 @@
 	}
 }
 
-func TestShareIsTheSameEverywhereAndForAWhile(t *testing.T) {
-	f := settled(t, 7)
+func TestShareIsConsistentAndStable(t *testing.T) {
+	f := settledFleet(t, 7)
 	moved := 0
 	for caller := range 100 {
 		name := fmt.Sprint("caller-", caller)
@@ -347,8 +347,8 @@
 	}
 }
 
-func TestShareHasNoHostThatLeaves(t *testing.T) {
-	f := settled(t, 7)
+func TestShareExcludesLeavingHosts(t *testing.T) {
+	f := settledFleet(t, 7)
 	f.leave(3)
 	f.run(2)
 	for caller := range 100 {
@@ -364,8 +364,8 @@
 // is named while all hosts are leaving.
 // Sequence: many answers are drawn; then every host leaves.
 // Cause: order without regard to zone and spare room; an empty answer.
-func TestAddressesSpreadByZoneAndSpareRoom(t *testing.T) {
-	f := settled(t, 7) // zones in turn; olinda has hosts 2 and 5
+func TestAddressesSpreadByZoneAndSpareCapacity(t *testing.T) {
+	f := settledFleet(t, 7) // zones in turn; olinda has hosts 2 and 5
 	f.hosts[2].SetLoad(900, 0, 1)
 	f.hosts[5].SetLoad(100, 0, 1)
 	f.run(2)
@@ -399,11 +399,11 @@
 
 // In a large fleet nobody watches everybody: a death must reach all all the same,
 // one cut must remove nobody, and a message must keep its bound.
-func TestSampledFleet(t *testing.T) {
+func TestLargeFleet(t *testing.T) {
 	const n = 60
-	f := settled(t, n)
+	f := settledFleet(t, n)
 	f.digest = 0 // while it was small, whole views were sent
-	f.cut[[2]int{0, 1}] = true
+	f.blocked[[2]int{0, 1}] = true
 	f.isolate(7, true) // cut off, with its own view of everybody as dead
 	f.hosts[9].running = false
 	f.leave(11)
@@ -435,8 +435,8 @@
 		t.Errorf("a digest of %d bytes", f.digest)
 	}
 	for i := range n {
-		if i != 9 && !slices.Equal(f.names(i), f.truth()) {
-			t.Errorf("host %d: %d hosts, want %d", i, len(f.names(i)), len(f.truth()))
+		if i != 9 && !slices.Equal(f.names(i), f.wantNames()) {
+			t.Errorf("host %d: %d hosts, want %d", i, len(f.names(i)), len(f.wantNames()))
 		}
 	}
 }
@@ -446,7 +446,7 @@
 // Sequence: a host of a large fleet is paused for less than the ticks to death.
 // Cause: the ticks to death counted from the beginning of the doubt, by its age, which
 // grows with each host it passes.
-func TestShortPauseInALargeFleetDropsNobody(t *testing.T) {
+func TestShortPauseDropsNoHostInLargeFleet(t *testing.T) {
 	f := newBenchFleet(100, 0)
 	f.settle()
 	f.runTicks(20)
@@ -464,7 +464,7 @@
 // Symptom: callers are sent to a leaving host for minutes after the whole fleet started.
 // Sequence: many hosts join at once; one of them leaves.
 // Cause: its news waited behind that of the others' joining.
-func TestNewsOfALeavingHostGoesFirst(t *testing.T) {
+func TestUpdatesOfLeavingHostsGoFirst(t *testing.T) {
 	table := New(Config{Self: Self{Host: "h", Incarnation: 1}}, rand.New(rand.NewPCG(1, 1)))
 	for i := range 40 {
 		joined := New(Config{Self: Self{Host: simName(i), Incarnation: 1, PeerAddress: simAddress(i)}}, rand.New(rand.NewPCG(1, 1)))
@@ -479,7 +479,7 @@
 	}
 }
 
-func TestSameSeedSameChoices(t *testing.T) {
+func TestDeterministicForSeed(t *testing.T) {
 	a, b := newFleet(40, 3, Config{}), newFleet(40, 3, Config{})
 	a.run(20)
 	b.run(20)
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// notHeard as a tick: no evidence at all.
-	notHeard = 0
-	// tickPhase is added to every age from another host. Ticks of two hosts don't
+	// noEvidence as a tick: no evidence at all.
+	noEvidence = 0
+	// ageRounding is added to every age from another host. Ticks of two hosts don't
 	// begin together, so an age in whole ticks can be short by almost one. Word that
 	// got younger on its way would go round for ever, and a doubt or a dead host
 	// with it.
-	tickPhase = 1
+	ageRounding = 1
 )
 
 // MergeRegistered takes hosts that the control group has registered. Removed ones are dropped
@@ -37,7 +37,7 @@
 			e.registered = true
 			continue
 		}
-		e := t.enter(&pb.Holder{Host: info.GetHost(), Incarnation: info.GetIncarnation()})
+		e := t.resetEntry(&pb.Holder{Host: info.GetHost(), Incarnation: info.GetIncarnation()})
 		e.zone = info.GetZone()
 		e.callerAddress = info.GetCallerAddress()
 		e.peerAddress = info.GetPeerAddress()
@@ -65,9 +65,9 @@
 	t.neighbors = slices.DeleteFunc(t.neighbors, isIt)
 }
 
-// enter makes an entry for a new host, or resets that of a former incarnation.
+// resetEntry makes an entry for a new host, or resets that of a former incarnation.
 // Nothing of a former run holds for the new one, least of all its leaving flag.
-func (t *Table) enter(h *pb.Holder) *entry {
+func (t *Table) resetEntry(h *pb.Holder) *entry {
 	e := t.hosts[h.GetHost()]
 	if e == nil {
 		e = &entry{host: h.GetHost()}
@@ -79,9 +79,9 @@
 	}
 	*e = entry{
 		host: e.host, hash: xxhash.Sum64String(e.host), incarnation: h.GetIncarnation(),
-		zone: e.zone, callerAddress: e.callerAddress, peerAddress: e.peerAddress, control: e.control, lastAlive: notHeard,
+		zone: e.zone, callerAddress: e.callerAddress, peerAddress: e.peerAddress, control: e.control, lastAlive: noEvidence,
 	}
-	t.spread(e, true)
+	t.queueUpdate(e, true)
 	return e
 }
 
@@ -89,35 +89,35 @@
 // known: it may have been held up on the way. So its host entries bring no
 // evidence, only incarnations, flags and doubts.
 func (t *Table) ReceiveRequest(m *pb.HeartbeatRequest) {
-	e := t.sender(m)
+	e := t.senderEntry(m)
 	if e == nil {
 		return
 	}
 	if m.GetSeq() <= e.seq {
 		return // an older one than already taken, held up or sent twice
 	}
-	t.takeHeader(e, m)
-	t.hearRequest(e)
+	t.mergeHeader(e, m)
+	t.requestReceived(e)
 	for _, s := range m.GetHosts() {
-		t.takeState(s, notHeard)
+		t.mergeState(s, noEvidence)
 	}
 }
 
-// hearRequest counts the arrival of a request as evidence of its sender. A dead
+// requestReceived counts the arrival of a request as evidence of its sender. A dead
 // host is not revived by a single one.
 //
 // What goes wrong otherwise: a request that lay in a silent connection arrives
 // long after its host died, and callers are sent there again. One would notice a
 // host that turns alive for a few seconds after its death. A second request in a
 // later tick, or a reply to the probe, can't come from a dead host's past.
-func (t *Table) hearRequest(e *entry) {
+func (t *Table) requestReceived(e *entry) {
 	recent := t.now-e.lastRequest < t.cfg.DeadAfter && e.lastRequest < t.now
 	e.lastRequest = t.now
 	if t.dead(e) && !recent {
 		e.probe = true
 		return
 	}
-	t.hear(e, t.now)
+	t.markAlive(e, t.now)
 }
 
 // ReceiveReply takes the answer to a heartbeat that was sent to host to (empty: not
@@ -131,14 +131,14 @@
 	if m.GetFrom().GetHost() != to || m.GetFrom().GetIncarnation() == 0 {
 		t.MarkUnanswered(sentAt, to)
 	}
-	e := t.sender(m)
+	e := t.senderEntry(m)
 	if e == nil {
 		return
 	}
-	t.takeHeader(e, m)
-	t.hear(e, sentAt)
+	t.mergeHeader(e, m)
+	t.markAlive(e, sentAt)
 	for _, s := range m.GetHosts() {
-		t.takeState(s, sentAt)
+		t.mergeState(s, sentAt)
 	}
 }
 
@@ -148,12 +148,12 @@
 	if e == nil || e.lastAlive > sentAt {
 		return
 	}
-	t.startDoubt(e, sentAt)
+	t.recordUnanswered(e, sentAt)
 }
 
-// sender returns the entry of the host that sent m; nil if m must be ignored:
+// senderEntry returns the entry of the host that sent m; nil if m must be ignored:
 // this host's own, without incarnation, of a removed host or a former run.
-func (t *Table) sender(m *pb.HeartbeatRequest) *entry {
+func (t *Table) senderEntry(m *pb.HeartbeatRequest) *entry {
 	return t.accept(m.GetFrom())
 }
 
@@ -166,7 +166,7 @@
 	}
 	e := t.hosts[h.GetHost()]
 	if e == nil || e.incarnation < h.GetIncarnation() {
-		return t.enter(h)
+		return t.resetEntry(h)
 	}
 	if e.incarnation > h.GetIncarnation() {
 		return nil
@@ -174,28 +174,28 @@
 	return e
 }
 
-func (t *Table) takeHeader(e *entry, m *pb.HeartbeatRequest) {
+func (t *Table) mergeHeader(e *entry, m *pb.HeartbeatRequest) {
 	e.seq = max(e.seq, m.GetSeq())
 	e.zone = m.GetZone()
 	e.callerAddress = m.GetCallerAddress()
 	e.peerAddress = m.GetPeerAddress()
 	e.control = m.GetControl()
 	e.spare = m.GetSparePermille()
-	t.takeTraffic(e, m.GetTraffic())
+	t.mergeTraffic(e, m.GetTraffic())
 	e.revision = max(e.revision, m.GetConfigRevision())
 	if m.GetLeaving() {
 		t.setLeaving(e)
 	}
 }
 
-// takeTraffic notes a host's traffic. That it has become busy, or is no more, is news:
+// mergeTraffic notes a host's traffic. That it has become busy, or is no more, is news:
 // hosts that answer callers must hear it within a second or two.
-func (t *Table) takeTraffic(e *entry, traffic uint32) {
+func (t *Table) mergeTraffic(e *entry, traffic uint32) {
 	const much = 2 // times as much, or as little, as was told
-	before, now := max(e.traffic, busyTraffic), max(traffic, busyTraffic)
+	before, now := max(e.traffic, fullWeightTraffic), max(traffic, fullWeightTraffic)
 	e.traffic = traffic
 	if now > much*before || before > much*now {
-		t.spread(e, false)
+		t.queueUpdate(e, false)
 	}
 }
 
@@ -205,12 +205,12 @@
 		return
 	}
 	e.leaving = true
-	t.spread(e, false)
+	t.queueUpdate(e, false)
 }
 
-// takeState merges another host's word about a third. sentAt is the tick from
+// mergeState merges another host's word about a third. sentAt is the tick from
 // which ages count; notHeard: the ages are no evidence.
-func (t *Table) takeState(s *pb.HostState, sentAt int64) {
+func (t *Table) mergeState(s *pb.HostState, sentAt int64) {
 	known := t.hosts[s.GetHolder().GetHost()] != nil
 	alive := s.GetHealth() == pb.HostHealth_HOST_HEALTH_ALIVE
 	if !known && (!alive || s.GetPeerAddress() == "") {
@@ -231,43 +231,43 @@
 		t.setLeaving(e)
 	}
 	if alive {
-		t.takeEvidence(e, s, sentAt)
+		t.mergeEvidence(e, s, sentAt)
 		return
 	}
-	t.takeDoubt(e, s)
+	t.mergeDoubt(e, s)
 }
 
-func (t *Table) takeEvidence(e *entry, s *pb.HostState, sentAt int64) {
-	t.known(e)
-	if sentAt == notHeard {
+func (t *Table) mergeEvidence(e *entry, s *pb.HostState, sentAt int64) {
+	t.confirm(e)
+	if sentAt == noEvidence {
 		return
 	}
-	heard := sentAt - t.ticks(s.GetHeardMs()) - tickPhase
+	heard := sentAt - t.ticks(s.GetHeardMs()) - ageRounding
 	if heard > e.lastAlive {
 		e.spare = s.GetSparePermille()
-		t.takeTraffic(e, s.GetTraffic())
+		t.mergeTraffic(e, s.GetTraffic())
 	}
-	t.hear(e, heard)
+	t.markAlive(e, heard)
 }
 
-// takeDoubt adopts a doubt that is later than anything this host has heard. If this
+// mergeDoubt adopts a doubt that is later than anything this host has heard. If this
 // host has later evidence it spreads that instead; if it watches the host, it asks.
-func (t *Table) takeDoubt(e *entry, s *pb.HostState) {
-	unanswered := t.now - t.ticks(s.GetHeardMs()) - tickPhase
+func (t *Table) mergeDoubt(e *entry, s *pb.HostState) {
+	unanswered := t.now - t.ticks(s.GetHeardMs()) - ageRounding
 	if e.lastAlive >= unanswered {
-		t.spread(e, false)
+		t.queueUpdate(e, false)
 		return
 	}
 	if !t.dead(e) && slices.Contains(t.neighbors, e) {
 		e.probe = true
 	}
-	t.startDoubt(e, unanswered)
+	t.recordUnanswered(e, unanswered)
 }
 
-// startDoubt takes that a heartbeat of tick at stayed unanswered. The first one of a
+// recordUnanswered takes that a heartbeat of tick at stayed unanswered. The first one of a
 // doubt counts for how long it lasts, the last one is told to others: only a host
 // that still gets no reply keeps a doubt going.
-func (t *Table) startDoubt(e *entry, at int64) {
+func (t *Table) recordUnanswered(e *entry, at int64) {
 	e.lastUnanswered = max(e.lastUnanswered, at)
 	if e.doubted {
 		return
@@ -276,28 +276,28 @@
 	e.doubtStart = at
 	e.doubtNoticed = t.now
 	if !e.unconfirmed {
-		t.spread(e, false)
+		t.queueUpdate(e, false)
 	}
 }
 
-// hear takes evidence that e ran at tick at; it ends a doubt that began before.
-func (t *Table) hear(e *entry, at int64) {
-	t.known(e)
+// markAlive takes evidence that e ran at tick at; it ends a doubt that began before.
+func (t *Table) markAlive(e *entry, at int64) {
+	t.confirm(e)
 	e.lastAlive = max(e.lastAlive, at)
 	if !e.doubted || e.lastAlive <= e.doubtStart {
 		return
 	}
 	e.doubted = false
-	t.spread(e, false)
+	t.queueUpdate(e, false)
 }
 
-// known takes that there is word of a host that was only registered so far.
-func (t *Table) known(e *entry) {
+// confirm takes that there is word of a host that was only registered so far.
+func (t *Table) confirm(e *entry) {
 	if !e.unconfirmed {
 		return
 	}
 	e.unconfirmed = false
-	t.spread(e, true)
+	t.queueUpdate(e, true)
 }
 
 // ticks converts an age in milliseconds, rounded up: evidence never gets younger.
--- a/internal/membership/rapid_test.go
+++ b/internal/membership/rapid_test.go
@@ -11,8 +11,8 @@
 
 const (
 	rapidHosts = 6
-	// quietTicks is enough for a fleet without faults to agree.
-	quietTicks = 3 * DefaultDeadAfter
+	// settleTicks is enough for a fleet without faults to agree.
+	settleTicks = 3 * DefaultDeadAfter
 )
 
 // rapidFleet drives a fleet through random faults. The oracle is plain: which hosts
@@ -21,16 +21,16 @@
 	*fleet
 	// lastRun is the tick count of the world at which a host last ran.
 	lastRun map[int]int
-	world   int
+	now   int
 	// delivered is the tick count at which held-up requests last arrived.
 	delivered int
 	// seen holds what each view has shown: incarnations and leaving flags.
-	seen map[[2]int]seenView
+	seen map[[2]int]observedView
 }
 
-// seenView is what a run of a host has shown of another.
-type seenView struct {
-	run  uint64
+// observedView is what a run of a host has shown of another.
+type observedView struct {
+	incarnation  uint64
 	host Host
 }
 
@@ -47,18 +47,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := &rapidFleet{
 			fleet:   newFleet(rapidHosts, rapid.Uint64().Draw(t, "seed"), Config{}),
-			lastRun: make(map[int]int), seen: make(map[[2]int]seenView),
+			lastRun: make(map[int]int), seen: make(map[[2]int]observedView),
 		}
-		f.tick(t, quietTicks)
+		f.tick(t, settleTicks)
 		t.Repeat(map[string]func(*rapid.T){
 			"run":     func(t *rapid.T) { f.tick(t, rapid.IntRange(1, 15).Draw(t, "ticks")) },
-			"cut":     f.setCut,
+			"cut":     f.toggleBlocked,
 			"stop":    f.stop,
 			"restart": f.restart,
 			"leave":   f.leaveOne,
-			"stale":   f.stale,
-			"hold":    f.holdOne,
-			"quiet":   f.quiet,
+			"stale":   f.deliverStale,
+			"hold":    f.delayOne,
+			"quiet":   f.settle,
 			"":        f.check,
 		})
 	})
@@ -69,43 +69,43 @@
 func (f *rapidFleet) tick(t *rapid.T, n int) {
 	for range n {
 		f.run(1)
-		f.world++
+		f.now++
 		for i, h := range f.hosts {
 			if h.running {
-				f.lastRun[i] = f.world
+				f.lastRun[i] = f.now
 			}
 		}
 		f.check(t)
 	}
 }
 
-func (f *rapidFleet) setCut(t *rapid.T) {
+func (f *rapidFleet) toggleBlocked(t *rapid.T) {
 	pair := [2]int{anyHost(t, "from"), anyHost(t, "to")}
-	f.cut[pair] = !f.cut[pair]
+	f.blocked[pair] = !f.blocked[pair]
 }
 
 func (f *rapidFleet) stop(t *rapid.T)     { f.hosts[anyHost(t, "stop")].running = false }
 func (f *rapidFleet) restart(t *rapid.T)  { f.start(anyHost(t, "restart")) }
 func (f *rapidFleet) leaveOne(t *rapid.T) { f.leave(anyHost(t, "leave")) }
 
-// holdOne makes a host's requests lie somewhere on their way; its former ones are lost.
-func (f *rapidFleet) holdOne(t *rapid.T) {
-	f.held = nil
-	f.holdFrom = anyHost(t, "hold")
+// delayOne makes a host's requests lie somewhere on their way; its former ones are lost.
+func (f *rapidFleet) delayOne(t *rapid.T) {
+	f.delayed = nil
+	f.delayFrom = anyHost(t, "hold")
 }
 
-func (f *rapidFleet) stale(*rapid.T) {
-	f.deliverHeld()
-	f.delivered = f.world
+func (f *rapidFleet) deliverStale(*rapid.T) {
+	f.deliverDelayed()
+	f.delivered = f.now
 }
 
-// quiet ends all faults; then every view must be the truth.
-func (f *rapidFleet) quiet(t *rapid.T) {
-	clear(f.cut)
-	f.holdFrom = nobody
-	f.held = nil
-	f.tick(t, quietTicks)
-	want := f.truth()
+// settle ends all faults; then every view must be the truth.
+func (f *rapidFleet) settle(t *rapid.T) {
+	clear(f.blocked)
+	f.delayFrom = noHost
+	f.delayed = nil
+	f.tick(t, settleTicks)
+	want := f.wantNames()
 	for i, h := range f.hosts {
 		if !h.running || len(want) == 0 {
 			continue
@@ -139,7 +139,7 @@
 	key := [2]int{i, j}
 	run := f.hosts[i].incarnation
 	now, was := v.Holder.GetIncarnation(), f.seen[key].host
-	if f.seen[key].run == run {
+	if f.seen[key].incarnation == run {
 		if now < was.Holder.GetIncarnation() {
 			t.Fatalf("host %d went back to incarnation %d of host %d", i, now, j)
 		}
@@ -147,11 +147,11 @@
 			t.Fatalf("host %d forgot that host %d is leaving", i, j)
 		}
 	}
-	f.seen[key] = seenView{run: run, host: v}
+	f.seen[key] = observedView{incarnation: run, host: v}
 	// A host that stopped long ago is alive to nobody but one whom held-up requests
 	// reached in two ticks; those can't carry it further than one more death.
-	silent := f.world - f.lastRun[j]
-	if v.Health == alive && silent > 2*DefaultDeadAfter+rapidHosts && f.world-f.delivered > DefaultDeadAfter+rapidHosts {
+	silent := f.now - f.lastRun[j]
+	if v.Health == alive && silent > 2*DefaultDeadAfter+rapidHosts && f.now-f.delivered > DefaultDeadAfter+rapidHosts {
 		t.Fatalf("host %d has host %d alive, which stopped %d ticks ago", i, j, silent)
 	}
 }
--- a/internal/membership/serverdelta.go
+++ b/internal/membership/serverdelta.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// resendEvery is the number of heartbeats to a peer after which it gets all
+	// resendInterval is the number of heartbeats to a peer after which it gets all
 	// states again, in case it has lost some.
-	resendEvery = 20
+	resendInterval = 20
 	// maxServers bounds the states in one heartbeat; the rest goes with the next ones.
 	maxServers = 64
 )
@@ -51,22 +51,22 @@
 	return s.GetAddress()
 }
 
-// peerKnowledge is what one run of a peer surely has.
-type peerKnowledge struct {
+// peerState is what one run of a peer surely has.
+type peerState struct {
 	incarnation uint64
-	beats       int
+	heartbeats       int
 	servers     map[string]serverVersion
 }
 
 // ServerDelta chooses the backend servers' states that a heartbeat to a peer must
 // carry: those that the peer isn't known to have. It is not safe for concurrent use.
 type ServerDelta struct {
-	peers map[string]*peerKnowledge
+	peers map[string]*peerState
 }
 
 // NewServerDelta returns a delta that takes every peer for ignorant.
 func NewServerDelta() *ServerDelta {
-	return &ServerDelta{peers: make(map[string]*peerKnowledge)}
+	return &ServerDelta{peers: make(map[string]*peerState)}
 }
 
 // Select returns the states to send to a peer now, at most maxServers: leaving
@@ -74,9 +74,9 @@
 // it has missed most. Without that order the servers whose names sort last wait until all
 // others are known, and look silent.
 func (d *ServerDelta) Select(peer *pb.Holder, all []*pb.ServerState) []*pb.ServerState {
-	k := d.knowledge(peer)
-	k.beats++
-	if k.beats%resendEvery == 0 {
+	k := d.peer(peer)
+	k.heartbeats++
+	if k.heartbeats%resendInterval == 0 {
 		clear(k.servers)
 	}
 	var missing []*pb.ServerState
@@ -90,13 +90,13 @@
 		return missing
 	}
 	slices.SortStableFunc(missing, func(a, b *pb.ServerState) int {
-		return cmp.Or(cmp.Compare(k.urgency(a), k.urgency(b)), cmp.Compare(k.behind(b), k.behind(a)))
+		return cmp.Or(cmp.Compare(k.priority(a), k.priority(b)), cmp.Compare(k.behind(b), k.behind(a)))
 	})
 	return missing[:maxServers]
 }
 
-// urgency is lower for states that must go first.
-func (k *peerKnowledge) urgency(s *pb.ServerState) int {
+// priority is lower for states that must go first.
+func (k *peerState) priority(s *pb.ServerState) int {
 	if s.GetLeaving() || s.GetGone() {
 		return 0
 	}
@@ -108,7 +108,7 @@
 }
 
 // behind is how many announcements of a server the peer has missed.
-func (k *peerKnowledge) behind(s *pb.ServerState) uint64 {
+func (k *peerState) behind(s *pb.ServerState) uint64 {
 	seq := k.servers[serverKey(s)].seq
 	return s.GetSeq() - min(seq, s.GetSeq())
 }
@@ -116,7 +116,7 @@
 // MarkReceived takes that the peer has these states: it answered the heartbeat that carried
 // them, or sent them itself.
 func (d *ServerDelta) MarkReceived(peer *pb.Holder, states []*pb.ServerState) {
-	k := d.knowledge(peer)
+	k := d.peer(peer)
 	for _, s := range states {
 		if v := versionOf(s); k.servers[serverKey(s)].before(v) {
 			k.servers[serverKey(s)] = v
@@ -146,11 +146,11 @@
 	}
 }
 
-// knowledge of a peer begins anew with each of its incarnations.
-func (d *ServerDelta) knowledge(peer *pb.Holder) *peerKnowledge {
+// peer of a peer begins anew with each of its incarnations.
+func (d *ServerDelta) peer(peer *pb.Holder) *peerState {
 	k := d.peers[peer.GetHost()]
 	if k == nil || k.incarnation != peer.GetIncarnation() {
-		k = &peerKnowledge{incarnation: peer.GetIncarnation(), servers: make(map[string]serverVersion)}
+		k = &peerState{incarnation: peer.GetIncarnation(), servers: make(map[string]serverVersion)}
 		d.peers[peer.GetHost()] = k
 	}
 	return k
--- a/internal/membership/serverdelta_test.go
+++ b/internal/membership/serverdelta_test.go
@@ -19,7 +19,7 @@
 // Sequence: a heartbeat with its state is lost; or the host restarts; or its registry
 // lost the state.
 // Cause: sent was taken for received, or the knowledge outlived the run of the peer.
-func TestServerDeltaResendsWhatMayBeMissing(t *testing.T) {
+func TestServerDeltaResendsUnconfirmedStates(t *testing.T) {
 	d := NewServerDelta()
 	peer := &pb.Holder{Host: "h1", Incarnation: 1}
 	states := serverStates(3, 5)
@@ -43,13 +43,13 @@
 	peer.Incarnation = 2
 	d.MarkReceived(peer, states)
 	sent := 0
-	for range resendEvery {
+	for range resendInterval {
 		again := d.Select(peer, states)
 		d.MarkReceived(peer, again)
 		sent += len(again)
 	}
 	if sent != 3 {
-		t.Errorf("%d states in %d heartbeats, want each once again", sent, resendEvery)
+		t.Errorf("%d states in %d heartbeats, want each once again", sent, resendInterval)
 	}
 }
 
--- a/internal/membership/share.go
+++ b/internal/membership/share.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// zoneWeight is how much likelier a host of the caller's own availability zone is named
+	// sameZoneWeight is how much likelier a host of the caller's own availability zone is named
 	// than one of another: round trips to these are 3 ms longer.
-	zoneWeight = 3
+	sameZoneWeight = 3
 	// suspectWeight is that of a host whose heartbeats stay unanswered.
 	suspectWeight = 0.01
-	// busyShare is how many times the mean traffic a host may have at its full weight.
-	busyShare = 1.2
-	// busyTraffic is the traffic, in KiB a second, up to which a host has its full weight: a
+	// fullWeightShare is how many times the mean traffic a host may have at its full weight.
+	fullWeightShare = 1.2
+	// fullWeightTraffic is the traffic, in KiB a second, up to which a host has its full weight: a
 	// fortieth of what a link of 10 Mbit/s carries.
-	busyTraffic = 32
-	// busyPower makes up for callers who go on with an older answer, three times as long as
+	fullWeightTraffic = 32
+	// busyExponent makes up for callers who go on with an older answer, three times as long as
 	// they may.
-	busyPower = 3
+	busyExponent = 3
 	// shareEpoch is how long a caller is named the same hosts while these stay the same.
 	shareEpoch = 30 * time.Second
 )
@@ -42,7 +42,7 @@
 	for _, c := range all {
 		mean += float64(c.traffic) / float64(len(all))
 	}
-	most := max(busyShare*mean, busyTraffic)
+	most := max(fullWeightShare*mean, fullWeightTraffic)
 	name := rendezvous.Hash(caller)
 	// Callers change their shares one after the other.
 	phase := time.Duration(name % uint64(shareEpoch))
@@ -51,7 +51,7 @@
 		all[i].key = -math.Log(unit(rendezvous.Rank(key, rendezvous.Hash(all[i].address.Host)))) / all[i].weight(most)
 	}
 	slices.SortStableFunc(all, func(a, b candidate) int { return cmp.Compare(a.key, b.key) })
-	return named(all[:min(n, len(all))], now.Add(ttl))
+	return withExpiry(all[:min(n, len(all))], now.Add(ttl))
 }
 
 // weight of a host among those that a caller may be named. most is the traffic that a host
@@ -60,11 +60,11 @@
 	w := 1.0
 	switch c.class {
 	case classSameZone:
-		w = zoneWeight
+		w = sameZoneWeight
 	case classSuspect:
 		w = suspectWeight
 	}
-	return w * math.Pow(min(most/max(float64(c.traffic), 1), 1), busyPower)
+	return w * math.Pow(min(most/max(float64(c.traffic), 1), 1), busyExponent)
 }
 
 // unit maps a hash to a number above 0 and up to 1.
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -16,11 +16,11 @@
 	cfg   Config
 	seed  uint64
 	hosts []*simHost
-	// cut[{a,b}] loses everything sent from a to b.
-	cut map[[2]int]bool
-	// hold keeps copies of requests sent by host holdFrom, to be delivered late.
-	holdFrom int
-	held     []heldRequest
+	// blocked[{a,b}] loses everything sent from a to b.
+	blocked map[[2]int]bool
+	// hold keeps copies of requests sent by host delayFrom, to be delivered late.
+	delayFrom int
+	delayed     []delayedRequest
 
 	bytes    int
 	messages int
@@ -34,15 +34,15 @@
 	incarnation uint64
 }
 
-type heldRequest struct {
+type delayedRequest struct {
 	to int
 	m  *pb.HeartbeatRequest
 }
 
-const nobody = -1
+const noHost = -1
 
 func newFleet(n int, seed uint64, cfg Config) *fleet {
-	f := &fleet{cfg: cfg, seed: seed, cut: make(map[[2]int]bool), holdFrom: nobody}
+	f := &fleet{cfg: cfg, seed: seed, blocked: make(map[[2]int]bool), delayFrom: noHost}
 	for i := range n {
 		f.hosts = append(f.hosts, &simHost{})
 		f.start(i)
@@ -78,8 +78,8 @@
 
 func (f *fleet) isolate(i int, cut bool) {
 	for j := range f.hosts {
-		f.cut[[2]int{i, j}] = cut
-		f.cut[[2]int{j, i}] = cut
+		f.blocked[[2]int{i, j}] = cut
+		f.blocked[[2]int{j, i}] = cut
 	}
 }
 
@@ -87,13 +87,13 @@
 	for range ticks {
 		for i, h := range f.hosts {
 			if h.running {
-				f.beat(i, h)
+				f.exchangeAll(i, h)
 			}
 		}
 	}
 }
 
-func (f *fleet) beat(i int, h *simHost) {
+func (f *fleet) exchangeAll(i int, h *simHost) {
 	for _, target := range h.Tick() {
 		j := slices.IndexFunc(f.hosts, func(x *simHost) bool { return x.cfg.Self.PeerAddress == target.Address })
 		if j == i {
@@ -111,18 +111,18 @@
 // exchange returns nil when no reply comes.
 func (f *fleet) exchange(i, j int, m *pb.HeartbeatRequest) *pb.HeartbeatReply {
 	f.count(m)
-	if i == f.holdFrom {
-		f.held = append(f.held, heldRequest{to: j, m: proto.Clone(m).(*pb.HeartbeatRequest)})
+	if i == f.delayFrom {
+		f.delayed = append(f.delayed, delayedRequest{to: j, m: proto.Clone(m).(*pb.HeartbeatRequest)})
 		return nil
 	}
 	peer := f.hosts[j]
-	if !peer.running || f.cut[[2]int{i, j}] {
+	if !peer.running || f.blocked[[2]int{i, j}] {
 		return nil
 	}
 	peer.ReceiveRequest(m)
 	reply := &pb.HeartbeatReply{Seq: m.GetSeq(), State: peer.Reply(m.GetFrom().GetHost())}
 	f.count(reply)
-	if f.cut[[2]int{j, i}] {
+	if f.blocked[[2]int{j, i}] {
 		return nil
 	}
 	return reply
@@ -136,10 +136,10 @@
 	}
 }
 
-// deliverHeld delivers all held requests at once, as a silent connection that works
+// deliverDelayed delivers all held requests at once, as a silent connection that works
 // again would. It may be called again: something may send them twice.
-func (f *fleet) deliverHeld() {
-	for _, h := range f.held {
+func (f *fleet) deliverDelayed() {
+	for _, h := range f.delayed {
 		if f.hosts[h.to].running {
 			f.hosts[h.to].ReceiveRequest(h.m)
 		}
@@ -168,8 +168,8 @@
 	return names
 }
 
-// truth is what every answer must hold once all is quiet.
-func (f *fleet) truth() []string {
+// wantNames is what every answer must hold once all is quiet.
+func (f *fleet) wantNames() []string {
 	var names []string
 	for i, h := range f.hosts {
 		if h.running && !h.leaving {
--- a/internal/membership/targets.go
+++ b/internal/membership/targets.go
@@ -6,11 +6,11 @@
 	// ringNeighbors are watched by position in the order of hashed names, so that
 	// every host is surely watched; the other neighbours are chosen at random.
 	ringNeighbors = 2
-	// doubtedPerTick bounds the extra heartbeats to doubted neighbours per tick, so
+	// maxProbesPerTick bounds the extra heartbeats to doubted neighbours per tick, so
 	// that the loss of an availability zone doesn't multiply the cost.
-	doubtedPerTick = 2
-	// rotateEvery is the number of ticks after which one random neighbour is replaced.
-	rotateEvery = 240
+	maxProbesPerTick = 2
+	// rotateInterval is the number of ticks after which one random neighbour is replaced.
+	rotateInterval = 240
 )
 
 // Target is a host to send a heartbeat to.
@@ -28,7 +28,7 @@
 	t.forget()
 	t.chooseNeighbors()
 	targets := new(targetSet)
-	t.addBeats(targets)
+	t.addNeighbors(targets)
 	t.addDoubted(targets)
 	t.addProbed(targets)
 	t.addDead(targets)
@@ -56,8 +56,8 @@
 		t.neighbors = append(t.neighbors[:0], t.order...)
 		return
 	}
-	t.neighbors = slices.DeleteFunc(t.neighbors, t.unfit)
-	if t.now%rotateEvery == 0 && len(t.neighbors) > 0 {
+	t.neighbors = slices.DeleteFunc(t.neighbors, t.ineligible)
+	if t.now%rotateInterval == 0 && len(t.neighbors) > 0 {
 		at := t.rng.IntN(len(t.neighbors))
 		t.neighbors = slices.Delete(t.neighbors, at, at+1)
 	}
@@ -72,7 +72,7 @@
 	}
 }
 
-func (t *Table) unfit(e *entry) bool { return e.leaving || t.dead(e) }
+func (t *Table) ineligible(e *entry) bool { return e.leaving || t.dead(e) }
 
 func (t *Table) fillNeighbors() {
 	const triesPerPlace = 8 // enough to find a fit one unless most of the fleet is gone
@@ -80,7 +80,7 @@
 	for len(t.neighbors) < t.cfg.Neighbors && tries > 0 {
 		tries--
 		e := t.order[t.rng.IntN(len(t.order))]
-		if t.unfit(e) || slices.Contains(t.neighbors, e) {
+		if t.ineligible(e) || slices.Contains(t.neighbors, e) {
 			continue
 		}
 		t.neighbors = append(t.neighbors, e)
@@ -92,7 +92,7 @@
 	var nearest []*entry
 	var distances []uint64
 	for _, e := range t.order {
-		if t.unfit(e) {
+		if t.ineligible(e) {
 			continue
 		}
 		distance := e.hash - t.selfHash // wraps round the ring
@@ -108,9 +108,9 @@
 	return nearest
 }
 
-// addBeats adds the live neighbours whose turn it is in a full mesh, otherwise the next one.
+// addNeighbors adds the live neighbours whose turn it is in a full mesh, otherwise the next one.
 // A host that leaves tells all at once.
-func (t *Table) addBeats(targets *targetSet) {
+func (t *Table) addNeighbors(targets *targetSet) {
 	if t.fullMesh() {
 		for i, e := range t.neighbors {
 			if due := (t.now+int64(i))%t.cfg.MeshPeriod == 0; (due || t.leaving) && !t.dead(e) {
@@ -130,7 +130,7 @@
 func (t *Table) addDoubted(targets *targetSet) {
 	added := 0
 	for _, e := range t.neighbors {
-		if !e.doubted || t.dead(e) || added == doubtedPerTick {
+		if !e.doubted || t.dead(e) || added == maxProbesPerTick {
 			continue
 		}
 		targets.add(e)
@@ -141,7 +141,7 @@
 func (t *Table) addProbed(targets *targetSet) {
 	added := 0
 	for _, e := range t.order {
-		if !e.probe || added == doubtedPerTick {
+		if !e.probe || added == maxProbesPerTick {
 			continue
 		}
 		e.probe = false
