--- a/internal/membership/addresses.go
+++ b/internal/membership/addresses.go
@@ -14,19 +14,20 @@
 	Host    string
 	Zone    string
 	Address string
-	// Until is when the caller should ask again.
+	// Until is when the caller should request addresses again.
 	Until time.Time
 }
 
-// minWeight keeps a host without spare room in the draw: reports are late.
+// minWeight is the minimum weight of a host. A host without spare capacity keeps a small
+// chance to be drawn, because load reports are late.
 const minWeight = 20 // thousandths
 
 type candidate struct {
 	address Address
 	class   int
 	traffic uint32
-	// key orders the candidates of one class: a draw without replacement in which
-	// a host's chance is its share of the spare room.
+	// key orders the candidates of one class: a random draw without replacement in which a
+	// host's chance is its share of the spare capacity.
 	key float64
 }
 
@@ -38,11 +39,12 @@
 	classLeaving
 )
 
-// Addresses answers a caller in the given availability zone: first the hosts of
-// that zone, then the others, each drawn at random by spare room so that callers
-// spread; suspects last. Leaving and dead hosts are left out. It is empty only if
-// neither this host nor any other is there to serve: when all that live are
-// leaving, those are named, since a refusal from one is better than no address.
+// Addresses returns the addresses for a caller in the given availability zone: first
+// the hosts of that zone, then those of other zones, each in random order weighted by
+// spare capacity, so that callers spread, and suspected hosts last. Leaving and dead
+// hosts are left out. If all live hosts are leaving, those are returned, because a
+// refusal by one is better than no address. The result is empty only if no live host
+// serves callers.
 func (t *Table) Addresses(now time.Time, zone string, ttl time.Duration) []Address {
 	candidates := t.candidates(zone)
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
@@ -60,7 +62,8 @@
 	return addresses
 }
 
-// candidates are the hosts that may be named; those that leave only if all do.
+// candidates returns the hosts whose addresses may be returned; leaving ones only if all
+// are leaving.
 func (t *Table) candidates(zone string) []candidate {
 	all := make([]candidate, 0, len(t.order)+1)
 	if t.cfg.Self.CallerAddress != "" {
@@ -92,7 +95,7 @@
 		traffic: t.traffic,
 	}
 	if self.Incarnation == 0 {
-		c.class = classSuspect // not registered yet, so it refuses requests
+		c.class = classSuspect // not registered yet, so it rejects requests
 	}
 	if t.leaving {
 		c.class = classLeaving
@@ -123,9 +126,9 @@
 	return classOtherZone
 }
 
-// draw gives an exponential variate with rate spare (Efraimidis and Spirakis,
-// "Weighted random sampling with a reservoir", 2006): ordering by it draws without
-// replacement by weight.
+// draw returns an exponential variate whose rate is the spare capacity. Sorting by it draws
+// without replacement by weight (Efraimidis and Spirakis, "Weighted random sampling with a
+// reservoir", 2006).
 func (t *Table) draw(sparePermille uint32) float64 {
 	weight := float64(max(sparePermille, minWeight))
 	return -math.Log(1-t.rng.Float64()) / weight
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -50,7 +50,7 @@
 	return f
 }
 
-// settle makes all hosts known to all, as after long running.
+// settle makes all hosts known to all, as after a long time.
 func (f *benchFleet) settle() {
 	for _, h := range f.hosts {
 		for _, e := range h.order {
@@ -89,7 +89,7 @@
 	}
 }
 
-// runTicks runs the fleet; the byte counts are of everything that hosts send.
+// runTicks runs the fleet for some ticks. The byte counts include everything that hosts send.
 func (f *benchFleet) runTicks(ticks int) {
 	servers := make(map[string]int)
 	for s := range f.newest[0] {
@@ -133,7 +133,8 @@
 	f.messages += 2
 }
 
-// BenchmarkBytesPerHostSecond gives what one host sends; it receives as much.
+// BenchmarkBytesPerHostSecond reports the bytes that one host sends per second; it receives as
+// many.
 func BenchmarkBytesPerHostSecond(b *testing.B) {
 	for _, hosts := range []int{7, 100, 1400} {
 		for _, servers := range []int{0, 18, 180, 3700} {
@@ -158,8 +159,8 @@
 	}
 }
 
-// BenchmarkHeartbeatCPU is one exchange at a host: its tick's share, message, both
-// encodings and the merge of the reply. gRPC comes on top.
+// BenchmarkHeartbeatCPU measures a tick of one host: for each target the request, the encoding
+// of the request, the decoding of the reply and its merge. The cost of gRPC is not included.
 func BenchmarkHeartbeatCPU(b *testing.B) {
 	for _, hosts := range []int{7, 100, 1400} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
@@ -209,8 +210,8 @@
 	}
 }
 
-// BenchmarkSpread gives, for a large fleet, the ticks until all have dropped a leaving
-// and a dead host, and how many live hosts anybody held dead on the way.
+// BenchmarkSpread reports, for a large fleet, the ticks until all hosts have dropped a leaving
+// and a dead host, and the largest number of pairs in which a live host counted as dead.
 func BenchmarkSpread(b *testing.B) {
 	for _, hosts := range []int{100, 1400} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
@@ -224,7 +225,7 @@
 				f.blocked[[2]int{4, 3}] = true
 				left, died, wrong := 0, 0, 0
 				for tick := 1; tick <= 60; tick++ {
-					f.hosts[5].running = tick > DefaultDeadAfter-2 // a pause just too short for death
+					f.hosts[5].running = tick > DefaultDeadAfter-2 // a pause just too short to count as dead
 					f.runTicks(1)
 					staying, living, dead := f.survey()
 					if staying > 0 {
@@ -243,8 +244,8 @@
 	}
 }
 
-// survey counts the hosts that still hold host 1 staying, host 2 alive, and the most
-// pairs in which a live host is held dead.
+// survey counts the hosts in whose view host 1 is not leaving, those in whose view host 2 is
+// alive, and the pairs of hosts in which a live host counts as dead.
 func (f *benchFleet) survey() (staying, living, wrong int) {
 	leaver, stopped := simName(1), simName(2)
 	for i, h := range f.hosts {
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -10,27 +10,28 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// repliesPerWholeView is the number of replies in a full mesh of which one, on average, is the whole
-// view.
+// repliesPerWholeView is the number of replies in a full mesh of which one, on average, carries
+// the whole view.
 const repliesPerWholeView = 8
 
-// wholeViewsPerAddressView is the number of whole views of which one, on average, has all addresses.
+// wholeViewsPerAddressView is the number of whole views of which one, on average, includes all
+// addresses.
 const wholeViewsPerAddressView = 3
 
-// sendsPerRound is how often, per round of spreading, an entry with news is sent
-// before it only takes its turn.
+// sendsPerRound is how often an updated entry is sent first, per round that an update takes to
+// spread; after that it is only sent in turn.
 const sendsPerRound = 3
 
-// queueUpdate puts e among the entries that go first; full tells whether its addresses
-// are news too.
-func (t *Table) queueUpdate(e *entry, full bool) {
+// queueUpdate queues e as an update, to be sent before other entries. withAddresses is true if its
+// addresses are to be sent too.
+func (t *Table) queueUpdate(e *entry, withAddresses bool) {
 	t.changes++
 	e.updatesLeft = sendsPerRound * t.spreadRounds()
-	e.updateAddresses = e.updateAddresses || full
+	e.updateAddresses = e.updateAddresses || withAddresses
 }
 
-// Request makes the heartbeat for the host named to (empty: not known). The caller
-// adds what is not membership's.
+// Request returns the heartbeat to send to the host named to, which is empty if the name is
+// not known. The caller adds the parts that do not belong to membership.
 func (t *Table) Request(to string) *pb.HeartbeatRequest {
 	if t.fullMesh() {
 		return t.message(t.updates(to))
@@ -38,9 +39,10 @@
 	return t.message(t.digest(to))
 }
 
-// Reply makes the state that answers a heartbeat of the host named to. Replies are what brings
-// evidence of third hosts. In a full mesh each host hears all others itself, so that one whole
-// view among some replies is enough: it gets replies of all others in each interval.
+// Reply returns the state with which to reply to a heartbeat of the host named to. Replies
+// carry the evidence about third hosts. In a full mesh each host observes all others itself and
+// gets replies from all of them in each interval, so a whole view in some of the replies is
+// enough.
 func (t *Table) Reply(to string) *pb.HeartbeatRequest {
 	switch {
 	case !t.fullMesh():
@@ -69,8 +71,8 @@
 	}
 }
 
-// digest is the entries with news, of leaving and doubted hosts first, then
-// those sent least often, and then others in turn, up to DigestBytes.
+// digest returns entries of up to DigestBytes: first the queued updates, those of leaving and
+// doubted hosts before others and then those sent least often, and then other entries in turn.
 func (t *Table) digest(to string) []*pb.HostState {
 	d := &digestBuilder{table: t, to: to, remaining: t.cfg.DigestBytes, included: make(map[*entry]bool)}
 	for _, e := range t.pendingUpdates() {
@@ -100,34 +102,34 @@
 	return states
 }
 
-// wholeView has addresses where they are news, and all of them now and then for a peer
-// that missed the news.
+// wholeView returns all entries, with the addresses of those whose addresses are an update.
+// Now and then it includes all addresses, for peers that missed an update.
 func (t *Table) wholeView(to string) []*pb.HostState {
-	full := t.rng.IntN(wholeViewsPerAddressView) == 0
+	withAddresses := t.rng.IntN(wholeViewsPerAddressView) == 0
 	states := make([]*pb.HostState, 0, len(t.order))
 	for _, e := range t.order {
 		if e.host != to && !e.unconfirmed {
-			states = append(states, t.hostState(e, full || e.updateAddresses))
+			states = append(states, t.hostState(e, withAddresses || e.updateAddresses))
 		}
 	}
 	return states
 }
 
 func (t *Table) pendingUpdates() []*entry {
-	var news []*entry
+	var pending []*entry
 	for _, e := range t.order {
 		if e.updatesLeft > 0 {
-			news = append(news, e)
+			pending = append(pending, e)
 		}
 	}
-	slices.SortStableFunc(news, func(a, b *entry) int {
+	slices.SortStableFunc(pending, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(updatePriority(a), updatePriority(b)), cmp.Compare(b.updatesLeft, a.updatesLeft))
 	})
-	return news
+	return pending
 }
 
-// updatePriority is lower for hosts that callers must not be sent to: their news must not
-// wait behind that of many hosts that join.
+// updatePriority returns the sort key of an update. It is lower for hosts that callers must not
+// be sent to: their updates must not wait behind those of many joining hosts.
 func updatePriority(e *entry) int {
 	if e.leaving || e.doubted {
 		return 0
@@ -143,22 +145,22 @@
 }
 
 type digestBuilder struct {
-	table  *Table
-	to     string
-	remaining   int
-	included     map[*entry]bool
-	states []*pb.HostState
+	table     *Table
+	to        string
+	remaining int
+	included  map[*entry]bool
+	states    []*pb.HostState
 }
 
 // entryOverhead is the tag and length that a repeated field adds to each entry.
 const entryOverhead = 2
 
-// add appends e's state; false: no room.
-func (d *digestBuilder) add(e *entry, full bool) bool {
+// add appends the state of e, and returns false if there is no room for it.
+func (d *digestBuilder) add(e *entry, withAddresses bool) bool {
 	if d.included[e] || e.unconfirmed || e.host == d.to {
 		return true
 	}
-	s := d.table.hostState(e, full)
+	s := d.table.hostState(e, withAddresses)
 	size := proto.Size(s) + entryOverhead
 	if size > d.remaining {
 		return false
@@ -169,10 +171,11 @@
 	return true
 }
 
-// hostState is the word about e. HeardMs is the age of the evidence if e is alive and
-// the age of the last unanswered heartbeat if not. A doubt is told as suspicion from its first tick,
-// so that hosts with later evidence can refute it before it counts.
-func (t *Table) hostState(e *entry, full bool) *pb.HostState {
+// hostState returns the message about e. HeardMs is the age of the evidence if e is alive, and
+// the age of the last unanswered heartbeat if not. A doubted host is reported as suspected from
+// the first tick of the doubt, so that hosts with later evidence can refute the doubt before it
+// takes effect.
+func (t *Table) hostState(e *entry, withAddresses bool) *pb.HostState {
 	s := &pb.HostState{
 		Holder:         &pb.Holder{Host: e.host, Incarnation: e.incarnation},
 		Health:         t.health(e),
@@ -188,7 +191,7 @@
 			s.Health = pb.HostHealth_HOST_HEALTH_SUSPECT
 		}
 	}
-	if full {
+	if withAddresses {
 		s.Zone = e.zone
 		s.CallerAddress = e.callerAddress
 		s.PeerAddress = e.peerAddress
@@ -197,10 +200,10 @@
 	return s
 }
 
-// maxAge bounds ages in messages; older evidence says nothing more.
+// maxAge bounds the ages in messages; evidence older than that is all equivalent.
 const maxAge = 24 * time.Hour
 
 func (t *Table) age(tick int64) int64 {
-	most := int64(maxAge / t.cfg.Interval)
-	return min(t.now-tick, most) * int64(t.cfg.Interval/time.Millisecond)
+	maxTicks := int64(maxAge / t.cfg.Interval)
+	return min(t.now-tick, maxTicks) * int64(t.cfg.Interval/time.Millisecond)
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,17 +1,19 @@
-// Package membership decides, from heartbeats, which hosts of the fleet live,
-// which are leaving, whom to exchange heartbeats with next and which addresses
+// Package membership decides, from heartbeats, which hosts of the fleet are alive,
+// which are leaving, which hosts to send heartbeats to next and which addresses
 // callers should use. It is a pure state machine: time is a count of its own
 // ticks, one per heartbeat interval, and randomness is passed in.
 //
-// Up to Config.Neighbours+1 hosts exchange heartbeats each with each. Beyond
-// that every host watches a bounded set of neighbours and learns of the others
-// by a digest of bounded size, so that its cost does not grow with the fleet.
+// A fleet of up to Config.Neighbors+1 hosts is a full mesh, in which all hosts
+// exchange heartbeats. In a larger fleet every host watches a bounded set of
+// neighbors and gets the state of the others from digests of bounded size, so
+// that its cost does not grow with the fleet.
 //
-// Evidence is what makes a host alive: the tick at which somebody surely heard
-// it. A doubt begins when a heartbeat to a host stays unanswered. Only evidence
-// from after the beginning of a doubt ends it; an unended doubt makes the host
-// suspect, then dead. Both travel in digests, so that a host which one other
-// host can't reach, but a third can, stays a member for all.
+// Evidence is a tick at which a host was certainly running, as observed by this
+// host or another one. A doubt begins when a heartbeat to a host is not answered.
+// Only evidence from after the beginning of a doubt ends it; while it lasts, the
+// host becomes suspected and then dead. Digests carry both evidence and doubts,
+// so a host that can't be reached by one host, but by another one, stays a member
+// for all.
 package membership
 
 import (
@@ -30,30 +32,30 @@
 	DefaultSuspectAfter = 3
 	DefaultDeadAfter    = 10
 	DefaultForgetAfter  = 7200
-	DefaultNeighbors   = 8
+	DefaultNeighbors    = 8
 	DefaultDigestBytes  = 256
 )
 
-// Config of one host's Table. Zero fields get the defaults.
+// Config configures the Table of one host. Zero fields are replaced by the defaults.
 type Config struct {
-	// Self is this host.
+	// Self describes this host.
 	Self Self
 	// Seeds are peer addresses to contact while their hosts are not known yet.
 	Seeds []string
-	// Interval is the length of one tick; it converts ages in messages.
+	// Interval is the length of one tick. Ages in messages are converted with it.
 	Interval time.Duration
-	// SuspectAfter and DeadAfter are the numbers of own ticks that a doubt lasts
-	// until its host is suspect and dead.
+	// SuspectAfter and DeadAfter are the numbers of this host's ticks after which a
+	// doubt makes a host suspected and dead.
 	SuspectAfter, DeadAfter int64
 	// ForgetAfter is the number of ticks after which a dead host's entry is dropped
 	// if the control group doesn't list it.
 	ForgetAfter int64
 	// Neighbors is the number of hosts a host watches in a large fleet.
 	Neighbors int
-	// MeshPeriod is the number of ticks in which a full mesh has a heartbeat from each host to
-	// each; default 1. A host hears another one by that one's heartbeats and by the replies to its own.
+	// MeshPeriod is the number of ticks between two heartbeats from one host to another in a
+	// full mesh; default 1. Both the heartbeats of the other host and its replies are evidence.
 	MeshPeriod int64
-	// DigestBytes bounds the host entries of one message in a large fleet.
+	// DigestBytes bounds the size of the host entries in one message in a large fleet.
 	DigestBytes int
 }
 
@@ -64,11 +66,11 @@
 	Zone          string
 	CallerAddress string
 	PeerAddress   string
-	// Control: the host runs a replica of the control group.
+	// Control is true if the host runs a replica of the control group.
 	Control bool
 }
 
-// Host is what a Table knows of one other host.
+// Host describes one other host as far as a Table knows.
 type Host struct {
 	Holder         *pb.Holder
 	Zone           string
@@ -81,75 +83,78 @@
 	Control        bool
 }
 
-// entry is a Host with what the decisions need. Ticks are this Table's own.
+// entry is the state of one other host. Ticks are those of this Table.
 type entry struct {
-	host        string
-	incarnation uint64
-	zone        string
-	callerAddress      string
-	peerAddress        string
-	leaving     bool
-	revision    uint64
-	spare       uint32
-	traffic     uint32
-	control     bool
-
-	// hash of the name, for the order in which hosts watch each other.
+	host          string
+	incarnation   uint64
+	zone          string
+	callerAddress string
+	peerAddress   string
+	leaving       bool
+	revision      uint64
+	spare         uint32
+	traffic       uint32
+	control       bool
+
+	// hash of the host's name determines the order in which hosts watch each other.
 	hash uint64
-	// registered with the control group: kept while it is, however long it is dead.
+	// registered is true if the host is registered with the control group. Such an entry is
+	// kept however long the host has been dead.
 	registered bool
-	// unconfirmed: registered, but neither evidence nor word of it has come yet.
+	// unconfirmed is true if the host is registered, but no host has reported it yet.
 	unconfirmed bool
-	// lastAlive is the latest tick at which the host surely ran.
+	// lastAlive is the latest tick at which the host was certainly running.
 	lastAlive int64
-	// doubted tells whether heartbeats stay unanswered: the first at tick doubt, the
-	// last that is known of at tick unanswered. This host knows of it since tick
-	// doubtSince: a doubt takes time to get here, and so does what refutes it.
-	doubted    bool
-	doubtStart      int64
-	doubtNoticed int64
+	// doubted is true if heartbeats are not answered: the first one at tick doubtStart, the
+	// last known one at tick lastUnanswered. doubtNoticed is the tick since which this host
+	// knows of the doubt: a doubt takes time to spread, and so does the evidence against it.
+	doubted        bool
+	doubtStart     int64
+	doubtNoticed   int64
 	lastUnanswered int64
-	// seq is the highest number of its heartbeats; lastRequest the tick of the last one.
+	// seq is the highest sequence number of the host's heartbeats; lastRequest is the tick at
+	// which the last one was received.
 	seq         uint64
 	lastRequest int64
-	// probe asks for a heartbeat at the next tick.
+	// probe requests a heartbeat to the host at the next tick.
 	probe bool
-	// updatesLeft is in how many more messages the entry goes first; newsFull tells
-	// whether with its addresses.
-	updatesLeft int
+	// updatesLeft is the number of further messages that carry the entry as an update, before
+	// other entries; updateAddresses is true if they carry its addresses too.
+	updatesLeft     int
 	updateAddresses bool
 }
 
 // Table is one host's view of the fleet. It is not safe for concurrent use.
 type Table struct {
-	cfg      Config
-	selfHash uint64
-	rng      *rand.Rand
-	now      int64
-	seq      uint64
-	leaving  bool
-	spare    uint32
-	traffic  uint32
-	configRevision      uint64
-	changes  uint64
+	cfg            Config
+	selfHash       uint64
+	rng            *rand.Rand
+	now            int64
+	seq            uint64
+	leaving        bool
+	spare          uint32
+	traffic        uint32
+	configRevision uint64
+	changes        uint64
 
 	hosts map[string]*entry
-	// order holds the entries in a stable order for rotation and choice.
+	// order holds the entries in a stable order, for rotation and random choice.
 	order []*entry
-	// removed holds the incarnations up to which an operator declared hosts dead.
+	// removed holds, by host, the last incarnation that an operator declared dead.
 	removed map[string]uint64
 
-	neighbors []*entry
-	nextNeighbor   int
-	nextDead  int
-	nextDigest int
-	nextSeed   int
+	neighbors    []*entry
+	nextNeighbor int
+	nextDead     int
+	nextDigest   int
+	nextSeed     int
 }
 
-// firstTick leaves room below it for ages known from others.
+// firstTick is the first value of the tick count. It is large, so that the ages of events
+// reported by other hosts can be subtracted from it.
 const firstTick = 1 << 32
 
-// New returns the table of a host that knows nobody but its seeds.
+// New returns the Table of a host that knows only its seeds.
 func New(cfg Config, rng *rand.Rand) *Table {
 	return &Table{
 		cfg:      withDefaults(cfg),
@@ -172,30 +177,30 @@
 	return cfg
 }
 
-// SetIncarnation sets the incarnation that the control group gave this run.
+// SetIncarnation sets the incarnation that the control group assigned to this process.
 func (t *Table) SetIncarnation(n uint64) { t.cfg.Self.Incarnation = n }
 
 // SetSeeds replaces the peer addresses to contact while their hosts are not known.
 func (t *Table) SetSeeds(seeds []string) { t.cfg.Seeds = seeds }
 
-// SetLoad sets what this host tells of itself: its spare room in thousandths, callers'
-// traffic in KiB a second, and the settings revision in force here.
+// SetLoad sets the load that this host's heartbeats report: its spare capacity in
+// thousandths, the callers' traffic in KiB per second, and the settings revision in force.
 func (t *Table) SetLoad(sparePermille, traffic uint32, configRevision uint64) {
 	t.spare, t.traffic = sparePermille, traffic
 	t.configRevision = configRevision
 }
 
-// Leave marks this host as leaving. It can't be taken back within an incarnation.
+// Leave marks this host as leaving. It can't be undone within an incarnation.
 func (t *Table) Leave() { t.leaving = true }
 
-// Leaving tells whether Leave was called.
+// Leaving reports whether Leave was called.
 func (t *Table) Leaving() bool { return t.leaving }
 
-// Changes counts changes in who lives, leaves or is known. A reader of Hosts whose
-// count is still the same, in the same tick, has missed nothing of these.
+// Changes returns a count of the changes of which hosts are known, alive and leaving. While
+// the count and the tick stay the same, the result of Hosts is the same in this regard.
 func (t *Table) Changes() uint64 { return t.changes }
 
-// Hosts returns what is known of the other hosts, in a stable order.
+// Hosts returns the other hosts in a stable order.
 func (t *Table) Hosts() []Host {
 	hosts := make([]Host, 0, len(t.order))
 	for _, e := range t.order {
@@ -243,7 +248,7 @@
 	return t.health(e) == pb.HostHealth_HOST_HEALTH_DEAD
 }
 
-// spreadRounds is about the number of ticks in which news reaches every host.
+// spreadRounds returns about the number of ticks in which an update reaches every host.
 func (t *Table) spreadRounds() int {
 	rounds := 1
 	for n := len(t.order); n > 0; n /= 2 {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -19,45 +19,43 @@
 
 var testNow = time.Unix(1_800_000_000, 0)
 
-// settledFleet is a fleet of n in which everybody knows everybody.
+// settledFleet returns a fleet of n hosts that all know each other.
 func settledFleet(t *testing.T, n int) *fleet {
 	t.Helper()
 	f := newFleet(n, 1, Config{})
 	f.run(30 + 2*n)
 	for i := range f.hosts {
 		if got := f.names(i); !slices.Equal(got, f.wantNames()) {
-			t.Fatalf("host %d starts with %d of %d addresses", i, len(got), n)
+			t.Fatalf("host %d has %d of %d addresses after the start", i, len(got), n)
 		}
 	}
 	return f
 }
 
-// wantAll ends the test unless every host names n hosts.
+// wantAll fails the test unless every host returns the addresses of n hosts.
 func (f *fleet) wantAll(t *testing.T, n int, when string) {
 	t.Helper()
 	for i := range f.hosts {
 		if got := f.names(i); len(got) != n {
-			t.Fatalf("%s: host %d answers %v", when, i, got)
+			t.Fatalf("%s: host %d returns %v, want %d hosts", when, i, got, n)
 		}
 	}
 }
 
-// Symptom: two hosts stay apart although nothing is between them any more.
-// Sequence: a fleet of two is cut for a minute; the cut is mended.
-// Cause: each had stopped asking the other, and there was no third.
+// TestTwoHostsReconnectAfterPartition partitions a fleet of two for a minute. If each host
+// stopped sending to the other, they would never reconnect, because there is no third host.
 func TestTwoHostsReconnectAfterPartition(t *testing.T) {
 	f := settledFleet(t, 2)
 	f.isolate(0, true)
 	f.run(120)
 	f.isolate(0, false)
 	f.run(2)
-	f.wantAll(t, 2, "after the cut")
+	f.wantAll(t, 2, "after the partition")
 }
 
-// Symptom: a host that callers can reach is dropped from the address answers.
-// Sequence: messages from host 0 to host 1 (then both ways) are lost for a minute;
-// five others reach both.
-// Cause: host 0 took its own unanswered heartbeats for the death of host 1.
+// TestPartitionBetweenTwoHostsRemovesNeither drops the messages from host 0 to host 1, or both
+// ways, for a minute, while five other hosts reach both. Host 0 must not take its own unanswered
+// heartbeats for the death of host 1, which callers can still reach.
 func TestPartitionBetweenTwoHostsRemovesNeither(t *testing.T) {
 	for name, both := range map[string]bool{"one way": false, "both ways": true} {
 		t.Run(name, func(t *testing.T) {
@@ -72,78 +70,79 @@
 	}
 }
 
-// Symptom: callers are sent to hosts that they can't reach, or a side answers nothing.
-// Sequence: hosts 0 to 2 and 3 to 6 are cut apart, then the cut is mended.
-// Cause: a side without evidence of the other must drop it, and must ask again.
-// Symptom: callers are sent to a host no more that all but one hear.
-// Sequence: the link between two hosts of seven fails for a minute; all others hear both. Word
-// of third hosts comes in few replies, as each host hears nearly all others itself.
-// Cause: the hosts that hear the doubted one were not asked for their word.
+// TestThirdHostsRefuteDoubtWhileItLasts has the link between two hosts of seven fail for two
+// minutes, while all others reach both. Few replies carry evidence of third hosts, because each
+// host observes nearly all others itself. Unless the doubt makes the other hosts send their
+// evidence, the two hosts take each other for dead, and callers aren't sent to them.
 func TestThirdHostsRefuteDoubtWhileItLasts(t *testing.T) {
 	f := settledFleet(t, 7)
 	f.blocked[[2]int{0, 1}], f.blocked[[2]int{1, 0}] = true, true
 	for range 240 {
 		f.run(1)
 		if f.health(0, 1) == dead || f.health(1, 0) == dead {
-			t.Fatal("a host that five others hear was given up")
+			t.Fatal("a host that five others reach counts as dead")
 		}
 	}
 }
 
-// Pattern: a calm fleet of seven, in which nobody doubts anybody. What its heartbeats say of
-// third hosts is a small part of what they would if each reply named all.
+// TestHealthyMeshRepliesCarryFewHosts checks a fleet of seven without doubts: its replies carry
+// a small part of the entries of third hosts that they would if each carried all hosts.
 func TestHealthyMeshRepliesCarryFewHosts(t *testing.T) {
 	f := settledFleet(t, 7)
 	f.run(100)
-	named, replies := 0, 0
+	entries, replies := 0, 0
 	for i := range f.hosts {
 		for j, peer := range f.hosts {
 			if i != j {
-				named += len(peer.Reply(simName(i)).GetHosts())
+				entries += len(peer.Reply(simName(i)).GetHosts())
 				replies++
 			}
 		}
 	}
-	if most := replies * (len(f.hosts) - 2) / 4; named > most {
-		t.Errorf("%d hosts named in %d replies, want %d at most", named, replies, most)
+	if limit := replies * (len(f.hosts) - 2) / 4; entries > limit {
+		t.Errorf("%d host entries in %d replies, want %d at most", entries, replies, limit)
 	}
 }
 
-// Pattern: seven hosts that send each other a heartbeat every other tick. It costs half of the
-// messages; a dead host is found as soon, and one that leaves tells all in its next tick.
+// TestMeshPeriod compares seven hosts that send each other a heartbeat every tick with seven
+// that do so every other tick. The latter send half as many messages, detect a dead host about
+// as soon, and a leaving host still notifies all others in its next tick.
 func TestMeshPeriod(t *testing.T) {
 	messages := map[int64]int{}
-	for _, turns := range []int64{1, 2} {
+	for _, period := range []int64{1, 2} {
 		f := settledFleet(t, 7)
 		for _, h := range f.hosts {
-			h.cfg.MeshPeriod = turns
+			h.cfg.MeshPeriod = period
 		}
 		f.run(10)
 		before := f.messages
 		f.run(40)
-		messages[turns] = f.messages - before
+		messages[period] = f.messages - before
 		f.leave(5)
 		f.run(1)
 		for i := range 5 {
 			for _, h := range f.hosts[i].Hosts() {
 				if h.Holder.GetHost() == simName(5) && !h.Leaving {
-					t.Errorf("in %d turns: host %d does not know of the one that leaves", turns, i)
+					t.Errorf("period %d: host %d does not know that host 5 is leaving", period, i)
 				}
 			}
 		}
 		f.hosts[6].running = false
-		f.run(DefaultDeadAfter + int(turns))
+		f.run(DefaultDeadAfter + int(period))
 		for i := range 5 {
 			if got := f.health(i, 6); got != dead {
-				t.Errorf("in %d turns: host %d has the dead host as %v", turns, i, got)
+				t.Errorf("period %d: host %d has the dead host as %v", period, i, got)
 			}
 		}
 	}
 	if messages[2] > messages[1]*6/10 {
-		t.Errorf("messages in one and two turns: %v", messages)
+		t.Errorf("messages by period: %v", messages)
 	}
 }
 
+// TestPartitionSidesDropAndRejoin partitions hosts 0 to 2 from hosts 3 to 6 and then ends the
+// partition. A side without evidence of the other must drop it, or callers are sent to hosts
+// that they can't reach; it must still return its own hosts and must keep probing the other side.
 func TestPartitionSidesDropAndRejoin(t *testing.T) {
 	f := settledFleet(t, 7)
 	side := func(i int) bool { return i < 3 }
@@ -159,32 +158,32 @@
 	setCut(true)
 	f.run(DefaultDeadAfter + 3)
 	if got := f.names(0); len(got) != 3 {
-		t.Errorf("side of 3 answers %v", got)
+		t.Errorf("the side of 3 hosts returns %v", got)
 	}
 	if got := f.names(5); len(got) != 4 {
-		t.Errorf("side of 4 answers %v", got)
+		t.Errorf("the side of 4 hosts returns %v", got)
 	}
 	setCut(false)
 	f.run(8)
-	f.wantAll(t, 7, "after the cut")
+	f.wantAll(t, 7, "after the partition")
 }
 
-// Symptom: new callers come to a host that is shutting down.
-// Sequence: host 2 marks itself leaving and beats once more.
-// Cause: the flag didn't travel, or stale word of the same incarnation cleared it.
+// TestLeavingHostIsDroppedAfterOneHeartbeat has host 2 mark itself as leaving and send one more
+// round of heartbeats. If the flag didn't spread, or a stale message of the same incarnation
+// cleared it, new callers would be sent to a host that is shutting down.
 func TestLeavingHostIsDroppedAfterOneHeartbeat(t *testing.T) {
 	f := settledFleet(t, 7)
 	old := f.hosts[3].Request("")
 	f.leave(2)
 	f.run(1)
-	// Word from before the leave, through a host that had not heard of it.
+	// A state from before the leave, sent by a host that had not received the flag.
 	f.hosts[0].mergeState(&pb.HostState{
 		Holder: &pb.Holder{Host: simName(2), Incarnation: 1}, Health: alive, PeerAddress: simAddress(2),
 	}, f.hosts[0].Now())
 	f.hosts[0].ReceiveRequest(old)
 	for i := range f.hosts {
 		if got := f.names(i); slices.Contains(got, simName(2)) {
-			t.Errorf("host %d still answers %v", i, got)
+			t.Errorf("host %d still returns %v", i, got)
 		}
 	}
 	f.start(2) // a new incarnation is not leaving
@@ -192,13 +191,12 @@
 	f.wantAll(t, 7, "after the restart")
 }
 
-// Symptom: a dead host stays in the answers, or comes back into them.
-// Sequence: requests of host 6 lie in silent connections; it dies; all others find
-// it dead; the requests arrive.
-// Cause: an old request was taken for a sign of life.
+// TestStaleMessagesDoNotReviveDeadHost delays requests of host 6 in stalled connections. The
+// host dies, all others find it dead, and then the requests arrive. If an old request counted as
+// evidence that the host is alive, the dead host would appear in the answers again.
 func TestStaleMessagesDoNotReviveDeadHost(t *testing.T) {
 	f := settledFleet(t, 7)
-	stale := f.hosts[5].Reply("") // says that host 6 lives
+	stale := f.hosts[5].Reply("") // reports host 6 as alive
 	f.delayFrom = 6
 	f.run(2)
 	f.hosts[6].running = false
@@ -221,10 +219,9 @@
 	}
 }
 
-// Symptom: right after a pause of one process its whole view is dead, and callers
-// get one address.
-// Sequence: a process is stopped for a minute and goes on.
-// Cause: time was counted by the clock rather than by own heartbeats.
+// TestPausedHostKeepsItsView pauses a process for a minute. If time were counted by the clock
+// rather than by the host's own heartbeats, all other hosts would count as dead right after the
+// pause, and callers would get a single address.
 func TestPausedHostKeepsItsView(t *testing.T) {
 	f := settledFleet(t, 7)
 	f.hosts[0].running = false
@@ -232,12 +229,13 @@
 	f.hosts[0].running = true
 	f.run(1)
 	if got := f.names(0); len(got) != 7 {
-		t.Errorf("the paused host answers %v", got)
+		t.Errorf("the paused host returns %v", got)
 	}
 }
 
-// A registration alone must neither make a host's addresses preferred nor be passed
-// on; an operator's word that a host is dead must hold against stale word.
+// TestRegisteredAndRemovedHosts checks that a registration alone neither makes a host's
+// addresses preferred nor is passed on, and that stale messages don't bring back a host that an
+// operator removed.
 func TestRegisteredAndRemovedHosts(t *testing.T) {
 	f := settledFleet(t, 3)
 	h := f.hosts[0]
@@ -247,7 +245,7 @@
 	})
 	addresses := h.Addresses(testNow, "olinda", testTTL)
 	if len(addresses) != 3 || addresses[2].Host != "new" {
-		t.Errorf("answer %v, want the new host last and the removed one left out", addresses)
+		t.Errorf("got %v, want the new host last and the removed one left out", addresses)
 	}
 	joined := New(Config{Self: Self{Host: "joined", Incarnation: 1, PeerAddress: "10.9.0.2:81"}}, rand.New(rand.NewPCG(1, 1)))
 	h.ReceiveRequest(joined.Request(""))
@@ -272,10 +270,10 @@
 	}
 }
 
-// Symptom: a host that has been dead for an hour is named to callers again, for seconds,
-// every hour.
-// Sequence: its entry is forgotten; the control group, which still lists it, is asked.
-// Cause: it came back as a registered host that nobody has heard yet.
+// TestDeadRegisteredHostIsNotForgotten has a host stay dead for longer than ForgetAfter while
+// the control group still lists it. If its entry were dropped, it would return as a registered
+// host that no host has reported yet, and callers would get its address for some seconds every
+// hour.
 func TestDeadRegisteredHostIsNotForgotten(t *testing.T) {
 	const forget = 20
 	f := newFleet(3, 1, Config{ForgetAfter: forget})
@@ -288,26 +286,27 @@
 		f.run(1)
 		f.hosts[0].MergeRegistered(registered)
 		if got := f.health(0, 1); got != dead || slices.Contains(f.names(0), simName(1)) {
-			t.Fatalf("tick %d: %v, named %v", tick, got, f.names(0))
+			t.Fatalf("tick %d: the dead host is %v, addresses %v", tick, got, f.names(0))
 		}
 	}
 	if got := f.view(2, 1); got.Holder != nil {
-		t.Errorf("a host that never heard of the registration keeps %v", got)
+		t.Errorf("a host without the registration keeps %v", got)
 	}
 }
 
-// Symptom: one host's streams come too late while others have nothing to do.
-// Sequence: most callers choose the same host, whatever the order of the answer.
-// Cause: it is named in every answer.
+// TestShareSpreadsCallers has callers that prefer the same host whatever the order of the
+// answer. If that host were in every answer, its streams would be late while other hosts are
+// idle.
 func TestShareSpreadsCallers(t *testing.T) {
 	f := settledFleet(t, 7)
-	// preferred is whom callers choose of the hosts that they are named: the first by name.
+	// preferred counts the callers that choose each host: of the hosts that they get, the first
+	// by name.
 	preferred := func(at int) map[string]int {
 		chosen := make(map[string]int)
 		for caller := range 2000 {
 			answer := f.hosts[at].Share(testNow, "olinda", fmt.Sprint("caller-", caller), 3, testTTL)
 			if len(answer) != 3 {
-				t.Fatalf("named %v", answer)
+				t.Fatalf("got %v, want 3 hosts", answer)
 			}
 			first := slices.MinFunc(answer, func(a, b Address) int { return strings.Compare(a.Host, b.Host) })
 			chosen[first.Host]++
@@ -316,7 +315,7 @@
 	}
 	for host, n := range preferred(0) {
 		if n > 1100 {
-			t.Errorf("%s is the choice of %d of 2000 callers", host, n)
+			t.Errorf("%s is chosen by %d of 2000 callers", host, n)
 		}
 	}
 	for i, traffic := range []uint32{100, 100, 1600, 100, 100, 0, 100} {
@@ -324,7 +323,7 @@
 	}
 	f.run(2)
 	if n := preferred(0)[simName(2)]; n > 60 {
-		t.Errorf("a host with five times the mean traffic is the choice of %d of 2000 callers", n)
+		t.Errorf("a host with five times the mean traffic is chosen by %d of 2000 callers", n)
 	}
 }
 
@@ -335,7 +334,7 @@
 		name := fmt.Sprint("caller-", caller)
 		first := f.hosts[0].Share(testNow, "olinda", name, 3, testTTL)
 		if other := f.hosts[4].Share(testNow, "olinda", name, 3, testTTL); !slices.Equal(first, other) {
-			t.Fatalf("%s is named %v and %v", name, first, other)
+			t.Fatalf("%s gets %v and %v from two hosts", name, first, other)
 		}
 		later := testNow.Add(shareEpoch / 10)
 		if !slices.Equal(first, f.hosts[0].Share(later, "olinda", name, 3, testTTL-shareEpoch/10)) {
@@ -343,7 +342,7 @@
 		}
 	}
 	if moved > 25 {
-		t.Errorf("%d of 100 callers are named other hosts a tenth of an epoch later", moved)
+		t.Errorf("%d of 100 callers get other hosts a tenth of an epoch later", moved)
 	}
 }
 
@@ -354,16 +353,15 @@
 	for caller := range 100 {
 		for _, a := range f.hosts[0].Share(testNow, "olinda", fmt.Sprint(caller), 3, testTTL) {
 			if a.Host == simName(3) {
-				t.Fatal("a host that leaves is named")
+				t.Fatal("the share contains a leaving host")
 			}
 		}
 	}
 }
 
-// Symptom: all callers of a zone go to one host, or to another zone's, or nobody
-// is named while all hosts are leaving.
-// Sequence: many answers are drawn; then every host leaves.
-// Cause: order without regard to zone and spare room; an empty answer.
+// TestAddressesSpreadByZoneAndSpareCapacity draws many answers, and then has every host leave.
+// The order must take zone and spare capacity into account, or all callers of a zone go to one
+// host or to another zone; the answer must not be empty while all hosts are leaving.
 func TestAddressesSpreadByZoneAndSpareCapacity(t *testing.T) {
 	f := settledFleet(t, 7) // zones in turn; olinda has hosts 2 and 5
 	f.hosts[2].SetLoad(900, 0, 1)
@@ -381,11 +379,11 @@
 		first[got[0].Host]++
 	}
 	if n := first[simName(2)]; n < 850 || n > 950 {
-		t.Errorf("the host with 9 of 10 parts of the room came first %d times of 1000", n)
+		t.Errorf("the host with 9/10 of the zone's spare capacity came first %d times of 1000", n)
 	}
 	f.hosts[2].SetIncarnation(0)
 	if got := f.hosts[2].Addresses(testNow, "olinda", testTTL); got[0].Host != simName(5) || got[6].Host != simName(2) {
-		t.Errorf("a host that isn't registered names itself before others: %v", got)
+		t.Errorf("an unregistered host returns itself before others: %v", got)
 	}
 	f.hosts[2].SetIncarnation(1)
 	for i := range f.hosts {
@@ -393,18 +391,19 @@
 	}
 	f.run(2)
 	if got := f.names(0); len(got) != 7 {
-		t.Errorf("answer %v while all are leaving", got)
+		t.Errorf("got %v while all hosts are leaving", got)
 	}
 }
 
-// In a large fleet nobody watches everybody: a death must reach all all the same,
-// one cut must remove nobody, and a message must keep its bound.
+// TestLargeFleet checks a fleet in which no host watches all others: a death must still become
+// known to all hosts, a failed link between two hosts must remove neither, and the size of
+// messages must stay bounded.
 func TestLargeFleet(t *testing.T) {
 	const n = 60
 	f := settledFleet(t, n)
-	f.digest = 0 // while it was small, whole views were sent
+	f.digest = 0 // whole views were sent while few hosts were known
 	f.blocked[[2]int{0, 1}] = true
-	f.isolate(7, true) // cut off, with its own view of everybody as dead
+	f.isolate(7, true) // partitioned, so that all others are dead in its own view
 	f.hosts[9].running = false
 	f.leave(11)
 	f.run(60)
@@ -415,11 +414,11 @@
 		got := f.names(i)
 		for _, gone := range []int{7, 9, 11} {
 			if slices.Contains(got, simName(gone)) {
-				t.Errorf("host %d still answers host %d", i, gone)
+				t.Errorf("host %d still returns host %d", i, gone)
 			}
 		}
 		if len(got) != n-3 {
-			t.Errorf("host %d answers %d hosts, want %d", i, len(got), n-3)
+			t.Errorf("host %d returns %d hosts, want %d", i, len(got), n-3)
 		}
 	}
 	f.isolate(7, false)
@@ -441,11 +440,10 @@
 	}
 }
 
-// Symptom: hosts far from a paused host's watchers drop it before its time, and take it
-// back a moment later.
-// Sequence: a host of a large fleet is paused for less than the ticks to death.
-// Cause: the ticks to death counted from the beginning of the doubt, by its age, which
-// grows with each host it passes.
+// TestShortPauseDropsNoHostInLargeFleet pauses a host of a large fleet for less than DeadAfter.
+// The age of a doubt grows with each host that it passes. If DeadAfter counted from the
+// beginning of the doubt by that age, hosts far from those that watch the paused host would
+// drop it too early and add it again a moment later.
 func TestShortPauseDropsNoHostInLargeFleet(t *testing.T) {
 	f := newBenchFleet(100, 0)
 	f.settle()
@@ -455,15 +453,15 @@
 		f.runTicks(1)
 		for i := range f.hosts {
 			if f.health(i, 5) == dead {
-				t.Fatalf("host %d dropped it %d ticks after the pause began", i, tick+1)
+				t.Fatalf("host %d dropped the paused host %d ticks after the pause began", i, tick+1)
 			}
 		}
 	}
 }
 
-// Symptom: callers are sent to a leaving host for minutes after the whole fleet started.
-// Sequence: many hosts join at once; one of them leaves.
-// Cause: its news waited behind that of the others' joining.
+// TestUpdatesOfLeavingHostsGoFirst has many hosts join at once, one of which is leaving. If its
+// update waited behind those of the joining hosts, callers would be sent to the leaving host for
+// minutes after a start of the whole fleet.
 func TestUpdatesOfLeavingHostsGoFirst(t *testing.T) {
 	table := New(Config{Self: Self{Host: "h", Incarnation: 1}}, rand.New(rand.NewPCG(1, 1)))
 	for i := range 40 {
@@ -488,11 +486,11 @@
 	}
 }
 
-// Symptom: some hosts of a large fleet never drop a dead host; or drop live ones in waves.
-// Sequence: host x is heard by all, then stays silent for host r alone, or for good.
-// Host q, which doesn't watch x, hears of it from r only.
-// Cause: the doubt carried the age of its beginning, which q's evidence outlived for
-// ever; or an age lost up to a tick on the way and beat evidence of the same time.
+// TestDoubtCountsOnlyAgainstOlderEvidence has host x send to all hosts and then stop answering
+// host r. Host q, which doesn't watch x, is notified of it by r only. If a doubt carried the age
+// of its beginning, q's evidence would always be later and q would never drop a dead host. If an
+// age lost up to a tick on its way, a doubt would override evidence of the same tick, and hosts
+// of a large fleet would drop live hosts in waves.
 func TestDoubtCountsOnlyAgainstOlderEvidence(t *testing.T) {
 	var registered []*pb.HostInfo
 	for i := range 20 {
@@ -506,11 +504,11 @@
 		table.ReceiveRequest(x.Request(""))
 	}
 	r.Tick()
-	q.Tick() // x's heartbeat of this tick is still on its way to q
+	q.Tick() // the heartbeat that x sends in this tick has not reached q
 	r.MarkUnanswered(r.Now(), simName(3))
 	q.ReceiveRequest(r.Request("q"))
 	if q.hosts[simName(3)].doubted {
-		t.Error("a doubt beat evidence of the same tick")
+		t.Error("a doubt overrode evidence of the same tick")
 	}
 	for range 3 * DefaultDeadAfter {
 		q.Tick()
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// noEvidence as a tick: no evidence at all.
+	// noEvidence is the tick of a host for which there is no evidence.
 	noEvidence = 0
-	// ageRounding is added to every age from another host. Ticks of two hosts don't
-	// begin together, so an age in whole ticks can be short by almost one. Word that
-	// got younger on its way would go round for ever, and a doubt or a dead host
-	// with it.
+	// ageRounding is added to every age from another host. The ticks of two hosts don't begin
+	// at the same time, so an age in whole ticks can be too small by almost one. A message
+	// that became younger at each hop would circulate forever, and would keep a doubt or a
+	// dead host alive.
 	ageRounding = 1
 )
 
-// MergeRegistered takes hosts that the control group has registered. Removed ones are dropped
-// for good. The others count as suspect here until a word of them comes, and are
-// not passed on: a registration says nothing of whether a host lives, and a
-// newcomer that doubted everybody would make the whole fleet ask.
+// MergeRegistered merges the hosts that are registered with the control group. Removed hosts
+// are permanently dropped. New ones count as suspected until a host reports them, and are not
+// passed on: a registration is no evidence that a host is alive, and if a joining host spread
+// doubts about all others, the whole fleet would send probes.
 func (t *Table) MergeRegistered(hosts []*pb.HostInfo) {
 	for _, info := range hosts {
 		if info.GetHost() == t.cfg.Self.Host {
@@ -65,8 +65,9 @@
 	t.neighbors = slices.DeleteFunc(t.neighbors, isIt)
 }
 
-// resetEntry makes an entry for a new host, or resets that of a former incarnation.
-// Nothing of a former run holds for the new one, least of all its leaving flag.
+// resetEntry creates the entry of a new host, or resets that of a previous incarnation. Apart
+// from zone and addresses, no state of the previous incarnation applies to the new one,
+// especially not its leaving flag.
 func (t *Table) resetEntry(h *pb.Holder) *entry {
 	e := t.hosts[h.GetHost()]
 	if e == nil {
@@ -85,16 +86,16 @@
 	return e
 }
 
-// ReceiveRequest takes a heartbeat request that another host sent. Its age is not
-// known: it may have been held up on the way. So its host entries bring no
-// evidence, only incarnations, flags and doubts.
+// ReceiveRequest merges a heartbeat request from another host. Its age is not known, because it
+// may have been delayed in the network. So its host entries are no evidence; only their
+// incarnations, flags and doubts are merged.
 func (t *Table) ReceiveRequest(m *pb.HeartbeatRequest) {
 	e := t.senderEntry(m)
 	if e == nil {
 		return
 	}
 	if m.GetSeq() <= e.seq {
-		return // an older one than already taken, held up or sent twice
+		return // a duplicate, or delayed and older than one already received
 	}
 	t.mergeHeader(e, m)
 	t.requestReceived(e)
@@ -103,13 +104,12 @@
 	}
 }
 
-// requestReceived counts the arrival of a request as evidence of its sender. A dead
-// host is not revived by a single one.
+// requestReceived counts the arrival of a request as evidence that its sender is alive. A
+// single request does not revive a dead host.
 //
-// What goes wrong otherwise: a request that lay in a silent connection arrives
-// long after its host died, and callers are sent there again. One would notice a
-// host that turns alive for a few seconds after its death. A second request in a
-// later tick, or a reply to the probe, can't come from a dead host's past.
+// A request that was buffered in a stalled connection can arrive long after its host died. If
+// it revived the host, callers would be sent to the host again, which would appear alive for a
+// few seconds. A second request in a later tick, or a reply to the probe, can't be that old.
 func (t *Table) requestReceived(e *entry) {
 	recent := t.now-e.lastRequest < t.cfg.DeadAfter && e.lastRequest < t.now
 	e.lastRequest = t.now
@@ -120,12 +120,12 @@
 	t.markAlive(e, t.now)
 }
 
-// ReceiveReply takes the answer to a heartbeat that was sent to host to (empty: not
-// known) at tick sentAt. An answer by another host, or by a run of the host that isn't
-// registered yet, shows that the run which was asked is gone. All
-// that it says was true at sentAt or later, so its ages count from there: evidence
-// can only be taken for older than it is, never for younger, however many hosts it
-// passes through.
+// ReceiveReply merges the reply to a heartbeat that was sent at tick sentAt to the host named
+// to, which is empty if the name is not known. A reply by another host, or by an incarnation
+// that isn't registered yet, shows that the incarnation to which the heartbeat was sent has
+// stopped. The contents of the reply were true at sentAt or later, so its ages count from
+// there: evidence may be taken for older than it is, but never for younger, however many hosts
+// it passes through.
 func (t *Table) ReceiveReply(sentAt int64, to string, reply *pb.HeartbeatReply) {
 	m := reply.GetState()
 	if m.GetFrom().GetHost() != to || m.GetFrom().GetIncarnation() == 0 {
@@ -142,7 +142,7 @@
 	}
 }
 
-// MarkUnanswered takes that the heartbeat to a host, sent at tick sentAt, got no reply in time.
+// MarkUnanswered records that the heartbeat sent to a host at tick sentAt got no reply in time.
 func (t *Table) MarkUnanswered(sentAt int64, host string) {
 	e := t.hosts[host]
 	if e == nil || e.lastAlive > sentAt {
@@ -151,8 +151,8 @@
 	t.recordUnanswered(e, sentAt)
 }
 
-// senderEntry returns the entry of the host that sent m; nil if m must be ignored:
-// this host's own, without incarnation, of a removed host or a former run.
+// senderEntry returns the entry of the host that sent m. It returns nil if m must be ignored,
+// because the sender is this host, has no incarnation or is a removed or previous one.
 func (t *Table) senderEntry(m *pb.HeartbeatRequest) *entry {
 	return t.accept(m.GetFrom())
 }
@@ -188,18 +188,19 @@
 	}
 }
 
-// mergeTraffic notes a host's traffic. That it has become busy, or is no more, is news:
-// hosts that answer callers must hear it within a second or two.
+// mergeTraffic sets a host's traffic. A large change is queued as an update, because the hosts
+// that return addresses to callers need to know of it within a second or two.
 func (t *Table) mergeTraffic(e *entry, traffic uint32) {
-	const much = 2 // times as much, or as little, as was told
+	const factor = 2 // a change by more than this factor, up or down, is an update
 	before, now := max(e.traffic, fullWeightTraffic), max(traffic, fullWeightTraffic)
 	e.traffic = traffic
-	if now > much*before || before > much*now {
+	if now > factor*before || before > factor*now {
 		t.queueUpdate(e, false)
 	}
 }
 
-// setLeaving is one-way: stale word can't make a leaving host eligible again.
+// setLeaving marks a host as leaving. The mark is never removed, so that a stale message can't
+// make a leaving host eligible again.
 func (t *Table) setLeaving(e *entry) {
 	if e.leaving {
 		return
@@ -208,13 +209,13 @@
 	t.queueUpdate(e, false)
 }
 
-// mergeState merges another host's word about a third. sentAt is the tick from
-// which ages count; notHeard: the ages are no evidence.
+// mergeState merges another host's report about a third one. sentAt is the tick from which ages
+// count, or noEvidence if the ages are not evidence.
 func (t *Table) mergeState(s *pb.HostState, sentAt int64) {
 	known := t.hosts[s.GetHolder().GetHost()] != nil
 	alive := s.GetHealth() == pb.HostHealth_HOST_HEALTH_ALIVE
 	if !known && (!alive || s.GetPeerAddress() == "") {
-		return // nothing to make an entry of: a dead host that was forgotten here, or no address
+		return // a dead host that was dropped here, or one without an address: no entry is made
 	}
 	e := t.accept(s.GetHolder())
 	if e == nil {
@@ -242,16 +243,16 @@
 	if sentAt == noEvidence {
 		return
 	}
-	heard := sentAt - t.ticks(s.GetHeardMs()) - ageRounding
-	if heard > e.lastAlive {
+	aliveAt := sentAt - t.ticks(s.GetHeardMs()) - ageRounding
+	if aliveAt > e.lastAlive {
 		e.spare = s.GetSparePermille()
 		t.mergeTraffic(e, s.GetTraffic())
 	}
-	t.markAlive(e, heard)
+	t.markAlive(e, aliveAt)
 }
 
-// mergeDoubt adopts a doubt that is later than anything this host has heard. If this
-// host has later evidence it spreads that instead; if it watches the host, it asks.
+// mergeDoubt adopts a doubt that is later than this host's evidence. If this host has later
+// evidence, it spreads that instead; if the doubted host is its neighbor, it sends a probe.
 func (t *Table) mergeDoubt(e *entry, s *pb.HostState) {
 	unanswered := t.now - t.ticks(s.GetHeardMs()) - ageRounding
 	if e.lastAlive >= unanswered {
@@ -264,9 +265,9 @@
 	t.recordUnanswered(e, unanswered)
 }
 
-// recordUnanswered takes that a heartbeat of tick at stayed unanswered. The first one of a
-// doubt counts for how long it lasts, the last one is told to others: only a host
-// that still gets no reply keeps a doubt going.
+// recordUnanswered records that a heartbeat sent at tick at was not answered. The duration of a
+// doubt counts from the first such heartbeat, while the last one is reported to other hosts:
+// only a host that still gets no reply keeps a doubt alive.
 func (t *Table) recordUnanswered(e *entry, at int64) {
 	e.lastUnanswered = max(e.lastUnanswered, at)
 	if e.doubted {
@@ -280,7 +281,7 @@
 	}
 }
 
-// markAlive takes evidence that e ran at tick at; it ends a doubt that began before.
+// markAlive records evidence that e was running at tick at, which ends an earlier doubt.
 func (t *Table) markAlive(e *entry, at int64) {
 	t.confirm(e)
 	e.lastAlive = max(e.lastAlive, at)
@@ -291,7 +292,7 @@
 	t.queueUpdate(e, false)
 }
 
-// confirm takes that there is word of a host that was only registered so far.
+// confirm records that a host that was only registered so far has been reported by a host.
 func (t *Table) confirm(e *entry) {
 	if !e.unconfirmed {
 		return
@@ -300,7 +301,7 @@
 	t.queueUpdate(e, true)
 }
 
-// ticks converts an age in milliseconds, rounded up: evidence never gets younger.
+// ticks converts an age in milliseconds to ticks, rounded up so that evidence never gets younger.
 func (t *Table) ticks(ms int64) int64 {
 	interval := int64(t.cfg.Interval / time.Millisecond)
 	if ms <= 0 {
--- a/internal/membership/rapid_test.go
+++ b/internal/membership/rapid_test.go
@@ -11,27 +11,27 @@
 
 const (
 	rapidHosts = 6
-	// settleTicks is enough for a fleet without faults to agree.
+	// settleTicks is the number of ticks in which all hosts of a fleet without faults agree.
 	settleTicks = 3 * DefaultDeadAfter
 )
 
-// rapidFleet drives a fleet through random faults. The oracle is plain: which hosts
-// run and leave, and when each was last running.
+// rapidFleet drives a fleet through random faults. The oracle consists of which hosts are
+// running and leaving, and when each was last running.
 type rapidFleet struct {
 	*fleet
-	// lastRun is the tick count of the world at which a host last ran.
+	// lastRun holds the tick at which each host was last running; now is the current tick.
 	lastRun map[int]int
-	now   int
-	// delivered is the tick count at which held-up requests last arrived.
+	now     int
+	// delivered is the tick at which delayed requests were last delivered.
 	delivered int
-	// seen holds what each view has shown: incarnations and leaving flags.
+	// seen holds, by observing and observed host, the last view: incarnation and leaving flag.
 	seen map[[2]int]observedView
 }
 
-// observedView is what a run of a host has shown of another.
+// observedView is the last view that an incarnation of a host had of another host.
 type observedView struct {
-	incarnation  uint64
-	host Host
+	incarnation uint64
+	host        Host
 }
 
 // TestMain fixes the seed, so that every run checks the same sequences.
@@ -88,7 +88,7 @@
 func (f *rapidFleet) restart(t *rapid.T)  { f.start(anyHost(t, "restart")) }
 func (f *rapidFleet) leaveOne(t *rapid.T) { f.leave(anyHost(t, "leave")) }
 
-// delayOne makes a host's requests lie somewhere on their way; its former ones are lost.
+// delayOne delays the requests of one host from now on; requests delayed before are lost.
 func (f *rapidFleet) delayOne(t *rapid.T) {
 	f.delayed = nil
 	f.delayFrom = anyHost(t, "hold")
@@ -99,7 +99,7 @@
 	f.delivered = f.now
 }
 
-// settle ends all faults; then every view must be the truth.
+// settle ends all faults; afterwards every view must match the oracle.
 func (f *rapidFleet) settle(t *rapid.T) {
 	clear(f.blocked)
 	f.delayFrom = noHost
@@ -111,19 +111,19 @@
 			continue
 		}
 		if got := f.names(i); !slices.Equal(got, want) {
-			t.Fatalf("host %d answers %v, want %v", i, got, want)
+			t.Fatalf("host %d returns %v, want %v", i, got, want)
 		}
 	}
 }
 
-// check holds in every state.
+// check checks the invariants that hold in every state.
 func (f *rapidFleet) check(t *rapid.T) {
 	for i, h := range f.hosts {
 		if !h.running {
 			continue
 		}
 		if len(h.Addresses(testNow, "olinda", testTTL)) == 0 {
-			t.Fatalf("host %d answers nothing", i)
+			t.Fatalf("host %d returns no address", i)
 		}
 		for j := range f.hosts {
 			f.checkView(t, i, j)
@@ -141,17 +141,17 @@
 	now, was := v.Holder.GetIncarnation(), f.seen[key].host
 	if f.seen[key].incarnation == run {
 		if now < was.Holder.GetIncarnation() {
-			t.Fatalf("host %d went back to incarnation %d of host %d", i, now, j)
+			t.Fatalf("the view of host %d reverted to incarnation %d of host %d", i, now, j)
 		}
 		if was.Leaving && !v.Leaving && now == was.Holder.GetIncarnation() {
-			t.Fatalf("host %d forgot that host %d is leaving", i, j)
+			t.Fatalf("host %d lost the flag that host %d is leaving", i, j)
 		}
 	}
 	f.seen[key] = observedView{incarnation: run, host: v}
-	// A host that stopped long ago is alive to nobody but one whom held-up requests
-	// reached in two ticks; those can't carry it further than one more death.
+	// A host that stopped long ago may only be alive in the view of a host that received delayed
+	// requests in two ticks. Those revive it for at most another DeadAfter ticks.
 	silent := f.now - f.lastRun[j]
 	if v.Health == alive && silent > 2*DefaultDeadAfter+rapidHosts && f.now-f.delivered > DefaultDeadAfter+rapidHosts {
-		t.Fatalf("host %d has host %d alive, which stopped %d ticks ago", i, j, silent)
+		t.Fatalf("host %d takes host %d for alive, which stopped %d ticks ago", i, j, silent)
 	}
 }
--- a/internal/membership/serverdelta.go
+++ b/internal/membership/serverdelta.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// resendInterval is the number of heartbeats to a peer after which it gets all
-	// states again, in case it has lost some.
+	// resendInterval is the number of heartbeats to a peer after which all states are sent to
+	// it again, in case it has lost some.
 	resendInterval = 20
-	// maxServers bounds the states in one heartbeat; the rest goes with the next ones.
+	// maxServers bounds the states in one heartbeat; the others are sent with later ones.
 	maxServers = 64
 )
 
 // serverVersion orders the announcements of one backend server.
 type serverVersion struct {
 	incarnation uint64
-	// phase is higher for a server that leaves, and highest for one that is gone: a
-	// server may say so without a new number.
+	// phase is higher for a server that is leaving and highest for one that has stopped: both
+	// may be announced without a new sequence number.
 	phase uint8
 	seq   uint64
 }
@@ -39,11 +39,11 @@
 	return cmp.Or(cmp.Compare(v.incarnation, w.incarnation), cmp.Compare(v.phase, w.phase), cmp.Compare(v.seq, w.seq)) < 0
 }
 
-// Supersedes tells whether a state of a server is newer than another one of it: of a later
-// run, or of the same run and says more.
+// Supersedes reports whether a state of a server is newer than another state of the same
+// server: of a later incarnation, or later within the same one.
 func Supersedes(newer, older *pb.ServerState) bool { return versionOf(older).before(versionOf(newer)) }
 
-// serverKey names a server: by its id, or by its address if it has none.
+// serverKey returns the id of a server, or its address if it has no id.
 func serverKey(s *pb.ServerState) string {
 	if id := s.GetId(); id != "" {
 		return id
@@ -51,28 +51,28 @@
 	return s.GetAddress()
 }
 
-// peerState is what one run of a peer surely has.
+// peerState holds the server states that one incarnation of a peer is known to have.
 type peerState struct {
 	incarnation uint64
-	heartbeats       int
+	heartbeats  int
 	servers     map[string]serverVersion
 }
 
-// ServerDelta chooses the backend servers' states that a heartbeat to a peer must
-// carry: those that the peer isn't known to have. It is not safe for concurrent use.
+// ServerDelta selects the states of backend servers for a heartbeat to a peer: those that the
+// peer isn't known to have. It is not safe for concurrent use.
 type ServerDelta struct {
 	peers map[string]*peerState
 }
 
-// NewServerDelta returns a delta that takes every peer for ignorant.
+// NewServerDelta returns a ServerDelta by which no peer is known to have any state.
 func NewServerDelta() *ServerDelta {
 	return &ServerDelta{peers: make(map[string]*peerState)}
 }
 
-// Select returns the states to send to a peer now, at most maxServers: leaving
-// servers first, then those that the peer never had, then the others, those first of which
-// it has missed most. Without that order the servers whose names sort last wait until all
-// others are known, and look silent.
+// Select returns the states to send to a peer now, at most maxServers: first those of leaving
+// and stopped servers, then those of incarnations that the peer never had, then the others,
+// sorted by the number of announcements that the peer has missed. Without that order the
+// servers whose names sort last would wait until all others are sent, and look silent.
 func (d *ServerDelta) Select(peer *pb.Holder, all []*pb.ServerState) []*pb.ServerState {
 	k := d.peer(peer)
 	k.heartbeats++
@@ -95,7 +95,7 @@
 	return missing[:maxServers]
 }
 
-// priority is lower for states that must go first.
+// priority returns the sort key of a state; states with a lower one are sent first.
 func (k *peerState) priority(s *pb.ServerState) int {
 	if s.GetLeaving() || s.GetGone() {
 		return 0
@@ -107,14 +107,14 @@
 	return 2
 }
 
-// behind is how many announcements of a server the peer has missed.
+// behind returns the number of announcements of a server that the peer has missed.
 func (k *peerState) behind(s *pb.ServerState) uint64 {
 	seq := k.servers[serverKey(s)].seq
 	return s.GetSeq() - min(seq, s.GetSeq())
 }
 
-// MarkReceived takes that the peer has these states: it answered the heartbeat that carried
-// them, or sent them itself.
+// MarkReceived records that the peer has these states, because it answered the heartbeat that
+// carried them or sent them itself.
 func (d *ServerDelta) MarkReceived(peer *pb.Holder, states []*pb.ServerState) {
 	k := d.peer(peer)
 	for _, s := range states {
@@ -124,7 +124,7 @@
 	}
 }
 
-// Retain forgets all peers and servers but these.
+// Retain drops the state of all other peers and servers.
 func (d *ServerDelta) Retain(peers []Host, servers []*pb.ServerState) {
 	hosts := make(map[string]bool, len(peers))
 	for _, p := range peers {
@@ -146,7 +146,7 @@
 	}
 }
 
-// peer of a peer begins anew with each of its incarnations.
+// peer returns the state of a peer, which is reset for each new incarnation.
 func (d *ServerDelta) peer(peer *pb.Holder) *peerState {
 	k := d.peers[peer.GetHost()]
 	if k == nil || k.incarnation != peer.GetIncarnation() {
--- a/internal/membership/serverdelta_test.go
+++ b/internal/membership/serverdelta_test.go
@@ -15,10 +15,10 @@
 	return all
 }
 
-// Symptom: a host doesn't know a backend server that another has known for long.
-// Sequence: a heartbeat with its state is lost; or the host restarts; or its registry
-// lost the state.
-// Cause: sent was taken for received, or the knowledge outlived the run of the peer.
+// TestServerDeltaResendsUnconfirmedStates has a heartbeat get lost, a server and a peer
+// restart, and a peer's registry lose states. If a sent state counted as received, or the
+// record of received states outlived the incarnation of the peer, a host would never get the
+// state of a server that another one has known for a long time.
 func TestServerDeltaResendsUnconfirmedStates(t *testing.T) {
 	d := NewServerDelta()
 	peer := &pb.Holder{Host: "h1", Incarnation: 1}
@@ -31,7 +31,7 @@
 	}
 	d.MarkReceived(peer, states)
 	if got := d.Select(peer, states); len(got) != 0 {
-		t.Errorf("sent again although received: %d", len(got))
+		t.Errorf("%d states sent again although received", len(got))
 	}
 	states[1] = &pb.ServerState{Address: "s1", Incarnation: 2, Seq: 1}
 	if got := d.Select(peer, states); len(got) != 1 || got[0] != states[1] {
@@ -53,9 +53,9 @@
 	}
 }
 
-// Symptom: a leaving server goes on getting work for many heartbeats.
-// Sequence: far more servers than fit one heartbeat have changed; the leaving one is last.
-// Cause: states went in the order of the list.
+// TestServerDeltaIsBoundedAndSendsLeavingFirst has far more changed servers than fit one
+// heartbeat, with a leaving one at the end. If states were sent in the order of the list, the
+// leaving server would get work for many heartbeats.
 func TestServerDeltaIsBoundedAndSendsLeavingFirst(t *testing.T) {
 	d := NewServerDelta()
 	peer := &pb.Holder{Host: "h1", Incarnation: 1}
@@ -69,10 +69,10 @@
 	gone := serverStates(181, 3)
 	gone[178].Gone = true
 	if got := d.Select(peer, gone); got[0] != gone[178] {
-		t.Errorf("first %v, not the server that is gone", got[0])
+		t.Errorf("first %v, not the stopped server", got[0])
 	}
 	d.Retain(nil, nil)
 	if len(d.peers) != 0 {
-		t.Error("knowledge of a peer that is gone was kept")
+		t.Error("the state of a dropped peer was kept")
 	}
 }
--- a/internal/membership/share.go
+++ b/internal/membership/share.go
@@ -11,52 +11,53 @@
 )
 
 const (
-	// sameZoneWeight is how much likelier a host of the caller's own availability zone is named
-	// than one of another: round trips to these are 3 ms longer.
+	// sameZoneWeight is the weight of a host in the caller's own availability zone, relative to
+	// one in another zone, to which round trips are 3 ms longer.
 	sameZoneWeight = 3
-	// suspectWeight is that of a host whose heartbeats stay unanswered.
+	// suspectWeight is the weight of a suspected host.
 	suspectWeight = 0.01
-	// fullWeightShare is how many times the mean traffic a host may have at its full weight.
+	// fullWeightShare is the traffic up to which a host has its full weight, as a multiple of
+	// the mean traffic.
 	fullWeightShare = 1.2
-	// fullWeightTraffic is the traffic, in KiB a second, up to which a host has its full weight: a
-	// fortieth of what a link of 10 Mbit/s carries.
+	// fullWeightTraffic is the traffic in KiB per second up to which a host has its full weight
+	// in any case: a fortieth of the capacity of a 10 Mbit/s link.
 	fullWeightTraffic = 32
-	// busyExponent makes up for callers who go on with an older answer, three times as long as
-	// they may.
+	// busyExponent increases the effect of traffic on the weight. It compensates for callers
+	// that use an older answer three times as long as they may.
 	busyExponent = 3
-	// shareEpoch is how long a caller is named the same hosts while these stay the same.
+	// shareEpoch is how long a caller gets the same hosts as long as the hosts don't change.
 	shareEpoch = 30 * time.Second
 )
 
-// Share answers a caller with its share of the fleet: n hosts that are drawn by a hash of
-// the caller's name, with more weight for those of its zone and less for busy ones. All
-// hosts give a caller the same answer if they know the same of the others.
+// Share returns the addresses of a caller's share of the fleet: n hosts drawn by a hash of the
+// caller's name, with more weight for hosts in its zone and less for busy ones. All hosts with
+// the same view of the fleet return the same hosts to a caller.
 //
-// What goes wrong when every caller is named all hosts: callers do not choose evenly,
-// whatever the order of the answer, and many prefer the same host. One host of 70 got ten
-// times the mean, its link was full, and its streams came too late while others had nothing
-// to do. Of a few hosts, which are others for each caller, all get about as many callers.
+// If every caller got all hosts, the load would be uneven, because callers don't choose evenly
+// whatever the order of the answer, and many prefer the same host. One host of 70 got ten times
+// the mean traffic: its link was saturated and its streams were late while other hosts were
+// idle. With a few hosts that differ by caller, all hosts get about the same number of callers.
 func (t *Table) Share(now time.Time, zone, caller string, n int, ttl time.Duration) []Address {
 	all := t.candidates(zone)
 	mean := 0.0
 	for _, c := range all {
 		mean += float64(c.traffic) / float64(len(all))
 	}
-	most := max(fullWeightShare*mean, fullWeightTraffic)
+	fullWeightLimit := max(fullWeightShare*mean, fullWeightTraffic)
 	name := rendezvous.Hash(caller)
-	// Callers change their shares one after the other.
+	// The shares of different callers change at different times.
 	phase := time.Duration(name % uint64(shareEpoch))
 	key := rendezvous.Hash(fmt.Sprint(caller, "/", now.Add(phase).UnixNano()/int64(shareEpoch)))
 	for i := range all {
-		all[i].key = -math.Log(unit(rendezvous.Rank(key, rendezvous.Hash(all[i].address.Host)))) / all[i].weight(most)
+		all[i].key = -math.Log(unit(rendezvous.Rank(key, rendezvous.Hash(all[i].address.Host)))) / all[i].weight(fullWeightLimit)
 	}
 	slices.SortStableFunc(all, func(a, b candidate) int { return cmp.Compare(a.key, b.key) })
 	return withExpiry(all[:min(n, len(all))], now.Add(ttl))
 }
 
-// weight of a host among those that a caller may be named. most is the traffic that a host
-// may have at its full weight.
-func (c candidate) weight(most float64) float64 {
+// weight returns the weight of a host in the draw for a share. fullWeightLimit is the traffic
+// up to which a host has its full weight.
+func (c candidate) weight(fullWeightLimit float64) float64 {
 	w := 1.0
 	switch c.class {
 	case classSameZone:
@@ -64,11 +65,11 @@
 	case classSuspect:
 		w = suspectWeight
 	}
-	return w * math.Pow(min(most/max(float64(c.traffic), 1), 1), busyExponent)
+	return w * math.Pow(min(fullWeightLimit/max(float64(c.traffic), 1), 1), busyExponent)
 }
 
 // unit maps a hash to a number above 0 and up to 1.
 func unit(hash uint64) float64 {
-	const bits = 53 // of a float64's mantissa
+	const bits = 53 // size of a float64's mantissa
 	return (float64(hash>>(64-bits)) + 1) / (1 << bits)
 }
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -10,17 +10,17 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// fleet is the simple oracle's world: hosts that really run or not, and a network
-// that loses what it is told to. Every tick each running host exchanges heartbeats.
+// fleet simulates hosts that are running or not, and a network that drops messages on demand.
+// In every tick each running host exchanges heartbeats.
 type fleet struct {
 	cfg   Config
 	seed  uint64
 	hosts []*simHost
-	// blocked[{a,b}] loses everything sent from a to b.
+	// blocked[{a,b}] is true if everything sent from a to b is dropped.
 	blocked map[[2]int]bool
-	// hold keeps copies of requests sent by host delayFrom, to be delivered late.
+	// delayFrom is the host whose requests are delayed, or noHost; delayed holds these requests.
 	delayFrom int
-	delayed     []delayedRequest
+	delayed   []delayedRequest
 
 	bytes    int
 	messages int
@@ -76,10 +76,10 @@
 	f.hosts[i].Leave()
 }
 
-func (f *fleet) isolate(i int, cut bool) {
+func (f *fleet) isolate(i int, blocked bool) {
 	for j := range f.hosts {
-		f.blocked[[2]int{i, j}] = cut
-		f.blocked[[2]int{j, i}] = cut
+		f.blocked[[2]int{i, j}] = blocked
+		f.blocked[[2]int{j, i}] = blocked
 	}
 }
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// exchange returns nil when no reply comes.
+// exchange sends m from host i to host j and returns the reply, or nil if there is none.
 func (f *fleet) exchange(i, j int, m *pb.HeartbeatRequest) *pb.HeartbeatReply {
 	f.count(m)
 	if i == f.delayFrom {
@@ -136,8 +136,8 @@
 	}
 }
 
-// deliverDelayed delivers all held requests at once, as a silent connection that works
-// again would. It may be called again: something may send them twice.
+// deliverDelayed delivers all delayed requests at once, as a stalled connection that recovers
+// would. It may be called again to deliver duplicates.
 func (f *fleet) deliverDelayed() {
 	for _, h := range f.delayed {
 		if f.hosts[h.to].running {
@@ -146,7 +146,7 @@
 	}
 }
 
-// view is what host i thinks of host j.
+// view returns host j as host i knows it.
 func (f *fleet) view(i, j int) Host {
 	for _, h := range f.hosts[i].Hosts() {
 		if h.Holder.GetHost() == simName(j) {
@@ -158,7 +158,7 @@
 
 func (f *fleet) health(i, j int) pb.HostHealth { return f.view(i, j).Health }
 
-// addresses of host i's answer, without order.
+// names returns the hosts whose addresses host i returns, sorted by name.
 func (f *fleet) names(i int) []string {
 	var names []string
 	for _, a := range f.hosts[i].Addresses(testNow, "olinda", testTTL) {
--- a/internal/membership/targets.go
+++ b/internal/membership/targets.go
@@ -3,26 +3,27 @@
 import "slices"
 
 const (
-	// ringNeighbors are watched by position in the order of hashed names, so that
-	// every host is surely watched; the other neighbours are chosen at random.
+	// ringNeighbors is the number of neighbors chosen by their position in the order of hashed
+	// names, so that every host is watched by some host; the others are chosen at random.
 	ringNeighbors = 2
-	// maxProbesPerTick bounds the extra heartbeats to doubted neighbours per tick, so
-	// that the loss of an availability zone doesn't multiply the cost.
+	// maxProbesPerTick bounds the extra heartbeats per tick to doubted neighbors, and those to
+	// hosts marked for a probe, so that the failure of an availability zone doesn't multiply
+	// the cost.
 	maxProbesPerTick = 2
-	// rotateInterval is the number of ticks after which one random neighbour is replaced.
+	// rotateInterval is the number of ticks after which one random neighbor is replaced.
 	rotateInterval = 240
 )
 
 // Target is a host to send a heartbeat to.
 type Target struct {
-	// Host is empty for a seed whose host isn't known yet.
+	// Host is the name of the host; empty for a seed whose host isn't known yet.
 	Host string
 	// Address is the peer address.
 	Address string
 }
 
-// Tick advances time by one interval and returns to whom heartbeats go now. The
-// replies are passed on with the tick returned by Now.
+// Tick advances time by one interval and returns the hosts to send heartbeats to now. The
+// caller passes the tick returned by Now to ReceiveReply and MarkUnanswered.
 func (t *Table) Tick() []Target {
 	t.now++
 	t.forget()
@@ -36,11 +37,11 @@
 	return targets.list
 }
 
-// Now is the present tick.
+// Now returns the current tick.
 func (t *Table) Now() int64 { return t.now }
 
-// forget drops hosts that have been dead for long. One that is still registered stays:
-// its next registration heard of would bring it back as merely suspect.
+// forget drops hosts that have been dead for a long time. A registered host is kept, because
+// the next MergeRegistered would add it again as merely suspected.
 func (t *Table) forget() {
 	for i := len(t.order) - 1; i >= 0; i-- {
 		if e := t.order[i]; !e.registered && t.ticksInDoubt(e) > t.cfg.ForgetAfter {
@@ -49,8 +50,7 @@
 	}
 }
 
-// chooseNeighbors keeps the set of watched hosts at its size. In a full mesh it
-// is everybody.
+// chooseNeighbors keeps the set of neighbors at its size. In a full mesh it contains all hosts.
 func (t *Table) chooseNeighbors() {
 	if t.fullMesh() {
 		t.neighbors = append(t.neighbors[:0], t.order...)
@@ -75,8 +75,8 @@
 func (t *Table) ineligible(e *entry) bool { return e.leaving || t.dead(e) }
 
 func (t *Table) fillNeighbors() {
-	const triesPerPlace = 8 // enough to find a fit one unless most of the fleet is gone
-	tries := triesPerPlace * t.cfg.Neighbors
+	const triesPerSlot = 8 // enough to find an eligible host unless most of the fleet is dead
+	tries := triesPerSlot * t.cfg.Neighbors
 	for len(t.neighbors) < t.cfg.Neighbors && tries > 0 {
 		tries--
 		e := t.order[t.rng.IntN(len(t.order))]
@@ -87,7 +87,7 @@
 	}
 }
 
-// successors are the fit hosts that follow this one in the order of hashed names.
+// successors returns the eligible hosts that follow this one in the order of hashed names.
 func (t *Table) successors() []*entry {
 	var nearest []*entry
 	var distances []uint64
@@ -95,7 +95,7 @@
 		if t.ineligible(e) {
 			continue
 		}
-		distance := e.hash - t.selfHash // wraps round the ring
+		distance := e.hash - t.selfHash // wraps around the ring
 		at, _ := slices.BinarySearch(distances, distance)
 		if at >= ringNeighbors {
 			continue
@@ -108,8 +108,8 @@
 	return nearest
 }
 
-// addNeighbors adds the live neighbours whose turn it is in a full mesh, otherwise the next one.
-// A host that leaves tells all at once.
+// addNeighbors adds the next neighbor; in a full mesh, the live neighbors whose turn it is. In a
+// full mesh, a leaving host notifies all at once.
 func (t *Table) addNeighbors(targets *targetSet) {
 	if t.fullMesh() {
 		for i, e := range t.neighbors {
@@ -126,7 +126,7 @@
 	targets.add(t.neighbors[t.nextNeighbor])
 }
 
-// addDoubted asks doubted neighbours again each tick.
+// addDoubted adds doubted neighbors, which get a heartbeat in each tick.
 func (t *Table) addDoubted(targets *targetSet) {
 	added := 0
 	for _, e := range t.neighbors {
@@ -150,8 +150,8 @@
 	}
 }
 
-// addDead asks one dead host per tick, in turn, so that the two sides of a mended
-// network partition find each other again.
+// addDead adds one dead host per tick, in turn, so that the two sides of a network partition
+// reconnect after it ends.
 func (t *Table) addDead(targets *targetSet) {
 	for range t.order {
 		t.nextDead = (t.nextDead + 1) % len(t.order)
@@ -162,7 +162,7 @@
 	}
 }
 
-// addSeed asks one seed per tick, in turn, whose host isn't known.
+// addSeed adds one seed per tick, in turn, whose host isn't known.
 func (t *Table) addSeed(targets *targetSet) {
 	for range t.cfg.Seeds {
 		t.nextSeed = (t.nextSeed + 1) % len(t.cfg.Seeds)
