--- a/internal/controller/settings/bench_test.go
+++ b/internal/controller/settings/bench_test.go
@@ -35,7 +35,7 @@
 	c := New(nil, zerolog.Nop(), time.Now)
 	c.view.Store(v)
 	apply("/teams/team-007/max_in_flight", "102")
-	if err := c.take(&pb.WatchEvent{Revision: v.Revision(), Changes: []*pb.ConfigChange{change}, Confirmed: true}); err != nil {
+	if err := c.apply(&pb.WatchEvent{Revision: v.Revision(), Changes: []*pb.ConfigChange{change}, Confirmed: true}); err != nil {
 		b.Fatal(err)
 	}
 	relayed, err := NewRelay(c).event(v.Revision() - 1)
--- a/internal/controller/settings/controller.go
+++ b/internal/controller/settings/controller.go
@@ -18,9 +18,9 @@
 // retryAfterNotReady is when a caller may try a host again that has no settings yet.
 const retryAfterNotReady = time.Second
 
-// contactFor is how long after a quorum's word the settings count as the newest: a watcher
+// contactValidity is how long after a quorum's word the settings count as the newest: a watcher
 // leaves a source that confirms nothing for as long, and elections take a second.
-const contactFor = 5 * time.Second
+const contactValidity = 5 * time.Second
 
 // Watcher streams the settings tree, from a replica or through a peer, until ctx
 // ends, the stream breaks or fn fails.
@@ -39,7 +39,7 @@
 	confirmed atomic.Pointer[time.Time]
 
 	mu      sync.Mutex
-	recent  recent
+	recent  changeLog
 	changed chan struct{} // closed and replaced with every newer view
 }
 
@@ -58,7 +58,7 @@
 	for ctx.Err() == nil {
 		err := c.watcher.Watch(ctx, c.Revision(), func(e *pb.WatchEvent) error {
 			pause.Reset()
-			return c.take(e)
+			return c.apply(e)
 		})
 		if ctx.Err() != nil {
 			return
@@ -71,9 +71,9 @@
 	}
 }
 
-// take applies one event. An event that does not fit ends the watch, so that the
+// apply applies one event. An event that does not fit ends the watch, so that the
 // next one starts from the revision held.
-func (c *Controller) take(e *pb.WatchEvent) error {
+func (c *Controller) apply(e *pb.WatchEvent) error {
 	next, err := advance(c.view.Load(), e)
 	if err != nil {
 		return err
@@ -82,20 +82,20 @@
 		return errors.Errorf("event of revision %d carries changes up to %d only", e.Revision, next.Revision())
 	}
 	if e.Confirmed {
-		c.confirm(time.Duration(e.ConfirmedAgeMs) * time.Millisecond)
+		c.markConfirmed(time.Duration(e.ConfirmedAgeMs) * time.Millisecond)
 	}
 	if from := c.view.Load(); next != from {
 		c.view.Store(next)
-		c.announce(from.Revision(), e)
+		c.notifyChanged(from.Revision(), e)
 		c.log.Info().Uint64("revision", next.Revision()).Bool("confirmed", e.Confirmed).Msg("settings in force")
 	}
 	return nil
 }
 
-// confirm notes when the quorum's word was given. Its age at the sender counts:
-// without it two hosts that watch each other would confirm each other for ever, and
+// markConfirmed notes when the quorum's word was given. Its age at the sender counts:
+// without it two hosts that watch each other would markConfirmed each other for ever, and
 // neither would notice that the control group is out of reach.
-func (c *Controller) confirm(age time.Duration) {
+func (c *Controller) markConfirmed(age time.Duration) {
 	at := c.now().Add(-age)
 	if last := c.confirmed.Load(); last == nil || at.After(*last) {
 		c.confirmed.Store(&at)
@@ -116,10 +116,10 @@
 	return v.Apply(e.Changes)
 }
 
-// announce wakes whoever waits in Changed. Only a newer view is announced: if every
+// notifyChanged wakes whoever waits in Changed. Only a newer view is announced: if every
 // event were, two hosts that relay to each other would send to and fro without end,
 // seen as a busy core on both.
-func (c *Controller) announce(from uint64, e *pb.WatchEvent) {
+func (c *Controller) notifyChanged(from uint64, e *pb.WatchEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recent.advance(from, e)
@@ -169,7 +169,7 @@
 
 // InContact implements filter.Settings.
 func (c *Controller) InContact() error {
-	if age, ok := c.ContactAge(); !ok || age > contactFor {
+	if age, ok := c.ContactAge(); !ok || age > contactValidity {
 		return errkind.New(errkind.HostNotReady, "this host can't tell at present whether it has the newest settings").After(retryAfterNotReady)
 	}
 	return nil
--- a/internal/controller/settings/controller_test.go
+++ b/internal/controller/settings/controller_test.go
@@ -35,7 +35,7 @@
 	return &pb.ConfigChange{Revision: revision, Version: revision, Path: "/teams/a", ValueJson: []byte(`{"default_timeout":"` + timeout + `"}`)}
 }
 
-func started(t *testing.T) (*Controller, *fakeWatcher) {
+func startController(t *testing.T) (*Controller, *fakeWatcher) {
 	f := &fakeWatcher{events: make(chan *pb.WatchEvent)}
 	c := New(f, zerolog.Nop(), time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -48,9 +48,9 @@
 // Symptom: a host serves under rules that were replaced long ago.
 // Sequence: it restarts beside a replica that is cut off from the quorum and watches it.
 // Cause: a revision that no quorum confirmed was taken as the one in force.
-func TestNotReadyBeforeAQuorumConfirmed(t *testing.T) {
+func TestNotReadyBeforeQuorumConfirms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f := started(t)
+		c, f := startController(t)
 		f.events <- &pb.WatchEvent{Revision: 1, Changes: []*pb.ConfigChange{team(1, "1s")}}
 		synctest.Wait()
 		if err := c.Ready(); !errkind.Is(err, errkind.HostNotReady) {
@@ -69,13 +69,13 @@
 // Cause: an older snapshot or change was applied over a newer one.
 func TestViewNeverGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, f := started(t)
+		c, f := startController(t)
 		f.events <- &pb.WatchEvent{Revision: 2, Changes: []*pb.ConfigChange{team(1, "1s"), team(2, "2s")}}
 		synctest.Wait()
 		f.events <- &pb.WatchEvent{Revision: 1, Changes: []*pb.ConfigChange{team(1, "1s")}}
 		synctest.Wait()
 		old := New(&fakeWatcher{}, zerolog.Nop(), time.Now)
-		if err := old.take(&pb.WatchEvent{Revision: 1, Changes: []*pb.ConfigChange{team(1, "1s")}}); err != nil {
+		if err := old.apply(&pb.WatchEvent{Revision: 1, Changes: []*pb.ConfigChange{team(1, "1s")}}); err != nil {
 			t.Fatal(err)
 		}
 		body, err := old.View().SnapshotJSON()
@@ -104,21 +104,21 @@
 func (s *stream) SendHeader(metadata.MD) error { return nil }
 
 // relayWatcher watches another controller through its relay.
-type relayWatcher struct{ of *Controller }
+type relayWatcher struct{ source *Controller }
 
 func (r *relayWatcher) Watch(ctx context.Context, from uint64, fn func(*pb.WatchEvent) error) error {
 	s := &stream{ctx: ctx, fn: func(e *pb.WatchEvent) { _ = fn(e) }}
-	return NewRelay(r.of).Watch(&pb.WatchRequest{FromRevision: from}, s)
+	return NewRelay(r.source).Watch(&pb.WatchRequest{FromRevision: from}, s)
 }
 
 // Symptom: two hosts cut off from the control group never notice it.
 // Sequence: each watches the other; the control group confirmed a revision before the cut.
 // Cause: the quorum's word did not age on its way through relays.
-func TestHostsThatWatchEachOtherGrowStale(t *testing.T) {
+func TestHostsWatchingEachOtherBecomeStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := New(nil, zerolog.Nop(), time.Now), New(nil, zerolog.Nop(), time.Now)
 		a.watcher, b.watcher = &relayWatcher{b}, &relayWatcher{a}
-		if err := a.take(&pb.WatchEvent{Revision: 1, Confirmed: true, Changes: []*pb.ConfigChange{team(1, "1s")}}); err != nil {
+		if err := a.apply(&pb.WatchEvent{Revision: 1, Confirmed: true, Changes: []*pb.ConfigChange{team(1, "1s")}}); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -146,9 +146,9 @@
 // Sequence: it follows a relay that holds the same revision and is in contact.
 // Cause: the relay's word of the quorum named no revision, so it was taken for one about
 // an older one.
-func TestRelayConfirmsTheRevisionThatTheWatcherHas(t *testing.T) {
+func TestRelayConfirmsUnchangedRevision(t *testing.T) {
 	c := New(nil, zerolog.Nop(), time.Now)
-	if err := c.take(&pb.WatchEvent{Revision: 1, Confirmed: true, Changes: []*pb.ConfigChange{team(1, "1s")}}); err != nil {
+	if err := c.apply(&pb.WatchEvent{Revision: 1, Confirmed: true, Changes: []*pb.ConfigChange{team(1, "1s")}}); err != nil {
 		t.Fatal(err)
 	}
 	e, err := NewRelay(c).event(1)
@@ -160,10 +160,10 @@
 // Symptom: one changed line costs a relay the whole tree for each host behind it.
 // Sequence: a host relays; a watcher that has everything but the last change asks.
 // Cause: the relay kept the view only and had nothing smaller to send.
-func TestRelaySendsChangesAndTheTreeOnlyWhenItMust(t *testing.T) {
+func TestRelaySendsChangesOrSnapshot(t *testing.T) {
 	c := New(nil, zerolog.Nop(), time.Now)
-	for rev := uint64(1); rev <= recentChanges+5; rev++ {
-		if err := c.take(&pb.WatchEvent{Revision: rev, Changes: []*pb.ConfigChange{team(rev, "1s")}}); err != nil {
+	for rev := uint64(1); rev <= maxRecentChanges+5; rev++ {
+		if err := c.apply(&pb.WatchEvent{Revision: rev, Changes: []*pb.ConfigChange{team(rev, "1s")}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -173,7 +173,7 @@
 		have    uint64
 		changes int
 		tree    bool
-	}{{last, 0, false}, {last - 1, 1, false}, {last - recentChanges, recentChanges, false}, {last - recentChanges - 1, 0, true}, {0, 0, true}} {
+	}{{last, 0, false}, {last - 1, 1, false}, {last - maxRecentChanges, maxRecentChanges, false}, {last - maxRecentChanges - 1, 0, true}, {0, 0, true}} {
 		e, err := r.event(tt.have)
 		if err != nil || len(e.Changes) != tt.changes || len(e.SnapshotJson) > 0 != tt.tree {
 			t.Fatalf("to a watcher at %d: %d changes, tree of %d bytes, %v; want %d, %v",
--- a/internal/controller/settings/recent.go
+++ b/internal/controller/settings/recent.go
@@ -2,11 +2,11 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/pb"
 
-// recentChanges bounds the changes that a host keeps for the hosts which it relays to.
-const recentChanges = 1000
+// maxRecentChanges bounds the changes that a host keeps for the hosts which it relays to.
+const maxRecentChanges = 1000
 
-// recent are the last changes that led to the view, without a gap.
-type recent struct {
+// changeLog are the last changes that led to the view, without a gap.
+type changeLog struct {
 	// since is the revision before the first of them.
 	since   uint64
 	changes []*pb.ConfigChange
@@ -14,7 +14,7 @@
 
 // advance takes the event that led from one revision to another. A snapshot leaves a
 // gap: what was kept before it is dropped.
-func (r *recent) advance(from uint64, e *pb.WatchEvent) {
+func (r *changeLog) advance(from uint64, e *pb.WatchEvent) {
 	if len(e.SnapshotJson) > 0 {
 		r.changes, r.since = nil, e.Revision
 		return
@@ -27,14 +27,14 @@
 			r.changes = append(r.changes, c)
 		}
 	}
-	if over := len(r.changes) - recentChanges; over > 0 {
+	if over := len(r.changes) - maxRecentChanges; over > 0 {
 		r.since = r.changes[over-1].Revision
 		r.changes = append([]*pb.ConfigChange(nil), r.changes[over:]...)
 	}
 }
 
 // after are the changes that follow a revision; ok is false if not all are kept.
-func (r *recent) after(revision uint64) (changes []*pb.ConfigChange, ok bool) {
+func (r *changeLog) after(revision uint64) (changes []*pb.ConfigChange, ok bool) {
 	if revision < r.since {
 		return nil, false
 	}
--- a/internal/controller/settings/relay.go
+++ b/internal/controller/settings/relay.go
@@ -9,25 +9,25 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// relayEvery is how often a relay repeats its state to a watcher without a change.
-const relayEvery = time.Second
+// relayInterval is how often a relay repeats its state to a watcher without a change.
+const relayInterval = time.Second
 
 // Relay implements the Watch of pb.ControlServer on hosts without a replica.
 type Relay struct {
 	pb.UnimplementedControlServer
-	c *Controller
+	controller *Controller
 }
 
 // NewRelay serves what c holds.
-func NewRelay(c *Controller) *Relay { return &Relay{c: c} }
+func NewRelay(c *Controller) *Relay { return &Relay{controller: c} }
 
 // Watch sends the view and then each newer one, until the watcher goes.
 func (r *Relay) Watch(req *pb.WatchRequest, stream grpc.ServerStreamingServer[pb.WatchEvent]) error {
-	ticker := time.NewTicker(relayEvery)
+	ticker := time.NewTicker(relayInterval)
 	defer ticker.Stop()
 	sent := req.FromRevision
 	for {
-		changed := r.c.Changed()
+		changed := r.controller.Changed()
 		event, err := r.event(sent)
 		if err != nil {
 			return err
@@ -50,21 +50,21 @@
 // the revision in any case: a watcher takes no word of the quorum about another one
 // than its own, and would stay unready beside a relay that has just what it has.
 func (r *Relay) event(have uint64) (*pb.WatchEvent, error) {
-	v := r.c.View()
-	age, confirmed := r.c.ContactAge()
+	v := r.controller.View()
+	age, confirmed := r.controller.ContactAge()
 	e := &pb.WatchEvent{Revision: v.Revision(), Confirmed: confirmed, ConfirmedAgeMs: age.Milliseconds()}
 	if v.Revision() <= have {
 		return e, nil
 	}
-	if changes, ok := r.c.changesAfter(have); ok && len(changes) > 0 {
+	if changes, ok := r.controller.changesAfter(have); ok && len(changes) > 0 {
 		e.Changes = changes
 		e.Revision = changes[len(changes)-1].Revision
 		return e, nil
 	}
-	return e, fill(e, v)
+	return e, addSnapshot(e, v)
 }
 
-func fill(e *pb.WatchEvent, v *settings.View) error {
+func addSnapshot(e *pb.WatchEvent, v *settings.View) error {
 	body, err := v.SnapshotJSON()
 	e.SnapshotJson = body
 	return err
