--- a/internal/controller/settings/bench_test.go
+++ b/internal/controller/settings/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// BenchmarkChange gives the time of one change in a tree of 930 accounts at
-// an entry host, and the bytes by which a replica and a relay tell a watcher of it.
+// BenchmarkChange measures the time of one change in a tree of 930 accounts at an
+// entry host, and the size of the events that a replica and a relay send to a watcher.
 func BenchmarkChange(b *testing.B) {
 	v, change := settings.NewView(), team(1, "1s")
 	apply := func(path, value string) {
--- a/internal/controller/settings/controller.go
+++ b/internal/controller/settings/controller.go
@@ -15,11 +15,12 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// retryAfterNotReady is when a caller may try a host again that has no settings yet.
+// retryAfterNotReady is the time after which a caller may retry a host that has no settings
+// yet.
 const retryAfterNotReady = time.Second
 
-// contactValidity is how long after a quorum's word the settings count as the newest: a watcher
-// leaves a source that confirms nothing for as long, and elections take a second.
+// contactValidity is how long the settings count as the newest after a quorum confirmed them. A
+// watcher leaves a source that confirms nothing for that long; elections take a second.
 const contactValidity = 5 * time.Second
 
 // Watcher streams the settings tree, from a replica or through a peer, until ctx
@@ -35,51 +36,52 @@
 	now     func() time.Time
 
 	view atomic.Pointer[settings.View]
-	// confirmed is when the last event confirmed by a quorum came; nil before the first.
+	// confirmed is the time of the quorum's last known confirmation; nil before the first.
 	confirmed atomic.Pointer[time.Time]
 
 	mu      sync.Mutex
 	recent  changeLog
-	changed chan struct{} // closed and replaced with every newer view
+	changed chan struct{} // closed and replaced at every newer view
 }
 
-// New makes a controller with an empty view; call Run.
+// New returns a Controller with an empty view. Run must be called to fill it.
 func New(w Watcher, log zerolog.Logger, now func() time.Time) *Controller {
 	c := &Controller{watcher: w, log: log, now: now, changed: make(chan struct{})}
 	c.view.Store(settings.NewView())
 	return c
 }
 
-// Run watches until ctx ends, again after every break, with growing pauses.
+// Run watches the settings until ctx ends. After every break it watches again, with
+// exponential backoff.
 func (c *Controller) Run(ctx context.Context) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = 50 * time.Millisecond
-	pause.MaxInterval = time.Second
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval = 50 * time.Millisecond
+	retry.MaxInterval = time.Second
 	for ctx.Err() == nil {
 		err := c.watcher.Watch(ctx, c.Revision(), func(e *pb.WatchEvent) error {
-			pause.Reset()
+			retry.Reset()
 			return c.apply(e)
 		})
 		if ctx.Err() != nil {
 			return
 		}
-		c.log.Debug().Err(err).Uint64("revision", c.Revision()).Msg("settings watch broke")
+		c.log.Debug().Err(err).Uint64("revision", c.Revision()).Msg("settings watch ended; watching again")
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause.NextBackOff()):
+		case <-time.After(retry.NextBackOff()):
 		}
 	}
 }
 
-// apply applies one event. An event that does not fit ends the watch, so that the
-// next one starts from the revision held.
+// apply applies one event. An event that does not follow the view ends the watch, so that
+// the next watch starts from the revision of the view.
 func (c *Controller) apply(e *pb.WatchEvent) error {
 	next, err := advance(c.view.Load(), e)
 	if err != nil {
 		return err
 	}
 	if next.Revision() < e.Revision {
-		return errors.Errorf("event of revision %d carries changes up to %d only", e.Revision, next.Revision())
+		return errors.Errorf("event of revision %d has changes up to revision %d only", e.Revision, next.Revision())
 	}
 	if e.Confirmed {
 		c.markConfirmed(time.Duration(e.ConfirmedAgeMs) * time.Millisecond)
@@ -92,9 +94,10 @@
 	return nil
 }
 
-// markConfirmed notes when the quorum's word was given. Its age at the sender counts:
-// without it two hosts that watch each other would markConfirmed each other for ever, and
-// neither would notice that the control group is out of reach.
+// markConfirmed records when a quorum confirmed the settings, given the age of the
+// confirmation at the sender. If that age were ignored, two hosts that watch each other
+// would confirm each other forever, and neither would notice that the control group is
+// unreachable.
 func (c *Controller) markConfirmed(age time.Duration) {
 	at := c.now().Add(-age)
 	if last := c.confirmed.Load(); last == nil || at.After(*last) {
@@ -102,7 +105,7 @@
 	}
 }
 
-// advance returns the view after the event, never an older one.
+// advance returns the view after the event, which is never older than v.
 func advance(v *settings.View, e *pb.WatchEvent) (*settings.View, error) {
 	if len(e.SnapshotJson) > 0 {
 		snap, err := settings.ViewFromSnapshot(e.SnapshotJson)
@@ -116,9 +119,9 @@
 	return v.Apply(e.Changes)
 }
 
-// notifyChanged wakes whoever waits in Changed. Only a newer view is announced: if every
-// event were, two hosts that relay to each other would send to and fro without end,
-// seen as a busy core on both.
+// notifyChanged records the event's changes and closes the channel returned by Changed. It is
+// only called for a newer view: if it were called for every event, two hosts that relay to each
+// other would send events back and forth without end, each keeping a CPU core busy.
 func (c *Controller) notifyChanged(from uint64, e *pb.WatchEvent) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,14 +130,15 @@
 	c.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed with the next newer view.
+// Changed returns a channel that is closed at the next newer view.
 func (c *Controller) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-// changesAfter are the changes from a revision to the view in force, if all are kept.
+// changesAfter returns the changes from a revision to the view in force; ok is false if not all
+// of them are kept.
 func (c *Controller) changesAfter(revision uint64) (changes []*pb.ConfigChange, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,7 +162,8 @@
 // Revision implements filter.Settings.
 func (c *Controller) Revision() uint64 { return c.view.Load().Revision() }
 
-// ContactAge is the time since a quorum last confirmed the view; ok is false before the first time.
+// ContactAge returns the time since a quorum last confirmed the view; ok is false if none has
+// done so yet.
 func (c *Controller) ContactAge() (age time.Duration, ok bool) {
 	at := c.confirmed.Load()
 	if at == nil {
@@ -170,13 +175,14 @@
 // InContact implements filter.Settings.
 func (c *Controller) InContact() error {
 	if age, ok := c.ContactAge(); !ok || age > contactValidity {
-		return errkind.New(errkind.HostNotReady, "this host can't tell at present whether it has the newest settings").After(retryAfterNotReady)
+		return errkind.New(errkind.HostNotReady, "this host can't currently confirm that it has the newest settings").After(retryAfterNotReady)
 	}
 	return nil
 }
 
-// Ready implements filter.Settings: nil once a quorum confirmed a revision, and,
-// where the fleet's settings bound it, only while that is not too long ago.
+// Ready implements filter.Settings. It returns nil once a quorum has confirmed a
+// revision; if the fleet's settings have a StaleAfter, only while the confirmation is
+// not older than that.
 func (c *Controller) Ready() error {
 	age, ok := c.ContactAge()
 	if !ok {
@@ -184,7 +190,7 @@
 	}
 	limit := c.Fleet().StaleAfter.Std()
 	if limit > 0 && age > limit {
-		return errkind.New(errkind.HostNotReady, "out of contact with the control group for %s, over the bound of %s",
+		return errkind.New(errkind.HostNotReady, "the control group has been unreachable for %s, longer than the limit of %s",
 			age.Round(time.Millisecond), limit).After(retryAfterNotReady)
 	}
 	return nil
--- a/internal/controller/settings/controller_test.go
+++ b/internal/controller/settings/controller_test.go
@@ -15,7 +15,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// fakeWatcher hands out what the test puts in.
+// fakeWatcher delivers the events that a test sends to its channel.
 type fakeWatcher struct{ events chan *pb.WatchEvent }
 
 func (f *fakeWatcher) Watch(ctx context.Context, _ uint64, fn func(*pb.WatchEvent) error) error {
@@ -45,28 +45,28 @@
 	return c, f
 }
 
-// Symptom: a host serves under rules that were replaced long ago.
-// Sequence: it restarts beside a replica that is cut off from the quorum and watches it.
-// Cause: a revision that no quorum confirmed was taken as the one in force.
+// TestNotReadyBeforeQuorumConfirms guards against a host that restarts next to a replica
+// without a quorum and watches it: if an unconfirmed revision counted as the one in force, the
+// host would serve under rules that were replaced long ago.
 func TestNotReadyBeforeQuorumConfirms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f := startController(t)
 		f.events <- &pb.WatchEvent{Revision: 1, Changes: []*pb.ConfigChange{team(1, "1s")}}
 		synctest.Wait()
 		if err := c.Ready(); !errkind.Is(err, errkind.HostNotReady) {
-			t.Fatalf("ready on an unconfirmed revision: %v", err)
+			t.Fatalf("ready with an unconfirmed revision: %v", err)
 		}
 		f.events <- &pb.WatchEvent{Confirmed: true}
 		synctest.Wait()
 		if err := c.Ready(); err != nil {
-			t.Fatalf("not ready though confirmed: %v", err)
+			t.Fatalf("not ready after the confirmation: %v", err)
 		}
 	})
 }
 
-// Symptom: an accepted change is undone at one host.
-// Sequence: the host applied revision 2, then watches a peer that is still at 1.
-// Cause: an older snapshot or change was applied over a newer one.
+// TestViewNeverGoesBack has a host apply revision 2 and then watch a peer that is still at 1.
+// If an older snapshot or change were applied over a newer one, an accepted change would be
+// undone at that host.
 func TestViewNeverGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, f := startController(t)
@@ -86,7 +86,7 @@
 		synctest.Wait()
 		got, _ := c.Team("a")
 		if c.Revision() != 2 || got.DefaultTimeout.Std() != 2*time.Second {
-			t.Fatalf("went back: revision %d, timeout %s", c.Revision(), got.DefaultTimeout.Std())
+			t.Fatalf("the view went back to revision %d, timeout %s", c.Revision(), got.DefaultTimeout.Std())
 		}
 	})
 }
@@ -111,9 +111,9 @@
 	return NewRelay(r.source).Watch(&pb.WatchRequest{FromRevision: from}, s)
 }
 
-// Symptom: two hosts cut off from the control group never notice it.
-// Sequence: each watches the other; the control group confirmed a revision before the cut.
-// Cause: the quorum's word did not age on its way through relays.
+// TestHostsWatchingEachOtherBecomeStale has two hosts watch each other after the control group,
+// which confirmed a revision, became unreachable. If the confirmation did not age on its way
+// through relays, neither host would ever notice.
 func TestHostsWatchingEachOtherBecomeStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := New(nil, zerolog.Nop(), time.Now), New(nil, zerolog.Nop(), time.Now)
@@ -129,11 +129,11 @@
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if b.Revision() != 1 {
-			t.Fatalf("relay did not pass revision 1 on: %d", b.Revision())
+			t.Fatalf("got revision %d from the relay, want 1", b.Revision())
 		}
 		for name, c := range map[string]*Controller{"a": a, "b": b} {
 			if age, ok := c.ContactAge(); !ok || age < 59*time.Second {
-				t.Errorf("%s: contact seems %s old (%v) after a minute's cut", name, age, ok)
+				t.Errorf("%s: contact age %s (%v) after a minute without contact", name, age, ok)
 			}
 		}
 		cancel()
@@ -142,10 +142,9 @@
 	})
 }
 
-// Symptom: a host that started again never gets ready, though it holds the newest settings.
-// Sequence: it follows a relay that holds the same revision and is in contact.
-// Cause: the relay's word of the quorum named no revision, so it was taken for one about
-// an older one.
+// TestRelayConfirmsUnchangedRevision guards against a restarted host that never becomes ready
+// although it has the newest settings: it watches a connected relay at the same revision, and a
+// confirmation without a revision was taken for that of an older one.
 func TestRelayConfirmsUnchangedRevision(t *testing.T) {
 	c := New(nil, zerolog.Nop(), time.Now)
 	if err := c.apply(&pb.WatchEvent{Revision: 1, Confirmed: true, Changes: []*pb.ConfigChange{team(1, "1s")}}); err != nil {
@@ -157,9 +156,9 @@
 	}
 }
 
-// Symptom: one changed line costs a relay the whole tree for each host behind it.
-// Sequence: a host relays; a watcher that has everything but the last change asks.
-// Cause: the relay kept the view only and had nothing smaller to send.
+// TestRelaySendsChangesOrSnapshot checks that a relay sends a watcher only the changes that it
+// lacks. A relay that kept nothing but the view would send the whole tree to each of its
+// watchers for every changed line.
 func TestRelaySendsChangesOrSnapshot(t *testing.T) {
 	c := New(nil, zerolog.Nop(), time.Now)
 	for rev := uint64(1); rev <= maxRecentChanges+5; rev++ {
@@ -176,7 +175,7 @@
 	}{{last, 0, false}, {last - 1, 1, false}, {last - maxRecentChanges, maxRecentChanges, false}, {last - maxRecentChanges - 1, 0, true}, {0, 0, true}} {
 		e, err := r.event(tt.have)
 		if err != nil || len(e.Changes) != tt.changes || len(e.SnapshotJson) > 0 != tt.tree {
-			t.Fatalf("to a watcher at %d: %d changes, tree of %d bytes, %v; want %d, %v",
+			t.Fatalf("event for a watcher at %d: %d changes, tree of %d bytes, %v; want %d, %v",
 				tt.have, len(e.GetChanges()), len(e.GetSnapshotJson()), err, tt.changes, tt.tree)
 		}
 		v := settings.NewView()
@@ -184,7 +183,7 @@
 			continue
 		}
 		if got, err := advance(v, e); err != nil || got.Revision() != last {
-			t.Fatalf("the tree leads to revision %d, %v", got.Revision(), err)
+			t.Fatalf("the tree has revision %d, %v", got.Revision(), err)
 		}
 	}
 }
--- a/internal/controller/settings/recent.go
+++ b/internal/controller/settings/recent.go
@@ -2,18 +2,19 @@
 
 import "github.com/bluebellsail/bluebellsail/internal/pb"
 
-// maxRecentChanges bounds the changes that a host keeps for the hosts which it relays to.
+// maxRecentChanges bounds the number of changes that a host keeps for the hosts to which it
+// relays.
 const maxRecentChanges = 1000
 
-// changeLog are the last changes that led to the view, without a gap.
+// changeLog holds the last changes that led to the view, without a gap.
 type changeLog struct {
-	// since is the revision before the first of them.
+	// since is the revision before the first of the changes.
 	since   uint64
 	changes []*pb.ConfigChange
 }
 
-// advance takes the event that led from one revision to another. A snapshot leaves a
-// gap: what was kept before it is dropped.
+// advance adds the changes of the event that followed revision from. A snapshot leaves a gap,
+// so the changes before it are dropped.
 func (r *changeLog) advance(from uint64, e *pb.WatchEvent) {
 	if len(e.SnapshotJson) > 0 {
 		r.changes, r.since = nil, e.Revision
@@ -33,7 +34,7 @@
 	}
 }
 
-// after are the changes that follow a revision; ok is false if not all are kept.
+// after returns the changes that follow a revision; ok is false if not all of them are kept.
 func (r *changeLog) after(revision uint64) (changes []*pb.ConfigChange, ok bool) {
 	if revision < r.since {
 		return nil, false
--- a/internal/controller/settings/relay.go
+++ b/internal/controller/settings/relay.go
@@ -9,7 +9,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// relayInterval is how often a relay repeats its state to a watcher without a change.
+// relayInterval is how often a relay sends its state to a watcher while nothing changes.
 const relayInterval = time.Second
 
 // Relay implements the Watch of pb.ControlServer on hosts without a replica.
@@ -18,10 +18,10 @@
 	controller *Controller
 }
 
-// NewRelay serves what c holds.
+// NewRelay returns a Relay of the view of c.
 func NewRelay(c *Controller) *Relay { return &Relay{controller: c} }
 
-// Watch sends the view and then each newer one, until the watcher goes.
+// Watch sends the view and then each newer one, until the watcher disconnects.
 func (r *Relay) Watch(req *pb.WatchRequest, stream grpc.ServerStreamingServer[pb.WatchEvent]) error {
 	ticker := time.NewTicker(relayInterval)
 	defer ticker.Stop()
@@ -45,10 +45,10 @@
 	}
 }
 
-// event is what a watcher lacks: the changes since its revision, or the whole tree if
-// they are no longer kept, or nothing. It names
-// the revision in any case: a watcher takes no word of the quorum about another one
-// than its own, and would stay unready beside a relay that has just what it has.
+// event returns the event for a watcher at revision have: the changes since then, the whole
+// tree if those are no longer kept, or neither if there are none. It always has the revision:
+// a watcher accepts a confirmation only for its own revision, and would otherwise never become
+// ready with a relay that has the same revision.
 func (r *Relay) event(have uint64) (*pb.WatchEvent, error) {
 	v := r.controller.View()
 	age, confirmed := r.controller.ContactAge()
