--- a/internal/controller/news/bench_test.go
+++ b/internal/controller/news/bench_test.go
@@ -9,10 +9,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// BenchmarkBytesPerNews counts what hosts send for word of one leaving server, without gRPC's
+// BenchmarkBytesPerUpdate counts what hosts send for word of one leaving server, without gRPC's
 // framing: all together for each host, the one that heard it first, and the rounds until the
 // last host has it.
-func BenchmarkBytesPerNews(b *testing.B) {
+func BenchmarkBytesPerUpdate(b *testing.B) {
 	for _, n := range []int{75, 300, 1400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var all []string
@@ -25,7 +25,7 @@
 			}}}
 			var total, first, rounds int
 			for b.Loop() {
-				total, first, rounds = sent(n, all)
+				total, first, rounds = countBytes(n, all)
 			}
 			b.ReportMetric(float64(total)/float64(len(all)+1), "B/host")
 			b.ReportMetric(float64(first), "B/first")
@@ -34,13 +34,13 @@
 	}
 }
 
-// sent is what the hosts at these addresses and the one that tells them send in all, what
+// countBytes is what the hosts at these addresses and the one that tells them send in all, what
 // the latter sends, and in how many rounds.
-func sent(n *pb.TellRequest, addresses []string) (total, here, rounds int) {
-	for _, group := range groups(addresses) {
+func countBytes(n *pb.TellRequest, addresses []string) (total, here, rounds int) {
+	for _, group := range splitGroups(addresses) {
 		m := &pb.TellRequest{Servers: n.GetServers(), FromAddress: group[0], Onward: group[1:]}
 		here += proto.Size(m)
-		below, _, deeper := sent(n, group[1:])
+		below, _, deeper := countBytes(n, group[1:])
 		total += below
 		rounds = max(rounds, deeper+1)
 	}
--- a/internal/controller/news/news.go
+++ b/internal/controller/news/news.go
@@ -29,18 +29,18 @@
 const (
 	// fanOut is how many hosts a host tells: two rounds reach 72 hosts, four 4,680.
 	fanOut = 8
-	// tellTimeout bounds one message. It takes a few milliseconds; a host that has used up
+	// callTimeout bounds one message. It takes a few milliseconds; a host that has used up
 	// its processor time pauses for up to 80 ms.
-	tellTimeout = 200 * time.Millisecond
-	// gather is how long news waits for more of it: servers of a service are stopped
+	callTimeout = 200 * time.Millisecond
+	// batchDelay is how long news waits for more of it: servers of a service are stopped
 	// together, and operators send tables one after the other.
-	gather = 20 * time.Millisecond
+	batchDelay = 20 * time.Millisecond
 	// maxSuspects bounds the requests in one message, which has some 130 B of each: when a zone's
 	// servers are lost, all requests that ran there are told.
 	maxSuspects = 256
-	// minPause between two tables: of tables that come in quick succession only the newest
+	// minTableInterval between two tables: of tables that come in quick succession only the newest
 	// matters.
-	minPause = 100 * time.Millisecond
+	minTableInterval = 100 * time.Millisecond
 )
 
 // Config of a Spreader.
@@ -50,20 +50,20 @@
 	// Peers are the peer addresses of the other hosts that are not known to be dead.
 	Peers  func() []string
 	Client func(address string) pb.PeerClient
-	// Servers takes states of backend servers that another host heard of.
-	Servers func([]*pb.ServerState)
-	// Suspects takes what another host knows of requests under which servers crashed.
-	Suspects func(told []*pb.Suspect, from string)
-	// Limits takes what another host knows of servers' rate limits; nil: nothing does.
-	Limits func([]*pb.ServerLimit)
-	// Fetch gets the routing table of the host at an address if this host has an older
+	// OnServers takes states of backend servers that another host heard of.
+	OnServers func([]*pb.ServerState)
+	// OnSuspects takes what another host knows of requests under which servers crashed.
+	OnSuspects func(told []*pb.Suspect, from string)
+	// OnLimits takes what another host knows of servers' rate limits; nil: nothing does.
+	OnLimits func([]*pb.ServerLimit)
+	// FetchTable gets the routing table of the host at an address if this host has an older
 	// revision.
-	Fetch func(ctx context.Context, address string, revision uint64)
+	FetchTable func(ctx context.Context, address string, revision uint64)
 	Log   zerolog.Logger
 }
 
-// Spreader tells and hands on news. It is safe for concurrent use.
-type Spreader struct {
+// Broadcaster tells and hands on news. It is safe for concurrent use.
+type Broadcaster struct {
 	cfg  Config
 	wake chan struct{}
 	// sends are the messages under way.
@@ -76,24 +76,24 @@
 	suspects map[suspectKey]*pb.Suspect
 	limits   map[string]*pb.ServerLimit
 	revision uint64
-	// told is when a table was last told.
-	told time.Time
+	// lastTable is when a table was last lastTable.
+	lastTable time.Time
 }
 
 // suspectKey names a request under which servers crashed.
 type suspectKey struct{ account, fingerprint string }
 
 // New makes a spreader; nothing is told before Run.
-func New(cfg Config) *Spreader {
-	return &Spreader{
+func New(cfg Config) *Broadcaster {
+	return &Broadcaster{
 		cfg: cfg, wake: make(chan struct{}, 1), servers: make(map[string]*pb.ServerState), suspects: make(map[suspectKey]*pb.Suspect),
 		limits: make(map[string]*pb.ServerLimit),
 	}
 }
 
-// Server tells all hosts the state of a backend server, soon: the newest one that it was
+// BroadcastServer tells all hosts the state of a backend server, soon: the newest one that it was
 // given. States come from goroutines that may overtake each other.
-func (s *Spreader) Server(st *pb.ServerState) {
+func (s *Broadcaster) BroadcastServer(st *pb.ServerState) {
 	s.mu.Lock()
 	if waiting := s.servers[st.GetId()]; waiting == nil || membership.Supersedes(st, waiting) {
 		s.servers[st.GetId()] = st
@@ -102,31 +102,31 @@
 	s.signal()
 }
 
-// Suspect tells all hosts what this one knows of a request, soon: the newest that it was given.
-func (s *Spreader) Suspect(told *pb.Suspect) {
+// BroadcastSuspect tells all hosts what this one knows of a request, soon: the newest that it was given.
+func (s *Broadcaster) BroadcastSuspect(told *pb.Suspect) {
 	s.mu.Lock()
 	s.suspects[suspectKey{told.GetAccount(), string(told.GetFingerprint())}] = told
 	s.mu.Unlock()
 	s.signal()
 }
 
-// Limit tells all hosts what a server says of its rate limit, soon: the newest that it was given.
-func (s *Spreader) Limit(told *pb.ServerLimit) {
+// BroadcastLimit tells all hosts what a server says of its rate limit, soon: the newest that it was given.
+func (s *Broadcaster) BroadcastLimit(told *pb.ServerLimit) {
 	s.mu.Lock()
 	s.limits[told.GetRun().GetId()] = told
 	s.mu.Unlock()
 	s.signal()
 }
 
-// Table tells all hosts of the routing table that can be fetched from this one, soon.
-func (s *Spreader) Table(revision uint64) {
+// BroadcastTable tells all hosts of the routing table that can be fetched from this one, soon.
+func (s *Broadcaster) BroadcastTable(revision uint64) {
 	s.mu.Lock()
 	s.revision = max(s.revision, revision)
 	s.mu.Unlock()
 	s.signal()
 }
 
-func (s *Spreader) signal() {
+func (s *Broadcaster) signal() {
 	select {
 	case s.wake <- struct{}{}:
 	default: // Run is about to look
@@ -134,38 +134,38 @@
 }
 
 // Run tells news until ctx ends, and then waits for the messages under way.
-func (s *Spreader) Run(ctx context.Context) {
-	s.begin(ctx)
+func (s *Broadcaster) Run(ctx context.Context) {
+	s.start(ctx)
 	defer s.sends.Wait()
-	defer s.end()
+	defer s.stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.wake:
 		}
-		time.Sleep(gather)
-		if n := s.take(); n != nil {
-			s.spread(ctx, n, shuffled(s.cfg.Peers()))
+		time.Sleep(batchDelay)
+		if n := s.nextUpdate(); n != nil {
+			s.broadcast(ctx, n, shuffled(s.cfg.Peers()))
 		}
 	}
 }
 
-func (s *Spreader) begin(ctx context.Context) {
+func (s *Broadcaster) start(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ctx = ctx
 }
 
-// end has no more news handed on.
-func (s *Spreader) end() {
+// stop has no more news handed on.
+func (s *Broadcaster) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ctx = nil
 }
 
-// take returns what is to be told now, nil for nothing.
-func (s *Spreader) take() *pb.TellRequest {
+// nextUpdate returns what is to be told now, nil for nothing.
+func (s *Broadcaster) nextUpdate() *pb.TellRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := &pb.TellRequest{}
@@ -186,10 +186,10 @@
 		delete(s.limits, id)
 	}
 	if s.revision > 0 {
-		if pause := minPause - time.Since(s.told); pause > 0 {
+		if pause := minTableInterval - time.Since(s.lastTable); pause > 0 {
 			time.AfterFunc(pause, s.signal)
 		} else {
-			n.RoutesRevision, s.revision, s.told = s.revision, 0, time.Now()
+			n.RoutesRevision, s.revision, s.lastTable = s.revision, 0, time.Now()
 		}
 	}
 	if len(n.Servers) == 0 && len(n.Suspects) == 0 && len(n.Limits) == 0 && n.RoutesRevision == 0 {
@@ -206,18 +206,18 @@
 	return out
 }
 
-// spread tells the hosts at these addresses, and returns before it is done.
-func (s *Spreader) spread(ctx context.Context, n *pb.TellRequest, addresses []string) {
-	for _, group := range groups(addresses) {
+// broadcast tells the hosts at these addresses, and returns before it is done.
+func (s *Broadcaster) broadcast(ctx context.Context, n *pb.TellRequest, addresses []string) {
+	for _, group := range splitGroups(addresses) {
 		s.sends.Go(func() {
 			defer panics.Log(s.cfg.Log, "telling news")
-			s.tellGroup(ctx, n, group)
+			s.notifyGroup(ctx, n, group)
 		})
 	}
 }
 
-// groups divides addresses into as many groups as a host tells, of about the same size.
-func groups(addresses []string) [][]string {
+// splitGroups divides addresses into as many splitGroups as a host tells, of about the same size.
+func splitGroups(addresses []string) [][]string {
 	var out [][]string
 	for left := fanOut; len(addresses) > 0; left-- {
 		size := (len(addresses) + left - 1) / left
@@ -227,8 +227,8 @@
 	return out
 }
 
-// tellGroup tells the first host of a group that answers, which tells the rest.
-func (s *Spreader) tellGroup(ctx context.Context, n *pb.TellRequest, group []string) {
+// notifyGroup tells the first host of a group that answers, which tells the rest.
+func (s *Broadcaster) notifyGroup(ctx context.Context, n *pb.TellRequest, group []string) {
 	for len(group) > 0 && ctx.Err() == nil {
 		head := group[0]
 		group = group[1:]
@@ -236,7 +236,7 @@
 			Servers: n.GetServers(), Suspects: n.GetSuspects(), Limits: n.GetLimits(), RoutesRevision: n.GetRoutesRevision(),
 			FromAddress: s.cfg.Self, Onward: group,
 		}
-		callCtx, cancel := context.WithTimeout(ctx, tellTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		_, err := s.cfg.Client(head).Tell(callCtx, req)
 		cancel()
 		if err == nil {
@@ -247,31 +247,31 @@
 }
 
 // Handle takes news from another host. It answers before it hands them on.
-func (s *Spreader) Handle(req *pb.TellRequest) *pb.TellReply {
+func (s *Broadcaster) Handle(req *pb.TellRequest) *pb.TellReply {
 	if len(req.GetServers()) > 0 {
-		s.cfg.Servers(req.GetServers())
+		s.cfg.OnServers(req.GetServers())
 	}
 	if len(req.GetSuspects()) > 0 {
-		s.cfg.Suspects(req.GetSuspects(), req.GetFromAddress())
+		s.cfg.OnSuspects(req.GetSuspects(), req.GetFromAddress())
 	}
-	if len(req.GetLimits()) > 0 && s.cfg.Limits != nil {
-		s.cfg.Limits(req.GetLimits())
+	if len(req.GetLimits()) > 0 && s.cfg.OnLimits != nil {
+		s.cfg.OnLimits(req.GetLimits())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ctx := s.ctx; ctx != nil {
 		s.sends.Go(func() {
 			defer panics.Log(s.cfg.Log, "handing news on")
-			s.handOn(ctx, req)
+			s.forward(ctx, req)
 		})
 	}
 	return &pb.TellReply{}
 }
 
-// handOn gets the table that the news are of before it names this host for it.
-func (s *Spreader) handOn(ctx context.Context, req *pb.TellRequest) {
+// forward gets the table that the news are of before it names this host for it.
+func (s *Broadcaster) forward(ctx context.Context, req *pb.TellRequest) {
 	if req.GetRoutesRevision() > 0 {
-		s.cfg.Fetch(ctx, req.GetFromAddress(), req.GetRoutesRevision())
+		s.cfg.FetchTable(ctx, req.GetFromAddress(), req.GetRoutesRevision())
 	}
-	s.spread(ctx, req, req.GetOnward())
+	s.broadcast(ctx, req, req.GetOnward())
 }
--- a/internal/controller/news/news_test.go
+++ b/internal/controller/news/news_test.go
@@ -31,13 +31,13 @@
 
 // host is one host's spreader and what it was told.
 type host struct {
-	*Spreader
+	*Broadcaster
 	f  *fleet
-	at string
+	address string
 
 	mu       sync.Mutex
-	heard    map[string]time.Time
-	told     map[string]bool
+	received    map[string]time.Time
+	receivedSuspects     map[string]bool
 	revision uint64
 	fetched  time.Time
 }
@@ -45,12 +45,12 @@
 func newFleet(t *testing.T, n int) *fleet {
 	f := &fleet{hosts: make(map[string]*host), down: make(map[string]bool)}
 	for i := range n {
-		h := &host{f: f, at: address(i), heard: make(map[string]time.Time), told: make(map[string]bool)}
-		h.Spreader = New(Config{
-			Self: h.at, Peers: func() []string { return f.others(h.at) }, Client: func(to string) pb.PeerClient { return client{f: f, to: to} },
-			Servers: h.take, Suspects: h.suspects, Fetch: h.fetch, Log: zerolog.Nop(),
+		h := &host{f: f, address: address(i), received: make(map[string]time.Time), receivedSuspects: make(map[string]bool)}
+		h.Broadcaster = New(Config{
+			Self: h.address, Peers: func() []string { return f.others(h.address) }, Client: func(to string) pb.PeerClient { return client{f: f, to: to} },
+			OnServers: h.take, OnSuspects: h.suspects, FetchTable: h.fetch, Log: zerolog.Nop(),
 		})
-		f.hosts[h.at] = h
+		f.hosts[h.address] = h
 		go h.Run(t.Context())
 	}
 	synctest.Wait()
@@ -73,7 +73,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range told {
-		h.told[string(s.GetFingerprint())] = true
+		h.receivedSuspects[string(s.GetFingerprint())] = true
 	}
 }
 
@@ -81,8 +81,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, st := range states {
-		if h.heard[st.GetId()].IsZero() {
-			h.heard[st.GetId()] = time.Now()
+		if h.received[st.GetId()].IsZero() {
+			h.received[st.GetId()] = time.Now()
 		}
 	}
 }
@@ -125,16 +125,16 @@
 	return c.f.hosts[c.to].Handle(r), nil
 }
 
-// slowest is how long after begin the last host that is not down heard of a server; false
+// slowestReceipt is how long after begin the last host that is not down heard of a server; false
 // if one has not.
-func (f *fleet) slowest(begin time.Time, server string) (time.Duration, bool) {
+func (f *fleet) slowestReceipt(begin time.Time, server string) (time.Duration, bool) {
 	worst := time.Duration(0)
 	for at, h := range f.hosts {
 		if f.down[at] || at == address(0) {
 			continue
 		}
 		h.mu.Lock()
-		heard := h.heard[server]
+		heard := h.received[server]
 		h.mu.Unlock()
 		if heard.IsZero() {
 			return 0, false
@@ -148,15 +148,15 @@
 // Sequence: the server tells one host; heartbeats carry the word on, one neighbour each
 // 250 ms; the last host hears it after eleven of them.
 // Cause: nothing but heartbeats carried it. Now every host is told, in a few round trips.
-func TestLargeFleetHearsOfALeavingServerAtOnce(t *testing.T) {
+func TestLeavingServerReachesLargeFleetQuickly(t *testing.T) {
 	for _, n := range []int{2, 12, 75, 1400} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, n)
 			begin := time.Now()
-			f.hosts[address(0)].Server(&pb.ServerState{Id: "s1", Leaving: true})
+			f.hosts[address(0)].BroadcastServer(&pb.ServerState{Id: "s1", Leaving: true})
 			time.Sleep(time.Second)
-			took, all := f.slowest(begin, "s1")
-			if most := gather + 5*roundTrip; !all || took > most {
+			took, all := f.slowestReceipt(begin, "s1")
+			if most := batchDelay + 5*roundTrip; !all || took > most {
 				t.Errorf("%d hosts: all %v after %v, want %v at most", n, all, took, most)
 			}
 			if f.calls != n-1 {
@@ -170,7 +170,7 @@
 // Sequence: it was started again, and leaves; at the same moment the end of its former run
 // is given to be told, or an older word of the same run.
 // Cause: of two words of one server the one that came last was told.
-func TestNewestWordOfAServerIsTold(t *testing.T) {
+func TestNewestStateOfServerIsBroadcast(t *testing.T) {
 	leaving := &pb.ServerState{Id: "s1", Incarnation: 200, Seq: 1, Leaving: true}
 	for name, other := range map[string]*pb.ServerState{
 		"former run":  {Id: "s1", Incarnation: 100, Seq: 90, Gone: true},
@@ -179,9 +179,9 @@
 		for _, order := range [][]*pb.ServerState{{leaving, other}, {other, leaving}} {
 			s := New(Config{})
 			for _, st := range order {
-				s.Server(st)
+				s.BroadcastServer(st)
 			}
-			if told := s.take().GetServers(); len(told) != 1 || told[0] != leaving {
+			if told := s.nextUpdate().GetServers(); len(told) != 1 || told[0] != leaving {
 				t.Errorf("%s: told %v", name, told)
 			}
 		}
@@ -191,17 +191,17 @@
 // Symptom: hosts go on sending to a server that left while others of the fleet are lost.
 // Sequence: a fifth of the hosts are killed and not yet known to be dead; a server leaves.
 // Cause: a lost host that was to hand the word on took it with it.
-func TestLostHostsStopNoNews(t *testing.T) {
+func TestDeadHostsDoNotStopBroadcast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 75)
 		for i := 1; i < 75; i += 5 {
 			f.down[address(i)] = true
 		}
 		begin := time.Now()
-		f.hosts[address(0)].Server(&pb.ServerState{Id: "s1", Gone: true})
+		f.hosts[address(0)].BroadcastServer(&pb.ServerState{Id: "s1", Gone: true})
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
-		took, all := f.slowest(begin, "s1")
+		took, all := f.slowestReceipt(begin, "s1")
 		if !all || took > 1500*time.Millisecond {
 			t.Errorf("all %v after %v", all, took)
 		}
@@ -211,24 +211,24 @@
 // Symptom: the control group's leader answers late while tables change.
 // Sequence: all hosts fetch each new table from it.
 // Cause: it is the only one known to have the table. Now hosts fetch from who told them.
-func TestTableIsFetchedFromWhoToldOfIt(t *testing.T) {
+func TestTableIsFetchedFromNotifyingHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 75)
 		leader := f.hosts[address(0)]
 		leader.revision = 9
 		begin := time.Now()
-		leader.Table(9)
+		leader.BroadcastTable(9)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		fromLeader := 0
 		for at, h := range f.hosts {
-			if at == leader.at {
+			if at == leader.address {
 				continue
 			}
-			if h.revision != 9 || h.fetched.Sub(begin) > gather+8*roundTrip {
+			if h.revision != 9 || h.fetched.Sub(begin) > batchDelay+8*roundTrip {
 				t.Errorf("%s has revision %d after %v", at, h.revision, h.fetched.Sub(begin))
 			}
-			if h.fetched.Sub(begin) <= gather+2*roundTrip {
+			if h.fetched.Sub(begin) <= batchDelay+2*roundTrip {
 				fromLeader++
 			}
 		}
@@ -238,7 +238,7 @@
 	})
 }
 
-func TestTablesInQuickSuccessionAreToldTogether(t *testing.T) {
+func TestTablesInQuickSuccessionAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
 		leader := f.hosts[address(0)]
@@ -246,7 +246,7 @@
 			leader.mu.Lock()
 			leader.revision = revision + 1
 			leader.mu.Unlock()
-			leader.Table(revision + 1)
+			leader.BroadcastTable(revision + 1)
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -262,18 +262,18 @@
 
 // Guards against requests that are not told of because many servers are lost at once, and against
 // one message that holds them all.
-func TestAllHostsHearOfAllSuspects(t *testing.T) {
+func TestAllSuspectsReachAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts, suspects = 75, 3*maxSuspects + 1
 		f := newFleet(t, hosts)
 		for n := range suspects {
-			f.hosts[address(0)].Suspect(&pb.Suspect{Account: "a", Fingerprint: fmt.Append(nil, n)})
+			f.hosts[address(0)].BroadcastSuspect(&pb.Suspect{Account: "a", Fingerprint: fmt.Append(nil, n)})
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
 		for at, h := range f.hosts {
 			h.mu.Lock()
-			if got := len(h.told); got != suspects && at != address(0) {
+			if got := len(h.receivedSuspects); got != suspects && at != address(0) {
 				t.Errorf("%s heard of %d of %d", at, got, suspects)
 			}
 			h.mu.Unlock()
--- a/internal/daemon/entry.go
+++ b/internal/daemon/entry.go
@@ -71,7 +71,7 @@
 	owners   *owners.Table
 	limits   *ratelimits.Limiter
 	suspects *quarantinectl.Guard
-	news     *news.Spreader
+	news     *news.Broadcaster
 	client   *engineclient.Client
 
 	grants  *grants.Manager
@@ -87,7 +87,7 @@
 	e.self.Store(&pb.Holder{Host: cfg.Host})
 	e.explain = explain.New(cfg.Host, cfg.Zone, explained)
 	e.owners = owners.New(owners.Config{Self: e.asOwner, Peers: func() []members.PeerInfo { return e.members.Peers() }})
-	e.limits = d.newLimiter(e.owners, func(l *pb.ServerLimit) { e.news.Limit(l) })
+	e.limits = d.newLimiter(e.owners, func(l *pb.ServerLimit) { e.news.BroadcastLimit(l) })
 	e.sched = scheduler.New(scheduler.Options{
 		Sched:   sched.Config{Host: cfg.Host, Zone: cfg.Zone},
 		Backend: backend.Config{Lapse: cfg.Timing.ServerLapse.Std()},
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -54,7 +54,7 @@
 	balancer *balancer.Balancer
 	limits   *ratelimits.Limiter
 	members  *members.Controller
-	news     *news.Spreader
+	news     *news.Broadcaster
 	suspects *quarantinectl.Guard
 	owners   *owners.Table
 	budgets  *budgets.Reserver
@@ -196,7 +196,7 @@
 	d.client.SetAddresses(g.controlAddresses)
 	retries := cfg.Routed.Retry
 	g.owners = owners.New(owners.Config{Self: g.asOwner, Peers: func() []members.PeerInfo { return g.members.Peers() }})
-	g.limits = d.newLimiter(g.owners, func(l *pb.ServerLimit) { g.news.Limit(l) })
+	g.limits = d.newLimiter(g.owners, func(l *pb.ServerLimit) { g.news.BroadcastLimit(l) })
 	g.balancer = balancer.New(balancer.Config{
 		Host: cfg.Host, Zone: cfg.Zone, Log: d.tel.Log,
 		Retry:    retry.Bounds{Window: retries.Window.Std(), Share: retries.Share, Extra: retries.Extra},
@@ -288,7 +288,7 @@
 		}
 		g.members.Kick()
 		if _, _, leads := g.d.replica.Leading(); leads {
-			g.news.Table(table.GetRevision())
+			g.news.BroadcastTable(table.GetRevision())
 		}
 	})
 }
--- a/internal/daemon/gatewaynews.go
+++ b/internal/daemon/gatewaynews.go
@@ -9,12 +9,12 @@
 )
 
 // newNews makes what tells all hosts of servers that leave and of newer routing tables.
-func (g *gateway) newNews() *news.Spreader {
+func (g *gateway) newNews() *news.Broadcaster {
 	return news.New(news.Config{
 		Self: g.d.cfg.PeerAddress(), Peers: g.livePeers, Client: g.d.pool.Client,
-		Suspects: g.suspects.HandleUpdates, Limits: g.limits.Merge,
-		Servers: func(states []*pb.ServerState) { g.balancer.Merge(states, backend.TransitUnknown) },
-		Fetch:   g.fetchTold, Log: g.d.tel.Log,
+		OnSuspects: g.suspects.HandleUpdates, OnLimits: g.limits.Merge,
+		OnServers: func(states []*pb.ServerState) { g.balancer.Merge(states, backend.TransitUnknown) },
+		FetchTable:   g.fetchTold, Log: g.d.tel.Log,
 	})
 }
 
@@ -29,6 +29,6 @@
 func (g *gateway) serverChanged(st *pb.ServerState) {
 	g.members.Kick()
 	if st.GetLeaving() || st.GetGone() {
-		g.news.Server(st)
+		g.news.BroadcastServer(st)
 	}
 }
--- a/internal/daemon/suspects.go
+++ b/internal/daemon/suspects.go
@@ -38,7 +38,7 @@
 func (g *gateway) newSuspects() *quarantinectl.Guard {
 	return g.d.newGuard(quarantinectl.Config{
 		Incarnation: g.run, Owners: g.owners, Peers: g.sourceAddresses, Responds: g.client.Answers,
-		Broadcast: func(s *pb.Suspect) { g.news.Suspect(s) },
+		Broadcast: func(s *pb.Suspect) { g.news.BroadcastSuspect(s) },
 	})
 }
 
@@ -46,11 +46,11 @@
 func (e *entry) makeSuspects() {
 	e.suspects = e.d.newGuard(quarantinectl.Config{
 		Incarnation: newRun(e.d.cfg.Host), Owners: e.owners, Peers: e.relayAddresses, Responds: e.client.Answers,
-		Broadcast: func(s *pb.Suspect) { e.news.Suspect(s) },
+		Broadcast: func(s *pb.Suspect) { e.news.BroadcastSuspect(s) },
 	})
 	e.news = news.New(news.Config{
-		Self: e.d.cfg.PeerAddress(), Peers: e.livePeers, Client: e.d.pool.Client, Suspects: e.suspects.HandleUpdates, Limits: e.limits.Merge,
-		Servers: func([]*pb.ServerState) {}, Fetch: func(context.Context, string, uint64) {}, Log: e.d.tel.Log,
+		Self: e.d.cfg.PeerAddress(), Peers: e.livePeers, Client: e.d.pool.Client, OnSuspects: e.suspects.HandleUpdates, OnLimits: e.limits.Merge,
+		OnServers: func([]*pb.ServerState) {}, FetchTable: func(context.Context, string, uint64) {}, Log: e.d.tel.Log,
 	})
 }
 
