--- a/internal/controller/news/bench_test.go
+++ b/internal/controller/news/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// BenchmarkBytesPerUpdate counts what hosts send for word of one leaving server, without gRPC's
-// framing: all together for each host, the one that heard it first, and the rounds until the
-// last host has it.
+// BenchmarkBytesPerUpdate counts the bytes that hosts send for an update about one leaving
+// server, without gRPC's framing: the mean of all hosts, those of the broadcasting host, and the
+// rounds until the last host is notified.
 func BenchmarkBytesPerUpdate(b *testing.B) {
 	for _, n := range []int{75, 300, 1400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// countBytes is what the hosts at these addresses and the one that tells them send in all, what
-// the latter sends, and in how many rounds.
+// countBytes returns the bytes that the hosts at these addresses and the one that notifies them
+// send in total, the bytes that the latter sends, and the number of rounds.
 func countBytes(n *pb.TellRequest, addresses []string) (total, here, rounds int) {
 	for _, group := range splitGroups(addresses) {
 		m := &pb.TellRequest{Servers: n.GetServers(), FromAddress: group[0], Onward: group[1:]}
--- a/internal/controller/news/news.go
+++ b/internal/controller/news/news.go
@@ -1,16 +1,15 @@
-// Package news tells all hosts of a fleet what must not wait for heartbeats: that a backend
-// server leaves or is gone, that one limits its rate, that one crashed under a request, and that
-// there is a newer routing table.
+// Package news broadcasts updates to all hosts of a fleet that must not wait for heartbeats:
+// that a backend server is leaving or has stopped, that one advertises a rate limit, that one
+// crashed under a request, and that there is a newer routing table.
 //
-// What goes wrong without it: in a fleet too large for each host to hear every other one,
-// heartbeats carry word from host to host, one neighbour each 250 ms. Of 67 hosts the last
-// one learned after 2.7 s that a server leaves, and sent it a request that the server was
-// no longer there to answer.
+// In a fleet too large for a full mesh, heartbeats pass updates from host to host, to one
+// neighbor every 250 ms. Of 67 hosts the last one knew only after 2.7 s that a server was
+// leaving, and sent a request to the server after it had stopped.
 //
-// Whoever hears the news first divides the hosts into groups and tells the first host of
-// each; that one does the same with the rest of its group. All of 1,400 hosts are told in
-// four rounds, by one message each. A host that does not answer is passed over, and its
-// group goes to the next one. Who is missed hears it by heartbeats, later.
+// The host that broadcasts an update divides the other hosts into groups and notifies the
+// first host of each, which does the same with the rest of its group. 1,400 hosts are
+// notified in four rounds, with one message to each. A host that does not answer is skipped,
+// and the next one gets its group. A host that is missed gets the update later by heartbeats.
 package news
 
 import (
@@ -27,63 +26,64 @@
 )
 
 const (
-	// fanOut is how many hosts a host tells: two rounds reach 72 hosts, four 4,680.
+	// fanOut is the number of hosts that a host notifies: two rounds reach 72 hosts, four 4,680.
 	fanOut = 8
-	// callTimeout bounds one message. It takes a few milliseconds; a host that has used up
-	// its processor time pauses for up to 80 ms.
+	// callTimeout is the timeout of one message. A message takes a few milliseconds, but a host
+	// that has used up its processor time pauses for up to 80 ms.
 	callTimeout = 200 * time.Millisecond
-	// batchDelay is how long news waits for more of it: servers of a service are stopped
-	// together, and operators send tables one after the other.
+	// batchDelay is how long an update waits for others to be sent with it: the servers of a
+	// service are stopped together, and operators send tables one after the other.
 	batchDelay = 20 * time.Millisecond
-	// maxSuspects bounds the requests in one message, which has some 130 B of each: when a zone's
-	// servers are lost, all requests that ran there are told.
+	// maxSuspects bounds the suspects in one message, of some 130 B each: when the servers of a
+	// zone crash, all requests that ran there become suspects.
 	maxSuspects = 256
-	// minTableInterval between two tables: of tables that come in quick succession only the newest
-	// matters.
+	// minTableInterval is the minimum time between two updates about tables: of tables in quick
+	// succession only the newest matters.
 	minTableInterval = 100 * time.Millisecond
 )
 
-// Config of a Spreader.
+// Config configures a Broadcaster.
 type Config struct {
 	// Self is this host's peer address.
 	Self string
-	// Peers are the peer addresses of the other hosts that are not known to be dead.
+	// Peers returns the peer addresses of the other hosts that are not known to be dead.
 	Peers  func() []string
 	Client func(address string) pb.PeerClient
-	// OnServers takes states of backend servers that another host heard of.
+	// OnServers is called with the states of backend servers that another host sent.
 	OnServers func([]*pb.ServerState)
-	// OnSuspects takes what another host knows of requests under which servers crashed.
-	OnSuspects func(told []*pb.Suspect, from string)
-	// OnLimits takes what another host knows of servers' rate limits; nil: nothing does.
+	// OnSuspects is called with the suspects that the host at address from sent.
+	OnSuspects func(suspects []*pb.Suspect, from string)
+	// OnLimits is called with the rate limits that another host sent; may be nil.
 	OnLimits func([]*pb.ServerLimit)
-	// FetchTable gets the routing table of the host at an address if this host has an older
-	// revision.
+	// FetchTable fetches the routing table from the host at an address if this host has an
+	// older revision.
 	FetchTable func(ctx context.Context, address string, revision uint64)
-	Log   zerolog.Logger
+	Log        zerolog.Logger
 }
 
-// Broadcaster tells and hands on news. It is safe for concurrent use.
+// Broadcaster broadcasts updates and forwards those of other hosts. It is safe for concurrent
+// use.
 type Broadcaster struct {
 	cfg  Config
 	wake chan struct{}
-	// sends are the messages under way.
+	// sends counts the messages in flight.
 	sends sync.WaitGroup
 
 	mu sync.Mutex
-	// ctx is that of Run; nil before it and after it.
+	// ctx is the context of Run; nil while it is not running.
 	ctx      context.Context
 	servers  map[string]*pb.ServerState
 	suspects map[suspectKey]*pb.Suspect
 	limits   map[string]*pb.ServerLimit
 	revision uint64
-	// lastTable is when a table was last lastTable.
+	// lastTable is when the last update about a table was sent.
 	lastTable time.Time
 }
 
-// suspectKey names a request under which servers crashed.
+// suspectKey identifies a suspect, a request under which servers crashed.
 type suspectKey struct{ account, fingerprint string }
 
-// New makes a spreader; nothing is told before Run.
+// New returns a Broadcaster. It sends nothing before Run is called.
 func New(cfg Config) *Broadcaster {
 	return &Broadcaster{
 		cfg: cfg, wake: make(chan struct{}, 1), servers: make(map[string]*pb.ServerState), suspects: make(map[suspectKey]*pb.Suspect),
@@ -91,8 +91,8 @@
 	}
 }
 
-// BroadcastServer tells all hosts the state of a backend server, soon: the newest one that it was
-// given. States come from goroutines that may overtake each other.
+// BroadcastServer schedules a broadcast of a backend server's state. Of several states of a
+// server the newest is sent, since the goroutines that call this may overtake each other.
 func (s *Broadcaster) BroadcastServer(st *pb.ServerState) {
 	s.mu.Lock()
 	if waiting := s.servers[st.GetId()]; waiting == nil || membership.Supersedes(st, waiting) {
@@ -102,23 +102,26 @@
 	s.signal()
 }
 
-// BroadcastSuspect tells all hosts what this one knows of a request, soon: the newest that it was given.
-func (s *Broadcaster) BroadcastSuspect(told *pb.Suspect) {
+// BroadcastSuspect schedules a broadcast of a suspect. Of several versions of a suspect the last
+// one is sent.
+func (s *Broadcaster) BroadcastSuspect(suspect *pb.Suspect) {
 	s.mu.Lock()
-	s.suspects[suspectKey{told.GetAccount(), string(told.GetFingerprint())}] = told
+	s.suspects[suspectKey{suspect.GetAccount(), string(suspect.GetFingerprint())}] = suspect
 	s.mu.Unlock()
 	s.signal()
 }
 
-// BroadcastLimit tells all hosts what a server says of its rate limit, soon: the newest that it was given.
-func (s *Broadcaster) BroadcastLimit(told *pb.ServerLimit) {
+// BroadcastLimit schedules a broadcast of a server's rate limit. Of several limits of a server
+// the last one is sent.
+func (s *Broadcaster) BroadcastLimit(limit *pb.ServerLimit) {
 	s.mu.Lock()
-	s.limits[told.GetRun().GetId()] = told
+	s.limits[limit.GetRun().GetId()] = limit
 	s.mu.Unlock()
 	s.signal()
 }
 
-// BroadcastTable tells all hosts of the routing table that can be fetched from this one, soon.
+// BroadcastTable schedules an update to all hosts that a revision of the routing table can be
+// fetched from this host.
 func (s *Broadcaster) BroadcastTable(revision uint64) {
 	s.mu.Lock()
 	s.revision = max(s.revision, revision)
@@ -129,11 +132,11 @@
 func (s *Broadcaster) signal() {
 	select {
 	case s.wake <- struct{}{}:
-	default: // Run is about to look
+	default: // Run is already due to send
 	}
 }
 
-// Run tells news until ctx ends, and then waits for the messages under way.
+// Run sends updates until ctx ends, and then waits for the messages in flight.
 func (s *Broadcaster) Run(ctx context.Context) {
 	s.start(ctx)
 	defer s.sends.Wait()
@@ -145,8 +148,8 @@
 		case <-s.wake:
 		}
 		time.Sleep(batchDelay)
-		if n := s.nextUpdate(); n != nil {
-			s.broadcast(ctx, n, shuffled(s.cfg.Peers()))
+		if update := s.nextUpdate(); update != nil {
+			s.broadcast(ctx, update, shuffled(s.cfg.Peers()))
 		}
 	}
 }
@@ -157,66 +160,66 @@
 	s.ctx = ctx
 }
 
-// stop has no more news handed on.
+// stop ends the forwarding of updates.
 func (s *Broadcaster) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ctx = nil
 }
 
-// nextUpdate returns what is to be told now, nil for nothing.
+// nextUpdate returns the update to send now, or nil if there is none.
 func (s *Broadcaster) nextUpdate() *pb.TellRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := &pb.TellRequest{}
+	update := &pb.TellRequest{}
 	for id, st := range s.servers {
-		n.Servers = append(n.Servers, st)
+		update.Servers = append(update.Servers, st)
 		delete(s.servers, id)
 	}
-	for key, told := range s.suspects {
-		if len(n.Suspects) == maxSuspects {
+	for key, suspect := range s.suspects {
+		if len(update.Suspects) == maxSuspects {
 			s.signal()
 			break
 		}
-		n.Suspects = append(n.Suspects, told)
+		update.Suspects = append(update.Suspects, suspect)
 		delete(s.suspects, key)
 	}
-	for id, told := range s.limits {
-		n.Limits = append(n.Limits, told)
+	for id, limit := range s.limits {
+		update.Limits = append(update.Limits, limit)
 		delete(s.limits, id)
 	}
 	if s.revision > 0 {
 		if pause := minTableInterval - time.Since(s.lastTable); pause > 0 {
 			time.AfterFunc(pause, s.signal)
 		} else {
-			n.RoutesRevision, s.revision, s.lastTable = s.revision, 0, time.Now()
+			update.RoutesRevision, s.revision, s.lastTable = s.revision, 0, time.Now()
 		}
 	}
-	if len(n.Servers) == 0 && len(n.Suspects) == 0 && len(n.Limits) == 0 && n.RoutesRevision == 0 {
+	if len(update.Servers) == 0 && len(update.Suspects) == 0 && len(update.Limits) == 0 && update.RoutesRevision == 0 {
 		return nil
 	}
-	return n
+	return update
 }
 
 func shuffled(addresses []string) []string {
 	out := make([]string, len(addresses))
-	for i, at := range rand.Perm(len(addresses)) {
-		out[i] = addresses[at]
+	for i, j := range rand.Perm(len(addresses)) {
+		out[i] = addresses[j]
 	}
 	return out
 }
 
-// broadcast tells the hosts at these addresses, and returns before it is done.
-func (s *Broadcaster) broadcast(ctx context.Context, n *pb.TellRequest, addresses []string) {
+// broadcast notifies the hosts at these addresses in the background.
+func (s *Broadcaster) broadcast(ctx context.Context, update *pb.TellRequest, addresses []string) {
 	for _, group := range splitGroups(addresses) {
 		s.sends.Go(func() {
-			defer panics.Log(s.cfg.Log, "telling news")
-			s.notifyGroup(ctx, n, group)
+			defer panics.Log(s.cfg.Log, "broadcast of an update")
+			s.notifyGroup(ctx, update, group)
 		})
 	}
 }
 
-// splitGroups divides addresses into as many splitGroups as a host tells, of about the same size.
+// splitGroups divides addresses into up to fanOut groups of about the same size.
 func splitGroups(addresses []string) [][]string {
 	var out [][]string
 	for left := fanOut; len(addresses) > 0; left-- {
@@ -227,13 +230,13 @@
 	return out
 }
 
-// notifyGroup tells the first host of a group that answers, which tells the rest.
-func (s *Broadcaster) notifyGroup(ctx context.Context, n *pb.TellRequest, group []string) {
+// notifyGroup notifies the first host of a group that answers, which notifies the rest.
+func (s *Broadcaster) notifyGroup(ctx context.Context, update *pb.TellRequest, group []string) {
 	for len(group) > 0 && ctx.Err() == nil {
 		head := group[0]
 		group = group[1:]
 		req := &pb.TellRequest{
-			Servers: n.GetServers(), Suspects: n.GetSuspects(), Limits: n.GetLimits(), RoutesRevision: n.GetRoutesRevision(),
+			Servers: update.GetServers(), Suspects: update.GetSuspects(), Limits: update.GetLimits(), RoutesRevision: update.GetRoutesRevision(),
 			FromAddress: s.cfg.Self, Onward: group,
 		}
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -246,7 +249,7 @@
 	}
 }
 
-// Handle takes news from another host. It answers before it hands them on.
+// Handle handles an update from another host. It answers before it forwards the update.
 func (s *Broadcaster) Handle(req *pb.TellRequest) *pb.TellReply {
 	if len(req.GetServers()) > 0 {
 		s.cfg.OnServers(req.GetServers())
@@ -261,14 +264,15 @@
 	defer s.mu.Unlock()
 	if ctx := s.ctx; ctx != nil {
 		s.sends.Go(func() {
-			defer panics.Log(s.cfg.Log, "handing news on")
+			defer panics.Log(s.cfg.Log, "forwarding of an update")
 			s.forward(ctx, req)
 		})
 	}
 	return &pb.TellReply{}
 }
 
-// forward gets the table that the news are of before it names this host for it.
+// forward forwards an update to the hosts in its Onward list. If the update is about a table, it
+// fetches the table first, because those hosts will fetch it from this one.
 func (s *Broadcaster) forward(ctx context.Context, req *pb.TellRequest) {
 	if req.GetRoutesRevision() > 0 {
 		s.cfg.FetchTable(ctx, req.GetFromAddress(), req.GetRoutesRevision())
--- a/internal/controller/news/news_test.go
+++ b/internal/controller/news/news_test.go
@@ -16,10 +16,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// roundTrip between two hosts of the test's fleet.
+// roundTrip is the round-trip time between two hosts of the fleet.
 const roundTrip = 4 * time.Millisecond
 
-// fleet is some hosts that can all reach each other, but for those that are down.
+// fleet is a set of hosts that can all reach each other, except for those that are down.
 type fleet struct {
 	hosts map[string]*host
 
@@ -29,17 +29,17 @@
 	calls int
 }
 
-// host is one host's spreader and what it was told.
+// host is the Broadcaster of one host and the updates that it received.
 type host struct {
 	*Broadcaster
-	f  *fleet
+	f       *fleet
 	address string
 
-	mu       sync.Mutex
-	received    map[string]time.Time
-	receivedSuspects     map[string]bool
-	revision uint64
-	fetched  time.Time
+	mu               sync.Mutex
+	received         map[string]time.Time
+	receivedSuspects map[string]bool
+	revision         uint64
+	fetched          time.Time
 }
 
 func newFleet(t *testing.T, n int) *fleet {
@@ -48,7 +48,7 @@
 		h := &host{f: f, address: address(i), received: make(map[string]time.Time), receivedSuspects: make(map[string]bool)}
 		h.Broadcaster = New(Config{
 			Self: h.address, Peers: func() []string { return f.others(h.address) }, Client: func(to string) pb.PeerClient { return client{f: f, to: to} },
-			OnServers: h.take, OnSuspects: h.suspects, FetchTable: h.fetch, Log: zerolog.Nop(),
+			OnServers: h.recordServers, OnSuspects: h.recordSuspects, FetchTable: h.fetch, Log: zerolog.Nop(),
 		})
 		f.hosts[h.address] = h
 		go h.Run(t.Context())
@@ -69,15 +69,15 @@
 	return out
 }
 
-func (h *host) suspects(told []*pb.Suspect, _ string) {
+func (h *host) recordSuspects(suspects []*pb.Suspect, _ string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, s := range told {
+	for _, s := range suspects {
 		h.receivedSuspects[string(s.GetFingerprint())] = true
 	}
 }
 
-func (h *host) take(states []*pb.ServerState) {
+func (h *host) recordServers(states []*pb.ServerState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, st := range states {
@@ -87,7 +87,7 @@
 	}
 }
 
-// fetch takes the table of the host at from, if that one has it.
+// fetch sets the revision of the table if the host at from has it.
 func (h *host) fetch(_ context.Context, from string, revision uint64) {
 	time.Sleep(roundTrip)
 	source := h.f.hosts[from]
@@ -125,29 +125,29 @@
 	return c.f.hosts[c.to].Handle(r), nil
 }
 
-// slowestReceipt is how long after begin the last host that is not down heard of a server; false
-// if one has not.
+// slowestReceipt returns the time from begin until the last host that is not down received the
+// state of a server; false if one of them did not.
 func (f *fleet) slowestReceipt(begin time.Time, server string) (time.Duration, bool) {
 	worst := time.Duration(0)
-	for at, h := range f.hosts {
-		if f.down[at] || at == address(0) {
+	for addr, h := range f.hosts {
+		if f.down[addr] || addr == address(0) {
 			continue
 		}
 		h.mu.Lock()
-		heard := h.received[server]
+		received := h.received[server]
 		h.mu.Unlock()
-		if heard.IsZero() {
+		if received.IsZero() {
 			return 0, false
 		}
-		worst = max(worst, heard.Sub(begin))
+		worst = max(worst, received.Sub(begin))
 	}
 	return worst, true
 }
 
-// Symptom: a server gets a request 2.7 s after it said that it leaves, from one host of 67.
-// Sequence: the server tells one host; heartbeats carry the word on, one neighbour each
-// 250 ms; the last host hears it after eleven of them.
-// Cause: nothing but heartbeats carried it. Now every host is told, in a few round trips.
+// TestLeavingServerReachesLargeFleetQuickly guards against a request from one host of 67 to a
+// server that announced 2.7 s before that it is leaving. When only heartbeats to one neighbor
+// every 250 ms passed the announcement on, the last host received it after eleven of them. Every
+// host must be notified within a few round trips.
 func TestLeavingServerReachesLargeFleetQuickly(t *testing.T) {
 	for _, n := range []int{2, 12, 75, 1400} {
 		synctest.Test(t, func(t *testing.T) {
@@ -156,8 +156,8 @@
 			f.hosts[address(0)].BroadcastServer(&pb.ServerState{Id: "s1", Leaving: true})
 			time.Sleep(time.Second)
 			took, all := f.slowestReceipt(begin, "s1")
-			if most := batchDelay + 5*roundTrip; !all || took > most {
-				t.Errorf("%d hosts: all %v after %v, want %v at most", n, all, took, most)
+			if limit := batchDelay + 5*roundTrip; !all || took > limit {
+				t.Errorf("%d hosts: all %v after %v, want %v at most", n, all, took, limit)
 			}
 			if f.calls != n-1 {
 				t.Errorf("%d hosts: %d messages, want one for each other host", n, f.calls)
@@ -166,10 +166,10 @@
 	}
 }
 
-// Symptom: hosts send to a server that said it leaves, until heartbeats bring the word.
-// Sequence: it was started again, and leaves; at the same moment the end of its former run
-// is given to be told, or an older word of the same run.
-// Cause: of two words of one server the one that came last was told.
+// TestNewestStateOfServerIsBroadcast has a restarted server announce that it is leaving, while
+// the end of its previous incarnation or an older state of the same one is to be broadcast. If
+// the state that came last were sent instead of the newest one, hosts would send requests to the
+// leaving server until heartbeats bring the newest state.
 func TestNewestStateOfServerIsBroadcast(t *testing.T) {
 	leaving := &pb.ServerState{Id: "s1", Incarnation: 200, Seq: 1, Leaving: true}
 	for name, other := range map[string]*pb.ServerState{
@@ -181,16 +181,16 @@
 			for _, st := range order {
 				s.BroadcastServer(st)
 			}
-			if told := s.nextUpdate().GetServers(); len(told) != 1 || told[0] != leaving {
-				t.Errorf("%s: told %v", name, told)
+			if sent := s.nextUpdate().GetServers(); len(sent) != 1 || sent[0] != leaving {
+				t.Errorf("%s: broadcast %v", name, sent)
 			}
 		}
 	}
 }
 
-// Symptom: hosts go on sending to a server that left while others of the fleet are lost.
-// Sequence: a fifth of the hosts are killed and not yet known to be dead; a server leaves.
-// Cause: a lost host that was to hand the word on took it with it.
+// TestDeadHostsDoNotStopBroadcast has a fifth of the hosts killed but not yet known to be dead
+// when a server stops. If the hosts to which a dead host should have forwarded the update were
+// not notified, they would go on sending to the server.
 func TestDeadHostsDoNotStopBroadcast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 75)
@@ -208,9 +208,9 @@
 	})
 }
 
-// Symptom: the control group's leader answers late while tables change.
-// Sequence: all hosts fetch each new table from it.
-// Cause: it is the only one known to have the table. Now hosts fetch from who told them.
+// TestTableIsFetchedFromNotifyingHost checks that hosts fetch a new table from the host that
+// notified them. If all fetched each new table from the leader of the control group, the leader
+// would answer late while tables change.
 func TestTableIsFetchedFromNotifyingHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 75)
@@ -221,12 +221,12 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		fromLeader := 0
-		for at, h := range f.hosts {
-			if at == leader.address {
+		for addr, h := range f.hosts {
+			if addr == leader.address {
 				continue
 			}
 			if h.revision != 9 || h.fetched.Sub(begin) > batchDelay+8*roundTrip {
-				t.Errorf("%s has revision %d after %v", at, h.revision, h.fetched.Sub(begin))
+				t.Errorf("%s has revision %d after %v", addr, h.revision, h.fetched.Sub(begin))
 			}
 			if h.fetched.Sub(begin) <= batchDelay+2*roundTrip {
 				fromLeader++
@@ -260,8 +260,8 @@
 	})
 }
 
-// Guards against requests that are not told of because many servers are lost at once, and against
-// one message that holds them all.
+// TestAllSuspectsReachAllHosts guards against suspects that are not broadcast when many servers
+// crash at once, and against a single message with all of them.
 func TestAllSuspectsReachAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts, suspects = 75, 3*maxSuspects + 1
@@ -271,10 +271,10 @@
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		for at, h := range f.hosts {
+		for addr, h := range f.hosts {
 			h.mu.Lock()
-			if got := len(h.receivedSuspects); got != suspects && at != address(0) {
-				t.Errorf("%s heard of %d of %d", at, got, suspects)
+			if got := len(h.receivedSuspects); got != suspects && addr != address(0) {
+				t.Errorf("%s received %d of %d suspects", addr, got, suspects)
 			}
 			h.mu.Unlock()
 		}
