--- a/internal/controller/voters/voters.go
+++ b/internal/controller/voters/voters.go
@@ -33,9 +33,9 @@
 // Config of a Controller.
 type Config struct {
 	Group Group
-	// Enough is how many voters that answer the group needs: one more than twice the
+	// MinAnswering is how many voters that answer the group needs: one more than twice the
 	// losses that it has to bear.
-	Enough int
+	MinAnswering int
 	// LostAfter is the silence after which a voter counts as lost; 0: the default.
 	LostAfter time.Duration
 	Log       zerolog.Logger
@@ -67,7 +67,7 @@
 	if !leading {
 		return
 	}
-	lost := c.lost(now, c.cfg.Group.Status())
+	lost := c.findLost(now, c.cfg.Group.Status())
 	if lost == nil {
 		return
 	}
@@ -76,8 +76,8 @@
 		Dur("silent", now.Sub(c.silentSince[lost.GetId()])).AnErr("error", err).Send()
 }
 
-// lost is a voter to remove, if there is one that others have taken the place of.
-func (c *Controller) lost(now time.Time, group *pb.GroupStatus) *pb.Member {
+// findLost is a voter to remove, if there is one that others have taken the place of.
+func (c *Controller) findLost(now time.Time, group *pb.GroupStatus) *pb.Member {
 	var silent *pb.Member
 	answering := 0
 	for _, m := range group.GetMembers() {
@@ -99,7 +99,7 @@
 			silent = m.GetMember()
 		}
 	}
-	if answering < c.cfg.Enough {
+	if answering < c.cfg.MinAnswering {
 		return nil
 	}
 	return silent
--- a/internal/controller/voters/voters_test.go
+++ b/internal/controller/voters/voters_test.go
@@ -41,15 +41,15 @@
 	return g
 }
 
-// look reconciles at each of the seconds.
-func look(c *Controller, seconds ...int) {
+// reconcileAt reconciles at each of the seconds.
+func reconcileAt(c *Controller, seconds ...int) {
 	for _, s := range seconds {
 		c.Reconcile(context.Background(), time.Unix(1000+int64(s), 0))
 	}
 }
 
 func controller(g *fakeGroup) *Controller {
-	return New(Config{Group: g, Enough: 3, Log: zerolog.Nop()})
+	return New(Config{Group: g, MinAnswering: 3, Log: zerolog.Nop()})
 }
 
 // Symptom: the second loss of a day takes the quorum.
@@ -57,7 +57,7 @@
 // Cause: the lost one stayed a voter.
 func TestReplacedVoterIsRemoved(t *testing.T) {
 	g := newGroup(true, true, false, true)
-	look(controller(g), 0, 2, 3)
+	reconcileAt(controller(g), 0, 2, 3)
 	if len(g.removed) != 1 || g.removed[0] != 3 {
 		t.Errorf("removed %v, want replica 3 after 3 s of silence", g.removed)
 	}
@@ -69,20 +69,20 @@
 func TestVoterStaysWithoutReplacement(t *testing.T) {
 	g := newGroup(true, true, false)
 	g.add(9, true, true) // a learner votes on nothing yet
-	look(controller(g), 0, 5, 10)
+	reconcileAt(controller(g), 0, 5, 10)
 	if len(g.removed) != 0 {
 		t.Errorf("removed %v", g.removed)
 	}
 }
 
-func TestSilenceCountsAnewAfterAWord(t *testing.T) {
+func TestAnswerResetsSilence(t *testing.T) {
 	g := newGroup(true, true, false, true)
 	c := controller(g)
-	look(c, 0, 2)
+	reconcileAt(c, 0, 2)
 	g.members[2].Active = true
-	look(c, 3)
+	reconcileAt(c, 3)
 	g.members[2].Active = false
-	look(c, 4, 6)
+	reconcileAt(c, 4, 6)
 	if len(g.removed) != 0 {
 		t.Errorf("removed %v after 2 s of silence", g.removed)
 	}
@@ -91,14 +91,14 @@
 // Symptom: a new leader removes a replica that it has not had the time to hear.
 // Sequence: leadership changes; members count as silent until they answer.
 // Cause: silence that an earlier term saw counted on.
-func TestNewTermCountsAnew(t *testing.T) {
+func TestNewTermResetsSilence(t *testing.T) {
 	g := newGroup(true, true, false, true)
 	c := controller(g)
-	look(c, 0, 2)
+	reconcileAt(c, 0, 2)
 	g.term = 2
-	look(c, 3, 4)
+	reconcileAt(c, 3, 4)
 	g.leading = false
-	look(c, 9)
+	reconcileAt(c, 9)
 	if len(g.removed) != 0 {
 		t.Errorf("removed %v", g.removed)
 	}
--- a/internal/daemon/join.go
+++ b/internal/daemon/join.go
@@ -49,7 +49,7 @@
 
 // keepVoters removes lost replicas while this host's replica leads.
 func (d *Daemon) keepVoters(ctx context.Context) {
-	controller := voters.New(voters.Config{Group: d.replica, Enough: d.cfg.Control.EnoughVoters(), Log: d.tel.Log})
+	controller := voters.New(voters.Config{Group: d.replica, MinAnswering: d.cfg.Control.EnoughVoters(), Log: d.tel.Log})
 	every(ctx, votersEvery, func() {
 		changeCtx, cancel := context.WithTimeout(ctx, membersTimeout)
 		defer cancel()
