--- a/internal/controller/voters/voters.go
+++ b/internal/controller/voters/voters.go
@@ -1,10 +1,10 @@
-// Package voters removes lost replicas from the control group once others have taken
-// their place.
+// Package voters removes lost replicas from the control group once others have replaced
+// them.
 //
-// What goes wrong without it: a host with a replica is gone for good and a new one joins.
-// The group then has a voter more than it had, of which one never answers; the next loss
-// takes the quorum, though the group was made to bear it. One would notice commits that
-// stop after the second loss of a day.
+// If a host with a replica permanently fails and a new one joins, the group has an
+// additional voter, and one of its voters never answers. Unless that one is removed, the
+// next failure costs the group its quorum although it was sized to tolerate it, and
+// commits stop.
 package voters
 
 import (
@@ -17,39 +17,43 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// DefaultLostAfter is how long a voter is silent until it counts as lost. One that was
-// only cut off or frozen joins again when it is back; to remove it cost nothing but that.
+// DefaultLostAfter is the time without an answer after which a voter counts as lost. A
+// voter that was only partitioned or paused joins again when it returns, so removing it
+// costs no more than that.
 const DefaultLostAfter = 3 * time.Second
 
 // Group is this host's replica.
 type Group interface {
-	// Leading tells whether this replica leads with a valid lease.
+	// Leading reports whether this replica leads with a valid lease, in which term and since
+	// when.
 	Leading() (term uint64, since time.Time, ok bool)
-	// Status has the members' state as the leader knows it.
+	// Status returns the state of the members as known to the leader.
 	Status() *pb.GroupStatus
 	ChangeMembers(ctx context.Context, req *pb.ChangeMembersRequest) (*pb.GroupStatus, error)
 }
 
-// Config of a Controller.
+// Config configures a Controller.
 type Config struct {
 	Group Group
-	// MinAnswering is how many voters that answer the group needs: one more than twice the
-	// losses that it has to bear.
+	// MinAnswering is the number of answering voters that the group needs: one more than
+	// twice the number of failures that it has to tolerate.
 	MinAnswering int
-	// LostAfter is the silence after which a voter counts as lost; 0: the default.
+	// LostAfter is the time without an answer after which a voter counts as lost; the default
+	// is DefaultLostAfter.
 	LostAfter time.Duration
 	Log       zerolog.Logger
 }
 
-// Controller is not safe for concurrent use.
+// Controller removes lost voters. It is not safe for concurrent use.
 type Controller struct {
 	cfg Config
-	// silentSince is when the present leader first saw a voter silent, by replica id.
+	// silentSince is when this leader first found a voter not answering, by replica id. It is
+	// valid for one term.
 	silentSince map[uint64]time.Time
 	term        uint64
 }
 
-// New makes a controller.
+// New returns a Controller.
 func New(cfg Config) *Controller {
 	if cfg.LostAfter == 0 {
 		cfg.LostAfter = DefaultLostAfter
@@ -57,7 +61,7 @@
 	return &Controller{cfg: cfg, silentSince: map[uint64]time.Time{}}
 }
 
-// Reconcile looks at the group once and removes at most one lost voter.
+// Reconcile checks the group once and removes at most one lost voter.
 func (c *Controller) Reconcile(ctx context.Context, now time.Time) {
 	term, _, leading := c.cfg.Group.Leading()
 	if !leading || term != c.term {
@@ -76,7 +80,8 @@
 		Dur("silent", now.Sub(c.silentSince[lost.GetId()])).AnErr("error", err).Send()
 }
 
-// findLost is a voter to remove, if there is one that others have taken the place of.
+// findLost returns a lost voter to remove, or nil. A lost voter is only removed if enough
+// others answer.
 func (c *Controller) findLost(now time.Time, group *pb.GroupStatus) *pb.Member {
 	var silent *pb.Member
 	answering := 0
--- a/internal/controller/voters/voters_test.go
+++ b/internal/controller/voters/voters_test.go
@@ -10,7 +10,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// fakeGroup is a group of voters 1 to n that this replica, 1, leads.
+// fakeGroup is a group of voters 1 to n, led by this replica, which is 1.
 type fakeGroup struct {
 	term    uint64
 	leading bool
@@ -41,7 +41,7 @@
 	return g
 }
 
-// reconcileAt reconciles at each of the seconds.
+// reconcileAt calls Reconcile at each of the given seconds.
 func reconcileAt(c *Controller, seconds ...int) {
 	for _, s := range seconds {
 		c.Reconcile(context.Background(), time.Unix(1000+int64(s), 0))
@@ -52,9 +52,9 @@
 	return New(Config{Group: g, MinAnswering: 3, Log: zerolog.Nop()})
 }
 
-// Symptom: the second loss of a day takes the quorum.
-// Sequence: one of three replicas is gone for good; another joins and is promoted.
-// Cause: the lost one stayed a voter.
+// TestReplacedVoterIsRemoved has one of three replicas permanently fail and another one join and
+// be promoted. If the failed one stayed a voter, the second failure of a day would cost the
+// group its quorum.
 func TestReplacedVoterIsRemoved(t *testing.T) {
 	g := newGroup(true, true, false, true)
 	reconcileAt(controller(g), 0, 2, 3)
@@ -63,12 +63,12 @@
 	}
 }
 
-// Symptom: a group of three loses a member that comes back a moment later.
-// Sequence: one of three voters is cut off for long; nobody has taken its place.
-// Cause: silence alone taken for a loss.
+// TestVoterStaysWithoutReplacement has one of three voters partitioned for a long time without a
+// replacement. If a missing answer alone were taken for a loss, the group would remove a member
+// that returns a moment later.
 func TestVoterStaysWithoutReplacement(t *testing.T) {
 	g := newGroup(true, true, false)
-	g.add(9, true, true) // a learner votes on nothing yet
+	g.add(9, true, true) // a learner does not vote
 	reconcileAt(controller(g), 0, 5, 10)
 	if len(g.removed) != 0 {
 		t.Errorf("removed %v", g.removed)
@@ -88,9 +88,9 @@
 	}
 }
 
-// Symptom: a new leader removes a replica that it has not had the time to hear.
-// Sequence: leadership changes; members count as silent until they answer.
-// Cause: silence that an earlier term saw counted on.
+// TestNewTermResetsSilence has the leadership change; members count as silent until they answer
+// the new leader. If the time without an answer in an earlier term counted too, a new leader
+// would remove a replica that has not had time to answer.
 func TestNewTermResetsSilence(t *testing.T) {
 	g := newGroup(true, true, false, true)
 	c := controller(g)
