--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -94,7 +94,7 @@
 	defer orders.Wait()
 	for {
 		for _, o := range c.step() {
-			orders.Go(func() { c.carryOut(ctx, o) })
+			orders.Go(func() { c.execute(ctx, o) })
 		}
 		select {
 		case <-ctx.Done():
@@ -132,8 +132,8 @@
 	return placement.Leadership{Term: term, Since: since, OK: ok}
 }
 
-// carryOut commits an order, sends it and notes how it ended.
-func (c *Controller) carryOut(ctx context.Context, o placement.Order) {
+// execute commits an order, sends it and notes how it ended.
+func (c *Controller) execute(ctx context.Context, o placement.Order) {
 	result, fence, err := c.commitAndSend(ctx, o)
 	c.mu.Lock()
 	c.planner.Ended(time.Now(), o, result)
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -27,26 +27,26 @@
 	terms map[uint64]uint64 // by fencing number
 }
 
-// seat is one host's place in the group.
-type seat struct {
+// replica is one host's place in the group.
+type replica struct {
 	group *group
 	mu    sync.Mutex
 	term  uint64
 	since time.Time
 	until time.Time     // end of the lease
-	late  time.Duration // how long a commit's answer takes
-	cut   bool
+	commitDelay  time.Duration // how long a commit's answer takes
+	partitioned   bool
 }
 
-func (s *seat) Leading() (uint64, time.Time, bool) {
+func (s *replica) Leading() (uint64, time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.term, s.since, s.term > 0 && time.Now().Before(s.until)
 }
 
-func (s *seat) Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
+func (s *replica) Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	s.mu.Lock()
-	cut, late := s.cut, s.late
+	cut, late := s.partitioned, s.commitDelay
 	s.mu.Unlock()
 	if cut {
 		<-ctx.Done()
@@ -77,8 +77,8 @@
 	return g.terms[fence]
 }
 
-// lead makes s the leader of a new term, with a lease of the given length.
-func (s *seat) lead(term uint64, lease time.Duration) {
+// becomeLeader makes s the leader of a new term, with a lease of the given length.
+func (s *replica) becomeLeader(term uint64, lease time.Duration) {
 	s.group.mu.Lock()
 	s.group.term = term
 	s.group.mu.Unlock()
@@ -87,50 +87,50 @@
 	s.term, s.since, s.until = term, time.Now(), time.Now().Add(lease)
 }
 
-func (s *seat) set(cut bool, late time.Duration) {
+func (s *replica) set(cut bool, late time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut, s.late = cut, late
+	s.partitioned, s.commitDelay = cut, late
 }
 
-// platform is the backend servers as HTTP sees them. Orders by a slow client arrive late.
-type platform struct {
+// fakeServers is the backend servers as HTTP sees them. Orders by a slow client arrive late.
+type fakeServers struct {
 	mu      sync.Mutex
 	group   *group
 	servers []*pb.ServerState
 	fences  map[string]uint64
 	effects map[string][]uint64 // terms of the orders that took effect, by server
 	bodies  []orderBody
-	refused int
+	rejected int
 }
 
-type engineWire struct {
-	platform *platform
+type fakeTransport struct {
+	servers *fakeServers
 	mu       sync.Mutex
 	delay    time.Duration
 	status   int
 }
 
-func (w *engineWire) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	w.mu.Lock()
 	delay, status := w.delay, w.status
 	w.mu.Unlock()
 	time.Sleep(delay)
 	if status == 0 {
-		status = w.platform.take(r)
+		status = w.servers.handleOrder(r)
 	}
 	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader("")), Request: r}, nil
 }
 
-func (w *engineWire) slow(d time.Duration) {
+func (w *fakeTransport) setDelay(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.delay = d
 }
 
-// take carries an order out as a server does. Nothing shows in the announcements, so
+// handleOrder carries an order out as a server does. Nothing shows in the announcements, so
 // that every leader goes on ordering.
-func (p *platform) take(r *http.Request) int {
+func (p *fakeServers) handleOrder(r *http.Request) int {
 	var body orderBody
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || r.Method != http.MethodPost || r.URL.Path != "/orders" {
 		return http.StatusBadRequest
@@ -140,7 +140,7 @@
 	server := r.URL.Host
 	checks := slices.ContainsFunc(p.servers, func(s *pb.ServerState) bool { return s.Address == server && s.ChecksFence })
 	if checks && body.Fence < p.fences[server] {
-		p.refused++
+		p.rejected++
 		return http.StatusConflict
 	}
 	p.fences[server] = max(p.fences[server], body.Fence)
@@ -149,31 +149,31 @@
 	return http.StatusOK
 }
 
-func (p *platform) Servers() []*pb.ServerState { return p.servers }
+func (p *fakeServers) Servers() []*pb.ServerState { return p.servers }
 
-func (p *platform) Fleet() settings.Fleet {
+func (p *fakeServers) Fleet() settings.Fleet {
 	return settings.Fleet{Placement: []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: len(p.servers)}}}
 }
 
-func (p *platform) terms(server string) []uint64 {
+func (p *fakeServers) terms(server string) []uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.effects[server])
 }
 
 const (
-	checking = "10.1.0.1:8000"
-	ignoring = "10.1.0.2:8000"
+	checkingServer = "10.1.0.1:8000"
+	ignoringServer = "10.1.0.2:8000"
 )
 
-func newPlatform() *platform {
-	p := &platform{
+func newFakeServers() *fakeServers {
+	p := &fakeServers{
 		group:   &group{terms: make(map[uint64]uint64)},
 		fences:  make(map[string]uint64),
 		effects: make(map[string][]uint64),
 	}
-	for _, address := range []string{checking, ignoring} {
-		p.servers = append(p.servers, &pb.ServerState{Address: address, Pool: "llm", ChecksFence: address == checking})
+	for _, address := range []string{checkingServer, ignoringServer} {
+		p.servers = append(p.servers, &pb.ServerState{Address: address, Pool: "llm", ChecksFence: address == checkingServer})
 	}
 	for i := range 6 { // so that both may have an order at once
 		p.servers = append(p.servers, &pb.ServerState{Address: string(rune('a' + i)), Pool: "llm", Models: []string{"codes"}})
@@ -181,9 +181,9 @@
 	return p
 }
 
-// host starts a placement controller until the test ends.
-func (p *platform) host(t *testing.T, name string) (*seat, *engineWire, *Controller) {
-	s, w := &seat{group: p.group}, &engineWire{platform: p}
+// startHost starts a placement controller until the test ends.
+func (p *fakeServers) startHost(t *testing.T, name string) (*replica, *fakeTransport, *Controller) {
+	s, w := &replica{group: p.group}, &fakeTransport{servers: p}
 	c := New(Config{
 		Planner:    placement.Config{ViewSettle: time.Second, Rest: time.Second, EffectTimeout: 3 * time.Second},
 		Leadership: s, Proposer: s, Servers: p, Settings: p,
@@ -205,7 +205,7 @@
 // ends; host b leads and orders; a's orders arrive; a comes back.
 // Cause: orders without fencing numbers; a successor that didn't wait for servers that
 // ignore them; a leader that didn't look at its lease again before sending.
-func TestCutOffLeadersOrdersDontTakeEffectAfterItsSuccessors(t *testing.T) {
+func TestPartitionedLeaderOrdersHaveNoEffectAfterSuccessor(t *testing.T) {
 	const lease = placement.DefaultLease
 	cases := map[string]struct{ wireDelay, commitDelay time.Duration }{
 		"orders slow on the way":   {wireDelay: placement.DefaultLongestOrder - 100*time.Millisecond},
@@ -214,31 +214,31 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPlatform()
-				a, wireA, _ := p.host(t, "a")
-				b, _, _ := p.host(t, "b")
-				a.lead(1, time.Hour)
+				p := newFakeServers()
+				a, wireA, _ := p.startHost(t, "a")
+				b, _, _ := p.startHost(t, "b")
+				a.becomeLeader(1, time.Hour)
 				time.Sleep(20 * time.Second)
-				if len(p.terms(ignoring)) == 0 || len(p.terms(checking)) == 0 {
+				if len(p.terms(ignoringServer)) == 0 || len(p.terms(checkingServer)) == 0 {
 					t.Fatal("the first leader gave no orders")
 				}
-				wireA.slow(c.wireDelay)
+				wireA.setDelay(c.wireDelay)
 				a.set(false, c.commitDelay)
 				time.Sleep(7 * time.Second) // long enough for an order to each server
 				a.set(true, c.commitDelay)
-				a.lead(1, lease) // the last that it renewed
+				a.becomeLeader(1, lease) // the last that it renewed
 				time.Sleep(lease + 100*time.Millisecond)
-				b.lead(2, time.Hour)
+				b.becomeLeader(2, time.Hour)
 				time.Sleep(60 * time.Second)
 				a.set(false, 0)
 				time.Sleep(60 * time.Second)
-				for _, server := range []string{checking, ignoring} {
+				for _, server := range []string{checkingServer, ignoringServer} {
 					terms := p.terms(server)
 					if !slices.IsSorted(terms) || terms[len(terms)-1] != 2 {
 						t.Errorf("orders at %s took effect in terms %v", server, terms)
 					}
 				}
-				if c.wireDelay > 0 && p.refused == 0 {
+				if c.wireDelay > 0 && p.rejected == 0 {
 					t.Error("no order was late: the test shows nothing")
 				}
 			})
@@ -249,13 +249,13 @@
 // A lease that is over must stop orders at once, though no successor is known yet.
 func TestNoOrderWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlatform()
-		a, _, _ := p.host(t, "a")
-		a.lead(1, 20*time.Second)
+		p := newFakeServers()
+		a, _, _ := p.startHost(t, "a")
+		a.becomeLeader(1, 20*time.Second)
 		time.Sleep(21 * time.Second)
-		n := len(p.terms(checking))
+		n := len(p.terms(checkingServer))
 		time.Sleep(time.Minute)
-		if got := len(p.terms(checking)); n == 0 || got != n {
+		if got := len(p.terms(checkingServer)); n == 0 || got != n {
 			t.Errorf("%d orders under the lease, %d after it", n, got-n)
 		}
 	})
@@ -263,9 +263,9 @@
 
 func TestOrderCarriesVerbModelAndFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlatform()
-		a, w, c := p.host(t, "a")
-		a.lead(1, time.Hour)
+		p := newFakeServers()
+		a, w, c := p.startHost(t, "a")
+		a.becomeLeader(1, time.Hour)
 		time.Sleep(10 * time.Second)
 		p.mu.Lock()
 		got := p.bodies[0]
