--- a/internal/controller/placement/operator.go
+++ b/internal/controller/placement/operator.go
@@ -9,27 +9,27 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// Reader reads the control group's state at its leader.
+// Reader reads the state of the control group from its leader.
 type Reader interface {
 	Read(ctx context.Context, q *pb.Query) (*pb.QueryResult, error)
 }
 
-// OperatorOrders sends what operators order by hand. Such an order takes its fencing
-// number from the same log as those of the planner, so a server that checks numbers
-// carries out whichever was committed last. A server that ignores numbers carries out
-// whichever arrives last: operators take it out of the placement rules first.
+// OperatorOrders sends orders that operators give manually. Such an order gets its fencing
+// number from the same log as the planner's orders, so a server that checks fencing numbers
+// executes the one that was committed last. A server that ignores them executes the one that
+// arrives last; operators have to remove it from the placement rules first.
 type OperatorOrders struct {
 	controller *Controller
 	reader     Reader
 }
 
-// NewOperatorOrders sends through c.
+// NewOperatorOrders returns OperatorOrders that sends through c.
 func NewOperatorOrders(c *Controller, r Reader) *OperatorOrders {
 	return &OperatorOrders{controller: c, reader: r}
 }
 
-// Order commits o, sends it to its server and returns its fencing number. An order
-// that the server refused, or whose answer was lost, is an error that says so.
+// Order commits o, sends it to its server and returns its fencing number. It returns an
+// error if the server rejects the order or the answer is lost.
 func (p *OperatorOrders) Order(ctx context.Context, opID, actor string, o *pb.PlaceOrder) (*pb.PlaceOrderResult, error) {
 	order, err := operatorOrder(o)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return done.GetPlaceOrder(), nil
 }
 
-// operatorOrder is the order in the planner's form.
+// operatorOrder converts an order to the planner's type.
 func operatorOrder(o *pb.PlaceOrder) (placement.Order, error) {
 	out := placement.Order{Server: o.GetServer(), Verb: placement.Verb(o.GetVerb()), Role: o.GetRole()}
 	switch out.Verb {
@@ -68,11 +68,11 @@
 			out.Role = o.GetObject()
 		}
 	default:
-		return out, errkind.New(errkind.BadRequest, "no order %q; there are %s, %s, %s and %s", out.Verb,
+		return out, errkind.New(errkind.BadRequest, "unknown verb %q; valid verbs are %s, %s, %s and %s", out.Verb,
 			placement.LoadModel, placement.UnloadModel, placement.LoadAdapter, placement.ChangeRole).At("/verb")
 	}
 	if out.Model == "" && out.Adapter == "" && out.Role == "" {
-		return out, errkind.New(errkind.BadRequest, "an order names a model, an adapter or a role").At("/object")
+		return out, errkind.New(errkind.BadRequest, "an order requires a model, an adapter or a role").At("/object")
 	}
 	return out, nil
 }
--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -1,6 +1,6 @@
 // Package placement runs the placement of models on backend servers: on the leader of
-// the control group it commits the orders that package placement decides, each
-// under its fencing number, and sends them to the servers by HTTP.
+// the control group it commits the orders that internal/placement plans, each of which
+// gets a fencing number, and sends them to the servers by HTTP.
 package placement
 
 import (
@@ -20,32 +20,35 @@
 	"github.com/bluebellsail/bluebellsail/internal/wire"
 )
 
-// DefaultInterval is the time between two looks at what is wanted and what is there.
+// DefaultInterval is the time between two comparisons of the placement rules with the
+// announced servers.
 const DefaultInterval = time.Second
 
-// Leadership tells whether this process leads the control group under a valid lease.
+// Leadership reports whether this process leads the control group with a valid lease.
 type Leadership interface {
-	// Leading returns the term and when it began here; ok is false without a valid lease.
+	// Leading returns the term and when it began at this process; ok is false without a valid
+	// lease.
 	Leading() (term uint64, since time.Time, ok bool)
 }
 
-// Proposer commits a command with the control group. A refusal by the group is an
-// error of the result or the returned error.
+// Proposer commits a command in the control group. If the group rejects the command, the
+// error is in the result or is returned.
 type Proposer interface {
 	Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error)
 }
 
-// Servers gives the announced backend servers, without those that have lapsed.
+// Servers returns the announced backend servers, without those whose announcements have
+// lapsed.
 type Servers interface {
 	Servers() []*pb.ServerState
 }
 
-// Settings gives the fleet's settings in force.
+// Settings returns the fleet's settings in force.
 type Settings interface {
 	Fleet() settings.Fleet
 }
 
-// Config of a Controller.
+// Config configures a Controller.
 type Config struct {
 	Planner    placement.Config
 	Interval   time.Duration
@@ -53,16 +56,16 @@
 	Proposer   Proposer
 	Servers    Servers
 	Settings   Settings
-	// Client sends the orders; default one without keep-alive connections, so that an
-	// order never waits in a silent one, and without redirects.
+	// Client sends the orders. The default client uses no keep-alive connections, so that an
+	// order is never stuck in a stalled one, and follows no redirects.
 	Client *http.Client
-	// Actor names this host in the log of the control group.
+	// Actor identifies this host in the log of the control group.
 	Actor   string
 	Log     zerolog.Logger
 	Metrics *telemetry.Metrics
 }
 
-// Controller places models. It is safe for concurrent use.
+// Controller commits and sends placement orders. It is safe for concurrent use.
 type Controller struct {
 	cfg Config
 
@@ -70,10 +73,10 @@
 	planner *placement.Planner
 }
 
-// New returns a controller that doesn't order yet.
+// New returns a Controller. It gives no orders before Run is called.
 func New(cfg Config) *Controller {
 	defaults.Set(&cfg.Interval, DefaultInterval)
-	defaults.Set(&cfg.Planner.LongestOrder, placement.DefaultLongestOrder)
+	defaults.Set(&cfg.Planner.OrderTimeout, placement.DefaultOrderTimeout)
 	if cfg.Client == nil {
 		cfg.Client = &http.Client{
 			Transport:     &http.Transport{DisableKeepAlives: true},
@@ -86,7 +89,7 @@
 	return &Controller{cfg: cfg, planner: placement.NewPlanner(cfg.Planner)}
 }
 
-// Run places until ctx ends, and then waits for the orders in flight.
+// Run gives orders until ctx ends, and then waits for the orders in flight.
 func (c *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.cfg.Interval)
 	defer ticker.Stop()
@@ -104,8 +107,8 @@
 	}
 }
 
-// Blocked returns the rules that aren't met and why no order goes out for them. It
-// is empty on processes that don't lead.
+// Blocked returns the rules that aren't met and the reasons why no order is given for
+// them. It is empty on processes that don't lead.
 func (c *Controller) Blocked() []placement.Blocked {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,11 +135,11 @@
 	return placement.Leadership{Term: term, Since: since, OK: ok}
 }
 
-// execute commits an order, sends it and notes how it ended.
+// execute commits an order, sends it and records the result.
 func (c *Controller) execute(ctx context.Context, o placement.Order) {
 	result, fence, err := c.commitAndSend(ctx, o)
 	c.mu.Lock()
-	c.planner.Ended(time.Now(), o, result)
+	c.planner.RecordResult(time.Now(), o, result)
 	c.mu.Unlock()
 	c.cfg.Metrics.Orders.Add(1)
 	event := c.cfg.Log.Info()
@@ -153,19 +156,19 @@
 	if err != nil {
 		return placement.NotSent, 0, err
 	}
-	sendCtx, cancel := context.WithTimeout(ctx, c.cfg.Planner.LongestOrder)
+	sendCtx, cancel := context.WithTimeout(ctx, c.cfg.Planner.OrderTimeout)
 	defer cancel()
-	// The look at the lease comes after the deadline is set, so that the next leader's
-	// wait, which counts from the end of the lease, covers the whole order.
+	// The lease is checked after the deadline is set, so that the next leader's handover wait,
+	// which counts from the end of the lease, covers the whole order.
 	if !c.leadership().Allows(o) {
-		return placement.NotSent, fence, errkind.New(errkind.StaleFence, "term %d is over", o.Term)
+		return placement.NotSent, fence, errkind.New(errkind.StaleFence, "term %d has ended", o.Term)
 	}
 	result, err := c.send(sendCtx, o, fence)
 	return result, fence, err
 }
 
 func (c *Controller) commit(ctx context.Context, o placement.Order) (fence uint64, err error) {
-	commitCtx, cancel := context.WithTimeout(ctx, c.cfg.Planner.LongestOrder)
+	commitCtx, cancel := context.WithTimeout(ctx, c.cfg.Planner.OrderTimeout)
 	defer cancel()
 	result, err := c.cfg.Proposer.Propose(commitCtx, c.command(o))
 	if err != nil {
@@ -176,7 +179,7 @@
 	}
 	fence = result.GetPlaceOrder().GetFence()
 	if fence == 0 {
-		return 0, errkind.New(errkind.Internal, "the control group gave no fencing number")
+		return 0, errkind.New(errkind.Internal, "the control group returned no fencing number")
 	}
 	return fence, nil
 }
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -18,8 +18,8 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// group is a control group of two hosts: one leads, an index counts commits, and a
-// command of an older term is refused.
+// group is a control group of two hosts, one of which leads. index counts the commits; a
+// command of an older term is rejected.
 type group struct {
 	mu    sync.Mutex
 	term  uint64
@@ -27,15 +27,15 @@
 	terms map[uint64]uint64 // by fencing number
 }
 
-// replica is one host's place in the group.
+// replica is one host's replica of the group.
 type replica struct {
-	group *group
-	mu    sync.Mutex
-	term  uint64
-	since time.Time
-	until time.Time     // end of the lease
-	commitDelay  time.Duration // how long a commit's answer takes
-	partitioned   bool
+	group       *group
+	mu          sync.Mutex
+	term        uint64
+	since       time.Time
+	until       time.Time     // end of the lease
+	commitDelay time.Duration // how long a commit's answer takes
+	partitioned bool
 }
 
 func (s *replica) Leading() (uint64, time.Time, bool) {
@@ -46,14 +46,14 @@
 
 func (s *replica) Propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	s.mu.Lock()
-	cut, late := s.partitioned, s.commitDelay
+	partitioned, commitDelay := s.partitioned, s.commitDelay
 	s.mu.Unlock()
-	if cut {
+	if partitioned {
 		<-ctx.Done()
 		return nil, errkind.New(errkind.NoQuorum, "no quorum")
 	}
 	fence, err := s.group.commit(cmd.GetPlaceOrder().GetTerm())
-	time.Sleep(late)
+	time.Sleep(commitDelay)
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 	return g.terms[fence]
 }
 
-// becomeLeader makes s the leader of a new term, with a lease of the given length.
+// becomeLeader makes s the leader of a term, with a lease of the given length.
 func (s *replica) becomeLeader(term uint64, lease time.Duration) {
 	s.group.mu.Lock()
 	s.group.term = term
@@ -87,28 +87,28 @@
 	s.term, s.since, s.until = term, time.Now(), time.Now().Add(lease)
 }
 
-func (s *replica) set(cut bool, late time.Duration) {
+func (s *replica) set(partitioned bool, commitDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.partitioned, s.commitDelay = cut, late
+	s.partitioned, s.commitDelay = partitioned, commitDelay
 }
 
-// fakeServers is the backend servers as HTTP sees them. Orders by a slow client arrive late.
+// fakeServers simulates the backend servers and records the orders that they execute.
 type fakeServers struct {
-	mu      sync.Mutex
-	group   *group
-	servers []*pb.ServerState
-	fences  map[string]uint64
-	effects map[string][]uint64 // terms of the orders that took effect, by server
-	bodies  []orderBody
+	mu       sync.Mutex
+	group    *group
+	servers  []*pb.ServerState
+	fences   map[string]uint64
+	effects  map[string][]uint64 // terms of the orders that took effect, by server
+	bodies   []orderBody
 	rejected int
 }
 
 type fakeTransport struct {
 	servers *fakeServers
-	mu       sync.Mutex
-	delay    time.Duration
-	status   int
+	mu      sync.Mutex
+	delay   time.Duration
+	status  int
 }
 
 func (w *fakeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -128,8 +128,8 @@
 	w.delay = d
 }
 
-// handleOrder carries an order out as a server does. Nothing shows in the announcements, so
-// that every leader goes on ordering.
+// handleOrder executes an order as a server does. The effect doesn't show in the
+// announcements, so that every leader keeps giving orders.
 func (p *fakeServers) handleOrder(r *http.Request) int {
 	var body orderBody
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || r.Method != http.MethodPost || r.URL.Path != "/orders" {
@@ -175,17 +175,17 @@
 	for _, address := range []string{checkingServer, ignoringServer} {
 		p.servers = append(p.servers, &pb.ServerState{Address: address, Pool: "llm", ChecksFence: address == checkingServer})
 	}
-	for i := range 6 { // so that both may have an order at once
+	for i := range 6 { // so that both servers may have an order at once
 		p.servers = append(p.servers, &pb.ServerState{Address: string(rune('a' + i)), Pool: "llm", Models: []string{"codes"}})
 	}
 	return p
 }
 
-// startHost starts a placement controller until the test ends.
+// startHost runs a placement controller until the test ends.
 func (p *fakeServers) startHost(t *testing.T, name string) (*replica, *fakeTransport, *Controller) {
 	s, w := &replica{group: p.group}, &fakeTransport{servers: p}
 	c := New(Config{
-		Planner:    placement.Config{ViewSettle: time.Second, Rest: time.Second, EffectTimeout: 3 * time.Second},
+		Planner:    placement.Config{WarmUp: time.Second, RetryDelay: time.Second, EffectTimeout: 3 * time.Second},
 		Leadership: s, Proposer: s, Servers: p, Settings: p,
 		Client: &http.Client{Transport: w}, Actor: name,
 	})
@@ -199,34 +199,33 @@
 	return s, w, c
 }
 
-// Symptom: a backend server carries out an order of a control host that was cut off,
-// after one of its successor: two masters.
-// Sequence: host a leads; its orders are slow on the way; it is cut off and its lease
-// ends; host b leads and orders; a's orders arrive; a comes back.
-// Cause: orders without fencing numbers; a successor that didn't wait for servers that
-// ignore them; a leader that didn't look at its lease again before sending.
+// TestPartitionedLeaderOrdersHaveNoEffectAfterSuccessor guards against a backend server that
+// executes an order of a partitioned leader after one of its successor. Host a leads and its
+// orders are slow; it is partitioned and its lease ends; host b leads and gives orders; then the
+// orders of a arrive, and a returns. Orders need fencing numbers, a successor has to wait for
+// servers that ignore them, and a leader has to check its lease again before sending.
 func TestPartitionedLeaderOrdersHaveNoEffectAfterSuccessor(t *testing.T) {
 	const lease = placement.DefaultLease
-	cases := map[string]struct{ wireDelay, commitDelay time.Duration }{
-		"orders slow on the way":   {wireDelay: placement.DefaultLongestOrder - 100*time.Millisecond},
-		"commit answered too late": {commitDelay: 40 * time.Second},
+	cases := map[string]struct{ networkDelay, commitDelay time.Duration }{
+		"orders delayed in the network": {networkDelay: placement.DefaultOrderTimeout - 100*time.Millisecond},
+		"commit answered too late":      {commitDelay: 40 * time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := newFakeServers()
-				a, wireA, _ := p.startHost(t, "a")
+				a, transportA, _ := p.startHost(t, "a")
 				b, _, _ := p.startHost(t, "b")
 				a.becomeLeader(1, time.Hour)
 				time.Sleep(20 * time.Second)
 				if len(p.terms(ignoringServer)) == 0 || len(p.terms(checkingServer)) == 0 {
 					t.Fatal("the first leader gave no orders")
 				}
-				wireA.setDelay(c.wireDelay)
+				transportA.setDelay(c.networkDelay)
 				a.set(false, c.commitDelay)
 				time.Sleep(7 * time.Second) // long enough for an order to each server
 				a.set(true, c.commitDelay)
-				a.becomeLeader(1, lease) // the last that it renewed
+				a.becomeLeader(1, lease) // the last lease that it renewed
 				time.Sleep(lease + 100*time.Millisecond)
 				b.becomeLeader(2, time.Hour)
 				time.Sleep(60 * time.Second)
@@ -238,15 +237,16 @@
 						t.Errorf("orders at %s took effect in terms %v", server, terms)
 					}
 				}
-				if c.wireDelay > 0 && p.rejected == 0 {
-					t.Error("no order was late: the test shows nothing")
+				if c.networkDelay > 0 && p.rejected == 0 {
+					t.Error("no order was rejected as late: the delay had no effect")
 				}
 			})
 		})
 	}
 }
 
-// A lease that is over must stop orders at once, though no successor is known yet.
+// TestNoOrderWithoutLease checks that orders stop as soon as the lease ends, even if no
+// successor is known yet.
 func TestNoOrderWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newFakeServers()
--- a/internal/controller/placement/send.go
+++ b/internal/controller/placement/send.go
@@ -17,11 +17,11 @@
 
 const (
 	ordersPath = "/orders"
-	// maxAnswerBytes of an answer that are read, for the log.
+	// maxAnswerBytes is the number of bytes of an answer that are read, for the log.
 	maxAnswerBytes = 1 << 10
 )
 
-// orderBody is an order as a backend server gets it.
+// orderBody is the body of an order to a backend server.
 type orderBody struct {
 	Verb    placement.Verb `json:"verb"`
 	Model   string         `json:"model,omitempty"`
@@ -32,7 +32,7 @@
 
 func (c *Controller) command(o placement.Order) *pb.Command {
 	return &pb.Command{
-		// The term makes it unique among leaders, the id within the term.
+		// The term makes the id unique among leaders, the order's id within the term.
 		OpId:  fmt.Sprintf("place-%s-%d-%d", c.cfg.Actor, o.Term, o.ID),
 		Actor: c.cfg.Actor,
 		Body: &pb.Command_PlaceOrder{PlaceOrder: &pb.PlaceOrder{
@@ -41,7 +41,8 @@
 	}
 }
 
-// send posts the order. An error after the request may have left is Unknown.
+// send posts the order to its server. The result is Unknown if an error occurs after the
+// request may have been sent.
 func (c *Controller) send(ctx context.Context, o placement.Order, fence uint64) (placement.Result, error) {
 	body, err := json.Marshal(orderBody{Verb: o.Verb, Model: o.Model, Adapter: o.Adapter, Role: o.Role, Fence: fence})
 	if err != nil {
--- a/internal/placement/bucket.go
+++ b/internal/placement/bucket.go
@@ -28,8 +28,8 @@
 	b.at = now
 }
 
-// affords tells whether bytes may be ordered; a rate of 0 is no limit.
-func (b *bucket) affords(bytes, rate int64) bool {
+// canTake tells whether bytes may be ordered; a rate of 0 is no limit.
+func (b *bucket) canTake(bytes, rate int64) bool {
 	return rate <= 0 || bytes <= b.level
 }
 
@@ -39,5 +39,5 @@
 	}
 }
 
-// giveBack returns the bytes of an order that was never sent.
-func (b *bucket) giveBack(bytes int64) { b.level += bytes }
+// refund returns the bytes of an order that was never sent.
+func (b *bucket) refund(bytes int64) { b.level += bytes }
--- a/internal/placement/crash.go
+++ b/internal/placement/crash.go
@@ -15,15 +15,15 @@
 	longestHold = time.Hour
 )
 
-// wanted is what an order brings a server to; orders that want the same are the same work, whatever
+// orderGoal is what an order brings a server to; orders that want the same are the same work, whatever
 // server they go to.
-type wanted struct {
+type orderGoal struct {
 	verb                 Verb
 	model, adapter, role string
 }
 
-func wants(o Order) wanted {
-	return wanted{verb: o.Verb, model: o.Model, adapter: o.Adapter, role: o.Role}
+func wants(o Order) orderGoal {
+	return orderGoal{verb: o.Verb, model: o.Model, adapter: o.Adapter, role: o.Role}
 }
 
 // crashes of servers while they carried out the same order.
--- a/internal/placement/crash_test.go
+++ b/internal/placement/crash_test.go
@@ -15,7 +15,7 @@
 func (w *world) crashes(orders []Order) int {
 	crashed := 0
 	for _, o := range orders {
-		w.planner.Ended(w.in.Now, o, Accepted)
+		w.planner.RecordResult(w.in.Now, o, Accepted)
 		s := find(w.in.Servers, o.Server)
 		if o.Model != crashingModel {
 			w.apply(s, o)
--- a/internal/placement/flight.go
+++ b/internal/placement/flight.go
@@ -33,15 +33,15 @@
 	until time.Time
 }
 
-// Ended takes how an order ended at time now. An order of a former term is ignored.
-func (p *Planner) Ended(now time.Time, o Order, result Result) {
+// RecordResult takes how an order ended at time now. An order of a former term is ignored.
+func (p *Planner) RecordResult(now time.Time, o Order, result Result) {
 	f := p.flights[o.Server]
 	if f == nil || f.order.ID != o.ID || o.Term != p.term {
 		return
 	}
 	switch result {
 	case NotSent:
-		p.bucket.giveBack(o.Bytes)
+		p.bucket.refund(o.Bytes)
 		p.giveUp(now, o.Server)
 	case Refused:
 		p.giveUp(now, o.Server)
@@ -49,13 +49,13 @@
 		f.until = now.Add(p.cfg.EffectTimeout)
 	case Unknown:
 		// Another order now could be overtaken by this one.
-		f.until = now.Add(p.cfg.LongestOrder)
+		f.until = now.Add(p.cfg.OrderTimeout)
 	}
 }
 
 func (p *Planner) giveUp(now time.Time, server string) {
 	delete(p.flights, server)
-	p.rests[server] = now.Add(p.cfg.Rest)
+	p.rests[server] = now.Add(p.cfg.RetryDelay)
 }
 
 // observe ends flights whose effect the announcements show, or whose time is over.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -79,41 +79,41 @@
 // Defaults of Config.
 const (
 	DefaultLease         = 2 * time.Second
-	DefaultDrift         = 200 * time.Millisecond
-	DefaultLongestOrder  = 10 * time.Second
-	DefaultViewSettle    = 5 * time.Second
+	DefaultClockDrift         = 200 * time.Millisecond
+	DefaultOrderTimeout  = 10 * time.Second
+	DefaultWarmUp    = 5 * time.Second
 	DefaultEffectTimeout = 10 * time.Minute
-	DefaultRest          = 15 * time.Second
+	DefaultRetryDelay          = 15 * time.Second
 )
 
 // Config of a Planner. Zero fields get the defaults.
 type Config struct {
-	// Lease is the longest lease of a leader, Drift by how much clocks may differ over it.
-	Lease, Drift time.Duration
-	// LongestOrder bounds the time from the last look at the lease to the end of an order.
-	LongestOrder time.Duration
-	// ViewSettle is how long a new leader gathers announcements before it orders
+	// Lease is the longest lease of a leader, ClockDrift by how much clocks may differ over it.
+	Lease, ClockDrift time.Duration
+	// OrderTimeout bounds the time from the last look at the lease to the end of an order.
+	OrderTimeout time.Duration
+	// WarmUp is how long a new leader gathers announcements before it orders
 	// anything: to a half-filled registry, models seem to be missing.
-	ViewSettle time.Duration
+	WarmUp time.Duration
 	// EffectTimeout is how long an accepted order may take to show in announcements.
 	EffectTimeout time.Duration
-	// Rest is how long a server is left alone after an order failed there.
-	Rest time.Duration
+	// RetryDelay is how long a server is left alone after an order failed there.
+	RetryDelay time.Duration
 }
 
 func withDefaults(c Config) Config {
 	defaults.Set(&c.Lease, DefaultLease)
-	defaults.Set(&c.Drift, DefaultDrift)
-	defaults.Set(&c.LongestOrder, DefaultLongestOrder)
-	defaults.Set(&c.ViewSettle, DefaultViewSettle)
+	defaults.Set(&c.ClockDrift, DefaultClockDrift)
+	defaults.Set(&c.OrderTimeout, DefaultOrderTimeout)
+	defaults.Set(&c.WarmUp, DefaultWarmUp)
 	defaults.Set(&c.EffectTimeout, DefaultEffectTimeout)
-	defaults.Set(&c.Rest, DefaultRest)
+	defaults.Set(&c.RetryDelay, DefaultRetryDelay)
 	return c
 }
 
-// wait is how long after the beginning of its term a leader gives no orders to
+// handoverWait is how long after the beginning of its term a leader gives no orders to
 // servers that don't check fencing numbers.
-func (c Config) wait() time.Duration { return c.Lease + c.Drift + c.LongestOrder }
+func (c Config) handoverWait() time.Duration { return c.Lease + c.ClockDrift + c.OrderTimeout }
 
 // Planner decides orders. It is not safe for concurrent use.
 type Planner struct {
@@ -124,7 +124,7 @@
 	bucket  bucket
 	flights map[string]*flight // by server
 	rests   map[string]time.Time
-	crashes map[wanted]crashes
+	crashes map[orderGoal]crashes
 	blocked []Blocked
 }
 
@@ -138,18 +138,18 @@
 // NewPlanner returns a planner that leads nothing.
 func NewPlanner(cfg Config) *Planner {
 	p := &Planner{cfg: withDefaults(cfg)}
-	p.begin(0, time.Time{})
+	p.reset(0, time.Time{})
 	return p
 }
 
-// begin forgets everything of a former term. The bucket starts empty, whatever the
+// reset forgets everything of a former term. The bucket starts empty, whatever the
 // former leader has spent: so the limit holds across the change.
-func (p *Planner) begin(term uint64, since time.Time) {
+func (p *Planner) reset(term uint64, since time.Time) {
 	p.term = term
 	p.bucket = bucket{at: since}
 	p.flights = make(map[string]*flight)
 	p.rests = make(map[string]time.Time)
-	p.crashes = make(map[wanted]crashes)
+	p.crashes = make(map[orderGoal]crashes)
 }
 
 // Step returns the orders to commit and send now. Each is followed by one call of
@@ -160,11 +160,11 @@
 		return nil
 	}
 	if in.Leadership.Term != p.term {
-		p.begin(in.Leadership.Term, in.Leadership.Since)
+		p.reset(in.Leadership.Term, in.Leadership.Since)
 	}
 	p.observe(in)
 	p.bucket.refill(in.Now, in.StoreRate, largest(in.Rules))
-	if in.Now.Sub(in.Leadership.Since) < p.cfg.ViewSettle {
+	if in.Now.Sub(in.Leadership.Since) < p.cfg.WarmUp {
 		return nil
 	}
 	return p.plan(in)
@@ -201,7 +201,7 @@
 		if reason == "" {
 			reason = p.heldBack(v.in.Now, order)
 		}
-		if reason == "" && !p.bucket.affords(order.Bytes, v.in.StoreRate) {
+		if reason == "" && !p.bucket.canTake(order.Bytes, v.in.StoreRate) {
 			reason = "waiting for the weight store's rate limit"
 		}
 		if reason != "" {
@@ -221,6 +221,6 @@
 	order.Term = p.term
 	s := find(v.in.Servers, order.Server)
 	v.takeOut(s, order)
-	p.flights[order.Server] = &flight{order: order, incarnation: s.GetIncarnation(), until: v.in.Now.Add(p.cfg.LongestOrder)}
+	p.flights[order.Server] = &flight{order: order, incarnation: s.GetIncarnation(), until: v.in.Now.Add(p.cfg.OrderTimeout)}
 	return order
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -57,7 +57,7 @@
 
 func (w *world) carryOut(orders []Order) {
 	for _, o := range orders {
-		w.planner.Ended(w.in.Now, o, Accepted)
+		w.planner.RecordResult(w.in.Now, o, Accepted)
 		w.given = append(w.given, o)
 		w.apply(find(w.in.Servers, o.Server), o)
 	}
@@ -144,13 +144,13 @@
 		s.ChecksFence = i >= 4
 		w.in.Servers = append(w.in.Servers, s)
 	}
-	for range int(DefaultViewSettle/time.Second) - 1 {
+	for range int(DefaultWarmUp/time.Second) - 1 {
 		w.carryOut(w.step())
 	}
 	if len(w.given) != 0 {
 		t.Errorf("%d orders before the announcements were gathered", len(w.given))
 	}
-	for w.in.Now.Sub(testStart) < DefaultLease+DefaultDrift+DefaultLongestOrder-time.Second {
+	for w.in.Now.Sub(testStart) < DefaultLease+DefaultClockDrift+DefaultOrderTimeout-time.Second {
 		w.carryOut(w.step())
 	}
 	if len(w.given) != 4 {
@@ -173,9 +173,9 @@
 func TestServerWithAnUnansweredOrderGetsNoOther(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 1}}
 	w := newWorld(rules, testServer(1))
-	w.planner = NewPlanner(Config{Rest: time.Second})
-	w.planner.Ended(w.in.Now, w.until(t), Unknown)
-	for range int(DefaultLongestOrder / time.Second) {
+	w.planner = NewPlanner(Config{RetryDelay: time.Second})
+	w.planner.RecordResult(w.in.Now, w.until(t), Unknown)
+	for range int(DefaultOrderTimeout / time.Second) {
 		if again := w.step(); len(again) != 0 {
 			t.Fatalf("ordered again after %v: %v", w.in.Now.Sub(testStart), again)
 		}
@@ -192,11 +192,11 @@
 func TestEndOfAFormerTermsOrderFreesNothing(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 1}}
 	w := newWorld(rules, testServer(1))
-	w.planner = NewPlanner(Config{Rest: time.Second})
+	w.planner = NewPlanner(Config{RetryDelay: time.Second})
 	first := w.until(t)
 	w.in.Leadership = Leadership{Term: 3, Since: w.in.Now, OK: true}
 	w.until(t)
-	w.planner.Ended(w.in.Now, first, Refused)
+	w.planner.RecordResult(w.in.Now, first, Refused)
 	for range 4 {
 		if again := w.step(); len(again) != 0 {
 			t.Fatalf("ordered again: %v", again)
@@ -343,7 +343,7 @@
 			}
 			if len(orders) > 0 && rapid.IntRange(0, 9).Draw(t, "fails") == 0 {
 				for _, o := range orders {
-					w.planner.Ended(w.in.Now, o, Result(rapid.IntRange(int(NotSent), int(Unknown)).Draw(t, "how")))
+					w.planner.RecordResult(w.in.Now, o, Result(rapid.IntRange(int(NotSent), int(Unknown)).Draw(t, "how")))
 				}
 				continue
 			}
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -106,7 +106,7 @@
 		return false
 	}
 	led := v.in.Now.Sub(v.in.Leadership.Since)
-	return s.GetChecksFence() || led >= v.planner.cfg.wait()
+	return s.GetChecksFence() || led >= v.planner.cfg.handoverWait()
 }
 
 // choose picks the server that is nearest to meeting the rule and the order that
