--- a/internal/controller/news/news_test.go
+++ b/internal/controller/news/news_test.go
@@ -16,10 +16,10 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// roundTrip between two hosts of the test's fleet.
+// roundTrip is the round-trip time between two hosts of the fleet.
 const roundTrip = 4 * time.Millisecond
 
-// fleet is some hosts that can all reach each other, but for those that are down.
+// fleet is a set of hosts that can all reach each other, except for those that are down.
 type fleet struct {
 	hosts map[string]*host
 
@@ -29,28 +29,28 @@
 	calls int
 }
 
-// host is one host's spreader and what it was told.
+// host is the Broadcaster of one host and the updates that it received.
 type host struct {
-	*Spreader
-	f  *fleet
-	at string
+	*Broadcaster
+	f       *fleet
+	address string
 
-	mu       sync.Mutex
-	heard    map[string]time.Time
-	told     map[string]bool
-	revision uint64
-	fetched  time.Time
+	mu               sync.Mutex
+	received         map[string]time.Time
+	receivedSuspects map[string]bool
+	revision         uint64
+	fetched          time.Time
 }
 
 func newFleet(t *testing.T, n int) *fleet {
 	f := &fleet{hosts: make(map[string]*host), down: make(map[string]bool)}
 	for i := range n {
-		h := &host{f: f, at: address(i), heard: make(map[string]time.Time), told: make(map[string]bool)}
-		h.Spreader = New(Config{
-			Self: h.at, Peers: func() []string { return f.others(h.at) }, Client: func(to string) pb.PeerClient { return client{f: f, to: to} },
-			Servers: h.take, Suspects: h.suspects, Fetch: h.fetch, Log: zerolog.Nop(),
+		h := &host{f: f, address: address(i), received: make(map[string]time.Time), receivedSuspects: make(map[string]bool)}
+		h.Broadcaster = New(Config{
+			Self: h.address, Peers: func() []string { return f.others(h.address) }, Client: func(to string) pb.PeerClient { return client{f: f, to: to} },
+			OnServers: h.recordServers, OnSuspects: h.recordSuspects, FetchTable: h.fetch, Log: zerolog.Nop(),
 		})
-		f.hosts[h.at] = h
+		f.hosts[h.address] = h
 		go h.Run(t.Context())
 	}
 	synctest.Wait()
@@ -69,25 +69,25 @@
 	return out
 }
 
-func (h *host) suspects(told []*pb.Suspect, _ string) {
+func (h *host) recordSuspects(suspects []*pb.Suspect, _ string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, s := range told {
-		h.told[string(s.GetFingerprint())] = true
+	for _, s := range suspects {
+		h.receivedSuspects[string(s.GetFingerprint())] = true
 	}
 }
 
-func (h *host) take(states []*pb.ServerState) {
+func (h *host) recordServers(states []*pb.ServerState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, st := range states {
-		if h.heard[st.GetId()].IsZero() {
-			h.heard[st.GetId()] = time.Now()
+		if h.received[st.GetId()].IsZero() {
+			h.received[st.GetId()] = time.Now()
 		}
 	}
 }
 
-// fetch takes the table of the host at from, if that one has it.
+// fetch sets the revision of the table if the host at from has it.
 func (h *host) fetch(_ context.Context, from string, revision uint64) {
 	time.Sleep(roundTrip)
 	source := h.f.hosts[from]
@@ -125,39 +125,39 @@
 	return c.f.hosts[c.to].Handle(r), nil
 }
 
-// slowest is how long after begin the last host that is not down heard of a server; false
-// if one has not.
-func (f *fleet) slowest(begin time.Time, server string) (time.Duration, bool) {
+// slowestReceipt returns the time from begin until the last host that is not down received the
+// state of a server; false if one of them did not.
+func (f *fleet) slowestReceipt(begin time.Time, server string) (time.Duration, bool) {
 	worst := time.Duration(0)
-	for at, h := range f.hosts {
-		if f.down[at] || at == address(0) {
+	for addr, h := range f.hosts {
+		if f.down[addr] || addr == address(0) {
 			continue
 		}
 		h.mu.Lock()
-		heard := h.heard[server]
+		received := h.received[server]
 		h.mu.Unlock()
-		if heard.IsZero() {
+		if received.IsZero() {
 			return 0, false
 		}
-		worst = max(worst, heard.Sub(begin))
+		worst = max(worst, received.Sub(begin))
 	}
 	return worst, true
 }
 
-// Symptom: a server gets a request 2.7 s after it said that it leaves, from one host of 67.
-// Sequence: the server tells one host; heartbeats carry the word on, one neighbour each
-// 250 ms; the last host hears it after eleven of them.
-// Cause: nothing but heartbeats carried it. Now every host is told, in a few round trips.
-func TestLargeFleetHearsOfALeavingServerAtOnce(t *testing.T) {
+// TestLeavingServerReachesLargeFleetQuickly guards against a request from one host of 67 to a
+// server that announced 2.7 s before that it is leaving. When only heartbeats to one neighbor
+// every 250 ms passed the announcement on, the last host received it after eleven of them. Every
+// host must be notified within a few round trips.
+func TestLeavingServerReachesLargeFleetQuickly(t *testing.T) {
 	for _, n := range []int{2, 12, 75, 1400} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, n)
 			begin := time.Now()
-			f.hosts[address(0)].Server(&pb.ServerState{Id: "s1", Leaving: true})
+			f.hosts[address(0)].BroadcastServer(&pb.ServerState{Id: "s1", Leaving: true})
 			time.Sleep(time.Second)
-			took, all := f.slowest(begin, "s1")
-			if most := gather + 5*roundTrip; !all || took > most {
-				t.Errorf("%d hosts: all %v after %v, want %v at most", n, all, took, most)
+			took, all := f.slowestReceipt(begin, "s1")
+			if limit := batchDelay + 5*roundTrip; !all || took > limit {
+				t.Errorf("%d hosts: all %v after %v, want %v at most", n, all, took, limit)
 			}
 			if f.calls != n-1 {
 				t.Errorf("%d hosts: %d messages, want one for each other host", n, f.calls)
@@ -166,11 +166,11 @@
 	}
 }
 
-// Symptom: hosts send to a server that said it leaves, until heartbeats bring the word.
-// Sequence: it was started again, and leaves; at the same moment the end of its former run
-// is given to be told, or an older word of the same run.
-// Cause: of two words of one server the one that came last was told.
-func TestNewestWordOfAServerIsTold(t *testing.T) {
+// TestNewestStateOfServerIsBroadcast has a restarted server announce that it is leaving, while
+// the end of its previous incarnation or an older state of the same one is to be broadcast. If
+// the state that came last were sent instead of the newest one, hosts would send requests to the
+// leaving server until heartbeats bring the newest state.
+func TestNewestStateOfServerIsBroadcast(t *testing.T) {
 	leaving := &pb.ServerState{Id: "s1", Incarnation: 200, Seq: 1, Leaving: true}
 	for name, other := range map[string]*pb.ServerState{
 		"former run":  {Id: "s1", Incarnation: 100, Seq: 90, Gone: true},
@@ -179,56 +179,56 @@
 		for _, order := range [][]*pb.ServerState{{leaving, other}, {other, leaving}} {
 			s := New(Config{})
 			for _, st := range order {
-				s.Server(st)
+				s.BroadcastServer(st)
 			}
-			if told := s.take().GetServers(); len(told) != 1 || told[0] != leaving {
-				t.Errorf("%s: told %v", name, told)
+			if sent := s.nextUpdate().GetServers(); len(sent) != 1 || sent[0] != leaving {
+				t.Errorf("%s: broadcast %v", name, sent)
 			}
 		}
 	}
 }
 
-// Symptom: hosts go on sending to a server that left while others of the fleet are lost.
-// Sequence: a fifth of the hosts are killed and not yet known to be dead; a server leaves.
-// Cause: a lost host that was to hand the word on took it with it.
-func TestLostHostsStopNoNews(t *testing.T) {
+// TestDeadHostsDoNotStopBroadcast has a fifth of the hosts killed but not yet known to be dead
+// when a server stops. If the hosts to which a dead host should have forwarded the update were
+// not notified, they would go on sending to the server.
+func TestDeadHostsDoNotStopBroadcast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 75)
 		for i := 1; i < 75; i += 5 {
 			f.down[address(i)] = true
 		}
 		begin := time.Now()
-		f.hosts[address(0)].Server(&pb.ServerState{Id: "s1", Gone: true})
+		f.hosts[address(0)].BroadcastServer(&pb.ServerState{Id: "s1", Gone: true})
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
-		took, all := f.slowest(begin, "s1")
+		took, all := f.slowestReceipt(begin, "s1")
 		if !all || took > 1500*time.Millisecond {
 			t.Errorf("all %v after %v", all, took)
 		}
 	})
 }
 
-// Symptom: the control group's leader answers late while tables change.
-// Sequence: all hosts fetch each new table from it.
-// Cause: it is the only one known to have the table. Now hosts fetch from who told them.
-func TestTableIsFetchedFromWhoToldOfIt(t *testing.T) {
+// TestTableIsFetchedFromNotifyingHost checks that hosts fetch a new table from the host that
+// notified them. If all fetched each new table from the leader of the control group, the leader
+// would answer late while tables change.
+func TestTableIsFetchedFromNotifyingHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 75)
 		leader := f.hosts[address(0)]
 		leader.revision = 9
 		begin := time.Now()
-		leader.Table(9)
+		leader.BroadcastTable(9)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		fromLeader := 0
-		for at, h := range f.hosts {
-			if at == leader.at {
+		for addr, h := range f.hosts {
+			if addr == leader.address {
 				continue
 			}
-			if h.revision != 9 || h.fetched.Sub(begin) > gather+8*roundTrip {
-				t.Errorf("%s has revision %d after %v", at, h.revision, h.fetched.Sub(begin))
+			if h.revision != 9 || h.fetched.Sub(begin) > batchDelay+8*roundTrip {
+				t.Errorf("%s has revision %d after %v", addr, h.revision, h.fetched.Sub(begin))
 			}
-			if h.fetched.Sub(begin) <= gather+2*roundTrip {
+			if h.fetched.Sub(begin) <= batchDelay+2*roundTrip {
 				fromLeader++
 			}
 		}
@@ -238,7 +238,7 @@
 	})
 }
 
-func TestTablesInQuickSuccessionAreToldTogether(t *testing.T) {
+func TestTablesInQuickSuccessionAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9)
 		leader := f.hosts[address(0)]
@@ -246,7 +246,7 @@
 			leader.mu.Lock()
 			leader.revision = revision + 1
 			leader.mu.Unlock()
-			leader.Table(revision + 1)
+			leader.BroadcastTable(revision + 1)
 			time.Sleep(10 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -260,21 +260,21 @@
 	})
 }
 
-// Guards against requests that are not told of because many servers are lost at once, and against
-// one message that holds them all.
-func TestAllHostsHearOfAllSuspects(t *testing.T) {
+// TestAllSuspectsReachAllHosts guards against suspects that are not broadcast when many servers
+// crash at once, and against a single message with all of them.
+func TestAllSuspectsReachAllHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts, suspects = 75, 3*maxSuspects + 1
 		f := newFleet(t, hosts)
 		for n := range suspects {
-			f.hosts[address(0)].Suspect(&pb.Suspect{Account: "a", Fingerprint: fmt.Append(nil, n)})
+			f.hosts[address(0)].BroadcastSuspect(&pb.Suspect{Account: "a", Fingerprint: fmt.Append(nil, n)})
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		for at, h := range f.hosts {
+		for addr, h := range f.hosts {
 			h.mu.Lock()
-			if got := len(h.told); got != suspects && at != address(0) {
-				t.Errorf("%s heard of %d of %d", at, got, suspects)
+			if got := len(h.receivedSuspects); got != suspects && addr != address(0) {
+				t.Errorf("%s received %d of %d suspects", addr, got, suspects)
 			}
 			h.mu.Unlock()
 		}
--- a/internal/controller/voters/voters_test.go
+++ b/internal/controller/voters/voters_test.go
@@ -10,7 +10,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// fakeGroup is a group of voters 1 to n that this replica, 1, leads.
+// fakeGroup is a group of voters 1 to n, led by this replica, which is 1.
 type fakeGroup struct {
 	term    uint64
 	leading bool
@@ -41,64 +41,64 @@
 	return g
 }
 
-// look reconciles at each of the seconds.
-func look(c *Controller, seconds ...int) {
+// reconcileAt calls Reconcile at each of the given seconds.
+func reconcileAt(c *Controller, seconds ...int) {
 	for _, s := range seconds {
 		c.Reconcile(context.Background(), time.Unix(1000+int64(s), 0))
 	}
 }
 
 func controller(g *fakeGroup) *Controller {
-	return New(Config{Group: g, Enough: 3, Log: zerolog.Nop()})
+	return New(Config{Group: g, MinAnswering: 3, Log: zerolog.Nop()})
 }
 
-// Symptom: the second loss of a day takes the quorum.
-// Sequence: one of three replicas is gone for good; another joins and is promoted.
-// Cause: the lost one stayed a voter.
+// TestReplacedVoterIsRemoved has one of three replicas permanently fail and another one join and
+// be promoted. If the failed one stayed a voter, the second failure of a day would cost the
+// group its quorum.
 func TestReplacedVoterIsRemoved(t *testing.T) {
 	g := newGroup(true, true, false, true)
-	look(controller(g), 0, 2, 3)
+	reconcileAt(controller(g), 0, 2, 3)
 	if len(g.removed) != 1 || g.removed[0] != 3 {
 		t.Errorf("removed %v, want replica 3 after 3 s of silence", g.removed)
 	}
 }
 
-// Symptom: a group of three loses a member that comes back a moment later.
-// Sequence: one of three voters is cut off for long; nobody has taken its place.
-// Cause: silence alone taken for a loss.
+// TestVoterStaysWithoutReplacement has one of three voters partitioned for a long time without a
+// replacement. If a missing answer alone were taken for a loss, the group would remove a member
+// that returns a moment later.
 func TestVoterStaysWithoutReplacement(t *testing.T) {
 	g := newGroup(true, true, false)
-	g.add(9, true, true) // a learner votes on nothing yet
-	look(controller(g), 0, 5, 10)
+	g.add(9, true, true) // a learner does not vote
+	reconcileAt(controller(g), 0, 5, 10)
 	if len(g.removed) != 0 {
 		t.Errorf("removed %v", g.removed)
 	}
 }
 
-func TestSilenceCountsAnewAfterAWord(t *testing.T) {
+func TestAnswerResetsSilence(t *testing.T) {
 	g := newGroup(true, true, false, true)
 	c := controller(g)
-	look(c, 0, 2)
+	reconcileAt(c, 0, 2)
 	g.members[2].Active = true
-	look(c, 3)
+	reconcileAt(c, 3)
 	g.members[2].Active = false
-	look(c, 4, 6)
+	reconcileAt(c, 4, 6)
 	if len(g.removed) != 0 {
 		t.Errorf("removed %v after 2 s of silence", g.removed)
 	}
 }
 
-// Symptom: a new leader removes a replica that it has not had the time to hear.
-// Sequence: leadership changes; members count as silent until they answer.
-// Cause: silence that an earlier term saw counted on.
-func TestNewTermCountsAnew(t *testing.T) {
+// TestNewTermResetsSilence has the leadership change; members count as silent until they answer
+// the new leader. If the time without an answer in an earlier term counted too, a new leader
+// would remove a replica that has not had time to answer.
+func TestNewTermResetsSilence(t *testing.T) {
 	g := newGroup(true, true, false, true)
 	c := controller(g)
-	look(c, 0, 2)
+	reconcileAt(c, 0, 2)
 	g.term = 2
-	look(c, 3, 4)
+	reconcileAt(c, 3, 4)
 	g.leading = false
-	look(c, 9)
+	reconcileAt(c, 9)
 	if len(g.removed) != 0 {
 		t.Errorf("removed %v", g.removed)
 	}
--- a/internal/daemon/gatewaynews.go
+++ b/internal/daemon/gatewaynews.go
@@ -10,12 +10,12 @@
 
 // newBroadcaster creates the broadcaster of updates about suspects, rate limits, servers that leave
 // and newer routing tables.
-func (g *gateway) newBroadcaster() *news.Spreader {
+func (g *gateway) newBroadcaster() *news.Broadcaster {
 	return news.New(news.Config{
 		Self: g.d.cfg.PeerAddress(), Peers: g.livePeers, Client: g.d.pool.Client,
-		Suspects: g.suspects.HandleUpdates, Limits: g.limits.Merge,
-		Servers: func(states []*pb.ServerState) { g.balancer.Merge(states, backend.TransitUnknown) },
-		Fetch:   g.fetchAdvertised, Log: g.d.tel.Log,
+		OnSuspects: g.suspects.HandleUpdates, OnLimits: g.limits.Merge,
+		OnServers: func(states []*pb.ServerState) { g.balancer.Merge(states, backend.TransitUnknown) },
+		FetchTable:   g.fetchAdvertised, Log: g.d.tel.Log,
 	})
 }
 
@@ -32,6 +32,6 @@
 func (g *gateway) serverChanged(st *pb.ServerState) {
 	g.members.Kick()
 	if st.GetLeaving() || st.GetGone() {
-		g.news.Server(st)
+		g.news.BroadcastServer(st)
 	}
 }
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -10,17 +10,17 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// fleet is the simple oracle's world: hosts that really run or not, and a network
-// that loses what it is told to. Every tick each running host exchanges heartbeats.
+// fleet simulates hosts that are running or not, and a network that drops messages on demand.
+// In every tick each running host exchanges heartbeats.
 type fleet struct {
 	cfg   Config
 	seed  uint64
 	hosts []*simHost
-	// cut[{a,b}] loses everything sent from a to b.
-	cut map[[2]int]bool
-	// hold keeps copies of requests sent by host holdFrom, to be delivered late.
-	holdFrom int
-	held     []heldRequest
+	// blocked[{a,b}] is true if everything sent from a to b is dropped.
+	blocked map[[2]int]bool
+	// delayFrom is the host whose requests are delayed, or noHost; delayed holds these requests.
+	delayFrom int
+	delayed   []delayedRequest
 
 	bytes    int
 	messages int
@@ -34,15 +34,15 @@
 	incarnation uint64
 }
 
-type heldRequest struct {
+type delayedRequest struct {
 	to int
 	m  *pb.HeartbeatRequest
 }
 
-const nobody = -1
+const noHost = -1
 
 func newFleet(n int, seed uint64, cfg Config) *fleet {
-	f := &fleet{cfg: cfg, seed: seed, cut: make(map[[2]int]bool), holdFrom: nobody}
+	f := &fleet{cfg: cfg, seed: seed, blocked: make(map[[2]int]bool), delayFrom: noHost}
 	for i := range n {
 		f.hosts = append(f.hosts, &simHost{})
 		f.start(i)
@@ -76,10 +76,10 @@
 	f.hosts[i].Leave()
 }
 
-func (f *fleet) isolate(i int, cut bool) {
+func (f *fleet) isolate(i int, blocked bool) {
 	for j := range f.hosts {
-		f.cut[[2]int{i, j}] = cut
-		f.cut[[2]int{j, i}] = cut
+		f.blocked[[2]int{i, j}] = blocked
+		f.blocked[[2]int{j, i}] = blocked
 	}
 }
 
@@ -87,13 +87,13 @@
 	for range ticks {
 		for i, h := range f.hosts {
 			if h.running {
-				f.beat(i, h)
+				f.exchangeAll(i, h)
 			}
 		}
 	}
 }
 
-func (f *fleet) beat(i int, h *simHost) {
+func (f *fleet) exchangeAll(i int, h *simHost) {
 	for _, target := range h.Tick() {
 		j := slices.IndexFunc(f.hosts, func(x *simHost) bool { return x.cfg.Self.PeerAddress == target.Address })
 		if j == i {
@@ -108,21 +108,21 @@
 	}
 }
 
-// exchange returns nil when no reply comes.
+// exchange sends m from host i to host j and returns the reply, or nil if there is none.
 func (f *fleet) exchange(i, j int, m *pb.HeartbeatRequest) *pb.HeartbeatReply {
 	f.count(m)
-	if i == f.holdFrom {
-		f.held = append(f.held, heldRequest{to: j, m: proto.Clone(m).(*pb.HeartbeatRequest)})
+	if i == f.delayFrom {
+		f.delayed = append(f.delayed, delayedRequest{to: j, m: proto.Clone(m).(*pb.HeartbeatRequest)})
 		return nil
 	}
 	peer := f.hosts[j]
-	if !peer.running || f.cut[[2]int{i, j}] {
+	if !peer.running || f.blocked[[2]int{i, j}] {
 		return nil
 	}
 	peer.ReceiveRequest(m)
 	reply := &pb.HeartbeatReply{Seq: m.GetSeq(), State: peer.Reply(m.GetFrom().GetHost())}
 	f.count(reply)
-	if f.cut[[2]int{j, i}] {
+	if f.blocked[[2]int{j, i}] {
 		return nil
 	}
 	return reply
@@ -136,17 +136,17 @@
 	}
 }
 
-// deliverHeld delivers all held requests at once, as a silent connection that works
-// again would. It may be called again: something may send them twice.
-func (f *fleet) deliverHeld() {
-	for _, h := range f.held {
+// deliverDelayed delivers all delayed requests at once, as a stalled connection that recovers
+// would. It may be called again to deliver duplicates.
+func (f *fleet) deliverDelayed() {
+	for _, h := range f.delayed {
 		if f.hosts[h.to].running {
 			f.hosts[h.to].ReceiveRequest(h.m)
 		}
 	}
 }
 
-// view is what host i thinks of host j.
+// view returns host j as host i knows it.
 func (f *fleet) view(i, j int) Host {
 	for _, h := range f.hosts[i].Hosts() {
 		if h.Holder.GetHost() == simName(j) {
@@ -158,7 +158,7 @@
 
 func (f *fleet) health(i, j int) pb.HostHealth { return f.view(i, j).Health }
 
-// addresses of host i's answer, without order.
+// names returns the hosts whose addresses host i returns, sorted by name.
 func (f *fleet) names(i int) []string {
 	var names []string
 	for _, a := range f.hosts[i].Addresses(testNow, "olinda", testTTL) {
@@ -168,8 +168,8 @@
 	return names
 }
 
-// truth is what every answer must hold once all is quiet.
-func (f *fleet) truth() []string {
+// wantNames is what every answer must hold once all is quiet.
+func (f *fleet) wantNames() []string {
 	var names []string
 	for i, h := range f.hosts {
 		if h.running && !h.leaving {
