--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -79,11 +79,11 @@
 // Defaults of Config.
 const (
 	DefaultLease         = 2 * time.Second
-	DefaultClockDrift         = 200 * time.Millisecond
+	DefaultClockDrift    = 200 * time.Millisecond
 	DefaultOrderTimeout  = 10 * time.Second
-	DefaultWarmUp    = 5 * time.Second
+	DefaultWarmUp        = 5 * time.Second
 	DefaultEffectTimeout = 10 * time.Minute
-	DefaultRetryDelay          = 15 * time.Second
+	DefaultRetryDelay    = 15 * time.Second
 )
 
 // Config of a Planner. Zero fields get the defaults.
