--- a/internal/placement/crash_test.go
+++ b/internal/placement/crash_test.go
@@ -10,9 +10,9 @@
 // crashingModel crashes each server that loads it.
 const crashingModel = "broken@v1"
 
-// crashes has the servers carry orders out, and those that load crashingModel start again. It
+// executeWithCrashes has the servers carry orders out, and those that load crashingModel start again. It
 // returns how many did.
-func (w *world) crashes(orders []Order) int {
+func (w *testFleet) executeWithCrashes(orders []Order) int {
 	crashed := 0
 	for _, o := range orders {
 		w.planner.RecordResult(w.in.Now, o, Accepted)
@@ -40,7 +40,7 @@
 	crashed := 0
 	const hour = 3600
 	for range hour {
-		crashed += w.crashes(w.step())
+		crashed += w.executeWithCrashes(w.step())
 	}
 	// Two orders are in flight at a time; then there is a trial after 1, 2, 4, 8, 16 and 32 minutes.
 	if most := maxCrashes + 1 + 2*6; crashed > most {
@@ -49,13 +49,13 @@
 	if w.planner.Blocked() == nil {
 		t.Error("nothing says why the rule isn't met")
 	}
-	if met := w.meeting(1); met < 4 {
+	if met := w.countMatching(1); met < 4 {
 		t.Errorf("%d servers meet the other rule", met)
 	}
 }
 
-// meeting counts the servers that meet a rule.
-func (w *world) meeting(rule int) int {
+// countMatching counts the servers that meet a rule.
+func (w *testFleet) countMatching(rule int) int {
 	met := 0
 	for _, s := range w.in.Servers {
 		if matches(s, w.in.Rules[rule]) {
@@ -67,17 +67,17 @@
 
 // Guards against a model that is held back for the rest of the term because servers ended while
 // they loaded it for another reason.
-func TestOrderThatIsCarriedOutIsNotHeldBack(t *testing.T) {
+func TestSuccessfulOrderIsNotHeldBack(t *testing.T) {
 	var servers []*pb.ServerState
 	for i := range 8 {
 		servers = append(servers, testServer(i, "ledger@v1"))
 	}
 	w := newWorld([]settings.PlacementRule{{Pool: "llm", Model: crashingModel, Servers: 2}}, servers...)
 	for crashed := 0; crashed < maxCrashes; {
-		crashed += w.crashes(w.step())
+		crashed += w.executeWithCrashes(w.step())
 	}
-	w.run(4 * int(firstHold.Seconds()))
-	if met := w.meeting(0); met < 2 {
+	w.run(4 * int(minHold.Seconds()))
+	if met := w.countMatching(0); met < 2 {
 		t.Errorf("%d servers meet the rule: %+v", met, w.planner.Blocked())
 	}
 }
--- a/internal/placement/flight.go
+++ b/internal/placement/flight.go
@@ -23,8 +23,8 @@
 	Unknown
 )
 
-// flight is an order that has not shown its effect yet. Its server gets no other.
-type flight struct {
+// pendingOrder is an order that has not shown its effect yet. Its server gets no other.
+type pendingOrder struct {
 	order Order
 	rule  settings.PlacementRule
 	// incarnation of the server when the order was given.
@@ -35,16 +35,16 @@
 
 // RecordResult takes how an order ended at time now. An order of a former term is ignored.
 func (p *Planner) RecordResult(now time.Time, o Order, result Result) {
-	f := p.flights[o.Server]
+	f := p.pending[o.Server]
 	if f == nil || f.order.ID != o.ID || o.Term != p.term {
 		return
 	}
 	switch result {
 	case NotSent:
 		p.bucket.refund(o.Bytes)
-		p.giveUp(now, o.Server)
+		p.abandon(now, o.Server)
 	case Refused:
-		p.giveUp(now, o.Server)
+		p.abandon(now, o.Server)
 	case Accepted:
 		f.until = now.Add(p.cfg.EffectTimeout)
 	case Unknown:
@@ -53,32 +53,32 @@
 	}
 }
 
-func (p *Planner) giveUp(now time.Time, server string) {
-	delete(p.flights, server)
-	p.rests[server] = now.Add(p.cfg.RetryDelay)
+func (p *Planner) abandon(now time.Time, server string) {
+	delete(p.pending, server)
+	p.retryAfter[server] = now.Add(p.cfg.RetryDelay)
 }
 
 // observe ends flights whose effect the announcements show, or whose time is over.
 func (p *Planner) observe(in Input) {
-	for server, f := range p.flights {
+	for server, f := range p.pending {
 		s := find(in.Servers, server)
-		if shows(f.order, s) {
-			delete(p.flights, server)
-			delete(p.crashes, wants(f.order))
+		if hasEffect(f.order, s) {
+			delete(p.pending, server)
+			delete(p.crashes, goalOf(f.order))
 			continue
 		}
 		if f.restarted(s) {
-			p.crashed(in.Now, f.order)
-			p.giveUp(in.Now, server)
+			p.recordCrash(in.Now, f.order)
+			p.abandon(in.Now, server)
 			continue
 		}
 		if in.Now.After(f.until) {
-			p.giveUp(in.Now, server)
+			p.abandon(in.Now, server)
 		}
 	}
-	for server, end := range p.rests {
+	for server, end := range p.retryAfter {
 		if in.Now.After(end) {
-			delete(p.rests, server)
+			delete(p.retryAfter, server)
 		}
 	}
 }
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// shows tells whether s announces what o ordered.
-func shows(o Order, s *pb.ServerState) bool {
+// hasEffect tells whether s announces what o ordered.
+func hasEffect(o Order, s *pb.ServerState) bool {
 	if s == nil {
 		return false
 	}
@@ -109,10 +109,10 @@
 	}
 }
 
-// heading is the number of orders in flight for a rule.
-func (p *Planner) heading(rule settings.PlacementRule) int {
+// pendingFor is the number of orders in flight for a rule.
+func (p *Planner) pendingFor(rule settings.PlacementRule) int {
 	n := 0
-	for _, f := range p.flights {
+	for _, f := range p.pending {
 		if f.rule == rule {
 			n++
 		}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -122,9 +122,9 @@
 
 	term    uint64
 	bucket  bucket
-	flights map[string]*flight // by server
-	rests   map[string]time.Time
-	crashes map[orderGoal]crashes
+	pending map[string]*pendingOrder // by server
+	retryAfter   map[string]time.Time
+	crashes map[orderGoal]crashHistory
 	blocked []Blocked
 }
 
@@ -147,9 +147,9 @@
 func (p *Planner) reset(term uint64, since time.Time) {
 	p.term = term
 	p.bucket = bucket{at: since}
-	p.flights = make(map[string]*flight)
-	p.rests = make(map[string]time.Time)
-	p.crashes = make(map[orderGoal]crashes)
+	p.pending = make(map[string]*pendingOrder)
+	p.retryAfter = make(map[string]time.Time)
+	p.crashes = make(map[orderGoal]crashHistory)
 }
 
 // Step returns the orders to commit and send now. Each is followed by one call of
@@ -163,7 +163,7 @@
 		p.reset(in.Leadership.Term, in.Leadership.Since)
 	}
 	p.observe(in)
-	p.bucket.refill(in.Now, in.StoreRate, largest(in.Rules))
+	p.bucket.refill(in.Now, in.StoreRate, largestModel(in.Rules))
 	if in.Now.Sub(in.Leadership.Since) < p.cfg.WarmUp {
 		return nil
 	}
@@ -173,7 +173,7 @@
 // Blocked returns, for the last Step, the rules that aren't met and why.
 func (p *Planner) Blocked() []Blocked { return p.blocked }
 
-func largest(rules []settings.PlacementRule) int64 {
+func largestModel(rules []settings.PlacementRule) int64 {
 	var most int64
 	for _, r := range rules {
 		most = max(most, r.Bytes)
@@ -187,7 +187,7 @@
 	for _, rule := range in.Rules {
 		orders = append(orders, p.planRule(v, rule)...)
 	}
-	for _, order := range v.formerVersions() {
+	for _, order := range v.unloadOrders() {
 		orders = append(orders, p.start(v, order))
 	}
 	return orders
@@ -196,10 +196,10 @@
 func (p *Planner) planRule(v *view, rule settings.PlacementRule) []Order {
 	var orders []Order
 	have := v.have[rule]
-	for missing := rule.Servers - have - p.heading(rule); missing > 0; missing-- {
+	for missing := rule.Servers - have - p.pendingFor(rule); missing > 0; missing-- {
 		order, reason := v.choose(rule)
 		if reason == "" {
-			reason = p.heldBack(v.in.Now, order)
+			reason = p.holdReason(v.in.Now, order)
 		}
 		if reason == "" && !p.bucket.canTake(order.Bytes, v.in.StoreRate) {
 			reason = "waiting for the weight store's rate limit"
@@ -210,7 +210,7 @@
 		}
 		p.bucket.take(order.Bytes, v.in.StoreRate)
 		orders = append(orders, p.start(v, order))
-		p.flights[order.Server].rule = rule
+		p.pending[order.Server].rule = rule
 	}
 	return orders
 }
@@ -220,7 +220,7 @@
 	order.ID = p.lastID
 	order.Term = p.term
 	s := find(v.in.Servers, order.Server)
-	v.takeOut(s, order)
-	p.flights[order.Server] = &flight{order: order, incarnation: s.GetIncarnation(), until: v.in.Now.Add(p.cfg.OrderTimeout)}
+	v.subtract(s, order)
+	p.pending[order.Server] = &pendingOrder{order: order, incarnation: s.GetIncarnation(), until: v.in.Now.Add(p.cfg.OrderTimeout)}
 	return order
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,17 +26,17 @@
 
 var testStart = time.Unix(1_800_000_000, 0)
 
-// world is a planner that leads and servers that do as they are told.
-type world struct {
+// testFleet is a planner that leads and servers that do as they are told.
+type testFleet struct {
 	planner *Planner
 	in      Input
 	// evicts: a server drops its other models when it loads one.
 	evicts bool
-	given  []Order
+	executed  []Order
 }
 
-func newWorld(rules []settings.PlacementRule, servers ...*pb.ServerState) *world {
-	return &world{
+func newWorld(rules []settings.PlacementRule, servers ...*pb.ServerState) *testFleet {
+	return &testFleet{
 		planner: NewPlanner(Config{}),
 		in: Input{
 			Now: testStart, Rules: rules, Servers: servers,
@@ -50,20 +50,20 @@
 }
 
 // step lets a second pass and returns the orders; done carries them out before the next.
-func (w *world) step() []Order {
+func (w *testFleet) step() []Order {
 	w.in.Now = w.in.Now.Add(time.Second)
 	return w.planner.Step(w.in)
 }
 
-func (w *world) carryOut(orders []Order) {
+func (w *testFleet) execute(orders []Order) {
 	for _, o := range orders {
 		w.planner.RecordResult(w.in.Now, o, Accepted)
-		w.given = append(w.given, o)
+		w.executed = append(w.executed, o)
 		w.apply(find(w.in.Servers, o.Server), o)
 	}
 }
 
-func (w *world) apply(s *pb.ServerState, o Order) {
+func (w *testFleet) apply(s *pb.ServerState, o Order) {
 	switch o.Verb {
 	case LoadModel:
 		if w.evicts {
@@ -79,13 +79,13 @@
 	}
 }
 
-func (w *world) run(seconds int) {
+func (w *testFleet) run(seconds int) {
 	for range seconds {
-		w.carryOut(w.step())
+		w.execute(w.step())
 	}
 }
 
-func TestServersComeToMeetTheRules(t *testing.T) {
+func TestOrdersFulfillRules(t *testing.T) {
 	rules := []settings.PlacementRule{
 		{Pool: "llm", Model: "ledger@v2", Servers: 4},
 		{Pool: "llm", Model: "ledger@v2", Adapter: "audit", Role: "decode", Servers: 2},
@@ -107,10 +107,10 @@
 		if full != 2 || len(w.planner.Blocked()) != 0 {
 			t.Errorf("evicts %v: %d servers with adapter and role; blocked: %v", evicts, full, w.planner.Blocked())
 		}
-		n := len(w.given)
+		n := len(w.executed)
 		w.run(60)
-		if len(w.given) != n {
-			t.Errorf("evicts %v: orders although all is met: %v", evicts, w.given[n:])
+		if len(w.executed) != n {
+			t.Errorf("evicts %v: orders although all is met: %v", evicts, w.executed[n:])
 		}
 	}
 }
@@ -124,8 +124,8 @@
 	w.evicts = true
 	w.in.Servers[2].Leaving = true
 	w.run(30)
-	if len(w.given) != 1 || w.given[0].Server != "10.1.0.2:8000" {
-		t.Fatalf("orders: %v", w.given)
+	if len(w.executed) != 1 || w.executed[0].Server != "10.1.0.2:8000" {
+		t.Fatalf("orders: %v", w.executed)
 	}
 	blocked := w.planner.Blocked()
 	if len(blocked) != 1 || blocked[0].Have != 1 || !strings.Contains(blocked[0].Reason, "last server of model ledger") {
@@ -136,7 +136,7 @@
 // Symptom: a server that ignores fencing numbers carries out the orders of two leaders.
 // Sequence: a leader ends with an order on its way; the next begins at once.
 // Cause: the next leader didn't wait until the order must have ended.
-func TestNewLeaderWaitsForServersThatIgnoreNumbers(t *testing.T) {
+func TestNewLeaderWaitsForServersIgnoringFences(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 8}}
 	w := newWorld(rules)
 	for i := range 8 {
@@ -145,25 +145,25 @@
 		w.in.Servers = append(w.in.Servers, s)
 	}
 	for range int(DefaultWarmUp/time.Second) - 1 {
-		w.carryOut(w.step())
+		w.execute(w.step())
 	}
-	if len(w.given) != 0 {
-		t.Errorf("%d orders before the announcements were gathered", len(w.given))
+	if len(w.executed) != 0 {
+		t.Errorf("%d orders before the announcements were gathered", len(w.executed))
 	}
 	for w.in.Now.Sub(testStart) < DefaultLease+DefaultClockDrift+DefaultOrderTimeout-time.Second {
-		w.carryOut(w.step())
+		w.execute(w.step())
 	}
-	if len(w.given) != 4 {
-		t.Errorf("%d orders within the wait, want 4", len(w.given))
+	if len(w.executed) != 4 {
+		t.Errorf("%d orders within the wait, want 4", len(w.executed))
 	}
-	for _, o := range w.given {
+	for _, o := range w.executed {
 		if !find(w.in.Servers, o.Server).ChecksFence {
 			t.Errorf("%s was ordered %v after the term began", o.Server, w.in.Now.Sub(testStart))
 		}
 	}
 	w.run(20)
-	if len(w.given) != 8 {
-		t.Errorf("%d orders after the wait, want 8", len(w.given))
+	if len(w.executed) != 8 {
+		t.Errorf("%d orders after the wait, want 8", len(w.executed))
 	}
 }
 
@@ -174,28 +174,28 @@
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 1}}
 	w := newWorld(rules, testServer(1))
 	w.planner = NewPlanner(Config{RetryDelay: time.Second})
-	w.planner.RecordResult(w.in.Now, w.until(t), Unknown)
+	w.planner.RecordResult(w.in.Now, w.firstOrder(t), Unknown)
 	for range int(DefaultOrderTimeout / time.Second) {
 		if again := w.step(); len(again) != 0 {
 			t.Fatalf("ordered again after %v: %v", w.in.Now.Sub(testStart), again)
 		}
 	}
 	w.run(4)
-	if len(w.given) != 1 {
-		t.Errorf("not tried again: %v", w.given)
+	if len(w.executed) != 1 {
+		t.Errorf("not tried again: %v", w.executed)
 	}
 }
 
 // Symptom: a server gets an order while another of the same leader is on its way.
 // Sequence: a leader is replaced and elected again; an order of its first term ends.
 // Cause: that end was taken for the end of the present order to the same server.
-func TestEndOfAFormerTermsOrderFreesNothing(t *testing.T) {
+func TestResultOfFormerTermIsIgnored(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 1}}
 	w := newWorld(rules, testServer(1))
 	w.planner = NewPlanner(Config{RetryDelay: time.Second})
-	first := w.until(t)
+	first := w.firstOrder(t)
 	w.in.Leadership = Leadership{Term: 3, Since: w.in.Now, OK: true}
-	w.until(t)
+	w.firstOrder(t)
 	w.planner.RecordResult(w.in.Now, first, Refused)
 	for range 4 {
 		if again := w.step(); len(again) != 0 {
@@ -204,8 +204,8 @@
 	}
 }
 
-// until steps to the first order.
-func (w *world) until(t *testing.T) Order {
+// firstOrder steps to the first order.
+func (w *testFleet) firstOrder(t *testing.T) Order {
 	t.Helper()
 	for range 60 {
 		if orders := w.step(); len(orders) > 0 {
@@ -219,13 +219,13 @@
 // Symptom: a change of settings makes a whole pool load at once, or takes both last
 // servers of a model in the same second.
 // Cause: orders of one step were each decided as if they were the only one.
-func TestOrdersOfOneStepSeeEachOther(t *testing.T) {
+func TestOrdersOfOneStepAreCoordinated(t *testing.T) {
 	w := newWorld([]settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 16}})
 	for i := range 16 {
 		w.in.Servers = append(w.in.Servers, testServer(i))
 	}
-	w.until(t)
-	if n := len(w.planner.flights); n != 16/busyShare {
+	w.firstOrder(t)
+	if n := len(w.planner.pending); n != 16/busyDivisor {
 		t.Errorf("%d of 16 servers load at once", n)
 	}
 	w.in.Rules = []settings.PlacementRule{{Pool: "llm", Model: "ledger", Servers: 14}, {Pool: "llm", Model: "codes", Servers: 16}}
@@ -233,9 +233,9 @@
 		s.Models = []string{"ledger"}
 	}
 	w.planner = NewPlanner(Config{})
-	w.until(t)
+	w.firstOrder(t)
 	w.step()
-	if n := len(w.planner.flights); n != 2 {
+	if n := len(w.planner.pending); n != 2 {
 		t.Errorf("%d servers taken from a rule that can spare 2", n)
 	}
 	w.in.Rules = w.in.Rules[1:]
@@ -244,8 +244,8 @@
 		s.Leaving = i >= 2
 	}
 	w.planner = NewPlanner(Config{})
-	w.until(t)
-	if n := len(w.planner.flights); n != 1 {
+	w.firstOrder(t)
+	if n := len(w.planner.pending); n != 1 {
 		t.Errorf("%d of the last 2 servers of a model taken at once", n)
 	}
 }
@@ -253,13 +253,13 @@
 // Symptom: two rules take servers from each other for ever.
 // Sequence: the rules want more servers than there are; engines drop what they had.
 // Cause: a rule was served at the cost of another.
-func TestRulesBeyondThePoolDontTakeTurns(t *testing.T) {
+func TestUnsatisfiableRulesDoNotAlternate(t *testing.T) {
 	w := newWorld([]settings.PlacementRule{{Pool: "llm", Model: "a", Servers: 3}, {Pool: "llm", Model: "b", Servers: 3}},
 		testServer(1, "a"), testServer(2, "a"), testServer(3, "a"), testServer(4, "a"))
 	w.evicts = true
 	w.run(200)
-	if len(w.given) != 1 || len(w.planner.Blocked()) != 1 {
-		t.Errorf("orders %v, blocked %v", w.given, w.planner.Blocked())
+	if len(w.executed) != 1 || len(w.planner.Blocked()) != 1 {
+		t.Errorf("orders %v, blocked %v", w.executed, w.planner.Blocked())
 	}
 }
 
@@ -273,7 +273,7 @@
 		for i := range 40 {
 			servers = append(servers, testServer(i))
 		}
-		leaders := []*world{newWorld(nil, servers...), newWorld(nil, servers...)}
+		leaders := []*testFleet{newWorld(nil, servers...), newWorld(nil, servers...)}
 		now, term := testStart, uint64(0)
 		type paid struct {
 			at    time.Time
@@ -293,7 +293,7 @@
 					leader.in.Rules[0].Servers = 0
 				}
 				orders := leader.step()
-				leader.carryOut(orders)
+				leader.execute(orders)
 				for _, o := range orders {
 					history = append(history, paid{leader.in.Now, o.Bytes})
 				}
@@ -314,7 +314,7 @@
 
 // Whatever the rules, failures and engines: a model that was served stays served by a
 // server that isn't loading, no server has two orders, and the rules' orders end.
-func TestNoRuleEmptiesAModelWhateverFails(t *testing.T) {
+func TestServedModelsStayServed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a@1", "a@2", "b", "c"}
 		var rules []settings.PlacementRule
@@ -326,7 +326,7 @@
 		for i := range rapid.IntRange(1, 9).Draw(t, "n") {
 			w.in.Servers = append(w.in.Servers, testServer(i, rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, 2, rapid.ID[string]).Draw(t, "models")...))
 		}
-		served := servedBases(w, nil)
+		served := servedModels(w, nil)
 		for range 150 {
 			orders := w.step()
 			loading := make(map[string]bool)
@@ -337,7 +337,7 @@
 				loading[o.Server] = o.Verb == LoadModel
 			}
 			for _, name := range served {
-				if !slices.Contains(servedBases(w, loading), name) {
+				if !slices.Contains(servedModels(w, loading), name) {
 					t.Fatalf("nobody serves %s while %v", name, orders)
 				}
 			}
@@ -347,21 +347,21 @@
 				}
 				continue
 			}
-			w.carryOut(orders)
+			w.execute(orders)
 		}
-		n := len(w.given)
+		n := len(w.executed)
 		w.run(100)
-		if len(w.given) != n {
-			t.Fatalf("orders don't end: %v", w.given[n:])
+		if len(w.executed) != n {
+			t.Fatalf("orders don't end: %v", w.executed[n:])
 		}
 	})
 }
 
-func servedBases(w *world, loading map[string]bool) []string {
+func servedModels(w *testFleet, loading map[string]bool) []string {
 	var names []string
 	for _, s := range w.in.Servers {
 		if !loading[s.Address] {
-			names = append(names, bases(s)...)
+			names = append(names, modelNames(s)...)
 		}
 	}
 	return names
@@ -371,7 +371,7 @@
 	w := newWorld([]settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 1}}, testServer(1))
 	w.in.Leadership.OK = false
 	w.run(60)
-	if len(w.given) != 0 {
-		t.Errorf("orders without a lease: %v", w.given)
+	if len(w.executed) != 0 {
+		t.Errorf("orders without a lease: %v", w.executed)
 	}
 }
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -9,12 +9,12 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// busyShare of a pool's servers may have an order in flight at once, at least one: a
+// busyDivisor of a pool's servers may have an order in flight at once, at least one: a
 // server that loads weights serves less.
-const busyShare = 4
+const busyDivisor = 4
 
-// versionMark stands between a model's name and its version.
-const versionMark = "@"
+// versionSeparator stands between a model's name and its version.
+const versionSeparator = "@"
 
 // view is the fleet at one Step: announced servers and orders in flight.
 type view struct {
@@ -22,8 +22,8 @@
 	planner *Planner
 	// have is the number of servers that meet each rule and aren't leaving.
 	have map[settings.PlacementRule]int
-	// firm is have without the servers that may cease to meet the rule by an order in flight.
-	firm map[settings.PlacementRule]int
+	// stable is have without the servers that may cease to meet the rule by an order in flight.
+	stable map[settings.PlacementRule]int
 	// serving is the number of servers that serve a model, in any version, aren't
 	// leaving and have no order in flight.
 	serving map[string]int
@@ -33,7 +33,7 @@
 	v := &view{
 		in: in, planner: p,
 		have:    make(map[settings.PlacementRule]int),
-		firm:    make(map[settings.PlacementRule]int),
+		stable:    make(map[settings.PlacementRule]int),
 		serving: make(map[string]int),
 	}
 	for _, s := range in.Servers {
@@ -43,48 +43,48 @@
 		for _, rule := range in.Rules {
 			if matches(s, rule) {
 				v.have[rule]++
-				v.firm[rule]++
+				v.stable[rule]++
 			}
 		}
 		v.addServing(s, 1)
-		if f := p.flights[s.GetAddress()]; f != nil {
-			v.takeOut(s, f.order)
+		if f := p.pending[s.GetAddress()]; f != nil {
+			v.subtract(s, f.order)
 		}
 	}
 	return v
 }
 
-// takeOut counts s without what the order may cost it.
-func (v *view) takeOut(s *pb.ServerState, order Order) {
+// subtract counts s without what the order may cost it.
+func (v *view) subtract(s *pb.ServerState, order Order) {
 	v.addServing(s, -1)
-	after := v.after(s, order)
+	after := v.worstCase(s, order)
 	for _, rule := range v.in.Rules {
 		if matches(s, rule) && !matches(after, rule) {
-			v.firm[rule]--
+			v.stable[rule]--
 		}
 	}
 }
 
 func (v *view) addServing(s *pb.ServerState, n int) {
-	for _, name := range bases(s) {
+	for _, name := range modelNames(s) {
 		v.serving[name] += n
 	}
 }
 
-// bases are the names of the models that s serves, each once.
-func bases(s *pb.ServerState) []string {
+// modelNames are the names of the models that s serves, each once.
+func modelNames(s *pb.ServerState) []string {
 	var names []string
 	for _, m := range s.GetModels() {
-		if name := base(m); !slices.Contains(names, name) {
+		if name := modelName(m); !slices.Contains(names, name) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// base is a model's name without its version.
-func base(model string) string {
-	name, _, _ := strings.Cut(model, versionMark)
+// modelName is a model's name without its version.
+func modelName(model string) string {
+	name, _, _ := strings.Cut(model, versionSeparator)
 	return name
 }
 
@@ -95,14 +95,14 @@
 		(rule.Role == "" || s.GetRole() == rule.Role)
 }
 
-func (v *view) busy(s *pb.ServerState) bool { return v.planner.flights[s.GetAddress()] != nil }
+func (v *view) hasPending(s *pb.ServerState) bool { return v.planner.pending[s.GetAddress()] != nil }
 
-// free tells whether s may get an order now.
-func (v *view) free(s *pb.ServerState) bool {
-	if s.GetLeaving() || v.busy(s) {
+// available tells whether s may get an order now.
+func (v *view) available(s *pb.ServerState) bool {
+	if s.GetLeaving() || v.hasPending(s) {
 		return false
 	}
-	if _, rests := v.planner.rests[s.GetAddress()]; rests {
+	if _, rests := v.planner.retryAfter[s.GetAddress()]; rests {
 		return false
 	}
 	led := v.in.Now.Sub(v.in.Leadership.Since)
@@ -118,7 +118,7 @@
 	var best *pb.ServerState
 	reason := "no server of the pool is free"
 	for _, s := range v.in.Servers {
-		if s.GetPool() != rule.Pool || matches(s, rule) || !v.free(s) {
+		if s.GetPool() != rule.Pool || matches(s, rule) || !v.available(s) {
 			continue
 		}
 		if why := v.harm(s, nextOrder(s, rule)); why != "" {
@@ -142,11 +142,11 @@
 			continue
 		}
 		size++
-		if v.busy(s) {
+		if v.hasPending(s) {
 			busy++
 		}
 	}
-	return busy >= max(1, size/busyShare)
+	return busy >= max(1, size/busyDivisor)
 }
 
 // nextOrder is the first thing that s lacks.
@@ -170,25 +170,25 @@
 // there already, then another version of it, then the fewest other models.
 func compareDistance(a, b *pb.ServerState, rule settings.PlacementRule) int {
 	return cmp.Or(
-		cmp.Compare(lack(a, rule), lack(b, rule)),
+		cmp.Compare(distance(a, rule), distance(b, rule)),
 		cmp.Compare(len(a.GetModels()), len(b.GetModels())),
 		strings.Compare(a.GetAddress(), b.GetAddress()),
 	)
 }
 
-func lack(s *pb.ServerState, rule settings.PlacementRule) int {
+func distance(s *pb.ServerState, rule settings.PlacementRule) int {
 	switch {
 	case slices.Contains(s.GetModels(), rule.Model):
 		return 0
-	case servesBase(s, base(rule.Model)):
+	case servesModel(s, modelName(rule.Model)):
 		return 1
 	default:
 		return 2
 	}
 }
 
-func servesBase(s *pb.ServerState, name string) bool {
-	return slices.ContainsFunc(s.GetModels(), func(m string) bool { return base(m) == name })
+func servesModel(s *pb.ServerState, name string) bool {
+	return slices.ContainsFunc(s.GetModels(), func(m string) bool { return modelName(m) == name })
 }
 
 // harm says what would be lost by an order, at the worst; empty: nothing that counts.
@@ -197,26 +197,26 @@
 // and the last server of that one is gone; or two rules take servers from each other
 // for ever. So a loading server counts as having nothing else.
 func (v *view) harm(s *pb.ServerState, order Order) string {
-	after := v.after(s, order)
+	after := v.worstCase(s, order)
 	for _, m := range s.GetModels() {
 		if slices.Contains(after.GetModels(), m) || v.servedElsewhere(s, m) {
 			continue
 		}
-		if order.Verb == UnloadModel && servesBase(after, base(m)) {
+		if order.Verb == UnloadModel && servesModel(after, modelName(m)) {
 			continue // the wanted version serves beside it already
 		}
 		return "it would empty the last server of model " + m
 	}
 	for _, other := range v.in.Rules {
-		if matches(s, other) && !matches(after, other) && v.firm[other] <= other.Servers {
+		if matches(s, other) && !matches(after, other) && v.stable[other] <= other.Servers {
 			return "another rule needs the server: " + other.Pool + " " + other.Model
 		}
 	}
 	return ""
 }
 
-// after is s as the order may leave it, in the worst case.
-func (v *view) after(s *pb.ServerState, order Order) *pb.ServerState {
+// worstCase is s as the order may leave it, in the worst case.
+func (v *view) worstCase(s *pb.ServerState, order Order) *pb.ServerState {
 	after := &pb.ServerState{
 		Address: s.GetAddress(), Pool: s.GetPool(), Role: s.GetRole(),
 		Models: slices.Clone(s.GetModels()), Adapters: slices.Clone(s.GetAdapters()),
@@ -238,22 +238,22 @@
 // servedElsewhere tells whether a server other than s, which is free, serves the model
 // in any version.
 func (v *view) servedElsewhere(s *pb.ServerState, model string) bool {
-	others := v.serving[base(model)]
-	if servesBase(s, base(model)) {
+	others := v.serving[modelName(model)]
+	if servesModel(s, modelName(model)) {
 		others--
 	}
 	return others > 0
 }
 
-// formerVersions are orders to unload versions that no rule wants, from servers where
+// unloadOrders are orders to unload versions that no rule wants, from servers where
 // a wanted version of the same model stands beside them.
-func (v *view) formerVersions() []Order {
+func (v *view) unloadOrders() []Order {
 	var orders []Order
 	for _, s := range v.in.Servers {
-		if v.poolBusy(s.GetPool()) || !v.free(s) {
+		if v.poolBusy(s.GetPool()) || !v.available(s) {
 			continue
 		}
-		if model := v.formerVersion(s); model != "" {
+		if model := v.obsoleteVersion(s); model != "" {
 			orders = append(orders, Order{Server: s.GetAddress(), Verb: UnloadModel, Model: model})
 			return orders // one per step: the next sees it in flight
 		}
@@ -261,7 +261,7 @@
 	return orders
 }
 
-func (v *view) formerVersion(s *pb.ServerState) string {
+func (v *view) obsoleteVersion(s *pb.ServerState) string {
 	for _, m := range s.GetModels() {
 		if v.wanted(s.GetPool(), m) || !v.replaced(s, m) {
 			continue
@@ -283,6 +283,6 @@
 // version's rule is met.
 func (v *view) replaced(s *pb.ServerState, former string) bool {
 	return slices.ContainsFunc(v.in.Rules, func(r settings.PlacementRule) bool {
-		return base(r.Model) == base(former) && r.Model != former && matches(s, r) && v.have[r] >= r.Servers
+		return modelName(r.Model) == modelName(former) && r.Model != former && matches(s, r) && v.have[r] >= r.Servers
 	})
 }
