--- a/internal/placement/crash_test.go
+++ b/internal/placement/crash_test.go
@@ -10,8 +10,8 @@
 // crashingModel crashes each server that loads it.
 const crashingModel = "broken@v1"
 
-// executeWithCrashes has the servers carry orders out, and those that load crashingModel start again. It
-// returns how many did.
+// executeWithCrashes has the servers execute orders, and those that load crashingModel restart.
+// It returns the number of restarts.
 func (w *testFleet) executeWithCrashes(orders []Order) int {
 	crashed := 0
 	for _, o := range orders {
@@ -27,8 +27,8 @@
 	return crashed
 }
 
-// Guards against a model that crashes each engine which loads it, and goes from one to the next
-// until the pool serves nothing.
+// TestOrderThatCrashesServersIsHeldBack guards against a model that crashes each engine that
+// loads it, and is loaded on one after the other until the pool serves nothing.
 func TestOrderThatCrashesServersIsHeldBack(t *testing.T) {
 	var servers []*pb.ServerState
 	for i := range 16 {
@@ -42,12 +42,13 @@
 	for range hour {
 		crashed += w.executeWithCrashes(w.step())
 	}
-	// Two orders are in flight at a time; then there is a trial after 1, 2, 4, 8, 16 and 32 minutes.
-	if most := maxCrashes + 1 + 2*6; crashed > most {
-		t.Errorf("%d servers crashed within an hour, want %d at most", crashed, most)
+	// Two orders are in flight at a time. Once held back, an order is retried after 1, 2, 4, 8, 16
+	// and 32 minutes.
+	if limit := maxCrashes + 1 + 2*6; crashed > limit {
+		t.Errorf("%d servers crashed within an hour, want %d at most", crashed, limit)
 	}
 	if w.planner.Blocked() == nil {
-		t.Error("nothing says why the rule isn't met")
+		t.Error("Blocked gives no reason why the rule isn't met")
 	}
 	if met := w.countMatching(1); met < 4 {
 		t.Errorf("%d servers meet the other rule", met)
@@ -65,8 +66,8 @@
 	return met
 }
 
-// Guards against a model that is held back for the rest of the term because servers ended while
-// they loaded it for another reason.
+// TestSuccessfulOrderIsNotHeldBack guards against a model that is held back for the rest of the
+// term because servers crashed for another reason while they loaded it.
 func TestSuccessfulOrderIsNotHeldBack(t *testing.T) {
 	var servers []*pb.ServerState
 	for i := range 8 {
--- a/internal/placement/flight.go
+++ b/internal/placement/flight.go
@@ -8,35 +8,37 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Result is how an order ended.
+// Result is the outcome of an order.
 type Result int
 
 // The results.
 const (
-	// NotSent: it was not committed, or not sent.
+	// NotSent means that the order was not committed or not sent.
 	NotSent Result = iota
-	// Refused: the server refused it, so it had no effect.
+	// Refused means that the server rejected the order, which had no effect.
 	Refused
-	// Accepted: the server carries it out; announcements will show it.
+	// Accepted means that the server executes the order; announcements will show its effect.
 	Accepted
-	// Unknown: no answer came; it may still take effect.
+	// Unknown means that no answer was received; the order may still take effect.
 	Unknown
 )
 
-// pendingOrder is an order that has not shown its effect yet. Its server gets no other.
+// pendingOrder is an order whose effect has not shown in announcements yet. Its server gets no
+// other order.
 type pendingOrder struct {
 	order Order
 	rule  settings.PlacementRule
-	// incarnation of the server when the order was given.
+	// incarnation is that of the server when the order was given.
 	incarnation uint64
-	// until is when the order is given up, for it can't take effect any more.
+	// until is when the order is abandoned, because it can no longer take effect.
 	until time.Time
 }
 
-// RecordResult takes how an order ended at time now. An order of a former term is ignored.
+// RecordResult records the result of an order at time now. The result of an order of a previous
+// term is ignored.
 func (p *Planner) RecordResult(now time.Time, o Order, result Result) {
-	f := p.pending[o.Server]
-	if f == nil || f.order.ID != o.ID || o.Term != p.term {
+	pending := p.pending[o.Server]
+	if pending == nil || pending.order.ID != o.ID || o.Term != p.term {
 		return
 	}
 	switch result {
@@ -46,10 +48,10 @@
 	case Refused:
 		p.abandon(now, o.Server)
 	case Accepted:
-		f.until = now.Add(p.cfg.EffectTimeout)
+		pending.until = now.Add(p.cfg.EffectTimeout)
 	case Unknown:
-		// Another order now could be overtaken by this one.
-		f.until = now.Add(p.cfg.OrderTimeout)
+		// This order may still arrive after another one that is sent now.
+		pending.until = now.Add(p.cfg.OrderTimeout)
 	}
 }
 
@@ -58,21 +60,22 @@
 	p.retryAfter[server] = now.Add(p.cfg.RetryDelay)
 }
 
-// observe ends flights whose effect the announcements show, or whose time is over.
+// observe removes the pending orders whose effect the announcements show, whose server has
+// restarted, or whose time has expired.
 func (p *Planner) observe(in Input) {
-	for server, f := range p.pending {
+	for server, pending := range p.pending {
 		s := find(in.Servers, server)
-		if hasEffect(f.order, s) {
+		if hasEffect(pending.order, s) {
 			delete(p.pending, server)
-			delete(p.crashes, goalOf(f.order))
+			delete(p.crashes, goalOf(pending.order))
 			continue
 		}
-		if f.restarted(s) {
-			p.recordCrash(in.Now, f.order)
+		if pending.restarted(s) {
+			p.recordCrash(in.Now, pending.order)
 			p.abandon(in.Now, server)
 			continue
 		}
-		if in.Now.After(f.until) {
+		if in.Now.After(pending.until) {
 			p.abandon(in.Now, server)
 		}
 	}
@@ -92,7 +95,7 @@
 	return nil
 }
 
-// hasEffect tells whether s announces what o ordered.
+// hasEffect reports whether s announces the effect of o.
 func hasEffect(o Order, s *pb.ServerState) bool {
 	if s == nil {
 		return false
@@ -109,18 +112,18 @@
 	}
 }
 
-// pendingFor is the number of orders in flight for a rule.
+// pendingFor returns the number of pending orders for a rule.
 func (p *Planner) pendingFor(rule settings.PlacementRule) int {
 	n := 0
-	for _, f := range p.pending {
-		if f.rule == rule {
+	for _, pending := range p.pending {
+		if pending.rule == rule {
 			n++
 		}
 	}
 	return n
 }
 
-// String names the result in the event log.
+// String returns the name of the result in the event log.
 func (r Result) String() string {
 	switch r {
 	case NotSent:
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,13 +1,13 @@
-// Package placement decides which orders backend servers get, so that each model
-// is on as many of them as the settings want: load a model, a version or an
-// adapter, unload a former version, change a role. It is a pure state machine.
+// Package placement plans the orders to backend servers by which each model is loaded
+// on as many servers as the settings require: load a model, a version or an adapter,
+// unload a previous version, change a role. It is a pure state machine.
 //
-// Only one leader's orders may take effect. A leader that was cut off can't commit
-// new orders, since the control group refuses those of an older term; but one that
-// it has committed may still be on its way when the next leader begins. A backend
-// server that checks fencing numbers refuses it. For one that doesn't, the next
-// leader waits until the former one's lease has surely ended and its longest order
-// is over (Config.wait).
+// Only the orders of one leader may take effect. A partitioned leader can't commit new
+// orders, because the control group rejects those of an older term, but an order that
+// it has committed may still be in flight when the next leader begins. A backend server
+// that checks fencing numbers rejects it. Before the next leader gives orders to servers
+// that don't, it waits until the previous lease has certainly ended and any order sent
+// under it has timed out (Config.handoverWait).
 package placement
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Verb is what an order tells a backend server to do.
+// Verb is the action that a backend server is ordered to take.
 type Verb string
 
 // The verbs. A version is loaded as the model "name@version".
@@ -31,21 +31,21 @@
 
 // Order is one order to one backend server.
 type Order struct {
-	// ID tells the orders of one Planner apart.
+	// ID is unique among the orders of one Planner.
 	ID uint64
-	// Term of the leader that decided it.
+	// Term is the term of the leader that planned the order.
 	Term   uint64
 	Server string
 	Verb   Verb
-	// Model to load or unload, or beside which the adapter is loaded.
+	// Model is the model to load or unload, or the one for which the adapter is loaded.
 	Model   string
 	Adapter string
 	Role    string
-	// Bytes to fetch from the weight store.
+	// Bytes is the number of bytes to fetch from the weight store.
 	Bytes int64
 }
 
-// Object is what the order is about, for the log.
+// Object returns the model or adapter of the order, for the log.
 func (o Order) Object() string {
 	if o.Verb == LoadAdapter {
 		return o.Adapter
@@ -53,51 +53,54 @@
 	return o.Model
 }
 
-// Leadership is whether this process leads the control group, under a valid lease.
+// Leadership states whether this process leads the control group with a valid lease.
 type Leadership struct {
 	Term uint64
-	// Since is when the term began here, by this process's monotonic clock.
+	// Since is when the term began at this process, by its monotonic clock.
 	Since time.Time
-	OK    bool
+	// OK is true if this process leads with a valid lease.
+	OK bool
 }
 
-// Allows tells whether an order may be sent now. It is asked again right before
-// sending: the lease may have ended while the order was being committed.
+// Allows reports whether an order may be sent now. It has to be checked again right
+// before sending, because the lease may have ended while the order was being committed.
 func (l Leadership) Allows(o Order) bool { return l.OK && l.Term == o.Term }
 
-// Input of a Step.
+// Input is the input of a Step.
 type Input struct {
 	Now        time.Time
 	Leadership Leadership
 	Rules      []settings.PlacementRule
-	// StoreRate is the weight store's limit for the whole fleet in bytes per second; 0: none.
+	// StoreRate is the weight store's rate limit for the whole fleet in bytes per second; 0
+	// means no limit.
 	StoreRate int64
-	// Servers as announced, without those whose announcements have lapsed.
+	// Servers holds the announced servers, without those whose announcements have lapsed.
 	Servers []*pb.ServerState
 }
 
 // Defaults of Config.
 const (
 	DefaultLease         = 2 * time.Second
-	DefaultClockDrift         = 200 * time.Millisecond
+	DefaultClockDrift    = 200 * time.Millisecond
 	DefaultOrderTimeout  = 10 * time.Second
-	DefaultWarmUp    = 5 * time.Second
+	DefaultWarmUp        = 5 * time.Second
 	DefaultEffectTimeout = 10 * time.Minute
-	DefaultRetryDelay          = 15 * time.Second
+	DefaultRetryDelay    = 15 * time.Second
 )
 
-// Config of a Planner. Zero fields get the defaults.
+// Config configures a Planner. Zero fields are replaced by the defaults.
 type Config struct {
-	// Lease is the longest lease of a leader, ClockDrift by how much clocks may differ over it.
+	// Lease is the longest lease of a leader. ClockDrift is the maximum by which clocks may drift
+	// apart in that time.
 	Lease, ClockDrift time.Duration
-	// OrderTimeout bounds the time from the last look at the lease to the end of an order.
+	// OrderTimeout bounds the time from the last check of the lease to the end of an order.
 	OrderTimeout time.Duration
-	// WarmUp is how long a new leader gathers announcements before it orders
-	// anything: to a half-filled registry, models seem to be missing.
+	// WarmUp is how long a new leader collects announcements before it gives orders: with an
+	// incomplete registry, models seem to be missing.
 	WarmUp time.Duration
 	// EffectTimeout is how long an accepted order may take to show in announcements.
 	EffectTimeout time.Duration
-	// RetryDelay is how long a server is left alone after an order failed there.
+	// RetryDelay is how long a server gets no orders after one has failed.
 	RetryDelay time.Duration
 }
 
@@ -111,39 +114,39 @@
 	return c
 }
 
-// handoverWait is how long after the beginning of its term a leader gives no orders to
+// handoverWait returns how long after the beginning of its term a leader gives no orders to
 // servers that don't check fencing numbers.
 func (c Config) handoverWait() time.Duration { return c.Lease + c.ClockDrift + c.OrderTimeout }
 
-// Planner decides orders. It is not safe for concurrent use.
+// Planner plans orders. It is not safe for concurrent use.
 type Planner struct {
 	cfg    Config
 	lastID uint64
 
-	term    uint64
-	bucket  bucket
-	pending map[string]*pendingOrder // by server
-	retryAfter   map[string]time.Time
-	crashes map[orderGoal]crashHistory
-	blocked []Blocked
+	term       uint64
+	bucket     bucket
+	pending    map[string]*pendingOrder // by server
+	retryAfter map[string]time.Time
+	crashes    map[orderGoal]crashHistory
+	blocked    []Blocked
 }
 
-// Blocked says why a rule isn't met and no order goes out for it.
+// Blocked is a rule that isn't met and for which no order is given, with the reason.
 type Blocked struct {
 	Rule   settings.PlacementRule
 	Have   int
 	Reason string
 }
 
-// NewPlanner returns a planner that leads nothing.
+// NewPlanner returns a Planner, which gives no orders until it leads.
 func NewPlanner(cfg Config) *Planner {
 	p := &Planner{cfg: withDefaults(cfg)}
 	p.reset(0, time.Time{})
 	return p
 }
 
-// reset forgets everything of a former term. The bucket starts empty, whatever the
-// former leader has spent: so the limit holds across the change.
+// reset drops the state of the previous term. The bucket starts empty, however much the
+// previous leader has ordered, so that the rate limit holds across a change of leaders.
 func (p *Planner) reset(term uint64, since time.Time) {
 	p.term = term
 	p.bucket = bucket{at: since}
@@ -152,8 +155,8 @@
 	p.crashes = make(map[orderGoal]crashHistory)
 }
 
-// Step returns the orders to commit and send now. Each is followed by one call of
-// Ended; Sent comes before it once the order is on its way.
+// Step returns the orders to commit and send now. RecordResult must be called once for
+// each.
 func (p *Planner) Step(in Input) []Order {
 	p.blocked = nil
 	if !in.Leadership.OK {
@@ -170,15 +173,15 @@
 	return p.plan(in)
 }
 
-// Blocked returns, for the last Step, the rules that aren't met and why.
+// Blocked returns the rules that weren't met in the last Step and the reasons.
 func (p *Planner) Blocked() []Blocked { return p.blocked }
 
 func largestModel(rules []settings.PlacementRule) int64 {
-	var most int64
+	var largest int64
 	for _, r := range rules {
-		most = max(most, r.Bytes)
+		largest = max(largest, r.Bytes)
 	}
-	return most
+	return largest
 }
 
 func (p *Planner) plan(in Input) []Order {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,13 +26,13 @@
 
 var testStart = time.Unix(1_800_000_000, 0)
 
-// testFleet is a planner that leads and servers that do as they are told.
+// testFleet is a planner that leads, and servers that execute its orders.
 type testFleet struct {
 	planner *Planner
 	in      Input
-	// evicts: a server drops its other models when it loads one.
-	evicts bool
-	executed  []Order
+	// evicts is true if a server unloads its other models when it loads one.
+	evicts   bool
+	executed []Order
 }
 
 func newWorld(rules []settings.PlacementRule, servers ...*pb.ServerState) *testFleet {
@@ -49,7 +49,7 @@
 	return &pb.ServerState{Address: fmt.Sprintf("10.1.0.%d:8000", i), Pool: "llm", Models: models, ChecksFence: true}
 }
 
-// step lets a second pass and returns the orders; done carries them out before the next.
+// step advances the time by a second and returns the orders of the planner.
 func (w *testFleet) step() []Order {
 	w.in.Now = w.in.Now.Add(time.Second)
 	return w.planner.Step(w.in)
@@ -110,14 +110,14 @@
 		n := len(w.executed)
 		w.run(60)
 		if len(w.executed) != n {
-			t.Errorf("evicts %v: orders although all is met: %v", evicts, w.executed[n:])
+			t.Errorf("evicts %v: orders although all rules are met: %v", evicts, w.executed[n:])
 		}
 	}
 }
 
-// Symptom: a model that callers use has no server any more.
-// Sequence: a rule wants another model; the engine drops what it has when it loads.
-// Cause: the only server of a model was taken for the other.
+// TestLastServerOfAModelIsNotTaken has a rule that requires another model, and engines that
+// unload their models when they load one. The only server of a model must not be used for the
+// other model, or callers have no server for a model that they use.
 func TestLastServerOfAModelIsNotTaken(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 2}}
 	w := newWorld(rules, testServer(1, "ledger"), testServer(2), testServer(3, "other"))
@@ -133,9 +133,9 @@
 	}
 }
 
-// Symptom: a server that ignores fencing numbers carries out the orders of two leaders.
-// Sequence: a leader ends with an order on its way; the next begins at once.
-// Cause: the next leader didn't wait until the order must have ended.
+// TestNewLeaderWaitsForServersIgnoringFences has a new leader begin right after the previous
+// one. Unless it waits until any order in flight must have ended, a server that ignores fencing
+// numbers may execute the orders of two leaders.
 func TestNewLeaderWaitsForServersIgnoringFences(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 8}}
 	w := newWorld(rules)
@@ -148,7 +148,7 @@
 		w.execute(w.step())
 	}
 	if len(w.executed) != 0 {
-		t.Errorf("%d orders before the announcements were gathered", len(w.executed))
+		t.Errorf("%d orders before the end of the warm-up", len(w.executed))
 	}
 	for w.in.Now.Sub(testStart) < DefaultLease+DefaultClockDrift+DefaultOrderTimeout-time.Second {
 		w.execute(w.step())
@@ -167,9 +167,9 @@
 	}
 }
 
-// Symptom: a server carries out an old order after a newer one.
-// Sequence: an order gets no answer; another for the same server follows at once.
-// Cause: the server was taken to be free.
+// TestServerWithAnUnansweredOrderGetsNoOther has an order get no answer. If the server counted
+// as available and got another order at once, it could execute the old order after the newer
+// one.
 func TestServerWithAnUnansweredOrderGetsNoOther(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 1}}
 	w := newWorld(rules, testServer(1))
@@ -182,13 +182,13 @@
 	}
 	w.run(4)
 	if len(w.executed) != 1 {
-		t.Errorf("not tried again: %v", w.executed)
+		t.Errorf("not retried exactly once after the timeout: %v", w.executed)
 	}
 }
 
-// Symptom: a server gets an order while another of the same leader is on its way.
-// Sequence: a leader is replaced and elected again; an order of its first term ends.
-// Cause: that end was taken for the end of the present order to the same server.
+// TestResultOfFormerTermIsIgnored has a leader be replaced and elected again before an order of
+// its first term ends. If that result were taken for the result of the current order to the same
+// server, the server would get an order while another one is in flight.
 func TestResultOfFormerTermIsIgnored(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 1}}
 	w := newWorld(rules, testServer(1))
@@ -204,7 +204,7 @@
 	}
 }
 
-// firstOrder steps to the first order.
+// firstOrder steps until the planner returns an order, and returns it.
 func (w *testFleet) firstOrder(t *testing.T) Order {
 	t.Helper()
 	for range 60 {
@@ -216,9 +216,9 @@
 	return Order{}
 }
 
-// Symptom: a change of settings makes a whole pool load at once, or takes both last
-// servers of a model in the same second.
-// Cause: orders of one step were each decided as if they were the only one.
+// TestOrdersOfOneStepAreCoordinated checks that each order of a step takes the others into
+// account. Otherwise a change of settings makes a whole pool load at once, or both of the last
+// servers of a model are used for another model in the same second.
 func TestOrdersOfOneStepAreCoordinated(t *testing.T) {
 	w := newWorld([]settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 16}})
 	for i := range 16 {
@@ -250,9 +250,9 @@
 	}
 }
 
-// Symptom: two rules take servers from each other for ever.
-// Sequence: the rules want more servers than there are; engines drop what they had.
-// Cause: a rule was served at the cost of another.
+// TestUnsatisfiableRulesDoNotAlternate has rules that require more servers than there are, and
+// engines that unload their models when they load one. If one rule were met at the expense of
+// the other, the two would take servers from each other forever.
 func TestUnsatisfiableRulesDoNotAlternate(t *testing.T) {
 	w := newWorld([]settings.PlacementRule{{Pool: "llm", Model: "a", Servers: 3}, {Pool: "llm", Model: "b", Servers: 3}},
 		testServer(1, "a"), testServer(2, "a"), testServer(3, "a"), testServer(4, "a"))
@@ -263,9 +263,9 @@
 	}
 }
 
-// Symptom: the weight store is asked for more than its limit when leaders change often.
-// Sequence: leaders alternate at random; each has models to load.
-// Cause: a leader began with a full bucket, or the bucket was paid after the order.
+// TestRateLimitHoldsAcrossLeaders has leaders alternate at random, each with models to load. If
+// a leader began with a full bucket, or the bytes were taken after the order, the weight store's
+// rate limit would be exceeded when leaders change often.
 func TestRateLimitHoldsAcrossLeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, size = 100, 1000
@@ -304,16 +304,17 @@
 			var sum int64
 			for _, p := range history[i:] {
 				sum += p.bytes
-				if most := size + int64(p.at.Sub(history[i].at).Seconds()*rate); sum > most {
-					t.Fatalf("%d bytes in %v, the limit allows %d", sum, p.at.Sub(history[i].at), most)
+				if limit := size + int64(p.at.Sub(history[i].at).Seconds()*rate); sum > limit {
+					t.Fatalf("%d bytes in %v, the limit allows %d", sum, p.at.Sub(history[i].at), limit)
 				}
 			}
 		}
 	})
 }
 
-// Whatever the rules, failures and engines: a model that was served stays served by a
-// server that isn't loading, no server has two orders, and the rules' orders end.
+// TestServedModelsStayServed checks, for random rules, failures and engines, that a model that
+// was served stays served by a server that isn't loading, that no server has two orders, and
+// that the orders come to an end.
 func TestServedModelsStayServed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a@1", "a@2", "b", "c"}
@@ -338,7 +339,7 @@
 			}
 			for _, name := range served {
 				if !slices.Contains(servedModels(w, loading), name) {
-					t.Fatalf("nobody serves %s while %v", name, orders)
+					t.Fatalf("no server serves %s during the orders %v", name, orders)
 				}
 			}
 			if len(orders) > 0 && rapid.IntRange(0, 9).Draw(t, "fails") == 0 {
@@ -352,7 +353,7 @@
 		n := len(w.executed)
 		w.run(100)
 		if len(w.executed) != n {
-			t.Fatalf("orders don't end: %v", w.executed[n:])
+			t.Fatalf("orders don't come to an end: %v", w.executed[n:])
 		}
 	})
 }
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -9,23 +9,24 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// busyDivisor of a pool's servers may have an order in flight at once, at least one: a
-// server that loads weights serves less.
+// busyDivisor limits the servers of a pool that have a pending order to 1/busyDivisor of the
+// pool, but at least one server: a server that loads weights serves fewer requests.
 const busyDivisor = 4
 
-// versionSeparator stands between a model's name and its version.
+// versionSeparator separates a model's name from its version.
 const versionSeparator = "@"
 
-// view is the fleet at one Step: announced servers and orders in flight.
+// view is the state of the fleet at one Step: the announced servers and the pending orders.
 type view struct {
 	in      Input
 	planner *Planner
 	// have is the number of servers that meet each rule and aren't leaving.
 	have map[settings.PlacementRule]int
-	// stable is have without the servers that may cease to meet the rule by an order in flight.
+	// stable is like have, but without the servers that may no longer meet the rule after a
+	// pending order.
 	stable map[settings.PlacementRule]int
-	// serving is the number of servers that serve a model, in any version, aren't
-	// leaving and have no order in flight.
+	// serving is the number of servers, by model, that serve the model in any version, aren't
+	// leaving and have no pending order.
 	serving map[string]int
 }
 
@@ -33,7 +34,7 @@
 	v := &view{
 		in: in, planner: p,
 		have:    make(map[settings.PlacementRule]int),
-		stable:    make(map[settings.PlacementRule]int),
+		stable:  make(map[settings.PlacementRule]int),
 		serving: make(map[string]int),
 	}
 	for _, s := range in.Servers {
@@ -47,14 +48,15 @@
 			}
 		}
 		v.addServing(s, 1)
-		if f := p.pending[s.GetAddress()]; f != nil {
-			v.subtract(s, f.order)
+		if pending := p.pending[s.GetAddress()]; pending != nil {
+			v.subtract(s, pending.order)
 		}
 	}
 	return v
 }
 
-// subtract counts s without what the order may cost it.
+// subtract removes s from the counts of the models and rules that it may no longer serve and
+// meet because of the order.
 func (v *view) subtract(s *pb.ServerState, order Order) {
 	v.addServing(s, -1)
 	after := v.worstCase(s, order)
@@ -71,7 +73,7 @@
 	}
 }
 
-// modelNames are the names of the models that s serves, each once.
+// modelNames returns the names of the models that s serves, without versions and duplicates.
 func modelNames(s *pb.ServerState) []string {
 	var names []string
 	for _, m := range s.GetModels() {
@@ -82,7 +84,7 @@
 	return names
 }
 
-// modelName is a model's name without its version.
+// modelName returns a model's name without its version.
 func modelName(model string) string {
 	name, _, _ := strings.Cut(model, versionSeparator)
 	return name
@@ -97,26 +99,26 @@
 
 func (v *view) hasPending(s *pb.ServerState) bool { return v.planner.pending[s.GetAddress()] != nil }
 
-// available tells whether s may get an order now.
+// available reports whether s may get an order now.
 func (v *view) available(s *pb.ServerState) bool {
 	if s.GetLeaving() || v.hasPending(s) {
 		return false
 	}
-	if _, rests := v.planner.retryAfter[s.GetAddress()]; rests {
+	if _, delayed := v.planner.retryAfter[s.GetAddress()]; delayed {
 		return false
 	}
 	led := v.in.Now.Sub(v.in.Leadership.Since)
 	return s.GetChecksFence() || led >= v.planner.cfg.handoverWait()
 }
 
-// choose picks the server that is nearest to meeting the rule and the order that
-// brings it nearer; reason: why there is none.
+// choose returns an order that brings the server that is nearest to meeting the rule nearer to
+// it, or else the reason why there is none.
 func (v *view) choose(rule settings.PlacementRule) (Order, string) {
 	if v.poolBusy(rule.Pool) {
-		return Order{}, "enough servers of the pool have an order in flight"
+		return Order{}, "the maximum number of servers of the pool already have an order in flight"
 	}
 	var best *pb.ServerState
-	reason := "no server of the pool is free"
+	reason := "no server of the pool is available"
 	for _, s := range v.in.Servers {
 		if s.GetPool() != rule.Pool || matches(s, rule) || !v.available(s) {
 			continue
@@ -149,7 +151,7 @@
 	return busy >= max(1, size/busyDivisor)
 }
 
-// nextOrder is the first thing that s lacks.
+// nextOrder returns the order for the first requirement of the rule that s does not meet.
 func nextOrder(s *pb.ServerState, rule settings.PlacementRule) Order {
 	order := Order{Server: s.GetAddress(), Model: rule.Model}
 	switch {
@@ -166,8 +168,8 @@
 	return order
 }
 
-// compareDistance orders servers by how near they are to meeting the rule: the model
-// there already, then another version of it, then the fewest other models.
+// compareDistance compares how near two servers are to meeting the rule: first those that have
+// the model, then those with another version of it, then those with the fewest models.
 func compareDistance(a, b *pb.ServerState, rule settings.PlacementRule) int {
 	return cmp.Or(
 		cmp.Compare(distance(a, rule), distance(b, rule)),
@@ -191,11 +193,12 @@
 	return slices.ContainsFunc(s.GetModels(), func(m string) bool { return modelName(m) == name })
 }
 
-// harm says what would be lost by an order, at the worst; empty: nothing that counts.
+// harm returns the harm that an order would do in the worst case, or the empty string if it
+// would do none.
 //
-// What goes wrong otherwise: an engine makes room for a model by dropping another,
-// and the last server of that one is gone; or two rules take servers from each other
-// for ever. So a loading server counts as having nothing else.
+// An engine may unload its models to load another one. If it was the last server of one of them,
+// no server would serve that model any more, and two rules could take servers from each other
+// forever. So a server that loads a model counts as having no other model.
 func (v *view) harm(s *pb.ServerState, order Order) string {
 	after := v.worstCase(s, order)
 	for _, m := range s.GetModels() {
@@ -203,7 +206,7 @@
 			continue
 		}
 		if order.Verb == UnloadModel && servesModel(after, modelName(m)) {
-			continue // the wanted version serves beside it already
+			continue // the server also serves the required version
 		}
 		return "it would empty the last server of model " + m
 	}
@@ -215,7 +218,7 @@
 	return ""
 }
 
-// worstCase is s as the order may leave it, in the worst case.
+// worstCase returns the state of s after the order in the worst case.
 func (v *view) worstCase(s *pb.ServerState, order Order) *pb.ServerState {
 	after := &pb.ServerState{
 		Address: s.GetAddress(), Pool: s.GetPool(), Role: s.GetRole(),
@@ -235,8 +238,8 @@
 	return after
 }
 
-// servedElsewhere tells whether a server other than s, which is free, serves the model
-// in any version.
+// servedElsewhere reports whether a server other than s serves the model in any version; s has
+// no pending order.
 func (v *view) servedElsewhere(s *pb.ServerState, model string) bool {
 	others := v.serving[modelName(model)]
 	if servesModel(s, modelName(model)) {
@@ -245,8 +248,8 @@
 	return others > 0
 }
 
-// unloadOrders are orders to unload versions that no rule wants, from servers where
-// a wanted version of the same model stands beside them.
+// unloadOrders returns an order to unload a version that no rule requires, from a server that
+// also serves a required version of the same model.
 func (v *view) unloadOrders() []Order {
 	var orders []Order
 	for _, s := range v.in.Servers {
@@ -255,7 +258,7 @@
 		}
 		if model := v.obsoleteVersion(s); model != "" {
 			orders = append(orders, Order{Server: s.GetAddress(), Verb: UnloadModel, Model: model})
-			return orders // one per step: the next sees it in flight
+			return orders // one per step; the next step takes it into account as pending
 		}
 	}
 	return orders
@@ -279,8 +282,8 @@
 	})
 }
 
-// replaced tells whether s serves a wanted version of the same model, and that
-// version's rule is met.
+// replaced reports whether s serves a required version of the same model and that version's
+// rule is met.
 func (v *view) replaced(s *pb.ServerState, former string) bool {
 	return slices.ContainsFunc(v.in.Rules, func(r settings.PlacementRule) bool {
 		return modelName(r.Model) == modelName(former) && r.Model != former && matches(s, r) && v.have[r] >= r.Servers
