--- a/internal/daemon/gatewaynews.go
+++ b/internal/daemon/gatewaynews.go
@@ -13,8 +13,8 @@
 	return news.New(news.Config{
 		Self: g.d.cfg.PeerAddress(), Peers: g.livePeers, Client: g.d.pool.Client,
 		OnSuspects: g.suspects.HandleUpdates, OnLimits: g.limits.Merge,
-		OnServers: func(states []*pb.ServerState) { g.balancer.Merge(states, backend.TransitUnknown) },
-		FetchTable:   g.fetchTold, Log: g.d.tel.Log,
+		OnServers:  func(states []*pb.ServerState) { g.balancer.Merge(states, backend.TransitUnknown) },
+		FetchTable: g.fetchTold, Log: g.d.tel.Log,
 	})
 }
 
