--- a/internal/placement/flight.go
+++ b/internal/placement/flight.go
@@ -8,77 +8,80 @@
 	"github.com/bluebellsail/bluebellsail/internal/settings"
 )
 
-// Result is how an order ended.
+// Result is the outcome of an order.
 type Result int
 
 // The results.
 const (
-	// NotSent: it was not committed, or not sent.
+	// NotSent means that the order was not committed or not sent.
 	NotSent Result = iota
-	// Refused: the server refused it, so it had no effect.
+	// Refused means that the server rejected the order, which had no effect.
 	Refused
-	// Accepted: the server carries it out; announcements will show it.
+	// Accepted means that the server executes the order; announcements will show its effect.
 	Accepted
-	// Unknown: no answer came; it may still take effect.
+	// Unknown means that no answer was received; the order may still take effect.
 	Unknown
 )
 
-// flight is an order that has not shown its effect yet. Its server gets no other.
-type flight struct {
+// pendingOrder is an order whose effect has not shown in announcements yet. Its server gets no
+// other order.
+type pendingOrder struct {
 	order Order
 	rule  settings.PlacementRule
-	// incarnation of the server when the order was given.
+	// incarnation is that of the server when the order was given.
 	incarnation uint64
-	// until is when the order is given up, for it can't take effect any more.
+	// until is when the order is abandoned, because it can no longer take effect.
 	until time.Time
 }
 
-// RecordResult takes how an order ended at time now. An order of a former term is ignored.
+// RecordResult records the result of an order at time now. The result of an order of a previous
+// term is ignored.
 func (p *Planner) RecordResult(now time.Time, o Order, result Result) {
-	f := p.flights[o.Server]
-	if f == nil || f.order.ID != o.ID || o.Term != p.term {
+	pending := p.pending[o.Server]
+	if pending == nil || pending.order.ID != o.ID || o.Term != p.term {
 		return
 	}
 	switch result {
 	case NotSent:
 		p.bucket.refund(o.Bytes)
-		p.giveUp(now, o.Server)
+		p.abandon(now, o.Server)
 	case Refused:
-		p.giveUp(now, o.Server)
+		p.abandon(now, o.Server)
 	case Accepted:
-		f.until = now.Add(p.cfg.EffectTimeout)
+		pending.until = now.Add(p.cfg.EffectTimeout)
 	case Unknown:
-		// Another order now could be overtaken by this one.
-		f.until = now.Add(p.cfg.OrderTimeout)
+		// This order may still arrive after another one that is sent now.
+		pending.until = now.Add(p.cfg.OrderTimeout)
 	}
 }
 
-func (p *Planner) giveUp(now time.Time, server string) {
-	delete(p.flights, server)
-	p.rests[server] = now.Add(p.cfg.RetryDelay)
+func (p *Planner) abandon(now time.Time, server string) {
+	delete(p.pending, server)
+	p.retryAfter[server] = now.Add(p.cfg.RetryDelay)
 }
 
-// observe ends flights whose effect the announcements show, or whose time is over.
+// observe removes the pending orders whose effect the announcements show, whose server has
+// restarted, or whose time has expired.
 func (p *Planner) observe(in Input) {
-	for server, f := range p.flights {
+	for server, pending := range p.pending {
 		s := find(in.Servers, server)
-		if shows(f.order, s) {
-			delete(p.flights, server)
-			delete(p.crashes, wants(f.order))
+		if hasEffect(pending.order, s) {
+			delete(p.pending, server)
+			delete(p.crashes, goalOf(pending.order))
 			continue
 		}
-		if f.restarted(s) {
-			p.crashed(in.Now, f.order)
-			p.giveUp(in.Now, server)
+		if pending.restarted(s) {
+			p.recordCrash(in.Now, pending.order)
+			p.abandon(in.Now, server)
 			continue
 		}
-		if in.Now.After(f.until) {
-			p.giveUp(in.Now, server)
+		if in.Now.After(pending.until) {
+			p.abandon(in.Now, server)
 		}
 	}
-	for server, end := range p.rests {
+	for server, end := range p.retryAfter {
 		if in.Now.After(end) {
-			delete(p.rests, server)
+			delete(p.retryAfter, server)
 		}
 	}
 }
@@ -92,8 +95,8 @@
 	return nil
 }
 
-// shows tells whether s announces what o ordered.
-func shows(o Order, s *pb.ServerState) bool {
+// hasEffect reports whether s announces the effect of o.
+func hasEffect(o Order, s *pb.ServerState) bool {
 	if s == nil {
 		return false
 	}
@@ -109,18 +112,18 @@
 	}
 }
 
-// heading is the number of orders in flight for a rule.
-func (p *Planner) heading(rule settings.PlacementRule) int {
+// pendingFor returns the number of pending orders for a rule.
+func (p *Planner) pendingFor(rule settings.PlacementRule) int {
 	n := 0
-	for _, f := range p.flights {
-		if f.rule == rule {
+	for _, pending := range p.pending {
+		if pending.rule == rule {
 			n++
 		}
 	}
 	return n
 }
 
-// String names the result in the event log.
+// String returns the name of the result in the event log.
 func (r Result) String() string {
 	switch r {
 	case NotSent:
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,17 +26,17 @@
 
 var testStart = time.Unix(1_800_000_000, 0)
 
-// world is a planner that leads and servers that do as they are told.
-type world struct {
+// testFleet is a planner that leads, and servers that execute its orders.
+type testFleet struct {
 	planner *Planner
 	in      Input
-	// evicts: a server drops its other models when it loads one.
-	evicts bool
-	given  []Order
+	// evicts is true if a server unloads its other models when it loads one.
+	evicts   bool
+	executed []Order
 }
 
-func newWorld(rules []settings.PlacementRule, servers ...*pb.ServerState) *world {
-	return &world{
+func newWorld(rules []settings.PlacementRule, servers ...*pb.ServerState) *testFleet {
+	return &testFleet{
 		planner: NewPlanner(Config{}),
 		in: Input{
 			Now: testStart, Rules: rules, Servers: servers,
@@ -49,21 +49,21 @@
 	return &pb.ServerState{Address: fmt.Sprintf("10.1.0.%d:8000", i), Pool: "llm", Models: models, ChecksFence: true}
 }
 
-// step lets a second pass and returns the orders; done carries them out before the next.
-func (w *world) step() []Order {
+// step advances the time by a second and returns the orders of the planner.
+func (w *testFleet) step() []Order {
 	w.in.Now = w.in.Now.Add(time.Second)
 	return w.planner.Step(w.in)
 }
 
-func (w *world) carryOut(orders []Order) {
+func (w *testFleet) execute(orders []Order) {
 	for _, o := range orders {
 		w.planner.RecordResult(w.in.Now, o, Accepted)
-		w.given = append(w.given, o)
+		w.executed = append(w.executed, o)
 		w.apply(find(w.in.Servers, o.Server), o)
 	}
 }
 
-func (w *world) apply(s *pb.ServerState, o Order) {
+func (w *testFleet) apply(s *pb.ServerState, o Order) {
 	switch o.Verb {
 	case LoadModel:
 		if w.evicts {
@@ -79,13 +79,13 @@
 	}
 }
 
-func (w *world) run(seconds int) {
+func (w *testFleet) run(seconds int) {
 	for range seconds {
-		w.carryOut(w.step())
+		w.execute(w.step())
 	}
 }
 
-func TestServersComeToMeetTheRules(t *testing.T) {
+func TestOrdersFulfillRules(t *testing.T) {
 	rules := []settings.PlacementRule{
 		{Pool: "llm", Model: "ledger@v2", Servers: 4},
 		{Pool: "llm", Model: "ledger@v2", Adapter: "audit", Role: "decode", Servers: 2},
@@ -107,25 +107,25 @@
 		if full != 2 || len(w.planner.Blocked()) != 0 {
 			t.Errorf("evicts %v: %d servers with adapter and role; blocked: %v", evicts, full, w.planner.Blocked())
 		}
-		n := len(w.given)
+		n := len(w.executed)
 		w.run(60)
-		if len(w.given) != n {
-			t.Errorf("evicts %v: orders although all is met: %v", evicts, w.given[n:])
+		if len(w.executed) != n {
+			t.Errorf("evicts %v: orders although all rules are met: %v", evicts, w.executed[n:])
 		}
 	}
 }
 
-// Symptom: a model that callers use has no server any more.
-// Sequence: a rule wants another model; the engine drops what it has when it loads.
-// Cause: the only server of a model was taken for the other.
+// TestLastServerOfAModelIsNotTaken has a rule that requires another model, and engines that
+// unload their models when they load one. The only server of a model must not be used for the
+// other model, or callers have no server for a model that they use.
 func TestLastServerOfAModelIsNotTaken(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 2}}
 	w := newWorld(rules, testServer(1, "ledger"), testServer(2), testServer(3, "other"))
 	w.evicts = true
 	w.in.Servers[2].Leaving = true
 	w.run(30)
-	if len(w.given) != 1 || w.given[0].Server != "10.1.0.2:8000" {
-		t.Fatalf("orders: %v", w.given)
+	if len(w.executed) != 1 || w.executed[0].Server != "10.1.0.2:8000" {
+		t.Fatalf("orders: %v", w.executed)
 	}
 	blocked := w.planner.Blocked()
 	if len(blocked) != 1 || blocked[0].Have != 1 || !strings.Contains(blocked[0].Reason, "last server of model ledger") {
@@ -133,10 +133,10 @@
 	}
 }
 
-// Symptom: a server that ignores fencing numbers carries out the orders of two leaders.
-// Sequence: a leader ends with an order on its way; the next begins at once.
-// Cause: the next leader didn't wait until the order must have ended.
-func TestNewLeaderWaitsForServersThatIgnoreNumbers(t *testing.T) {
+// TestNewLeaderWaitsForServersIgnoringFences has a new leader begin right after the previous
+// one. Unless it waits until any order in flight must have ended, a server that ignores fencing
+// numbers may execute the orders of two leaders.
+func TestNewLeaderWaitsForServersIgnoringFences(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 8}}
 	w := newWorld(rules)
 	for i := range 8 {
@@ -145,57 +145,57 @@
 		w.in.Servers = append(w.in.Servers, s)
 	}
 	for range int(DefaultWarmUp/time.Second) - 1 {
-		w.carryOut(w.step())
+		w.execute(w.step())
 	}
-	if len(w.given) != 0 {
-		t.Errorf("%d orders before the announcements were gathered", len(w.given))
+	if len(w.executed) != 0 {
+		t.Errorf("%d orders before the end of the warm-up", len(w.executed))
 	}
 	for w.in.Now.Sub(testStart) < DefaultLease+DefaultClockDrift+DefaultOrderTimeout-time.Second {
-		w.carryOut(w.step())
+		w.execute(w.step())
 	}
-	if len(w.given) != 4 {
-		t.Errorf("%d orders within the wait, want 4", len(w.given))
+	if len(w.executed) != 4 {
+		t.Errorf("%d orders within the wait, want 4", len(w.executed))
 	}
-	for _, o := range w.given {
+	for _, o := range w.executed {
 		if !find(w.in.Servers, o.Server).ChecksFence {
 			t.Errorf("%s was ordered %v after the term began", o.Server, w.in.Now.Sub(testStart))
 		}
 	}
 	w.run(20)
-	if len(w.given) != 8 {
-		t.Errorf("%d orders after the wait, want 8", len(w.given))
+	if len(w.executed) != 8 {
+		t.Errorf("%d orders after the wait, want 8", len(w.executed))
 	}
 }
 
-// Symptom: a server carries out an old order after a newer one.
-// Sequence: an order gets no answer; another for the same server follows at once.
-// Cause: the server was taken to be free.
+// TestServerWithAnUnansweredOrderGetsNoOther has an order get no answer. If the server counted
+// as available and got another order at once, it could execute the old order after the newer
+// one.
 func TestServerWithAnUnansweredOrderGetsNoOther(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 1}}
 	w := newWorld(rules, testServer(1))
 	w.planner = NewPlanner(Config{RetryDelay: time.Second})
-	w.planner.RecordResult(w.in.Now, w.until(t), Unknown)
+	w.planner.RecordResult(w.in.Now, w.firstOrder(t), Unknown)
 	for range int(DefaultOrderTimeout / time.Second) {
 		if again := w.step(); len(again) != 0 {
 			t.Fatalf("ordered again after %v: %v", w.in.Now.Sub(testStart), again)
 		}
 	}
 	w.run(4)
-	if len(w.given) != 1 {
-		t.Errorf("not tried again: %v", w.given)
+	if len(w.executed) != 1 {
+		t.Errorf("not retried exactly once after the timeout: %v", w.executed)
 	}
 }
 
-// Symptom: a server gets an order while another of the same leader is on its way.
-// Sequence: a leader is replaced and elected again; an order of its first term ends.
-// Cause: that end was taken for the end of the present order to the same server.
-func TestEndOfAFormerTermsOrderFreesNothing(t *testing.T) {
+// TestResultOfFormerTermIsIgnored has a leader be replaced and elected again before an order of
+// its first term ends. If that result were taken for the result of the current order to the same
+// server, the server would get an order while another one is in flight.
+func TestResultOfFormerTermIsIgnored(t *testing.T) {
 	rules := []settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 1}}
 	w := newWorld(rules, testServer(1))
 	w.planner = NewPlanner(Config{RetryDelay: time.Second})
-	first := w.until(t)
+	first := w.firstOrder(t)
 	w.in.Leadership = Leadership{Term: 3, Since: w.in.Now, OK: true}
-	w.until(t)
+	w.firstOrder(t)
 	w.planner.RecordResult(w.in.Now, first, Refused)
 	for range 4 {
 		if again := w.step(); len(again) != 0 {
@@ -204,8 +204,8 @@
 	}
 }
 
-// until steps to the first order.
-func (w *world) until(t *testing.T) Order {
+// firstOrder steps until the planner returns an order, and returns it.
+func (w *testFleet) firstOrder(t *testing.T) Order {
 	t.Helper()
 	for range 60 {
 		if orders := w.step(); len(orders) > 0 {
@@ -216,16 +216,16 @@
 	return Order{}
 }
 
-// Symptom: a change of settings makes a whole pool load at once, or takes both last
-// servers of a model in the same second.
-// Cause: orders of one step were each decided as if they were the only one.
-func TestOrdersOfOneStepSeeEachOther(t *testing.T) {
+// TestOrdersOfOneStepAreCoordinated checks that each order of a step takes the others into
+// account. Otherwise a change of settings makes a whole pool load at once, or both of the last
+// servers of a model are used for another model in the same second.
+func TestOrdersOfOneStepAreCoordinated(t *testing.T) {
 	w := newWorld([]settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 16}})
 	for i := range 16 {
 		w.in.Servers = append(w.in.Servers, testServer(i))
 	}
-	w.until(t)
-	if n := len(w.planner.flights); n != 16/busyShare {
+	w.firstOrder(t)
+	if n := len(w.planner.pending); n != 16/busyDivisor {
 		t.Errorf("%d of 16 servers load at once", n)
 	}
 	w.in.Rules = []settings.PlacementRule{{Pool: "llm", Model: "ledger", Servers: 14}, {Pool: "llm", Model: "codes", Servers: 16}}
@@ -233,9 +233,9 @@
 		s.Models = []string{"ledger"}
 	}
 	w.planner = NewPlanner(Config{})
-	w.until(t)
+	w.firstOrder(t)
 	w.step()
-	if n := len(w.planner.flights); n != 2 {
+	if n := len(w.planner.pending); n != 2 {
 		t.Errorf("%d servers taken from a rule that can spare 2", n)
 	}
 	w.in.Rules = w.in.Rules[1:]
@@ -244,28 +244,28 @@
 		s.Leaving = i >= 2
 	}
 	w.planner = NewPlanner(Config{})
-	w.until(t)
-	if n := len(w.planner.flights); n != 1 {
+	w.firstOrder(t)
+	if n := len(w.planner.pending); n != 1 {
 		t.Errorf("%d of the last 2 servers of a model taken at once", n)
 	}
 }
 
-// Symptom: two rules take servers from each other for ever.
-// Sequence: the rules want more servers than there are; engines drop what they had.
-// Cause: a rule was served at the cost of another.
-func TestRulesBeyondThePoolDontTakeTurns(t *testing.T) {
+// TestUnsatisfiableRulesDoNotAlternate has rules that require more servers than there are, and
+// engines that unload their models when they load one. If one rule were met at the expense of
+// the other, the two would take servers from each other forever.
+func TestUnsatisfiableRulesDoNotAlternate(t *testing.T) {
 	w := newWorld([]settings.PlacementRule{{Pool: "llm", Model: "a", Servers: 3}, {Pool: "llm", Model: "b", Servers: 3}},
 		testServer(1, "a"), testServer(2, "a"), testServer(3, "a"), testServer(4, "a"))
 	w.evicts = true
 	w.run(200)
-	if len(w.given) != 1 || len(w.planner.Blocked()) != 1 {
-		t.Errorf("orders %v, blocked %v", w.given, w.planner.Blocked())
+	if len(w.executed) != 1 || len(w.planner.Blocked()) != 1 {
+		t.Errorf("orders %v, blocked %v", w.executed, w.planner.Blocked())
 	}
 }
 
-// Symptom: the weight store is asked for more than its limit when leaders change often.
-// Sequence: leaders alternate at random; each has models to load.
-// Cause: a leader began with a full bucket, or the bucket was paid after the order.
+// TestRateLimitHoldsAcrossLeaders has leaders alternate at random, each with models to load. If
+// a leader began with a full bucket, or the bytes were taken after the order, the weight store's
+// rate limit would be exceeded when leaders change often.
 func TestRateLimitHoldsAcrossLeaders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, size = 100, 1000
@@ -273,7 +273,7 @@
 		for i := range 40 {
 			servers = append(servers, testServer(i))
 		}
-		leaders := []*world{newWorld(nil, servers...), newWorld(nil, servers...)}
+		leaders := []*testFleet{newWorld(nil, servers...), newWorld(nil, servers...)}
 		now, term := testStart, uint64(0)
 		type paid struct {
 			at    time.Time
@@ -293,7 +293,7 @@
 					leader.in.Rules[0].Servers = 0
 				}
 				orders := leader.step()
-				leader.carryOut(orders)
+				leader.execute(orders)
 				for _, o := range orders {
 					history = append(history, paid{leader.in.Now, o.Bytes})
 				}
@@ -304,17 +304,18 @@
 			var sum int64
 			for _, p := range history[i:] {
 				sum += p.bytes
-				if most := size + int64(p.at.Sub(history[i].at).Seconds()*rate); sum > most {
-					t.Fatalf("%d bytes in %v, the limit allows %d", sum, p.at.Sub(history[i].at), most)
+				if limit := size + int64(p.at.Sub(history[i].at).Seconds()*rate); sum > limit {
+					t.Fatalf("%d bytes in %v, the limit allows %d", sum, p.at.Sub(history[i].at), limit)
 				}
 			}
 		}
 	})
 }
 
-// Whatever the rules, failures and engines: a model that was served stays served by a
-// server that isn't loading, no server has two orders, and the rules' orders end.
-func TestNoRuleEmptiesAModelWhateverFails(t *testing.T) {
+// TestServedModelsStayServed checks, for random rules, failures and engines, that a model that
+// was served stays served by a server that isn't loading, that no server has two orders, and
+// that the orders come to an end.
+func TestServedModelsStayServed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a@1", "a@2", "b", "c"}
 		var rules []settings.PlacementRule
@@ -326,7 +327,7 @@
 		for i := range rapid.IntRange(1, 9).Draw(t, "n") {
 			w.in.Servers = append(w.in.Servers, testServer(i, rapid.SliceOfNDistinct(rapid.SampledFrom(names), 0, 2, rapid.ID[string]).Draw(t, "models")...))
 		}
-		served := servedBases(w, nil)
+		served := servedModels(w, nil)
 		for range 150 {
 			orders := w.step()
 			loading := make(map[string]bool)
@@ -337,8 +338,8 @@
 				loading[o.Server] = o.Verb == LoadModel
 			}
 			for _, name := range served {
-				if !slices.Contains(servedBases(w, loading), name) {
-					t.Fatalf("nobody serves %s while %v", name, orders)
+				if !slices.Contains(servedModels(w, loading), name) {
+					t.Fatalf("no server serves %s during the orders %v", name, orders)
 				}
 			}
 			if len(orders) > 0 && rapid.IntRange(0, 9).Draw(t, "fails") == 0 {
@@ -347,21 +348,21 @@
 				}
 				continue
 			}
-			w.carryOut(orders)
+			w.execute(orders)
 		}
-		n := len(w.given)
+		n := len(w.executed)
 		w.run(100)
-		if len(w.given) != n {
-			t.Fatalf("orders don't end: %v", w.given[n:])
+		if len(w.executed) != n {
+			t.Fatalf("orders don't come to an end: %v", w.executed[n:])
 		}
 	})
 }
 
-func servedBases(w *world, loading map[string]bool) []string {
+func servedModels(w *testFleet, loading map[string]bool) []string {
 	var names []string
 	for _, s := range w.in.Servers {
 		if !loading[s.Address] {
-			names = append(names, bases(s)...)
+			names = append(names, modelNames(s)...)
 		}
 	}
 	return names
@@ -371,7 +372,7 @@
 	w := newWorld([]settings.PlacementRule{{Pool: "llm", Model: "codes", Servers: 1}}, testServer(1))
 	w.in.Leadership.OK = false
 	w.run(60)
-	if len(w.given) != 0 {
-		t.Errorf("orders without a lease: %v", w.given)
+	if len(w.executed) != 0 {
+		t.Errorf("orders without a lease: %v", w.executed)
 	}
 }
