--- a/internal/balance/server.go
+++ b/internal/balance/server.go
@@ -21,7 +21,8 @@
 	work   float64
 	workAt time.Time
 
-	// lateness is the delay of the last first part against its prediction, observed at latenessAt.
+	// lateness is how much later than predicted the first part of the latest answer arrived,
+	// observed at latenessAt.
 	lateness   time.Duration
 	latenessAt time.Time
 
--- a/internal/controller/assign/assign.go
+++ b/internal/controller/assign/assign.go
@@ -39,8 +39,8 @@
 	callTimeout = 150 * time.Millisecond
 	// reportTimeout bounds one call that reports the results of attempts.
 	reportTimeout = 500 * time.Millisecond
-	// reportDelay is how long a report waits for others to be sent with it. An engine reads
-	// a short prompt in 30 ms; a later report says nothing about its queue.
+	// reportDelay is how long a report waits for others to be sent with it. An engine prefills
+	// a short prompt in 30 ms; a later report no longer describes its queue.
 	reportDelay = 15 * time.Millisecond
 	// reportLifetime is how long a report is worth sending.
 	reportLifetime = 3 * time.Second
--- a/internal/controller/assign/share.go
+++ b/internal/controller/assign/share.go
@@ -12,13 +12,13 @@
 )
 
 // Cache contents are shared because the owner of a shard changes: it fails, restarts, or a
-// host joins that ranks before it. A new owner that does not know which engine keeps which
-// prompt part has the preferred server read it again although another one keeps it. With
-// hosts restarted one after the other, a third of the tokens read were kept by another
-// engine.
+// host joins that ranks before it. A new owner that does not know which engine has which
+// prompt part cached has the preferred server prefill it again although another one has it
+// cached. With hosts restarted one after the other, a third of the tokens prefilled were
+// cached at another engine.
 //
-// An owner therefore sends the prompt parts that its servers read to the next host in rank,
-// and each host that knows a shard sends all it knows to a host that becomes its owner.
+// An owner therefore sends the prompt parts that its servers prefill to the next host in rank,
+// and each host that knows the caches of a shard sends them to a host that becomes its owner.
 
 const (
 	// shareEvery is how often prompt parts are sent. Each takes 12 bytes.
--- a/internal/controller/owners/owners.go
+++ b/internal/controller/owners/owners.go
@@ -30,8 +30,8 @@
 // hosts fail, all of three ranks fail at once in one of 250 cases.
 //
 // The number is bounded because a host whose own link or CPU is overloaded gets no answer in
-// time from any host. It would ask one host after the other, and each would set tokens of the
-// same budget aside for it: twelve hosts held half of a budget this way.
+// time from any host. It would ask one host after the other, and each would reserve tokens of
+// the same budget for it: twelve hosts held half of a budget this way.
 const backupRanks = 1
 
 // Host is a host that may own keys.
--- a/internal/controller/repair/plan.go
+++ b/internal/controller/repair/plan.go
@@ -216,7 +216,7 @@
 }
 
 // billAll makes the bills, those of the greatest certainty first. It makes none for an identity
-// about which another dead holder knows more.
+// whose end another dead holder knows with greater certainty.
 //
 // A request that was waiting for tokens when its host died has a record and no reservation.
 // If it were billed first, it would take tokens of executions whose usage is known, which
--- a/internal/filter/callergone/callergone.go
+++ b/internal/filter/callergone/callergone.go
@@ -89,7 +89,7 @@
 // pollSafely is poll, except that a panic only ends the current poll.
 func (f *Filter) pollSafely() (more bool) {
 	defer panics.Log(log.Logger, "watching callers")
-	more = true // after a panic
+	more = true // the result after a panic
 	return f.poll()
 }
 
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -232,9 +232,9 @@
 	Revision() uint64
 	// Ready returns nil, or the refusal while the host is not yet or no longer allowed to serve.
 	Ready() error
-	// InContact returns nil if the settings were recently confirmed to be the newest. Otherwise it
-	// returns the refusal to use in place of a rejection for something that the settings lack,
-	// since newer settings may have it.
+	// InContact returns nil if the settings were recently confirmed to be the newest, and otherwise
+	// an error. A request for something that the settings lack is then refused with this error and
+	// not as unknown, since newer settings may have it.
 	InContact() error
 }
 
--- a/internal/ledger/budget.go
+++ b/internal/ledger/budget.go
@@ -127,7 +127,7 @@
 // CreateBudget creates a budget. A resend of the operation gets the first answer.
 func (s *State) CreateBudget(r Record, c *pb.CreateBudget) (first *pb.Budget, resend bool, err error) {
 	if c.Name == "" {
-		return nil, false, errkind.New(errkind.BadRequest, "a budget needs a name")
+		return nil, false, errkind.New(errkind.BadRequest, "the budget has no name")
 	}
 	if first, err = s.findOperation(r.OpID, c.Name, true, c.Tokens); first != nil || err != nil {
 		return first, err == nil, err
--- a/internal/quarantine/state.go
+++ b/internal/quarantine/state.go
@@ -98,7 +98,8 @@
 	return out
 }
 
-// Digest is equal at two hosts that have the same knowledge, whenever each of them received it.
+// Digest returns a hash of the table's contents. It is equal at two hosts that know the same crashes
+// and trials, regardless of when each of them received them.
 func (t *Table) Digest() uint64 {
 	if t.digestVersion == t.version {
 		return t.digest
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -10,7 +10,7 @@
 	// PermitLifetime is how long a permit is valid, counted from when it was requested.
 	PermitLifetime = 300 * time.Millisecond
 	// minRate is the rate, in requests a second, at which a server gets requests however low its
-	// limit is: only an answer can tell that the limit was lifted.
+	// limit is: only an answer can show that the limit was lifted.
 	minRate = 0.2
 	// minBurst is the burst size of a bucket, in addition to the permits of burstTime.
 	minBurst  = 2
@@ -24,10 +24,10 @@
 	ownerChangeTime = 3 * time.Second
 	// bucketRetention is the time without a request after which a bucket is dropped.
 	bucketRetention = 10 * time.Second
-	// requesterWindow is how long a host counts as wanting permits after a request.
+	// requesterWindow is how long a host counts as a requester after it has requested permits.
 	requesterWindow = time.Second
 	// requestSpacing is the wait of a refused host per requester, so that the owner gets no more
-	// than one request in this time, however many hosts want permits.
+	// than one request in this time, however many hosts request permits.
 	requestSpacing = 5 * time.Millisecond
 )
 
--- a/internal/ratelimit/permits.go
+++ b/internal/ratelimit/permits.go
@@ -10,12 +10,13 @@
 const (
 	// demandWindow is the time over which the use of permits is averaged.
 	demandWindow = time.Second
-	// prefetchTime is the time whose expected requests a host requests permits for at once. Unused
-	// permits expire if its requests go to other servers.
+	// prefetchTime is the time for which a host requests permits in advance: for the requests that it
+	// expects to send within it, besides the present one. Unused permits expire if its requests go to
+	// other servers.
 	prefetchTime = 100 * time.Millisecond
 )
 
-// State tells whether a request may be sent to a server.
+// State describes whether a request may be sent to a server.
 type State int
 
 // Permit states.
--- a/internal/relay/bandwidth/bandwidth.go
+++ b/internal/relay/bandwidth/bandwidth.go
@@ -2,10 +2,10 @@
 // carry.
 //
 // Without it a host whose callers send three times their usual load over its link of 10 Mbit/s
-// fills the link, and packets wait for seconds. All that the host asks of other hosts times out: it
-// considers the owners of budgets and of servers unreachable, one after the other, and each of them
-// reserves tokens for requests that are then given up. Requests fail after their deadline at a host
-// whose processor is idle, and half of a budget is held by hosts that have no use for it.
+// fills the link, and packets wait for seconds. Its calls to other hosts time out: it considers the
+// owners of budgets and of servers unreachable, one after the other, and each of them reserves
+// tokens for requests that are then given up. Requests fail after their deadline at a host whose
+// processor is idle, and half of a budget is held by hosts that have no use for it.
 //
 // A rejected request crosses the link once instead of twice, and the caller turns to another host.
 package bandwidth
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -31,7 +31,7 @@
 	// Key is the key of the client account; empty if none was given.
 	Key string
 	// CallerTimeout is how long the caller waits for the answer, counted from the request's
-	// arrival; 0 if the caller did not say.
+	// arrival; 0 if the caller did not specify it.
 	CallerTimeout time.Duration
 	// Model is the model that the request is for; empty for plain services.
 	Model string
--- a/internal/relay/ports.go
+++ b/internal/relay/ports.go
@@ -41,7 +41,7 @@
 	ResumeAfter string
 }
 
-// Reply is what a backend server's answer says in its headers.
+// Reply holds what a backend server reports in the headers of its answer.
 type Reply struct {
 	// ID is the ID of the request that the server answers.
 	ID string
--- a/internal/sched/core.go
+++ b/internal/sched/core.go
@@ -72,7 +72,7 @@
 func (c *Core) tryGrant(now time.Time, p *pool, w *Work, queued, latest time.Time) (Result, bool) {
 	useReserved := w.Class > Urgent && p.classOrder()[0] == w.Class && p.skipped[w.Class] >= maxNormalSkips
 	// A request close to its latest start may use slots reserved for higher priority classes,
-	// unless requests of these are being refused for want of room.
+	// unless requests of these are being refused because no server has room for them.
 	if !latest.IsZero() && latest.Sub(now) < lastStartWindow && !now.Before(p.pressureUntil) {
 		useReserved = true
 	}
--- a/internal/sched/pool.go
+++ b/internal/sched/pool.go
@@ -22,9 +22,9 @@
 // them, so that an urgent request never finds all slots held by long requests.
 const batchReserve = 16
 
-// For pressureTime after a higher priority request was refused for want of room, batch requests
-// leave the fraction 1/pressureReserve of a server's slots free. Otherwise hosts with short queues
-// would fill, with long requests, the slots for which other hosts refuse short ones.
+// For pressureTime after a higher priority request was refused because no server had room for it,
+// batch requests leave the fraction 1/pressureReserve of a server's slots free. Otherwise hosts with
+// short queues would fill, with long requests, the slots for which other hosts refuse short ones.
 const (
 	pressureReserve = 4
 	pressureTime    = 15 * time.Second
@@ -45,7 +45,8 @@
 	usage float64
 	// nextExpiry is the earliest of the waiting requests' latest start times.
 	nextExpiry time.Time
-	// pressureUntil is the end of the pressure caused by the last refusal for want of room.
+	// pressureUntil is the end of pressureTime after the last refusal of a higher priority request
+	// because no server had room for it.
 	pressureUntil time.Time
 }
 
@@ -109,7 +110,7 @@
 	return slots - slots/batchReserve
 }
 
-// notePressure records that a request of the class was refused for want of room.
+// notePressure records that a request of the class was refused because no server had room for it.
 func (p *pool) notePressure(now time.Time, class Class) {
 	if class < Batch {
 		p.pressureUntil = now.Add(pressureTime)
