--- a/internal/controller/assign/owner.go
+++ b/internal/controller/assign/owner.go
@@ -29,8 +29,8 @@
 	until time.Time
 }
 
-// HandleAssign assigns a server to another host's attempt. The other host takes this one
-// for the owner of the shard.
+// HandleAssign assigns a server to another host's attempt. The other host considers this one
+// the owner of the shard.
 func (a *Assigner) HandleAssign(ctx context.Context, req *pb.AssignRequest) *pb.AssignReply {
 	w := &balance.Work{
 		Service: req.GetService(), Engine: req.GetEngine(), CacheTokens: req.GetCacheTokens(), PromptTokens: req.GetPromptTokens(),
--- a/internal/controller/budgets/await.go
+++ b/internal/controller/budgets/await.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// reserveWait bounds how long a request waits for its owner's reserve to open. It is the
-	// time from when an owner has used up its free tokens until its reserve starts to open.
+	// reserveWait bounds how long a request waits for the reserve of its budget's owner to open.
+	// It is the time from when an owner has used up its free tokens until its reserve starts to
+	// open.
 	reserveWait = 2 * time.Second
 	// A request may wait for tokens for at most 1/waitDivisor of its remaining time; the rest is
 	// left for its answer.
--- a/internal/controller/budgets/budgets.go
+++ b/internal/controller/budgets/budgets.go
@@ -151,8 +151,8 @@
 // ownersOf returns the hosts to ask for tokens of a budget: those that rank first, or the owner
 // if none of them answered recently.
 //
-// The owner is asked even then because a host whose link was full for a moment takes all of them
-// for failed, and would reject requests although the owner has enough tokens.
+// The owner is asked even then because a host whose link was full for a moment considers all of
+// them failed, and would reject requests although the owner has enough tokens.
 func (r *Reserver) ownersOf(budget string) []owners.Host {
 	hosts := r.cfg.Owners.FirstRanked(Key(budget), maxOwners)
 	if len(hosts) > 0 {
--- a/internal/controller/grants/port.go
+++ b/internal/controller/grants/port.go
@@ -59,9 +59,9 @@
 	default:
 	}
 	if ctx.Err() == context.DeadlineExceeded {
-		return errkind.New(errkind.DeadlineExceeded, "deadline exceeded while waiting for tokens of budget %s", budget).WithRan(errkind.RanNo)
+		return errkind.New(errkind.DeadlineExceeded, "the deadline passed while the request waited for tokens of budget %s", budget).WithRan(errkind.RanNo)
 	}
-	return errkind.New(errkind.CallerGone, "caller disconnected while waiting for tokens").WithRan(errkind.RanNo)
+	return errkind.New(errkind.CallerGone, "the caller disconnected while the request waited for tokens").WithRan(errkind.RanNo)
 }
 
 // Settle implements filter.Budget. A bill without a time gets the current time, and one
--- a/internal/relay/budget/budget.go
+++ b/internal/relay/budget/budget.go
@@ -13,7 +13,7 @@
 type Filter struct{ Budgets relay.Budgets }
 
 // ServeHTTP reserves the maximum size of the request: its prompt and its output cap. Without the
-// reservation a request that runs longer than expected could spend tokens promised to another one.
+// reservation a request that runs longer than expected could spend tokens reserved for another one.
 // The prompt is billed once, however many attempts were made, and the output as far as it was
 // delivered. A request that fails before any of its answer has reached the caller costs its client
 // account nothing, whatever work servers did for it.
