--- a/internal/filter/identify/identify_test.go
+++ b/internal/filter/identify/identify_test.go
@@ -27,8 +27,8 @@
 func (h host) InContact() error                        { return h.contact }
 
 // Guards against rejecting as unknown what the host's own settings lack, however old they are.
-// Callers were told that their key is wrong after it was added while the host was cut off from the
-// control group.
+// If a key is added while the host can't reach the control group, callers would otherwise be told
+// that their key is wrong.
 func TestStaleSettingsRejectNoKeyAsUnknown(t *testing.T) {
 	cut := errkind.New(errkind.HostNotReady, "out of contact")
 	sound := settings.Account{Team: "books"}
--- a/internal/filter/quarantine.go
+++ b/internal/filter/quarantine.go
@@ -10,10 +10,10 @@
 
 // Quarantine keeps requests that crash servers away from backend servers.
 type Quarantine interface {
-	// Admit admits a request or rejects it. It may block until another run of the same request has
-	// ended or ctx ends.
+	// Admit admits a request or rejects it. It may block until another execution of the same request
+	// has ended or ctx ends.
 	Admit(ctx context.Context, id quarantine.ID) (Admission, error)
-	// AdmitResumed admits a request that resumes a run that was admitted before.
+	// AdmitResumed admits a request that resumes an execution that was admitted before.
 	AdmitResumed(id quarantine.ID) Admission
 }
 
--- a/internal/filter/quarantine/quarantine.go
+++ b/internal/filter/quarantine/quarantine.go
@@ -14,8 +14,8 @@
 	Clock      filter.Clock
 }
 
-// ServeHTTP sets the call's Admission. A call that resumes the run of a former holder starts no new
-// run, so it is admitted without a check.
+// ServeHTTP sets the call's Admission. A call that resumes the execution of a former holder starts
+// no new one, so it is admitted without a check.
 func (f *Filter) ServeHTTP(w http.ResponseWriter, r *http.Request, next filter.Handler) error {
 	c := filter.CallFrom(r.Context())
 	target := c.Path
--- a/internal/inflight/copies.go
+++ b/internal/inflight/copies.go
@@ -172,7 +172,7 @@
 }
 
 // updateCopyHolders plans new copies in place of those on hosts that left the list of live
-// ones. Such a host may only have been cut off and come back as the same incarnation with an
+// ones. Such a host may only have been unreachable and return as the same incarnation with an
 // old version; it is then sent the current one. If it still held an abandoned request as
 // running when the owner died, the request would be billed although it did not run.
 func (s *Store) updateCopyHolders(request string, e *entry, live map[string]uint64) {
--- a/internal/ledger/registry.go
+++ b/internal/ledger/registry.go
@@ -197,7 +197,7 @@
 // reports that it has left. A host that left cleanly holds no tokens; if it counted as live,
 // the recovery of any other host would wait for its answer forever.
 //
-// The report must be true. A removed host that is only cut off continues to spend the tokens
+// The report must be true. A removed host that is only unreachable continues to spend the tokens
 // that it holds, and what it spends after its recovery can no longer be billed.
 func (s *State) RemoveHost(c *pb.RemoveHost) error {
 	h := s.registry.hosts[c.Host]
--- a/internal/quarantine/admit.go
+++ b/internal/quarantine/admit.go
@@ -3,14 +3,15 @@
 import "time"
 
 const (
-	// exclusiveTime is how long a suspected request blocks other runs of itself. A request that
+	// exclusiveTime is how long a suspected request blocks other executions of itself. A request that
 	// crashes servers has mostly done so by then.
 	exclusiveTime = 2 * time.Second
-	// waitRetryAfter is when to ask again for a request that is blocked by another run of itself.
+	// waitRetryAfter is when to ask again for a request that is blocked by another execution of
+	// itself.
 	waitRetryAfter = time.Second
 )
 
-// slot is the permission to run a suspected or quarantined request, held by one run at a time.
+// slot is the permission to run a suspected or quarantined request, held by one execution at a time.
 type slot struct {
 	name  string
 	until time.Time
@@ -23,12 +24,12 @@
 const (
 	// Run means that the request may be sent to a server.
 	Run Decision = "run"
-	// Exclusive means that the request may be sent to one server, while other runs of it wait until
-	// End.
+	// Exclusive means that the request may be sent to one server, while other executions of it wait
+	// until End.
 	Exclusive Decision = "exclusive"
 	// Trial is Exclusive for a quarantined request.
 	Trial Decision = "trial"
-	// Wait means that another run of the request is under way.
+	// Wait means that another execution of the request is in progress.
 	Wait Decision = "wait"
 	// Refuse means that the request may not be sent to a server before Verdict.After.
 	Refuse Decision = "refuse"
@@ -42,7 +43,7 @@
 }
 
 // Admit decides whether a request may run. name is the name of the admission under which it would
-// run; lifetime bounds the run. The host that owns a request decides for the whole fleet.
+// run; lifetime bounds the execution. The host that owns a request decides for the whole fleet.
 func (t *Table) Admit(now time.Time, id ID, name string, lifetime time.Duration) Verdict {
 	st := t.Status(now, id)
 	held, taken := t.slots[id]
@@ -62,7 +63,7 @@
 	return Verdict{Decision: Trial}
 }
 
-// End ends the run with the given name.
+// End ends the execution with the given name.
 func (t *Table) End(id ID, name string) {
 	if t.slots[id].name == name {
 		delete(t.slots, id)
