--- a/Makefile
+++ b/Makefile
@@ -1,12 +1,12 @@
-# Commands for people. CI calls .ci/run.
+# Targets for developers. CI runs .ci/run.
 
 .PHONY: test demo proto lint measure build
 
-# test passes the whole suite; it needs nothing but Go.
+# test runs all tests; it needs only Go.
 test:
 	go test $(TESTFLAGS) ./...
 
-# build puts the programs into ./bin.
+# build builds the programs into ./bin.
 build:
 	go build -o bin/ ./cmd/...
 
--- a/e2e/control/caller_test.go
+++ b/e2e/control/caller_test.go
@@ -64,14 +64,14 @@
 	return out
 }
 
-// startBackend starts a stand-in backend server and returns its address.
+// startBackend starts a fake backend server and returns its address.
 func (f *fleet) startBackend(announceTo []string) string {
 	f.t.Helper()
 	file := filepath.Join(f.layout.Dir, "standin.address")
 	startProcess(f.t, f.layout.Dir, "standin", "standin", "--address-file", file, "--announce", strings.Join(announceTo, ","),
 		"--models", "m", "--services", "ledger", "--decode", "0", "--prefill", "0")
 	var address []byte
-	eventually(f.t, "the stand-in listens", func() bool {
+	eventually(f.t, "the fake backend server listens", func() bool {
 		address, _ = os.ReadFile(file)
 		return len(address) > 0
 	})
--- a/e2e/control/tls_test.go
+++ b/e2e/control/tls_test.go
@@ -115,7 +115,7 @@
 	return pool
 }
 
-// forwardTLS listens without TLS for the stand-in, which does not support it, and forwards each
+// forwardTLS listens without TLS for the fake backend server, which does not support it, and forwards each
 // connection with TLS to a host's address for callers. It returns the address at which it listens.
 func (f *fleet) forwardTLS(pool *x509.CertPool, h devfleet.Host) string {
 	f.t.Helper()
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/bluebellsail/bluebellsail/internal/standin"
 )
 
-// client calls the debug interface of stand-ins.
+// client calls the debug interface of fake backend servers.
 var client = &http.Client{Timeout: 5 * time.Second}
 
 // fleetLayout is the output of "bluebellsail --json dev init".
@@ -63,8 +63,8 @@
 	}
 }
 
-// backendCommand implements "backend NAME ARG...". It starts a stand-in that announces itself to all
-// hosts, and sets NAME to its address.
+// backendCommand implements "backend NAME ARG...". It starts a fake backend server (command
+// standin) that announces itself to all hosts, and sets NAME to its address.
 func backendCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 1 {
 		ts.Fatalf("usage: backend NAME ARG...")
@@ -82,8 +82,8 @@
 	ts.Setenv(name, strings.TrimSpace(ts.ReadFile(file)))
 }
 
-// runsCommand implements "runs NAME VAR". It sets VAR to the number of completions that the stand-in
-// has started.
+// runsCommand implements "runs NAME VAR". It sets VAR to the number of completions that the fake
+// backend server has started.
 func runsCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: runs NAME VAR")
@@ -92,7 +92,7 @@
 }
 
 // runningCommand implements "running NAME N". It waits until at least N streams run or wait at the
-// stand-in.
+// fake backend server.
 func runningCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: running NAME N")
@@ -114,7 +114,7 @@
 	return r
 }
 
-// faultCommand implements "fault NAME JSON". It sets the faults that a stand-in injects.
+// faultCommand implements "fault NAME JSON". It sets the faults that a fake backend server injects.
 func faultCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: fault NAME JSON")
@@ -124,6 +124,6 @@
 	ts.Check(err)
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		ts.Fatalf("the stand-in answered with status %d", resp.StatusCode)
+		ts.Fatalf("the fake backend server answered with status %d", resp.StatusCode)
 	}
 }
--- a/e2e/main_test.go
+++ b/e2e/main_test.go
@@ -1,4 +1,4 @@
-// Package e2e tests whole fleets with scripts in the language of package testscript. Hosts, stand-in
+// Package e2e tests whole fleets with scripts in the language of package testscript. Hosts, fake
 // backend servers, the load tool and the operators' tool are real processes on the loopback interface.
 package e2e
 
--- a/e2e/operator_test.go
+++ b/e2e/operator_test.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// onceCommand implements "once MIN MAX NAME...". It checks that the stand-ins have executed MIN to MAX
-// ledger entries, and none of them twice, be it at one stand-in or at two.
+// onceCommand implements "once MIN MAX NAME...". It checks that the fake backend servers have
+// executed MIN to MAX ledger entries, and none of them twice, be it at one server or at two.
 func onceCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 3 {
 		ts.Fatalf("usage: once MIN MAX NAME...")
@@ -70,8 +70,8 @@
 	}
 }
 
-// truthfulCommand implements "truthful REPORT NAME...". It checks that the stand-ins executed no ledger
-// entry for which the caller got a refusal that promises that the entry did not run.
+// truthfulCommand implements "truthful REPORT NAME...". It checks that the fake backend servers executed no
+// ledger entry for which the caller got a refusal that promises that the entry did not run.
 func truthfulCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: truthful REPORT NAME...")
--- a/internal/apply/operations.go
+++ b/internal/apply/operations.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// fingerprint hashes the body of a command, without actor and time. Of a change of
-// settings only the path counts, as in package settings.
+// fingerprint hashes the body of a command, without actor and time. For a change of
+// settings it hashes only the path, as the fingerprint of package settings does.
 func fingerprint(cmd *pb.Command) uint64 {
 	asked := &pb.Command{Body: cmd.Body}
 	if set := cmd.GetSetConfig(); set != nil {
--- a/internal/callerapi/standin_test.go
+++ b/internal/callerapi/standin_test.go
@@ -15,7 +15,7 @@
 
 const standinBody = `{"model":"m","stream":true,"max_tokens":12,"ignore_eos":true,"messages":[{"role":"user","content":"hello"}]}`
 
-// standins starts two stand-in backend servers, the first with faults.
+// standins starts two fake backend servers of package standin, the first with faults.
 func standins(t *testing.T, f *fakeFleet, faults standin.Faults) (first, second *standin.Server) {
 	t.Helper()
 	var servers []*standin.Server
@@ -31,9 +31,9 @@
 }
 
 func TestFaultsOfStandinServers(t *testing.T) {
-	// Guards against a chain that works only with its own fake engine because the fake and the
-	// stand-in backend server implement the protocol differently. The first stand-in server
-	// breaks off, silences or overruns a stream; the second one has no faults.
+	// Guards against a chain that works only with the fakeEngine of these tests, because that
+	// and package standin implement the protocol differently. The first standin server breaks
+	// off, silences or overruns a stream; the second one has no faults.
 	body := []byte(standinBody)
 	prompt, err := standin.ParsePrompt(body)
 	testutil.NoError(t, err)
--- a/internal/control/snapshots.go
+++ b/internal/control/snapshots.go
@@ -54,7 +54,7 @@
 // A threshold by number of entries alone, one snapshot every 10,000, was not enough: a
 // group that had received 270 routing tables in a minute replayed them all after a
 // start, for 5 s on a tenth of a processor, and after a day of tables for longer than
-// anybody waits.
+// any operator would wait.
 func (r *Replica) snapshotThreshold() int64 { return max(r.cfg.SnapshotBytes, r.snapBytes) }
 
 // startSnapshot captures the state unless a snapshot is being written or nothing was
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -38,7 +38,7 @@
 	opts       []grpc.DialOption
 	log        zerolog.Logger
 	lifetime   time.Duration // streamLifetime, shorter in tests
-	ackTimeout time.Duration // streamAck
+	ackTimeout time.Duration // streamAckTimeout, shorter in tests
 
 	mu     sync.Mutex
 	peers  map[peerKey]*peer
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -158,8 +158,8 @@
 	}
 	join := d.cfg.Control.Join
 	if len(d.cfg.Seeds) > 0 {
-		// The founders agree on ids without exchanging messages, since all know the same
-		// addresses.
+		// The replicas that form the group agree on IDs without exchanging messages, since
+		// all of them know the same addresses.
 		for _, address := range d.cfg.Founders() {
 			members = append(members, control.Member{Address: address, Host: address})
 		}
--- a/internal/daemon/gatewayhosts.go
+++ b/internal/daemon/gatewayhosts.go
@@ -108,7 +108,7 @@
 //
 // Without it half of the servers announce themselves to hosts that only run a replica. In
 // a partition between these and the hosts that serve callers, the latter would receive no
-// announcements of those servers and take them for lost.
+// announcements of those servers and consider them lost.
 func (g *gateway) announceTo(a instance.Announcement) string {
 	if g.servesCallers() {
 		return ""
--- a/internal/engineclient/cause.go
+++ b/internal/engineclient/cause.go
@@ -46,7 +46,7 @@
 	CauseRequestEnded Cause = "ended_by_request"
 )
 
-// Causes determined by whoever reads the answer.
+// Causes determined from the content of the answer, by the code that reads it.
 const (
 	// CauseShed: the server reported that it did not run the request.
 	CauseShed Cause = "shed"
--- a/internal/engineclient/conn_test.go
+++ b/internal/engineclient/conn_test.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// Guards against the same fault where a write fails before any byte was written, and against
-// the reverse: after a single byte the request may have run, so it must not be reported as not
-// run.
+// Guards against reporting that a request may have run although the write failed before any byte
+// was written, and against the reverse: after a single byte the request may have run, so it must
+// not be reported as not run.
 func TestWrittenBytesDecideRan(t *testing.T) {
 	for name, c := range map[string]struct {
 		room   int
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -51,9 +51,8 @@
 	endRead atomic.Bool
 	// ended guards reportEnd, so that the end is counted once.
 	ended sync.Once
-	// received is the number of bytes received of the request being read, counted the number
-	// of them, or of the bytes expected, that are included in Server.heldBytes. guard.mu
-	// guards both.
+	// received is the number of bytes received of the request being read. counted is how many
+	// of its received or expected bytes are included in Server.heldBytes. guard.mu guards both.
 	received, counted int64
 }
 
--- a/internal/httpserver/ends_test.go
+++ b/internal/httpserver/ends_test.go
@@ -78,7 +78,7 @@
 }
 
 func TestUnreadEndIsUnexplained(t *testing.T) {
-	// Guards against a log that says that callers left although they did not: when the event
+	// Guards against logging that callers left although they did not: when the event
 	// of another connection makes the poller close one with an open request, the error is the
 	// same as for a caller that closes.
 	seen, begun := make(chan Cause, 1), make(chan struct{})
--- a/internal/httpserver/idle_test.go
+++ b/internal/httpserver/idle_test.go
@@ -152,8 +152,9 @@
 	}
 }
 
-// lateHandler has a request read in time and handled after the idle timeout. counts reports
-// whether the request was read in time.
+// lateHandler sends a request that is read in time and handled after the idle timeout. spared
+// reports whether it was answered. counts reports whether it was read in time, so that the
+// attempt counts.
 func (h *gatedServer) lateHandler(t *testing.T, kept bool) (spared, counts bool) {
 	c := dial(t, h.Server)
 	r := bufio.NewReader(c)
@@ -171,8 +172,9 @@
 	return answered(r), counts
 }
 
-// lateReading has a request arrive in time and read after the idle timeout. counts reports
-// whether the request was sent in time.
+// lateReading sends a request that arrives in time and is read after the idle timeout. spared
+// reports whether it was answered. counts reports whether it was sent in time, so that the
+// attempt counts.
 func (h *gatedServer) lateReading(t *testing.T, kept bool) (spared, counts bool) {
 	c, other := dial(t, h.Server), dial(t, h.Server)
 	begun := time.Now()
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -208,9 +208,9 @@
 // Start listens and serves in the background. It returns when the poller runs.
 //
 // A server may be stopped right after it was started, for example when the next address of a
-// process is in use. A poller that begins after it was told to stop would reset that mark: it
-// would use up a processor, and whoever waits for it would wait forever, so that the process
-// neither serves nor ends.
+// process is in use. A poller of nbio clears its shutdown flag when its goroutine begins. If it
+// began after the stop, it would run forever and use up a processor, and the process would wait
+// for it and neither serve nor exit.
 func (s *Server) Start() error {
 	// If nbhttp can't listen, it stops its engine and waits for loops that have not begun.
 	listener, err := s.engine.Listen("tcp", s.cfg.Address)
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -436,8 +436,8 @@
 
 // Guards against a process that uses up a processor and does not end because its start fails:
 // it opens a server, fails at the next one, whose address another process has, and stops the
-// first at once. An event loop of nbio that begins after it was told to stop resets that mark,
-// and Stop waits for it.
+// first at once. An event loop of nbio that begins after the stop clears its shutdown flag, and
+// Stop waits for it.
 func TestStopRightAfterStart(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // no goroutine started by Start runs before Drain
 	s := New(Config{Address: "127.0.0.1:0", Handler: http.NotFoundHandler()})
--- a/internal/httpserver/start_test.go
+++ b/internal/httpserver/start_test.go
@@ -11,7 +11,7 @@
 func TestRepeatedStopRightAfterStart(t *testing.T) {
 	// Guards against a process that never ends and uses a whole processor, after a failed
 	// start or in a test on a busy machine. The server is stopped before its reading
-	// goroutines have run; when they begin, they reset the mark that tells them to end.
+	// goroutines have run; when they begin, they clear the flag that tells them to end.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	for range 20 {
 		s := New(Config{Address: "127.0.0.1:0", Handler: text("ran")})
--- a/internal/measure/budgets/scenario.go
+++ b/internal/measure/budgets/scenario.go
@@ -50,7 +50,7 @@
 	decided  bool
 }
 
-// cutStart and cutTo are the start and the end of the cut in virtual time.
+// cutStart and cutEnd return the start and the end of the cut in virtual time.
 func (s scenario) cutStart() time.Duration { return warmUp }
 func (s scenario) cutEnd() time.Duration   { return warmUp + s.cut }
 func (s scenario) end() time.Duration      { return s.cutEnd() + afterCut }
--- a/internal/procconfig/config.go
+++ b/internal/procconfig/config.go
@@ -361,7 +361,7 @@
 	return net.JoinHostPort(ip, port)
 }
 
-// Founders returns the peer addresses of the replicas that found the control group; empty
+// Founders returns the peer addresses of the replicas that form a new control group; empty
 // unless this host is one of them.
 func (c *Config) Founders() []string {
 	if !c.Control.Bootstrap {
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -29,8 +29,9 @@
 	})
 }
 
-// acceptHigherTerm adopts the higher term of m where the type of message calls for it.
-// It returns false if m must be ignored.
+// acceptHigherTerm adopts the higher term of m. A pre-vote request, and a reply that
+// grants one, leave the term unchanged. It returns false if m must be ignored: a vote
+// request while refusesCandidates, unless the leader transferred its leadership.
 func (r *Raft) acceptHigherTerm(m *pb.RaftMessage) bool {
 	switch m.Type {
 	case pb.RaftType_RAFT_TYPE_PRE_VOTE:
@@ -48,8 +49,8 @@
 	return true
 }
 
-// replyLowerTerm notifies a leader or pre-candidate of an older term of the current
-// term.
+// replyLowerTerm answers a message of a lower term from a leader or pre-candidate, so that
+// the sender learns the current term.
 func (r *Raft) replyLowerTerm(m *pb.RaftMessage) {
 	switch m.Type {
 	case pb.RaftType_RAFT_TYPE_APPEND, pb.RaftType_RAFT_TYPE_HEARTBEAT, pb.RaftType_RAFT_TYPE_SNAPSHOT:
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -44,8 +44,8 @@
 	// for longer than allowed: connections to backend servers, and connections to peers while
 	// a new connection worked.
 	SilentConnections expvar.Int
-	// Takeovers counts requests of another incarnation, which was dead or had no complete
-	// answer, that were continued on this host.
+	// Takeovers counts requests that this host continued for another incarnation, which was
+	// dead or had no complete answer.
 	Takeovers expvar.Int
 	// HeartbeatsSent and HeartbeatsFailed count heartbeats; HeartbeatBytes counts the marshaled
 	// bytes sent and received.
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,15 +1,15 @@
 #!/bin/sh
 # Starts a small fleet on loopback, serves one request through it, shows the bill and
-# a refusal, and stops all it started. It builds the programs itself; nothing else is
-# needed than Go. Set KEEP=1 to keep the folder with settings and logs.
+# a refusal, and stops the processes that it started. It builds the programs itself and
+# needs only Go. Set KEEP=1 to keep the directory with settings and logs.
 set -eu
 cd "$(dirname "$0")/.."
 
 hosts=5
 controls=3
-start_limit=60 # seconds until the fleet has to be up
-step_limit=20  # seconds that any other step may take
-stop_limit=15  # seconds until what does not stop is killed
+start_limit=60 # seconds within which the fleet must be ready
+step_limit=20  # seconds within which any other step must succeed
+stop_limit=15  # seconds after SIGTERM until remaining processes are killed
 
 work=$(mktemp -d "${TMPDIR:-/tmp}/bluebellsail-demo.XXXXXX")
 bin=$work/bin
@@ -23,7 +23,7 @@
   "$@"
 }
 
-# running tells whether any process that we started is still there.
+# running succeeds if any process that this script started is still running.
 running() {
   for pid in $pids; do
     if kill -0 "$pid" 2>/dev/null; then return 0; fi
@@ -31,7 +31,7 @@
   return 1
 }
 
-# stop ends the processes that we started, by their ids: first politely, then not.
+# stop stops the processes that this script started, by ID: first with SIGTERM, then SIGKILL.
 stop() {
   for pid in $pids; do kill -TERM "$pid" 2>/dev/null || true; done
   left=$stop_limit
@@ -63,7 +63,7 @@
 trap 'exit 130' INT
 trap 'exit 143' TERM
 
-# start NAME COMMAND... runs a command behind, with its output in a file.
+# start NAME COMMAND... runs a command in the background, with its output in a file.
 start() {
   name=$1
   shift
@@ -87,7 +87,7 @@
   done
 }
 
-# contains PATTERN COMMAND... succeeds when the command's output has the pattern.
+# contains PATTERN COMMAND... succeeds when the command's output matches the pattern.
 contains() {
   pattern=$1
   shift
@@ -96,7 +96,7 @@
   grep -Eq "$pattern" "$work/contains.out"
 }
 
-# in_force succeeds when every host has the newest settings in force.
+# in_force succeeds if all hosts use the newest settings.
 in_force() {
   bluebellsail config status >"$work/config.out" || return 1
   cat "$work/config.out"
