--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -34,8 +34,8 @@
 //     the asking replica.
 //   - Once all have answered, and none with a nonce other than the asking replica's,
 //     that replica records all nonces, syncs them and participates. The first
-//     formation of a group therefore needs all replicas of the list to be up at one
-//     time.
+//     formation of a group therefore needs all replicas of the list to be up at the
+//     same time.
 //   - A different nonce means that the group was formed with another disk under this
 //     ID: the disk was lost. The replica abandons that ID permanently, draws a new
 //     random one, and waits to be added as a learner. It is promoted once it holds
--- a/internal/daemon/register.go
+++ b/internal/daemon/register.go
@@ -33,8 +33,8 @@
 		tryCtx, cancel := context.WithTimeout(ctx, registerTimeout)
 		defer cancel()
 		// The age is computed when the command is sent, not at the first attempt. Otherwise, if
-		// the control group elects a leader meanwhile, it takes that time for one in which the
-		// former incarnation may still have run without contact, and counts more as spent.
+		// the control group elects a leader meanwhile, the ledger counts that time as one in which
+		// the former incarnation may still have run without contact, and more tokens as spent.
 		res, err := d.client.ProposeFunc(tryCtx, func() *pb.Command {
 			return &pb.Command{Actor: d.cfg.Host, Body: &pb.Command_RegisterHost{RegisterHost: &pb.RegisterHost{
 				Host: d.cfg.Host, Zone: d.cfg.Zone, CallerAddress: d.callerAddress(),
--- a/internal/httpserver/reuse_test.go
+++ b/internal/httpserver/reuse_test.go
@@ -92,7 +92,7 @@
 			}
 			close(atFirst.release)
 			<-atSecond.reached
-			// Now it is at the second connection, and the ends of the others come next.
+			// Now the reading goroutine is at the second connection, and the ends of the others come next.
 			close(leave)
 			for _, c := range ended {
 				await(t, "the handlers have closed", c.isClosed)
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -98,9 +98,9 @@
 	// where few callers send most requests, one host may get ten times as many as another for
 	// as long as those connections last.
 	RequestsPerConnection int64
-	// Limits returns limits that may change while the server runs. A field that is zero, or
-	// greater than the corresponding field of this Config, is replaced by the latter. Nil: no
-	// further limits.
+	// Limits returns limits that may change while the server runs. A field takes effect only if
+	// it is positive and lower than the corresponding field of this Config. Nil: no further
+	// limits.
 	Limits func() Limits
 }
 
--- a/internal/peerconn/peerconn_test.go
+++ b/internal/peerconn/peerconn_test.go
@@ -120,7 +120,7 @@
 	return err
 }
 
-// Guards against a host that takes another for dead although all others reach it. The
+// Guards against a host that considers another dead although all others reach it. The
 // connection between them goes silent while new ones work; TCP keeps the silent one, since its
 // data is acknowledged.
 func TestSilentConnectionIsReplaced(t *testing.T) {
