--- a/internal/control/replay_test.go
+++ b/internal/control/replay_test.go
@@ -122,8 +122,8 @@
 	})
 }
 
-// A replica reports contact with a quorum until it has received messages from too few
-// others for a while: at the start, and in the majority part of a partitioned group.
+// A replica reports contact with a quorum from its start on, and stops once it has received
+// messages from too few others for a while, as in the minority part of a partitioned group.
 // Hosts use it to tell a group that has no leader yet from one that cannot elect any.
 func TestReplicaReportsContactWithQuorum(t *testing.T) {
 	withCluster(t, nil, func(t *testing.T, c *cluster) {
--- a/internal/daemon/gatewaybudgets.go
+++ b/internal/daemon/gatewaybudgets.go
@@ -35,7 +35,7 @@
 
 // registrationGrace is the age of a process up to which its requests wait for its registration. A
 // fleet that restarts after a power loss elects a leader within this time. After it, the
-// control group is taken for unreachable and requests are rejected at once.
+// control group is considered unreachable and requests are rejected at once.
 const registrationGrace = 2 * time.Second
 
 // awaitGrants waits for this host's registration while the process starts. A host that has
--- a/internal/httpserver/errors.go
+++ b/internal/httpserver/errors.go
@@ -27,7 +27,7 @@
 	RequestID string `json:"request_id,omitempty"`
 	// Path is the location of the error in a settings tree.
 	Path string `json:"path,omitempty"`
-	// PresentVersion is the subtree's present version, in a version conflict.
+	// PresentVersion is the subtree's current version, in a version conflict.
 	PresentVersion uint64 `json:"present_version,omitempty"`
 }
 
--- a/internal/httpserver/framing/framing.go
+++ b/internal/httpserver/framing/framing.go
@@ -27,7 +27,7 @@
 	Body int64
 }
 
-// Phase is how much of the present request has been received.
+// Phase is how much of the current request has been received.
 type Phase int
 
 // Phases.
@@ -85,7 +85,7 @@
 	length  int64
 }
 
-// Phase returns the phase of the present request.
+// Phase returns the phase of the current request.
 func (c *Checker) Phase() Phase {
 	switch {
 	case c.state == requestLine && len(c.line) == 0:
@@ -96,7 +96,7 @@
 	return Body
 }
 
-// Missing returns how many bytes of the present request are still to come, as far as its
+// Missing returns how many bytes of the current request are still to come, as far as its
 // headers show.
 func (c *Checker) Missing() int64 {
 	if c.state != plainBody {
--- a/internal/measure/routing/baseline.go
+++ b/internal/measure/routing/baseline.go
@@ -85,7 +85,7 @@
 }
 
 // leastReported returns a router that uses the server with the lowest reported load, and a random
-// one of several.
+// one of them if there are several.
 func leastReported(m *sim, seed int64) router {
 	rng := rand.New(rand.NewSource(seed))
 	return &direct{newRegistries(m), func(_ int, usable []*backend.Server) *backend.Server {
--- a/internal/peerconn/link.go
+++ b/internal/peerconn/link.go
@@ -26,7 +26,7 @@
 
 var _ grpc.ClientConnInterface = (*link)(nil)
 
-// Invoke makes a unary call on the present connection and records the result.
+// Invoke makes a unary call on the current connection and records the result.
 func (l *link) Invoke(ctx context.Context, method string, args, reply any, opts ...grpc.CallOption) error {
 	conn, err := l.connection()
 	if err != nil {
@@ -37,7 +37,7 @@
 	return err
 }
 
-// NewStream opens a stream on the present connection. The stream ends with an error when the
+// NewStream opens a stream on the current connection. The stream ends with an error when the
 // connection is replaced.
 func (l *link) NewStream(ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 	conn, err := l.connection()
@@ -64,7 +64,7 @@
 	return conn, nil
 }
 
-// recordResult counts timed-out calls on the present connection. Any answer of the peer,
+// recordResult counts timed-out calls on the current connection. Any answer of the peer,
 // including an error status, shows that the connection is not silent. A canceled call shows
 // nothing.
 func (l *link) recordResult(conn *grpc.ClientConn, err error) {
--- a/internal/peerconn/peerconn_test.go
+++ b/internal/peerconn/peerconn_test.go
@@ -37,7 +37,7 @@
 	return listener.Addr().String()
 }
 
-// proxy forwards connections. Its method silence makes the present connections silent, and all
+// proxy forwards connections. Its method silence makes the current connections silent, and all
 // later ones too if all is set.
 type proxy struct {
 	listener    net.Listener
