--- a/internal/procconfig/config.go
+++ b/internal/procconfig/config.go
@@ -100,7 +100,7 @@
 	// host, with the address of listen.peers.
 	Members []Member `json:"members"`
 	// Bootstrap declares that the fleet starts for the first time: replicas whose own address
-	// is among the seeds found the control group. Other replicas, and all later ones, join it.
+	// is among the seeds form the control group. Other replicas, and all later ones, join it.
 	// Only with seeds. Default false.
 	Bootstrap bool `json:"bootstrap,omitempty"`
 	// Join starts this host's replica empty and without a vote, until an operator adds
