--- a/internal/peerconn/peerconn_test.go
+++ b/internal/peerconn/peerconn_test.go
@@ -37,7 +37,7 @@
 	return listener.Addr().String()
 }
 
-// proxy forwards connections. Its method silence makes the present connections silent, and all
+// proxy forwards connections. Its method silence makes the current connections silent, and all
 // later ones too if all is set.
 type proxy struct {
 	listener    net.Listener
@@ -120,7 +120,7 @@
 	return err
 }
 
-// Guards against a host that takes another for dead although all others reach it. The
+// Guards against a host that considers another dead although all others reach it. The
 // connection between them goes silent while new ones work; TCP keeps the silent one, since its
 // data is acknowledged.
 func TestSilentConnectionIsReplaced(t *testing.T) {
--- a/internal/procconfig/config.go
+++ b/internal/procconfig/config.go
@@ -100,7 +100,7 @@
 	// host, with the address of listen.peers.
 	Members []Member `json:"members"`
 	// Bootstrap declares that the fleet starts for the first time: replicas whose own address
-	// is among the seeds found the control group. Other replicas, and all later ones, join it.
+	// is among the seeds form the control group. Other replicas, and all later ones, join it.
 	// Only with seeds. Default false.
 	Bootstrap bool `json:"bootstrap,omitempty"`
 	// Join starts this host's replica empty and without a vote, until an operator adds
@@ -361,7 +361,7 @@
 	return net.JoinHostPort(ip, port)
 }
 
-// Founders returns the peer addresses of the replicas that found the control group; empty
+// Founders returns the peer addresses of the replicas that form a new control group; empty
 // unless this host is one of them.
 func (c *Config) Founders() []string {
 	if !c.Control.Bootstrap {
