--- a/internal/daemon/tasks.go
+++ b/internal/daemon/tasks.go
@@ -17,11 +17,11 @@
 
 // tasks are the background loops of a process. stop ends them and waits for them.
 //
-// A loop that panics is restarted. All loops compare the actual with the desired state and
-// reconcile them, and they keep their state under locks that are released by defer, so a
-// restarted loop continues where the old one ended. If the process ended instead, all hosts
-// could end at the same moment with all requests that they serve: what makes a loop panic is
-// often an update that reaches all hosts.
+// A loop that panics is restarted. All loops are level-triggered: each pass compares the current
+// state with its target and reconciles the two. They keep their state under locks that are
+// released by defer, so a restarted loop continues where the old one ended. If the process ended
+// instead, all hosts could end at the same moment with all requests that they serve: what makes a
+// loop panic is often an update that reaches all hosts.
 //
 // A loop whose state can't be trusted after a panic runs under runUntilPanic instead.
 type tasks struct {
--- a/internal/proof/budgets_test.go
+++ b/internal/proof/budgets_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// callers sends requests to hosts and collects the submissions with their answers.
+// callers sends requests to hosts and records them with their answers.
 type callers struct {
-	f           *fleet
-	wg          sync.WaitGroup
-	mu          sync.Mutex
-	submissions []submission
+	f    *fleet
+	wg   sync.WaitGroup
+	mu   sync.Mutex
+	sent []sentRequest
 }
 
 // send submits a request to hosts one after another until it is answered, as a caller who
@@ -23,7 +23,7 @@
 		for _, host := range hosts {
 			a := c.f.submit(host, key, idempotent)
 			c.mu.Lock()
-			c.submissions = append(c.submissions, a)
+			c.sent = append(c.sent, a)
 			c.mu.Unlock()
 			if a.ok && !c.f.occurs("answer to "+key, 300) {
 				return
@@ -72,7 +72,7 @@
 			c.wg.Wait()
 			f.healAndDrain()
 			f.check()
-			served, notRun := f.checkAnswers(c.submissions)
+			served, notRun := f.checkAnswers(c.sent)
 			twice := 0
 			for _, runs := range f.engine.byIdentity {
 				if len(runs) > 1 {
@@ -105,7 +105,7 @@
 		c.wg.Wait()
 		f.healAndDrain()
 		f.check()
-		f.checkAnswers(c.submissions)
+		f.checkAnswers(c.sent)
 		for identity, runs := range f.engine.byIdentity {
 			if len(runs) != 1 {
 				f.t.Errorf("identity %s ran %d times", identity, len(runs))
--- a/internal/proof/caller.go
+++ b/internal/proof/caller.go
@@ -33,7 +33,7 @@
 type engine struct {
 	fleet *fleet
 	mu    sync.Mutex
-	// byID holds the runs by the request id of the submission that started them.
+	// byID holds the runs by the id of the sent request that started them.
 	byID       map[string]run
 	byIdentity map[string][]run
 	// refusing is true once the engine permanently refuses to run requests.
@@ -199,9 +199,9 @@
 	return nil
 }
 
-// submission is one request sent to one host, and its answer. If it is neither ok nor refused,
+// sentRequest is one request sent to one host, and its answer. If it is neither ok nor refused,
 // the host died.
-type submission struct {
+type sentRequest struct {
 	id, identity string
 	idempotent   bool
 	ok           bool
@@ -210,9 +210,9 @@
 }
 
 // submit sends a request to a host, as a caller who waits for the answer.
-func (f *fleet) submit(host, key string, idempotent bool) (a submission) {
+func (f *fleet) submit(host, key string, idempotent bool) (a sentRequest) {
 	number := f.draw("arrival/"+key, 1<<30)
-	a = submission{id: fmt.Sprintf("%s@%s/%x", key, host, number), identity: "acc/" + key, idempotent: idempotent, start: time.Now()}
+	a = sentRequest{id: fmt.Sprintf("%s@%s/%x", key, host, number), identity: "acc/" + key, idempotent: idempotent, start: time.Now()}
 	defer func() { a.end = time.Now() }()
 	n := f.node(host)
 	if n == nil {
@@ -239,7 +239,7 @@
 	a.refusal = filter.CorrectRan(c, err)
 	a.ok = a.refusal == nil
 	if a.ok && w.Body.String() != a.identity {
-		// This may be the replayed refusal of an earlier submission.
+		// This may be the replayed refusal of an earlier request with the same idempotency key.
 		a.ok = false
 		if w.Code < http.StatusBadRequest {
 			f.t.Errorf("request %s got the wrong answer %q", a.id, w.Body)
--- a/internal/proof/check_test.go
+++ b/internal/proof/check_test.go
@@ -94,11 +94,11 @@
 }
 
 // countMisleadingRefusals counts the refusals with 'ran no' of a request whose key had already
-// run at a host on the other side of a partition. They are true of the submission, but not of
-// the request; the count is only logged, not checked.
-func (f *fleet) countMisleadingRefusals(submissions []submission) int {
+// run at a host on the other side of a partition. Each is true of the one request that it
+// answers, but not of the idempotency key; the count is only logged, not checked.
+func (f *fleet) countMisleadingRefusals(sent []sentRequest) int {
 	n := 0
-	for _, a := range submissions {
+	for _, a := range sent {
 		runs := f.engine.byIdentity[a.identity]
 		if len(runs) > 0 && runs[0].start.Before(a.start) && a.refusal != nil && a.refusal.Ran() == errkind.RanNo {
 			n++
@@ -109,8 +109,8 @@
 
 // checkAnswers compares the answers to callers with what the engine ran. It returns the number
 // of requests that were answered, and of refusals with 'ran no'.
-func (f *fleet) checkAnswers(submissions []submission) (served, notRun int) {
-	for _, a := range submissions {
+func (f *fleet) checkAnswers(sent []sentRequest) (served, notRun int) {
+	for _, a := range sent {
 		_, ran := f.engine.run(a.id)
 		runs := f.engine.byIdentity[a.identity]
 		switch {
--- a/internal/proof/claims_test.go
+++ b/internal/proof/claims_test.go
@@ -11,13 +11,13 @@
 	"github.com/bluebellsail/bluebellsail/internal/errkind"
 )
 
-// claimOutput is the outcome of one submission: whether the engine ran it, and its answer.
+// claimOutput is the outcome of one sent request: whether the engine ran it, and its answer.
 type claimOutput struct {
 	ran, ok  bool
 	reported errkind.Ran // of a refusal; empty for an answer, or if there was none
 }
 
-// runOnce is the model of one identity, whose state is whether it has run. A submission that
+// runOnce is the model of one identity, whose state is whether it has run. A request that
 // runs it must find it not run, and must not be refused with 'ran no'; an answer must come
 // after the run.
 var runOnce = porcupine.Model{
@@ -77,13 +77,13 @@
 			}
 			c.wg.Wait()
 			f.heal()
-			history := claimHistory(f, c.submissions)
+			history := claimHistory(f, c.sent)
 			if !porcupine.CheckOperations(runOnce, history) {
-				f.t.Errorf("seed %d: no order of the submissions has each identity run once", seed)
+				f.t.Errorf("seed %d: no order of the sent requests has each identity run once", seed)
 			}
-			served, notRun := f.checkAnswers(c.submissions)
-			f.t.Logf("seed %d: %d submissions, %d answered, %d refused as not run (%d ran before elsewhere), %d identities ran",
-				seed, len(history), served, notRun, f.countMisleadingRefusals(c.submissions), len(f.engine.byIdentity))
+			served, notRun := f.checkAnswers(c.sent)
+			f.t.Logf("seed %d: %d requests sent, %d answered, %d refused as not run (%d ran before elsewhere), %d identities ran",
+				seed, len(history), served, notRun, f.countMisleadingRefusals(c.sent), len(f.engine.byIdentity))
 			if served == 0 || notRun == 0 {
 				f.t.Error("the run did not contain both answers and refusals")
 			}
@@ -91,9 +91,9 @@
 	}
 }
 
-func claimHistory(f *fleet, submissions []submission) []porcupine.Operation {
+func claimHistory(f *fleet, sent []sentRequest) []porcupine.Operation {
 	var history []porcupine.Operation
-	for i, a := range submissions {
+	for i, a := range sent {
 		_, ran := f.engine.run(a.id)
 		o := claimOutput{ran: ran, ok: a.ok}
 		end := a.end
--- a/internal/proof/deaths_test.go
+++ b/internal/proof/deaths_test.go
@@ -125,7 +125,7 @@
 			f.healAndDrain()
 			f.removeAll()
 			f.check()
-			served, notRun := f.checkAnswers(c.submissions)
+			served, notRun := f.checkAnswers(c.sent)
 			f.t.Logf("seed %d: %d answered, %d refused as not run, %d recovered bills, %d by reservation, %d lost, %d of %d tokens billed",
 				seed, served, notRun, len(f.estimated), f.estimates(), f.lostBills, f.budget().GetBilled(), f.budget().GetFunded())
 			if served == 0 || len(f.estimated) == 0 || f.lostBills > 2 {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -225,7 +225,7 @@
 }
 
 // Guards against a suspected request that crashes a server for each caller that sends it at the
-// same time, and against blocking callers for long behind a slow run.
+// same time, and against blocking callers for long behind a slow execution.
 func TestSuspectedRequestRunsOnceAtATime(t *testing.T) {
 	table := NewTable()
 	id := request("account", 1)
