--- a/internal/controller/members/transit_test.go
+++ b/internal/controller/members/transit_test.go
@@ -11,8 +11,8 @@
 
 // TestTransitBoundCoversDelayedHeartbeats delays heartbeats in the network for up to five
 // seconds. If their transit time were always taken as a few milliseconds, a server that left in
-// the meantime would get new work seconds later, because the heartbeat arrives with the ages of
-// when it was sent.
+// the meantime would get new work seconds later, because the ages in the heartbeat are those at
+// the time when it was sent.
 func TestTransitBoundCoversDelayedHeartbeats(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 0))
 	tr := newTransitTracker()
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -225,7 +225,7 @@
 				a.set(false, c.commitDelay)
 				time.Sleep(7 * time.Second) // long enough for an order to each server
 				a.set(true, c.commitDelay)
-				a.becomeLeader(1, lease) // the last lease that it renewed
+				a.becomeLeader(1, lease) // a's last lease, which it can no longer renew
 				time.Sleep(lease + 100*time.Millisecond)
 				b.becomeLeader(2, time.Hour)
 				time.Sleep(60 * time.Second)
--- a/internal/controller/records/records_test.go
+++ b/internal/controller/records/records_test.go
@@ -341,11 +341,11 @@
 	})
 }
 
-// TestTransferCopied checks a transfer with a reachable third host, one whose third host's
-// replies are lost, one that is undone, and then the recovery of the receiver. The same tokens
-// would exist twice after a sender or receiver died if a transfer had no copy although a third
-// host is reachable, was undone while a host may hold its copy, or was undone after the
-// recovery of the receiver counted it.
+// TestTransferCopied makes a transfer with a reachable third host and one whose third host's
+// replies are lost, undoes one, and then gathers the records for the recovery of the receiver.
+// After the sender or the receiver dies, the same tokens would exist twice if a transfer had no
+// copy although a third host was reachable, or if it was undone while a host may hold its copy or
+// after the recovery of the receiver counted it.
 func TestTransferCopied(t *testing.T) {
 	withFleet(t, 3, defaultSyncInterval, func(t *testing.T, fl *fleet) {
 		sender, third := fl.nodes["h0"], fl.nodes["h2"]
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -64,7 +64,7 @@
 
 func (f *benchFleet) announce(tick int) {
 	for s := range f.newest[0] {
-		if (s+tick)%2 == 0 { // every second tick is every second
+		if (s+tick)%2 == 0 { // each server every second tick, that is once a second
 			f.newest[(s+tick/2)%len(f.hosts)][s] = benchState(s, uint64(tick+1))
 		}
 	}
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -10,16 +10,16 @@
 	"github.com/bluebellsail/bluebellsail/internal/pb"
 )
 
-// repliesPerWholeView is the number of replies in a full mesh of which one, on average, carries
+// repliesPerWholeView is the average number of replies in a full mesh for each one that carries
 // the whole view.
 const repliesPerWholeView = 8
 
-// wholeViewsPerAddressView is the number of whole views of which one, on average, includes all
+// wholeViewsPerAddressView is the average number of whole views for each one that includes all
 // addresses.
 const wholeViewsPerAddressView = 3
 
-// sendsPerRound is how often an updated entry is sent first, per round that an update takes to
-// spread; after that it is only sent in turn.
+// sendsPerRound is how many times an updated entry is sent before others, for each round that an
+// update takes to reach every host. After that, the entry is only sent in turn.
 const sendsPerRound = 3
 
 // queueUpdate queues e as an update, to be sent before other entries. withAddresses is true if its
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -12,8 +12,8 @@
 // host or another one. A doubt begins when a heartbeat to a host is not answered.
 // Only evidence from after the beginning of a doubt ends it; while it lasts, the
 // host becomes suspected and then dead. Digests carry both evidence and doubts,
-// so a host that can't be reached by one host, but by another one, stays a member
-// for all.
+// so a host that one host can't reach, but another one can, stays a member for
+// all.
 package membership
 
 import (
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestHealthyMeshRepliesCarryFewHosts checks a fleet of seven without doubts: its replies carry
-// a small part of the entries of third hosts that they would if each carried all hosts.
+// TestHealthyMeshRepliesCarryFewHosts checks that the replies in a fleet of seven without doubts
+// carry only a small part of the entries of third hosts that whole views would carry.
 func TestHealthyMeshRepliesCarryFewHosts(t *testing.T) {
 	f := settledFleet(t, 7)
 	f.run(100)
@@ -294,9 +294,9 @@
 	}
 }
 
-// TestShareSpreadsCallers has callers that prefer the same host whatever the order of the
-// answer. If that host were in every answer, its streams would be late while other hosts are
-// idle.
+// TestShareSpreadsCallers simulates callers that all prefer the same host, regardless of the order
+// of the addresses that they get. If that host were in every answer, its streams would be late
+// while other hosts are idle.
 func TestShareSpreadsCallers(t *testing.T) {
 	f := settledFleet(t, 7)
 	// preferred counts the callers that choose each host: of the hosts that they get, the first
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -168,7 +168,7 @@
 	return names
 }
 
-// wantNames is what every answer must hold once all is quiet.
+// wantNames returns the hosts that every answer must contain once no more changes are spreading.
 func (f *fleet) wantNames() []string {
 	var names []string
 	for i, h := range f.hosts {
--- a/internal/placement/view.go
+++ b/internal/placement/view.go
@@ -111,8 +111,8 @@
 	return s.GetChecksFence() || led >= v.planner.cfg.handoverWait()
 }
 
-// choose returns an order that brings the server that is nearest to meeting the rule nearer to
-// it, or else the reason why there is none.
+// choose returns the next order for the server that is closest to meeting the rule, of those that
+// are available and whose order would do no harm, or the reason why there is none.
 func (v *view) choose(rule settings.PlacementRule) (Order, string) {
 	if v.poolBusy(rule.Pool) {
 		return Order{}, "the maximum number of servers of the pool already have an order in flight"
