--- a/internal/controller/members/transit.go
+++ b/internal/controller/members/transit.go
@@ -23,7 +23,7 @@
 // synchronized clocks.
 //
 // A heartbeat can be delayed in the network for seconds, and the ages of backend servers in
-// it are those of when it was sent. Without the bound, a server that has left in the
+// it are those at the time when it was sent. Without the bound, a server that has left in the
 // meantime would look fresh and get new work.
 //
 // The offset between this host's clock on arrival and the sender's on sending is smallest for
--- a/internal/controller/records/records.go
+++ b/internal/controller/records/records.go
@@ -44,8 +44,8 @@
 	// lookupCopies is the largest number of copies that a team may set. A lookup that doesn't
 	// know the team queries the hosts that would hold that many copies.
 	lookupCopies = 2
-	// racePollInterval is the time between two queries whether another host that began the
-	// same identity has decided.
+	// racePollInterval is the time between two queries that check whether another host that
+	// began the same identity has decided.
 	racePollInterval = 2 * time.Millisecond
 )
 
--- a/internal/membership/share.go
+++ b/internal/membership/share.go
@@ -23,9 +23,9 @@
 	// in any case: a fortieth of the capacity of a 10 Mbit/s link.
 	fullWeightTraffic = 32
 	// busyExponent increases the effect of traffic on the weight. It compensates for callers
-	// that use an older answer three times as long as they may.
+	// that use an answer for three times as long as it is valid.
 	busyExponent = 3
-	// shareEpoch is how long a caller gets the same hosts as long as the hosts don't change.
+	// shareEpoch is how long a caller's share stays the same while the hosts don't change.
 	shareEpoch = 30 * time.Second
 )
 
@@ -33,8 +33,8 @@
 // caller's name, with more weight for hosts in its zone and less for busy ones. All hosts with
 // the same view of the fleet return the same hosts to a caller.
 //
-// If every caller got all hosts, the load would be uneven, because callers don't choose evenly
-// whatever the order of the answer, and many prefer the same host. One host of 70 got ten times
+// If every caller got all hosts, the load would be uneven, because callers don't choose evenly,
+// whatever the order of the addresses, and many prefer the same host. One host of 70 got ten times
 // the mean traffic: its link was saturated and its streams were late while other hosts were
 // idle. With a few hosts that differ by caller, all hosts get about the same number of callers.
 func (t *Table) Share(now time.Time, zone, caller string, n int, ttl time.Duration) []Address {
