--- a/internal/controller/news/news.go
+++ b/internal/controller/news/news.go
@@ -1,4 +1,4 @@
-// Package news broadcasts updates to all hosts of a fleet that must not wait for heartbeats:
+// Package news broadcasts the updates that must not wait for heartbeats to all hosts of a fleet:
 // that a backend server is leaving or has stopped, that one advertises a rate limit, that one
 // crashed under a request, and that there is a newer routing table.
 //
